--- a/baobabhoist/control/loading.py
+++ b/baobabhoist/control/cell_loader.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.row_schema import (
     CELL_TABLE,
     JOB_PARTS,
     JOBS_TABLE,
--- a/baobabhoist/control/claimant.py
+++ b/baobabhoist/control/election.py
@@ -27,8 +27,8 @@
 from baobabhoist.control.links import OWNER_BEAT_S, Identity, LinkServer, OwnerLink
 from baobabhoist.control.messages import OwnerBeat
 from baobabhoist.control.owner import CellOwner, Ownership
-from baobabhoist.control.owners import OwnerCalls
-from baobabhoist.control.rowmap import BEAT_ROW, CELL_TABLE, OWNER_ROW
+from baobabhoist.control.owner_router import OwnerCalls
+from baobabhoist.control.row_schema import BEAT_ROW, CELL_TABLE, OWNER_ROW
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
--- a/baobabhoist/control/frontdesk.py
+++ b/baobabhoist/control/job_api.py
@@ -10,10 +10,10 @@
 
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
-from baobabhoist.control.accept import Acceptor, Stored
 from baobabhoist.control.clock import SharedClock, boot_ms
 from baobabhoist.control.config import CellConfig, ConfigInForce, Route
 from baobabhoist.control.interfaces import Decoder
+from baobabhoist.control.job_writer import Acceptor, Stored
 from baobabhoist.control.messages import (
     CancelNotice,
     JobNotice,
@@ -22,8 +22,8 @@
     StateQuery,
     StateReply,
 )
-from baobabhoist.control.owners import OwnerCalls
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.owner_router import OwnerCalls
+from baobabhoist.control.row_schema import (
     JOBS_TABLE,
     PROGRESS_TABLE,
     JobRow,
--- a/baobabhoist/control/accept.py
+++ b/baobabhoist/control/job_writer.py
@@ -9,8 +9,8 @@
 import attrs
 
 from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.contact import Contact
-from baobabhoist.control.rowmap import cancel_row, job_row
+from baobabhoist.control.row_schema import cancel_row, job_row
+from baobabhoist.control.store_health import Contact
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import (
     RowKey,
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -10,24 +10,24 @@
 import attrs
 
 from baobabhoist.cell.model import CellRules
-from baobabhoist.control.accept import Acceptor
 from baobabhoist.control.advice import AdviceDesk
-from baobabhoist.control.claimant import Claimant
 from baobabhoist.control.clock import SharedClock, boot_ms
 from baobabhoist.control.config import ConfigInForce
-from baobabhoist.control.contact import WatchedStore
-from baobabhoist.control.follow import TableFollower
-from baobabhoist.control.frontdesk import FrontDesk
+from baobabhoist.control.election import Claimant
 from baobabhoist.control.interfaces import Adviser, Decoder, WorkerDriver
+from baobabhoist.control.job_api import FrontDesk
+from baobabhoist.control.job_writer import Acceptor
 from baobabhoist.control.links import Identity, LinkServer, OwnerLink
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.owner import CellOwner, OwnerParts, Ownership
-from baobabhoist.control.owners import OwnerCalls
+from baobabhoist.control.owner_router import OwnerCalls
 from baobabhoist.control.relay import Peers, RelayedStore
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.row_schema import (
     CELL_TABLE,
 )
 from baobabhoist.control.settings import NodeSettings
+from baobabhoist.control.store_health import WatchedStore
+from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
 from baobabhoist.store.rows import (
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -16,14 +16,13 @@
 from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
 from baobabhoist.control.advice import AdviceDesk
+from baobabhoist.control.cell_loader import CellLoading, CellTables
 from baobabhoist.control.clock import SharedClock, boot_ms, unix_ms
-from baobabhoist.control.follow import TableFollower
 from baobabhoist.control.interfaces import Decoder, WorkerDriver
-from baobabhoist.control.loading import CellLoading, CellTables
 from baobabhoist.control.messages import PendingReply, StateReply
 from baobabhoist.control.metrics import NodeMetrics
-from baobabhoist.control.progress import ProgressWriter
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.progress_writer import ProgressWriter
+from baobabhoist.control.row_schema import (
     CANCEL_SUFFIX,
     JOB_PARTS,
     JOBS_TABLE,
@@ -31,7 +30,8 @@
     decode_job,
     decode_speeds,
 )
-from baobabhoist.control.workers import WorkerLoop
+from baobabhoist.control.table_follower import TableFollower
+from baobabhoist.control.worker_session import WorkerLoop
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import RowStore, StoredRow, StoreError
 
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress_writer.py
@@ -9,7 +9,7 @@
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.cell import Cell
 from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.row_schema import (
     BEAT_ROW,
     LEARNED_ROW,
     OWNER_ROW,
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -10,7 +10,6 @@
 import attrs
 
 from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.contact import WatchedStore
 from baobabhoist.control.messages import (
     RelayCommit,
     RelayedCommit,
@@ -20,6 +19,7 @@
     RelayRead,
     WireRow,
 )
+from baobabhoist.control.store_health import WatchedStore
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -12,7 +12,7 @@
 from tornado.web import Application, RequestHandler
 
 from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.frontdesk import Admitted, Call, FrontDesk, unknown_outcome
+from baobabhoist.control.job_api import Admitted, Call, FrontDesk, unknown_outcome
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.node import Node
 from baobabhoist.errors import ErrorKind, Refusal
--- a/baobabhoist/tests/test_cell_speeds.py
+++ b/baobabhoist/tests/test_cell_speeds.py
@@ -4,7 +4,7 @@
 
 from baobabhoist.cell.model import Step
 from baobabhoist.cell.speeds import Speeds
-from baobabhoist.control.rowmap import decode_speeds, encode_speeds
+from baobabhoist.control.row_schema import decode_speeds, encode_speeds
 from baobabhoist.tests.cells import SMALL, Rig, job
 
 SPEEDS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
--- a/baobabhoist/tests/test_control_loading.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from baobabhoist.control.loading import CellLoading
-from baobabhoist.control.rowmap import JOB_PARTS, OWNER_ROW, job_row, progress_row
+from baobabhoist.control.cell_loader import CellLoading
+from baobabhoist.control.row_schema import JOB_PARTS, OWNER_ROW, job_row, progress_row
 from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
 from baobabhoist.testing.rows import MemoryRows
 
--- a/baobabhoist/tests/test_control_claimant.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from baobabhoist.control import claimant as claimant_module
+from baobabhoist.control import election as election_module
 from baobabhoist.control.claim import ClaimRow, OwnerSeen, decode_claim, encode_claim
-from baobabhoist.control.claimant import ANSWERED_GAP_MS, Claimant
+from baobabhoist.control.election import ANSWERED_GAP_MS, Claimant
 from baobabhoist.control.links import Identity
-from baobabhoist.control.rowmap import BEAT_ROW, OWNER_ROW
+from baobabhoist.control.row_schema import BEAT_ROW, OWNER_ROW
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
@@ -35,8 +35,8 @@
 
     def __init__(self, monkeypatch):
         self.now = 100_000.0
-        monkeypatch.setattr(claimant_module, "boot_ms", lambda: self.now)
-        monkeypatch.setattr(claimant_module, "CLAIM_SPREAD_S", 0.0)
+        monkeypatch.setattr(election_module, "boot_ms", lambda: self.now)
+        monkeypatch.setattr(election_module, "CLAIM_SPREAD_S", 0.0)
         self.store = MemoryRows()
         self.calls = SimpleNamespace(local=None)
         self.link = SimpleNamespace(seen=OwnerSeen.CONNECTED, follow=lambda claim: None)
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -7,14 +7,14 @@
 
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
 from baobabhoist.cell.progress import Progress, encode
-from baobabhoist.control import frontdesk as frontdesk_module
-from baobabhoist.control.accept import Acceptor
+from baobabhoist.control import job_api as job_api_module
 from baobabhoist.control.clock import SharedClock
 from baobabhoist.control.config import CellConfig, ConfigInForce, Route
-from baobabhoist.control.contact import Contact
-from baobabhoist.control.frontdesk import Admitted, Call, FrontDesk
+from baobabhoist.control.job_api import Admitted, Call, FrontDesk
+from baobabhoist.control.job_writer import Acceptor
 from baobabhoist.control.messages import JobNotice, NotOwner, PendingReply, StateReply
-from baobabhoist.control.rowmap import job_row, progress_row
+from baobabhoist.control.row_schema import job_row, progress_row
+from baobabhoist.control.store_health import Contact
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.store.rows import RowsTxn
@@ -47,7 +47,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 50_000.0
-        monkeypatch.setattr(frontdesk_module, "boot_ms", lambda: self.now)
+        monkeypatch.setattr(job_api_module, "boot_ms", lambda: self.now)
         self.rows = MemoryRows()
         self.owner = Owner()
         self.config = ConfigInForce()
--- a/baobabhoist/tests/test_control_accept.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from baobabhoist.control import accept
-from baobabhoist.control.accept import Acceptor, Stored
+from baobabhoist.control import job_writer
 from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.contact import Contact
-from baobabhoist.control.rowmap import job_row
+from baobabhoist.control.job_writer import Acceptor, Stored
+from baobabhoist.control.row_schema import job_row
+from baobabhoist.control.store_health import Contact
 from baobabhoist.testing.rows import MemoryRows
 
 ID = "0123456789abcdef"
@@ -29,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(accept, "RETRY_S", 0.001)
+    monkeypatch.setattr(job_writer, "RETRY_S", 0.001)
 
 
 def test_a_lost_answer_is_read_back_by_the_same_write():
@@ -49,7 +49,7 @@
 
 def test_a_refused_write_is_refused_only_while_nothing_may_come_late(monkeypatch):
     """Guard against "not run" for a job that the store carries out a moment later."""
-    monkeypatch.setattr(accept, "REFUSED_MAX_MS", 0.0)
+    monkeypatch.setattr(job_writer, "REFUSED_MAX_MS", 0.0)
     rows = MemoryRows(fail=lambda txn: "refused")
     assert store(rows, 50.0).stored is Stored.REFUSED
     doubtful = MemoryRows(fail=failing("late", *["refused"] * 10_000))
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from baobabhoist.control.contact import WatchedStore
 from baobabhoist.control.messages import CODEC
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.relay import Peers, RelayedStore
+from baobabhoist.control.store_health import WatchedStore
 from baobabhoist.errors import NotSentError
 from baobabhoist.store.rows import (
     RowKey,
--- a/baobabhoist/tests/test_control_follow.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from baobabhoist.control import follow as follow_module
+from baobabhoist.control import table_follower as table_follower_module
 from baobabhoist.control.clock import SharedClock
-from baobabhoist.control.follow import TableFollower
+from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.store.rows import RowKey, RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(follow_module, "RETRY_S", 0.0)
+    monkeypatch.setattr(table_follower_module, "RETRY_S", 0.0)
 
 
 def put(rows, value):
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -6,8 +6,8 @@
 import pytest
 
 from baobabhoist.cell.model import OrderOutcome
-from baobabhoist.control import workers
-from baobabhoist.control.workers import WorkerLoop
+from baobabhoist.control import worker_session
+from baobabhoist.control.worker_session import WorkerLoop
 from baobabhoist.tests.cells import LEASE_MS, Rig, job
 
 
@@ -54,7 +54,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(workers, "ACK_WAIT_S", 0.001)
+    monkeypatch.setattr(worker_session, "ACK_WAIT_S", 0.001)
 
 
 def test_a_silent_worker_is_not_offered_a_longer_lease():
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.cell.model import JobSpec, Room, WorkerInfo
 from baobabhoist.control.config import CellConfig
-from baobabhoist.control.rowmap import JobRow, decode_job, encode_job
+from baobabhoist.control.row_schema import JobRow, decode_job, encode_job
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.platform.decode import PlatformDecoder
 
