--- a/baobabhoist/control/advice.py
+++ b/baobabhoist/control/advice.py
@@ -12,7 +12,7 @@
 import attrs
 
 from baobabhoist.cell.model import AskAdvice
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.interfaces import Advice, Adviser
 from baobabhoist.control.messages import AdviceQuery, AdviceReply
 from baobabhoist.errors import LinkClosedError
@@ -49,14 +49,14 @@
         """Return the adviser's answer through the least busy instance, or None."""
         links = dict(self.links())
         node = self._choose(sorted([LOCAL, *links]), question.cost_ms)
-        done_ms = max(self.busy_until.get(node, 0.0), boot_ms()) + question.cost_ms
+        done_ms = max(self.busy_until.get(node, 0.0), monotonic_ms()) + question.cost_ms
         self.busy_until[node] = done_ms
         if node == LOCAL:
             return await self.adviser.ask(question.step, question.workers, question.cost_ms)
         return await self._ask_through(links[node], node, question, done_ms)
 
     def _choose(self, nodes: list[str], cost_ms: float) -> str:
-        now = boot_ms()
+        now = monotonic_ms()
         if cost_ms > LONG_MS and len(nodes) >= SHORT_ONLY_EVERY:
             nodes = [n for i, n in enumerate(nodes) if i % SHORT_ONLY_EVERY]
         return min(nodes, key=lambda n: max(now, self.busy_until.get(n, 0.0)))
@@ -68,7 +68,7 @@
         query = AdviceQuery(
             step.job_id, step.occurrence, step.step, question.workers, question.cost_ms
         )
-        timeout_s = max(0.0, done_ms - boot_ms()) / 1000 + ANSWER_SLACK_S
+        timeout_s = max(0.0, done_ms - monotonic_ms()) / 1000 + ANSWER_SLACK_S
         try:
             reply = await link.call(query, timeout_s)
         except (LinkClosedError, TimeoutError) as exc:
--- a/baobabhoist/control/clock.py
+++ b/baobabhoist/control/clock.py
@@ -9,7 +9,7 @@
 MS_PER_S = 1000.0
 
 
-def boot_ms() -> float:
+def monotonic_ms() -> float:
     """Return the steady clock that also counts suspended time, in ms."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_S
 
@@ -20,21 +20,21 @@
 
 
 @attrs.define
-class SharedClock:
+class StoreClock:
     """Follow the store's steady clock, which all instances can read."""
 
-    ahead_ms: float | None = None
+    offset_ms: float | None = None
 
-    def heard(self, now_ms: float) -> None:
+    def observe(self, now_ms: float) -> None:
         """Take over a reading; the least delayed one counts."""
-        ahead = now_ms - boot_ms()
-        if self.ahead_ms is None or ahead > self.ahead_ms:
-            self.ahead_ms = ahead
+        offset = now_ms - monotonic_ms()
+        if self.offset_ms is None or offset > self.offset_ms:
+            self.offset_ms = offset
 
     def now_ms(self) -> int:
         """Return the store's time, or the local one before any reading."""
-        return int(boot_ms() + (self.ahead_ms or 0.0))
+        return int(monotonic_ms() + (self.offset_ms or 0.0))
 
-    def local_ms(self, shared_ms: float) -> float:
+    def to_local_ms(self, shared_ms: float) -> float:
         """Return a moment of the store's clock on the local steady clock."""
-        return shared_ms - (self.ahead_ms or 0.0)
+        return shared_ms - (self.offset_ms or 0.0)
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -22,7 +22,7 @@
     decode_claim,
     encode_claim,
 )
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.config import ConfigInForce
 from baobabhoist.control.links import OWNER_BEAT_S, Identity, LinkServer, OwnerLink
 from baobabhoist.control.messages import OwnerBeat
@@ -82,7 +82,7 @@
         self._claim: ClaimRow | None = None
         self._claim_version = 0
         self._beat_version = 0
-        self._beat_changed_ms = boot_ms()
+        self._beat_changed_ms = monotonic_ms()
         self._read_ms = -1e12
         self._loaded = False
         self._wake = asyncio.Event()
@@ -124,7 +124,7 @@
                 self._claim_seen(row)
             elif row.key == BEAT_ROW and row.version > self._beat_version:
                 self._beat_version = row.version
-                self._beat_changed_ms = boot_ms()
+                self._beat_changed_ms = monotonic_ms()
 
     def _claim_seen(self, row: StoredRow) -> None:
         if row.value is None or row.version == self._claim_version:
@@ -136,7 +136,7 @@
             return
         self._note_takeover(claim)
         self._claim, self._claim_version = claim, row.version
-        self._beat_changed_ms = boot_ms()
+        self._beat_changed_ms = monotonic_ms()
         emit(
             log,
             Event.CLAIM_SEEN,
@@ -153,16 +153,16 @@
         """Count takeovers from owners that did not release the cell."""
         before = self._claim
         if before is not None and not before.released and not claim.released:
-            self._takeovers_ms.append(boot_ms())
+            self._takeovers_ms.append(monotonic_ms())
 
     def _recent_takeovers(self) -> int:
-        since = boot_ms() - TAKEOVERS_WITHIN_MS
+        since = monotonic_ms() - TAKEOVERS_WITHIN_MS
         self._takeovers_ms = [moment for moment in self._takeovers_ms if moment > since]
         return len(self._takeovers_ms)
 
     def confirmed(self, asked_ms: float) -> None:
         """Note that the rows were read just now."""
-        now = boot_ms()
+        now = monotonic_ms()
         if asked_ms - self._read_ms > ANSWERED_GAP_MS:
             # While the store was away, the owner could not show that it lives either.
             self._beat_changed_ms = now
@@ -187,12 +187,12 @@
                     await self._take(reason)
 
     def _claim_reason(self) -> ClaimReason:
-        fresh = boot_ms() - self._read_ms < CLAIM_FRESH_MS
+        fresh = monotonic_ms() - self._read_ms < CLAIM_FRESH_MS
         if not (self._loaded and fresh) or self.draining or self._calls.local is not None:
             return ClaimReason.NONE
-        if self._config.current is None or boot_ms() < self._claims_from_ms:
+        if self._config.current is None or monotonic_ms() < self._claims_from_ms:
             return ClaimReason.NONE
-        age = boot_ms() - self._beat_changed_ms
+        age = monotonic_ms() - self._beat_changed_ms
         return claim_reason(
             self._claim, self._link.seen, age, self._identity.boot, self._recent_takeovers()
         )
@@ -243,7 +243,7 @@
     ) -> None:
         if self._calls.local is not None:
             return
-        now = boot_ms()
+        now = monotonic_ms()
         self._claim, self._claim_version = claim, version
         self._link.follow(None)
         until = now
@@ -274,7 +274,7 @@
 
     def _may_start(self) -> bool:
         owner = self._calls.local
-        return owner is not None and boot_ms() - owner.progress.confirmed_ms < CONFIRMED_MS
+        return owner is not None and monotonic_ms() - owner.progress.confirmed_ms < CONFIRMED_MS
 
     def _step_down(self, reason: str) -> None:
         owner = self._calls.local
@@ -286,7 +286,7 @@
         if self._owner_task is not None:
             self._owner_task.cancel()
         owner.stop()
-        self._beat_changed_ms = boot_ms()
+        self._beat_changed_ms = monotonic_ms()
         if self._claim is not None:
             self._link.follow(self._claim)
 
@@ -296,8 +296,8 @@
             owner = self._calls.local
             if owner is not None:
                 self._tell_links(OwnerBeat())
-                if self._company.lost(len(self._server.links), boot_ms()):
-                    self._claims_from_ms = boot_ms() + ALONE_PAUSE_MS
+                if self._company.lost(len(self._server.links), monotonic_ms()):
+                    self._claims_from_ms = monotonic_ms() + ALONE_PAUSE_MS
                     await self.release("no instance is linked to this one")
             await asyncio.sleep(OWNER_BEAT_S)
 
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -10,7 +10,7 @@
 
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
-from baobabhoist.control.clock import SharedClock, boot_ms
+from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.control.config import CellConfig, ConfigInForce, Route
 from baobabhoist.control.interfaces import Decoder
 from baobabhoist.control.job_writer import Acceptor, Stored
@@ -102,7 +102,7 @@
     store: RowStore
     acceptor: Acceptor
     decoder: Decoder
-    clock: SharedClock
+    clock: StoreClock
     owner: OwnerCalls
     revoke_ms: float
     row_max_bytes: int
@@ -119,7 +119,7 @@
             )
         team = ""
         if not route.queue.open_to_all:
-            if self.config.age_ms(boot_ms()) > KEY_AGE_PART * self.revoke_ms:
+            if self.config.age_ms(monotonic_ms()) > KEY_AGE_PART * self.revoke_ms:
                 return not_ready("the keys in force are not known to be current", ELSEWHERE_S)
             if call.key not in cfg.keys:
                 kind = ErrorKind.KEY_REJECTED if call.key else ErrorKind.KEY_MISSING
@@ -150,7 +150,7 @@
             message = f"the job takes {len(value)} bytes as it is stored"
             remedy = f"send a job of at most {self.row_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy=remedy)
-        began_ms = boot_ms()
+        began_ms = monotonic_ms()
         outcome = await self.acceptor.store_job(
             admitted.job_id, value, call.give_up_ms - ANSWER_RESERVE_MS
         )
@@ -161,10 +161,10 @@
             queue=queue.name,
             team=admitted.team,
             config=admitted.cfg.version,
-            config_age_ms=round(self.config.age_ms(boot_ms())),
+            config_age_ms=round(self.config.age_ms(monotonic_ms())),
             outcome=outcome.stored.value,
             version=outcome.version,
-            took_ms=round(boot_ms() - began_ms),
+            took_ms=round(monotonic_ms() - began_ms),
         )
         if outcome.stored is Stored.REFUSED:
             return self._no_store("the store takes no jobs now")
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -8,9 +8,9 @@
 
 import attrs
 
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.row_schema import cancel_row, job_row
-from baobabhoist.control.store_health import Contact
+from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import (
     RowKey,
@@ -55,9 +55,9 @@
 class Acceptor:
     """Write rows that must not exist yet; a repeated write reads back a lost answer."""
 
-    def __init__(self, store: RowStore, contact: Contact) -> None:
+    def __init__(self, store: RowStore, store_health: StoreHealth) -> None:
         self._store = store
-        self._contact = contact
+        self._store_health = store_health
 
     async def store_job(self, job_id: str, value: bytes, give_up_ms: float) -> StoreOutcome:
         """Store a job unless it is there already."""
@@ -70,14 +70,14 @@
     async def _put_new(self, key: RowKey, value: bytes, give_up_ms: float) -> StoreOutcome:
         """Store a row that must not be there yet."""
         txn = RowsTxn({key: 0}, {key: value})
-        begun_ms = boot_ms()
+        begun_ms = monotonic_ms()
         doubtful = False
         while True:
             try:
                 outcome = await self._store.commit(txn)
             except StoreRefusedError as exc:
-                out_of_reach = self._contact.lost()
-                tried_long = boot_ms() - begun_ms > REFUSED_MAX_MS
+                out_of_reach = self._store_health.is_unreachable()
+                tried_long = monotonic_ms() - begun_ms > REFUSED_MAX_MS
                 if not doubtful and (out_of_reach or tried_long):
                     emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
                     return StoreOutcome(Stored.REFUSED)
@@ -92,14 +92,14 @@
                 return StoreOutcome(Stored.UNKNOWN if doubtful else Stored.REFUSED)
             else:
                 return _outcome(outcome, key, doubtful)
-            if boot_ms() + RETRY_S * 1000 >= give_up_ms:
+            if monotonic_ms() + RETRY_S * 1000 >= give_up_ms:
                 return StoreOutcome(Stored.UNKNOWN if doubtful else Stored.REFUSED)
             await asyncio.sleep(RETRY_S)
 
     def _silent_since(self, begun_ms: float) -> bool:
         """Tell whether the store has answered nothing since a write, for long enough."""
-        silent = self._contact.answered_ms < begun_ms
-        return silent and boot_ms() - begun_ms > SILENT_MAX_MS
+        silent = self._store_health.last_answer_ms < begun_ms
+        return silent and monotonic_ms() - begun_ms > SILENT_MAX_MS
 
 
 def _outcome(outcome: RowsCommitted | RowsConflict, key: RowKey, doubtful: bool) -> StoreOutcome:
--- a/baobabhoist/control/links.py
+++ b/baobabhoist/control/links.py
@@ -14,7 +14,7 @@
 from websockets.exceptions import WebSocketException
 
 from baobabhoist.control.claim import ClaimRow, OwnerSeen
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.messages import CODEC, Greeting, OwnerBeat, Welcome
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
@@ -147,14 +147,14 @@
 
     async def _while_heard(self, running: asyncio.Task[None]) -> None:
         """Return when the connection ends or the owner falls silent."""
-        self._heard_ms = boot_ms()
-        while boot_ms() - self._heard_ms < SILENT_LINK_MS:
+        self._heard_ms = monotonic_ms()
+        while monotonic_ms() - self._heard_ms < SILENT_LINK_MS:
             done, _ = await asyncio.wait((running,), timeout=SILENCE_CHECK_S)
             if done:
                 return
 
     async def _handle(self, message: Any) -> Any:
-        self._heard_ms = boot_ms()
+        self._heard_ms = monotonic_ms()
         if not isinstance(message, OwnerBeat):
             return await self._handler(message)
         if not message.owns:
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -11,7 +11,7 @@
 
 from baobabhoist.cell.model import CellRules
 from baobabhoist.control.advice import AdviceDesk
-from baobabhoist.control.clock import SharedClock, boot_ms
+from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.control.config import ConfigInForce
 from baobabhoist.control.election import Claimant
 from baobabhoist.control.interfaces import Adviser, Decoder, WorkerDriver
@@ -26,7 +26,7 @@
     CELL_TABLE,
 )
 from baobabhoist.control.settings import NodeSettings
-from baobabhoist.control.store_health import WatchedStore
+from baobabhoist.control.store_health import MonitoredStore
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
@@ -61,7 +61,7 @@
     def __init__(self, cfg: NodeSettings, adapter: Adapter) -> None:
         self.cfg = cfg
         self.config = ConfigInForce()
-        self.clock = SharedClock()
+        self.clock = StoreClock()
         self.identity = Identity(cfg.instance_id, secrets.token_hex(8))
         self.calls = OwnerCalls(cfg.instance_id, adapter.adviser)
         self.server = LinkServer(self.identity, self.calls.handle)
@@ -70,15 +70,15 @@
         self.metrics = NodeMetrics()
         # Returns how many log lines were dropped or left out.
         self.dropped_lines: Callable[[], int] = lambda: 0
-        direct = WatchedStore(adapter.store, self.metrics)
-        self._contact = direct.contact
+        direct = MonitoredStore(adapter.store, self.metrics)
+        self._store_health = direct.health
         store = RelayedStore(direct, Peers(self._links))
         self.calls.relay = store
         adapter = attrs.evolve(adapter, store=store)
         self.front = FrontDesk(
             self.config,
             adapter.store,
-            Acceptor(store, direct.contact),
+            Acceptor(store, direct.health),
             adapter.decoder,
             self.clock,
             self.calls,
@@ -128,13 +128,13 @@
 
     def ready(self) -> bool:
         """Tell whether this instance should get new callers."""
-        current = self.config.age_ms(boot_ms()) < READY_CONFIG_MS
+        current = self.config.age_ms(monotonic_ms()) < READY_CONFIG_MS
         is_ready = (
             not self._claimant.draining
             and self.config.current is not None
             and current
             and self.calls.reachable
-            and not self._contact.lost_for(READY_CONTACT_MS)
+            and not self._store_health.is_unreachable_for(READY_CONTACT_MS)
         )
         if is_ready is not self._was_ready:
             self._was_ready = is_ready
@@ -142,7 +142,7 @@
                 log,
                 Event.READINESS,
                 ready=is_ready,
-                config_age_ms=round(self.config.age_ms(boot_ms())),
+                config_age_ms=round(self.config.age_ms(monotonic_ms())),
                 owner=self.calls.reachable,
             )
         return is_ready
@@ -155,7 +155,7 @@
 
     def refresh_metrics(self) -> None:
         """Set the gauges that are read, not counted."""
-        cfg, now = self.config.current, boot_ms()
+        cfg, now = self.config.current, monotonic_ms()
         self.metrics.set_dropped_lines(self.dropped_lines())
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
         owner = self.calls.local
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -17,7 +17,7 @@
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
 from baobabhoist.control.advice import AdviceDesk
 from baobabhoist.control.cell_loader import CellLoading, CellTables
-from baobabhoist.control.clock import SharedClock, boot_ms, unix_ms
+from baobabhoist.control.clock import StoreClock, monotonic_ms, unix_ms
 from baobabhoist.control.interfaces import Decoder, WorkerDriver
 from baobabhoist.control.messages import PendingReply, StateReply
 from baobabhoist.control.metrics import NodeMetrics
@@ -70,7 +70,7 @@
     store: RowStore
     driver: WorkerDriver
     decoder: Decoder
-    clock: SharedClock
+    clock: StoreClock
     advice: AdviceDesk
     lease_ms: float
     job_kept_ms: float
@@ -147,13 +147,13 @@
         except ValueError as exc:
             emit(log, Event.ROW_UNREADABLE, table=JOBS_TABLE, row=job_id, detail=exc)
             return
-        accepted_at = self._parts.clock.local_ms(accepted.accepted_ms)
-        if cell.job_accepted(accepted, accepted_at, boot_ms(), unix_ms()):
+        accepted_at = self._parts.clock.to_local_ms(accepted.accepted_ms)
+        if cell.job_accepted(accepted, accepted_at, monotonic_ms(), unix_ms()):
             self.kick()
 
     def job_cancelled(self, job_id: str) -> None:
         """Cancel a job whose cancellation was just stored."""
-        if self._cell is not None and self._cell.job_cancelled(job_id, boot_ms()):
+        if self._cell is not None and self._cell.job_cancelled(job_id, monotonic_ms()):
             self.kick()
             self.progress.wake()
 
@@ -191,7 +191,7 @@
         self._cell = cell
         self._directory_changed(tables.directory, True)
         await self._load_jobs(tables.jobs)
-        now = boot_ms()
+        now = monotonic_ms()
         for number, row in enumerate(tables.progress):
             self._apply_progress(cell, row, now)
             if number % ROWS_A_TURN == 0:
@@ -270,7 +270,7 @@
                 self.job_stored(row.key.key, row.value, row.version)
 
     def _directory_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
-        cell, now = self._require_cell(), boot_ms()
+        cell, now = self._require_cell(), monotonic_ms()
         found = []
         for row in rows:
             if row.value is None:
@@ -317,7 +317,7 @@
         """Decide in this turn of the event loop, once for all events that came in it."""
         if not self._kicked:
             self._kicked = True
-            delay_s = (self._decide_from_ms - boot_ms()) / 1000
+            delay_s = (self._decide_from_ms - monotonic_ms()) / 1000
             asyncio.get_running_loop().call_later(max(0.0, delay_s), self._decide)
 
     def _decide(self) -> None:
@@ -329,10 +329,10 @@
             self._deposed("a worker obeys a higher fencing token")
             return
         began_s = time.perf_counter()
-        commands = cell.decide(boot_ms(), self._parts.may_start())
+        commands = cell.decide(monotonic_ms(), self._parts.may_start())
         took_s = time.perf_counter() - began_s
         # Under a flood of events decisions take at most a part of the processor.
-        self._decide_from_ms = boot_ms() + took_s * 1000 * DECISION_PAUSE_FACTOR
+        self._decide_from_ms = monotonic_ms() + took_s * 1000 * DECISION_PAUSE_FACTOR
         self._parts.metrics.decided(took_s)
         for command in commands:
             if isinstance(command, StartTask):
@@ -350,30 +350,30 @@
         cell = self._require_cell()
         if loop is not None and cell.still_wanted(order):
             self._observe_start(order)
-            sent_ms = boot_ms()
+            sent_ms = monotonic_ms()
             outcome = await loop.start_task(order)
-            seconds = (boot_ms() - sent_ms) / 1000
+            seconds = (monotonic_ms() - sent_ms) / 1000
             self._parts.metrics.worker_called("start", outcome.value, seconds)
-            cell.start_answered(order, outcome, boot_ms())
+            cell.start_answered(order, outcome, monotonic_ms())
             self.kick()
 
     def _observe_start(self, order: StartTask) -> None:
         job = self._require_cell().job_state(order.task.job_id)
         step = job.step_of(order.task) if job is not None else None
         if job is not None and step is not None:
-            waited_s = (boot_ms() - step.ready_ms) / 1000
+            waited_s = (monotonic_ms() - step.ready_ms) / 1000
             self._parts.metrics.started(job.accepted.team, job.accepted.queue, waited_s)
 
     async def _stop(self, order: StopTask) -> None:
         loop = self._loops.get(order.worker_id)
         if loop is not None:
             outcome = await loop.stop_task(order)
-            self._require_cell().stop_answered(order, outcome, boot_ms())
+            self._require_cell().stop_answered(order, outcome, monotonic_ms())
             self.kick()
 
     async def _ask(self, question: AskAdvice) -> None:
         advice = await self._parts.advice.ask(question)
-        cell, now = self._require_cell(), boot_ms()
+        cell, now = self._require_cell(), monotonic_ms()
         if advice is None:
             cell.advice_failed(question.step, now + LOAD_RETRY_S * 1000)
         else:
@@ -392,7 +392,7 @@
         while True:
             cell = self._require_cell()
             cell.decisions.advisers = self._parts.advice.capacity
-            cell.tick(boot_ms(), unix_ms())
+            cell.tick(monotonic_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % FORGET_EVERY_TICKS == 0:
                 self._forget_old(cell)
@@ -403,7 +403,7 @@
 
     def _forget_old(self, cell: Cell) -> None:
         """Remove jobs that finished long enough ago."""
-        limit = boot_ms() - 2 * self._parts.job_kept_ms
+        limit = monotonic_ms() - 2 * self._parts.job_kept_ms
         old = [j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < limit]
         for job_id in old:
             cell.forget_job(job_id)
--- a/baobabhoist/control/owner_router.py
+++ b/baobabhoist/control/owner_router.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from baobabhoist.cell.model import StepKey
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.interfaces import Adviser
 from baobabhoist.control.links import OwnerLink
 from baobabhoist.control.messages import (
@@ -53,19 +53,19 @@
         """Tell whether the owner is known and can be asked."""
         if self.local is not None:
             return self.local.cell is not None
-        quiet = boot_ms() < self._quiet_until_ms
+        quiet = monotonic_ms() < self._quiet_until_ms
         return self.link is not None and self.link.link is not None and not quiet
 
     async def call(self, question: Any, timeout_s: float) -> Any:
         """Return the owner's answer; raises LinkClosedError or TimeoutError."""
         if self.local is not None:
             return await self.handle(question)
-        if self.link is None or boot_ms() < self._quiet_until_ms:
+        if self.link is None or monotonic_ms() < self._quiet_until_ms:
             raise LinkClosedError("the owner is not known or does not answer")
         try:
             return await self.link.call(question, timeout_s)
         except TimeoutError:
-            self._quiet_until_ms = boot_ms() + QUIET_LINK_MS
+            self._quiet_until_ms = monotonic_ms() + QUIET_LINK_MS
             raise
 
     def notify(self, notice: Any) -> None:
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.cell import Cell
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.row_schema import (
     BEAT_ROW,
     LEARNED_ROW,
@@ -45,7 +45,7 @@
 
     def __init__(self, store: RowStore, token: int, on_deposed: Callable[[str], None]) -> None:
         # When the last beat that the store confirmed was sent, on the local clock.
-        self.confirmed_ms = boot_ms()
+        self.confirmed_ms = monotonic_ms()
         self.on_acked: Callable[[str], None] = lambda worker_id: None
         self._store = store
         self._token = token
@@ -54,7 +54,7 @@
         # What may be sent once the progress that it belongs to is stored.
         self._unsent: list[Callable[[], None]] = []
         self._beats = 0
-        self._learned_due_ms = boot_ms()
+        self._learned_due_ms = monotonic_ms()
         # A write that the store carries out late must not undo a newer one, so each write
         # expects the version of every row that it replaces.
         self._versions: dict[RowKey, int] = {}
@@ -116,8 +116,8 @@
         dirty = cell.take_dirty()
         unsent, self._unsent = self._unsent, []
         puts = {progress_row(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if boot_ms() > self._learned_due_ms and cell.board.speeds.workers:
-            self._learned_due_ms = boot_ms() + LEARNED_INTERVAL_MS
+        if monotonic_ms() > self._learned_due_ms and cell.board.speeds.workers:
+            self._learned_due_ms = monotonic_ms() + LEARNED_INTERVAL_MS
             puts[LEARNED_ROW] = encode_speeds(cell.board.speeds)
         written = False
         try:
@@ -157,7 +157,7 @@
     async def _commit(
         self, puts: dict[RowKey, bytes], expected: dict[RowKey, int]
     ) -> RowsCommitted | None:
-        sent_ms = boot_ms()
+        sent_ms = monotonic_ms()
         txn = RowsTxn({OWNER_ROW: self._token, **expected}, puts)
         try:
             outcome = await self._store.commit(txn)
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.messages import (
     RelayCommit,
     RelayedCommit,
@@ -19,7 +19,7 @@
     RelayRead,
     WireRow,
 )
-from baobabhoist.control.store_health import WatchedStore
+from baobabhoist.control.store_health import MonitoredStore
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
@@ -67,7 +67,7 @@
 
     def usable(self) -> list[Link]:
         """Return the links to try, best first."""
-        now = boot_ms()
+        now = monotonic_ms()
         found = [k for k in self.links() if self.resting_until.get(id(k), 0.0) < now]
         found.sort(key=lambda link: id(link) != self.served_last)
         return found[:PEERS_ASKED]
@@ -78,7 +78,7 @@
 
     def rest(self, link: Link) -> None:
         """Do not ask a peer for a while."""
-        now = boot_ms()
+        now = monotonic_ms()
         self.resting_until = {k: v for k, v in self.resting_until.items() if v > now}
         self.resting_until[id(link)] = now + PEER_REST_MS
 
@@ -86,7 +86,7 @@
 class RelayedStore:
     """Be the store directly while it answers, else through a peer that reaches it."""
 
-    def __init__(self, direct: WatchedStore, peers: Peers) -> None:
+    def __init__(self, direct: MonitoredStore, peers: Peers) -> None:
         self.direct = direct
         self._peers = peers
         self._probe_due_ms = 0.0
@@ -107,18 +107,18 @@
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
-        if not self.direct.contact.lost():
+        if not self.direct.health.is_unreachable():
             try:
                 return await self.direct.commit(txn)
             except StoreRefusedError:
-                if not self.direct.contact.lost():
+                if not self.direct.health.is_unreachable():
                     raise
         return _committed(await self._relay(_wire_txn(txn), CALL_TIMEOUT_S))
 
     async def serve(self, message: Any) -> Any:
         """Carry a relayed call out for another instance."""
         try:
-            if self.direct.contact.lost() and message.hops < HOPS_MAX:
+            if self.direct.health.is_unreachable() and message.hops < HOPS_MAX:
                 onward = attrs.evolve(message, hops=message.hops + 1)
                 return await self._relay(onward, CALL_TIMEOUT_S)
             return await self._serve_directly(message)
@@ -139,14 +139,14 @@
 
     def _use_direct(self) -> bool:
         """Tell whether to ask the store itself: while it answers, or without any peer."""
-        if not self.direct.contact.lost():
+        if not self.direct.health.is_unreachable():
             return True
         self._probe()
         return not self._peers.usable()
 
     def _probe(self) -> None:
         """Find out beside the calls whether a lost store answers again."""
-        now = boot_ms()
+        now = monotonic_ms()
         if now < self._probe_due_ms or self._probing is not None:
             return
         self._probe_due_ms = now + PROBE_INTERVAL_MS
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.store.rows import (
     HistoryLostError,
@@ -24,26 +24,26 @@
 
 
 @attrs.define
-class Contact:
+class StoreHealth:
     """Hold when the store last answered and last failed to, on the local clock in ms."""
 
-    answered_ms: float = -1e12
-    failed_ms: float = -1e12
+    last_answer_ms: float = -1e12
+    last_failure_ms: float = -1e12
 
-    def lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Tell whether the last call had no use: the next one would most likely fail too."""
-        return self.failed_ms > self.answered_ms
+        return self.last_failure_ms > self.last_answer_ms
 
-    def lost_for(self, ms: float) -> bool:
+    def is_unreachable_for(self, ms: float) -> bool:
         """Tell whether the store has been out of reach for a time."""
-        return self.lost() and boot_ms() - self.answered_ms > ms
+        return self.is_unreachable() and monotonic_ms() - self.last_answer_ms > ms
 
 
-class WatchedStore:
+class MonitoredStore:
     """Pass calls to a store, and note how each one went."""
 
     def __init__(self, store: RowStore, metrics: NodeMetrics) -> None:
-        self.contact = Contact()
+        self.health = StoreHealth()
         self._store = store
         self._metrics = metrics
 
@@ -60,22 +60,22 @@
         return await self._watch("commit", self._store.commit(txn))
 
     async def _watch(self, call: str, answer: Awaitable[T]) -> T:
-        began_ms = boot_ms()
+        began_ms = monotonic_ms()
         outcome = "ok"
         try:
             result = await answer
         except HistoryLostError:
             outcome = "history_lost"
-            self.contact.answered_ms = boot_ms()
+            self.health.last_answer_ms = monotonic_ms()
             raise
         except StoreError as exc:
             outcome = "refused" if isinstance(exc, StoreRefusedError) else "unanswered"
             # A call that was answered since this one was sent says more about the store.
-            if self.contact.answered_ms < began_ms:
-                self.contact.failed_ms = boot_ms()
+            if self.health.last_answer_ms < began_ms:
+                self.health.last_failure_ms = monotonic_ms()
             raise
         else:
-            self.contact.answered_ms = boot_ms()
+            self.health.last_answer_ms = monotonic_ms()
             return result
         finally:
-            self._metrics.store_called(call, outcome, (boot_ms() - began_ms) / 1000)
+            self._metrics.store_called(call, outcome, (monotonic_ms() - began_ms) / 1000)
--- a/baobabhoist/control/table_follower.py
+++ b/baobabhoist/control/table_follower.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable, Iterable, Sequence
 
-from baobabhoist.control.clock import SharedClock, boot_ms
+from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import HistoryLostError, Rows, RowStore, StoredRow, StoreError
 
@@ -32,7 +32,7 @@
         store: RowStore,
         table: str,
         on_rows: OnRows,
-        clock: SharedClock,
+        clock: StoreClock,
         *,
         parts: Iterable[str] = ("",),
         pause_s: Callable[[], float] = lambda: 0.0,
@@ -69,7 +69,7 @@
 
     async def load(self) -> None:
         """Read the whole table; raises StoreError."""
-        asked_ms = boot_ms()
+        asked_ms = monotonic_ms()
         read = (self._store.read(self._table, part) for part in self._parts)
         found: list[Rows] = await asyncio.gather(*read)
         # Changes after the oldest reading are read again by the first poll.
@@ -78,7 +78,7 @@
         self._confirm(found[-1], asked_ms)
 
     async def _poll(self) -> None:
-        asked_ms = boot_ms()
+        asked_ms = monotonic_ms()
         changes = await self._store.follow(self._table, self.version, WAIT_MS)
         self.version = max(self.version, changes.version)
         if changes.rows:
@@ -103,7 +103,7 @@
         self._hurry.set()
 
     def _confirm(self, rows: Rows, asked_ms: float) -> None:
-        self._clock.heard(rows.now_ms)
+        self._clock.observe(rows.now_ms)
         self.confirmed_ms = asked_ms
         if not self._connected:
             self._connected = True
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.cell.model import OrderOutcome, StartTask, StopTask, WorkerReport
 from baobabhoist.cell.workers import WorkerState
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.interfaces import WorkerDriver
 from baobabhoist.observability.events import Event, emit
 
@@ -56,7 +56,7 @@
         token = self._owner.ownership.token
         answer = await self._driver.start(self._state.info, token, order, deadline)
         if answer.clock_ms is not None:
-            self._state.lease.heard(answer.clock_ms, boot_ms())
+            self._state.lease.heard(answer.clock_ms, monotonic_ms())
         return answer.outcome
 
     async def stop_task(self, order: StopTask) -> OrderOutcome:
@@ -66,7 +66,7 @@
         return answer.outcome
 
     def _deadline(self) -> int | None:
-        return self._state.lease.next_deadline(boot_ms(), self._lease_ms)
+        return self._state.lease.next_deadline(monotonic_ms(), self._lease_ms)
 
     async def _run(self) -> None:
         delay_s = RETRY_S
@@ -90,14 +90,14 @@
         # A silent worker is offered no longer lease: its tasks wait for the end of the last one.
         may_extend = self._answering and self._owner.may_renew()
         deadline = self._deadline() if may_extend else None
-        sent_ms = boot_ms()
+        sent_ms = monotonic_ms()
         token = self._owner.ownership.token
         answer = await self._driver.renew(state.info, token, state.acked_end, deadline, wait_ms)
         if not isinstance(answer, WorkerReport):
             self._failed(answer)
             return False
         self._note_answering(True, "")
-        cell.reported(state.worker_id, answer, sent_ms, boot_ms())
+        cell.reported(state.worker_id, answer, sent_ms, monotonic_ms())
         self._owner.kick()
         if state.seen_end > state.acked_end:
             await self._wait_for_ack()
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -11,7 +11,7 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.job_api import Admitted, Call, FrontDesk, unknown_outcome
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.node import Node
@@ -83,7 +83,7 @@
         """Return what route and key allow, or refuse the call."""
         host = self.request.host.partition(":")[0]
         key = self.request.headers.get(KEY_HEADER, "")
-        self._call = Call(host, self.request.path, key, boot_ms() + self._wait_ms())
+        self._call = Call(host, self.request.path, key, monotonic_ms() + self._wait_ms())
         admitted = self._desk.admit(self._call)
         if isinstance(admitted, Refusal):
             self._answer(admitted)
--- a/baobabhoist/tests/test_control_advice.py
+++ b/baobabhoist/tests/test_control_advice.py
@@ -30,7 +30,7 @@
 
 
 def desk(monkeypatch, **links):
-    monkeypatch.setattr(advice_module, "boot_ms", lambda: 1_000.0)
+    monkeypatch.setattr(advice_module, "monotonic_ms", lambda: 1_000.0)
     return AdviceDesk(Adviser(), lambda: links)
 
 
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -35,7 +35,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100_000.0
-        monkeypatch.setattr(election_module, "boot_ms", lambda: self.now)
+        monkeypatch.setattr(election_module, "monotonic_ms", lambda: self.now)
         monkeypatch.setattr(election_module, "CLAIM_SPREAD_S", 0.0)
         self.store = MemoryRows()
         self.calls = SimpleNamespace(local=None)
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -8,13 +8,13 @@
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
 from baobabhoist.cell.progress import Progress, encode
 from baobabhoist.control import job_api as job_api_module
-from baobabhoist.control.clock import SharedClock
+from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.config import CellConfig, ConfigInForce, Route
 from baobabhoist.control.job_api import Admitted, Call, FrontDesk
 from baobabhoist.control.job_writer import Acceptor
 from baobabhoist.control.messages import JobNotice, NotOwner, PendingReply, StateReply
 from baobabhoist.control.row_schema import job_row, progress_row
-from baobabhoist.control.store_health import Contact
+from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.store.rows import RowsTxn
@@ -47,16 +47,16 @@
 
     def __init__(self, monkeypatch):
         self.now = 50_000.0
-        monkeypatch.setattr(job_api_module, "boot_ms", lambda: self.now)
+        monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
         self.rows = MemoryRows()
         self.owner = Owner()
         self.config = ConfigInForce()
         self.front = FrontDesk(
             self.config,
             self.rows,
-            Acceptor(self.rows, Contact()),
+            Acceptor(self.rows, StoreHealth()),
             PlatformDecoder(),
-            SharedClock(),
+            StoreClock(),
             self.owner,
             REVOKE_MS,
             65_536,
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -5,10 +5,10 @@
 import pytest
 
 from baobabhoist.control import job_writer
-from baobabhoist.control.clock import boot_ms
+from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.job_writer import Acceptor, Stored
 from baobabhoist.control.row_schema import job_row
-from baobabhoist.control.store_health import Contact
+from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.testing.rows import MemoryRows
 
 ID = "0123456789abcdef"
@@ -20,11 +20,11 @@
 
 
 def store(rows, budget_ms=2000.0):
-    return asyncio.run(acceptor(rows).store_job(ID, b"{}", boot_ms() + budget_ms))
+    return asyncio.run(acceptor(rows).store_job(ID, b"{}", monotonic_ms() + budget_ms))
 
 
 def acceptor(rows):
-    return Acceptor(rows, Contact())
+    return Acceptor(rows, StoreHealth())
 
 
 @pytest.fixture(autouse=True)
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -7,7 +7,7 @@
 from baobabhoist.control.messages import CODEC
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.relay import Peers, RelayedStore
-from baobabhoist.control.store_health import WatchedStore
+from baobabhoist.control.store_health import MonitoredStore
 from baobabhoist.errors import NotSentError
 from baobabhoist.store.rows import (
     RowKey,
@@ -60,7 +60,7 @@
 
 def instance(shared, *links):
     view = View(shared)
-    return view, RelayedStore(WatchedStore(view, NodeMetrics()), Peers(lambda: list(links)))
+    return view, RelayedStore(MonitoredStore(view, NodeMetrics()), Peers(lambda: list(links)))
 
 
 def pair():
@@ -159,7 +159,7 @@
         await store.read("jobs", "0")
         assert link.calls == 1
         await asyncio.sleep(0)
-        assert not store.direct.contact.lost()
+        assert not store.direct.health.is_unreachable()
         await store.commit(TXN)
         assert link.calls == 1
 
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -5,7 +5,7 @@
 import pytest
 
 from baobabhoist.control import table_follower as table_follower_module
-from baobabhoist.control.clock import SharedClock
+from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.store.rows import RowKey, RowsTxn
 from baobabhoist.testing.rows import MemoryRows
@@ -36,7 +36,7 @@
         def take(found, whole):
             seen.extend((row.value, whole) for row in found)
 
-        follower = TableFollower(rows, "t", take, SharedClock())
+        follower = TableFollower(rows, "t", take, StoreClock())
         task = asyncio.create_task(follower.run())
         await turn()
         await test(rows, seen, follower)
