--- a/baobabhoist/control/advice.py
+++ b/baobabhoist/control/advice.py
@@ -28,17 +28,17 @@
 # Questions in hand beyond one for each instance.
 QUEUED_QUESTIONS = 6
 ANSWER_SLACK_S = 1.0
-LOCAL = ""
+LOCAL_NODE = ""
 
 
 @attrs.define
-class AdviceDesk:
+class AdviceDispatcher:
     """Own the questions in hand; `links` returns the links to the other instances by name."""
 
     adviser: Adviser
     links: Callable[[], dict[str, Link]]
     # When each instance's questions in hand are expected to be done, on the local clock in ms.
-    busy_until: dict[str, float] = attrs.Factory(dict)
+    busy_until_ms: dict[str, float] = attrs.Factory(dict)
 
     @property
     def capacity(self) -> int:
@@ -48,10 +48,10 @@
     async def ask(self, question: AskAdvice) -> Advice | None:
         """Return the adviser's answer through the least busy instance, or None."""
         links = dict(self.links())
-        node = self._choose(sorted([LOCAL, *links]), question.cost_ms)
-        done_ms = max(self.busy_until.get(node, 0.0), monotonic_ms()) + question.cost_ms
-        self.busy_until[node] = done_ms
-        if node == LOCAL:
+        node = self._choose(sorted([LOCAL_NODE, *links]), question.cost_ms)
+        done_ms = max(self.busy_until_ms.get(node, 0.0), monotonic_ms()) + question.cost_ms
+        self.busy_until_ms[node] = done_ms
+        if node == LOCAL_NODE:
             return await self.adviser.ask(question.step, question.workers, question.cost_ms)
         return await self._ask_through(links[node], node, question, done_ms)
 
@@ -59,7 +59,7 @@
         now = monotonic_ms()
         if cost_ms > LONG_MS and len(nodes) >= SHORT_ONLY_EVERY:
             nodes = [n for i, n in enumerate(nodes) if i % SHORT_ONLY_EVERY]
-        return min(nodes, key=lambda n: max(now, self.busy_until.get(n, 0.0)))
+        return min(nodes, key=lambda n: max(now, self.busy_until_ms.get(n, 0.0)))
 
     async def _ask_through(
         self, link: Link, node: str, question: AskAdvice, done_ms: float
--- a/baobabhoist/control/config.py
+++ b/baobabhoist/control/config.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class ConfigInForce:
+class ActiveConfig:
     """Hold the newest configuration; versions only rise.
 
     `confirmed_ms` is the latest moment at which it was the store's newest, on the local clock.
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -23,7 +23,7 @@
     encode_claim,
 )
 from baobabhoist.control.clock import monotonic_ms
-from baobabhoist.control.config import ConfigInForce
+from baobabhoist.control.config import ActiveConfig
 from baobabhoist.control.links import OWNER_BEAT_S, Identity, LinkServer, OwnerLink
 from baobabhoist.control.messages import OwnerBeat
 from baobabhoist.control.owner import CellOwner, Ownership
@@ -61,7 +61,7 @@
         self,
         cfg: NodeSettings,
         store: RowStore,
-        config: ConfigInForce,
+        config: ActiveConfig,
         identity: Identity,
         calls: OwnerCalls,
         server: LinkServer,
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -11,9 +11,9 @@
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
 from baobabhoist.control.clock import StoreClock, monotonic_ms
-from baobabhoist.control.config import CellConfig, ConfigInForce, Route
+from baobabhoist.control.config import ActiveConfig, CellConfig, Route
 from baobabhoist.control.interfaces import Decoder
-from baobabhoist.control.job_writer import Acceptor, Stored
+from baobabhoist.control.job_writer import JobWriter, WriteStatus
 from baobabhoist.control.messages import (
     CancelNotice,
     JobNotice,
@@ -51,17 +51,17 @@
 
 
 @attrs.frozen
-class Call:
-    """Hold what every call carries; `give_up_ms` is on the local clock."""
+class ApiCall:
+    """Hold what every call carries; `deadline_ms` is on the local clock."""
 
     host: str
     path: str
     key: str
-    give_up_ms: float
+    deadline_ms: float
 
 
 @attrs.frozen
-class Admitted:
+class AdmittedCall:
     """Hold a call that its route and key allow; `job_id` is empty for the queue itself."""
 
     cfg: CellConfig
@@ -70,7 +70,7 @@
     job_id: str
 
 
-def not_ready(message: str, retry_after_s: float = RETRY_AFTER_S) -> Refusal:
+def unavailable_refusal(message: str, retry_after_s: float = RETRY_AFTER_S) -> Refusal:
     """Return the refusal of work that this instance cannot take now."""
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
@@ -80,7 +80,7 @@
     )
 
 
-def unknown_outcome(message: str) -> Refusal:
+def unknown_outcome_refusal(message: str) -> Refusal:
     """Return the answer for a call whose effect is not known."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
@@ -95,23 +95,23 @@
 
 
 @attrs.define
-class FrontDesk:
+class JobApi:
     """Own no state: each call is answered from the configuration, the owner and the store."""
 
-    config: ConfigInForce
+    config: ActiveConfig
     store: RowStore
-    acceptor: Acceptor
+    job_writer: JobWriter
     decoder: Decoder
     clock: StoreClock
     owner: OwnerCalls
     revoke_ms: float
     row_max_bytes: int
 
-    def admit(self, call: Call) -> Admitted | Refusal:
+    def admit(self, call: ApiCall) -> AdmittedCall | Refusal:
         """Return the route and team of a call, or why it is refused."""
         cfg = self.config.current
         if cfg is None:
-            return not_ready("no configuration has been loaded yet")
+            return unavailable_refusal("no configuration has been loaded yet")
         route = cfg.route_for(call.host, call.path)
         if route is None:
             return Refusal(
@@ -120,16 +120,18 @@
         team = ""
         if not route.queue.open_to_all:
             if self.config.age_ms(monotonic_ms()) > KEY_AGE_PART * self.revoke_ms:
-                return not_ready("the keys in force are not known to be current", ELSEWHERE_S)
+                return unavailable_refusal(
+                    "the keys in force are not known to be current", ELSEWHERE_S
+                )
             if call.key not in cfg.keys:
                 kind = ErrorKind.KEY_REJECTED if call.key else ErrorKind.KEY_MISSING
                 emit(log, Event.KEY_REFUSED, queue=route.queue.name, version=cfg.version)
                 return Refusal(kind, "the key is not valid", remedy="send a key of the team")
             team = cfg.keys[call.key]
         job_id = call.path[len(route.prefix) :].partition("?")[0]
-        return Admitted(cfg, route, team, job_id)
+        return AdmittedCall(cfg, route, team, job_id)
 
-    async def submit(self, call: Call, admitted: Admitted, body: bytes) -> Refusal | None:
+    async def submit(self, call: ApiCall, admitted: AdmittedCall, body: bytes) -> Refusal | None:
         """Store a job; returns None once it is accepted."""
         if JOB_ID.fullmatch(admitted.job_id) is None:
             message = f"{admitted.job_id!r} is not a job id"
@@ -142,7 +144,9 @@
             return spec
         return await self._store_job(call, admitted, spec)
 
-    async def _store_job(self, call: Call, admitted: Admitted, spec: JobSpec) -> Refusal | None:
+    async def _store_job(
+        self, call: ApiCall, admitted: AdmittedCall, spec: JobSpec
+    ) -> Refusal | None:
         queue = admitted.route.queue
         row = JobRow(queue.name, queue.service, admitted.team, self.clock.now_ms(), spec)
         value = encode_job(row)
@@ -151,8 +155,8 @@
             remedy = f"send a job of at most {self.row_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy=remedy)
         began_ms = monotonic_ms()
-        outcome = await self.acceptor.store_job(
-            admitted.job_id, value, call.give_up_ms - ANSWER_RESERVE_MS
+        outcome = await self.job_writer.store_job(
+            admitted.job_id, value, call.deadline_ms - ANSWER_RESERVE_MS
         )
         emit(
             log,
@@ -162,19 +166,19 @@
             team=admitted.team,
             config=admitted.cfg.version,
             config_age_ms=round(self.config.age_ms(monotonic_ms())),
-            outcome=outcome.stored.value,
+            outcome=outcome.status.value,
             version=outcome.version,
             took_ms=round(monotonic_ms() - began_ms),
         )
-        if outcome.stored is Stored.REFUSED:
+        if outcome.status is WriteStatus.REFUSED:
             return self._no_store("the store takes no jobs now")
-        if outcome.stored is Stored.UNKNOWN:
-            return unknown_outcome("the store did not say whether the job was stored")
-        if outcome.stored is Stored.NEW:
+        if outcome.status is WriteStatus.UNKNOWN:
+            return unknown_outcome_refusal("the store did not say whether the job was stored")
+        if outcome.status is WriteStatus.NEW:
             self.owner.notify(JobNotice(admitted.job_id, value, outcome.version))
         return None
 
-    async def state(self, admitted: Admitted) -> str | Refusal:
+    async def state(self, admitted: AdmittedCall) -> str | Refusal:
         """Return the state of a job."""
         found = await self._find(admitted.job_id)
         if isinstance(found, Refusal):
@@ -187,7 +191,7 @@
             )
         return found.state
 
-    async def cancel(self, call: Call, admitted: Admitted) -> Refusal | None:
+    async def cancel(self, call: ApiCall, admitted: AdmittedCall) -> Refusal | None:
         """Cancel a job; returns None once that is stored."""
         found = await self._find(admitted.job_id)
         if isinstance(found, Refusal):
@@ -196,28 +200,28 @@
             return _no_job(admitted.job_id)
         if found.state in FINAL_PHASES:
             return None
-        outcome = await self.acceptor.store_cancel(
-            admitted.job_id, call.give_up_ms - ANSWER_RESERVE_MS
+        outcome = await self.job_writer.store_cancel(
+            admitted.job_id, call.deadline_ms - ANSWER_RESERVE_MS
         )
-        emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=outcome.stored.value)
-        if outcome.stored is Stored.REFUSED:
+        emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=outcome.status.value)
+        if outcome.status is WriteStatus.REFUSED:
             return self._no_store("the store takes no cancellations now")
-        if outcome.stored is Stored.UNKNOWN:
-            return unknown_outcome("the store did not say whether the job was cancelled")
+        if outcome.status is WriteStatus.UNKNOWN:
+            return unknown_outcome_refusal("the store did not say whether the job was cancelled")
         self.owner.notify(CancelNotice(admitted.job_id))
         return None
 
-    async def pending(self, admitted: Admitted) -> int | Refusal:
+    async def pending(self, admitted: AdmittedCall) -> int | Refusal:
         """Return how many jobs of a queue have not begun."""
         queue = admitted.route.queue.name
         reply = await self._ask_owner(PendingQuery(queue))
         if isinstance(reply, PendingReply):
             return reply.jobs
-        return not_ready("the owner of the queue cannot be reached")
+        return unavailable_refusal("the owner of the queue cannot be reached")
 
     def _no_store(self, message: str) -> Refusal:
         """Refuse a write; an instance that is cut off sends its callers elsewhere at once."""
-        return not_ready(message, RETRY_AFTER_S if self.owner.reachable else ELSEWHERE_S)
+        return unavailable_refusal(message, RETRY_AFTER_S if self.owner.reachable else ELSEWHERE_S)
 
     async def _find(self, job_id: str) -> StateReply | Refusal:
         if JOB_ID.fullmatch(job_id) is None:
@@ -229,7 +233,7 @@
             return await self._read_state(job_id)
         except (StoreError, ValueError) as exc:
             emit(log, Event.STATE_UNKNOWN, job=job_id, detail=exc)
-            return not_ready("neither the owner nor the store can be asked")
+            return unavailable_refusal("neither the owner nor the store can be asked")
 
     async def _read_state(self, job_id: str) -> StateReply:
         """Return a job's state from the store; raises StoreError or ValueError."""
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -32,12 +32,12 @@
 SILENT_MAX_MS = 700.0
 
 
-class Stored(enum.Enum):
+class WriteStatus(enum.Enum):
     """Name what became of a row that was to be stored."""
 
     NEW = "new"
     # The row was there already, from an earlier try.
-    KNOWN = "known"
+    ALREADY_STORED = "known"
     # Nothing was written, and nothing will be.
     REFUSED = "refused"
     # It is not known whether the row was written, or will be.
@@ -45,29 +45,29 @@
 
 
 @attrs.frozen
-class StoreOutcome:
+class WriteResult:
     """Hold what became of a write and the row's version if it is there."""
 
-    stored: Stored
+    status: WriteStatus
     version: int = 0
 
 
-class Acceptor:
+class JobWriter:
     """Write rows that must not exist yet; a repeated write reads back a lost answer."""
 
     def __init__(self, store: RowStore, store_health: StoreHealth) -> None:
         self._store = store
         self._store_health = store_health
 
-    async def store_job(self, job_id: str, value: bytes, give_up_ms: float) -> StoreOutcome:
+    async def store_job(self, job_id: str, value: bytes, deadline_ms: float) -> WriteResult:
         """Store a job unless it is there already."""
-        return await self._put_new(job_row(job_id), value, give_up_ms)
+        return await self._put_new(job_row(job_id), value, deadline_ms)
 
-    async def store_cancel(self, job_id: str, give_up_ms: float) -> StoreOutcome:
+    async def store_cancel(self, job_id: str, deadline_ms: float) -> WriteResult:
         """Store that a job is cancelled."""
-        return await self._put_new(cancel_row(job_id), b"{}", give_up_ms)
+        return await self._put_new(cancel_row(job_id), b"{}", deadline_ms)
 
-    async def _put_new(self, key: RowKey, value: bytes, give_up_ms: float) -> StoreOutcome:
+    async def _put_new(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
         """Store a row that must not be there yet."""
         txn = RowsTxn({key: 0}, {key: value})
         begun_ms = monotonic_ms()
@@ -80,20 +80,20 @@
                 tried_long = monotonic_ms() - begun_ms > REFUSED_MAX_MS
                 if not doubtful and (out_of_reach or tried_long):
                     emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
-                    return StoreOutcome(Stored.REFUSED)
+                    return WriteResult(WriteStatus.REFUSED)
             except StoreUnansweredError as exc:
                 # The same write again tells what became of this one.
                 doubtful = True
                 emit(log, Event.WRITE_UNANSWERED, row=key.key, detail=exc)
                 if self._silent_since(begun_ms):
-                    return StoreOutcome(Stored.UNKNOWN)
+                    return WriteResult(WriteStatus.UNKNOWN)
             except StoreError as exc:
                 emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
-                return StoreOutcome(Stored.UNKNOWN if doubtful else Stored.REFUSED)
+                return WriteResult(WriteStatus.UNKNOWN if doubtful else WriteStatus.REFUSED)
             else:
                 return _outcome(outcome, key, doubtful)
-            if monotonic_ms() + RETRY_S * 1000 >= give_up_ms:
-                return StoreOutcome(Stored.UNKNOWN if doubtful else Stored.REFUSED)
+            if monotonic_ms() + RETRY_S * 1000 >= deadline_ms:
+                return WriteResult(WriteStatus.UNKNOWN if doubtful else WriteStatus.REFUSED)
             await asyncio.sleep(RETRY_S)
 
     def _silent_since(self, begun_ms: float) -> bool:
@@ -102,7 +102,9 @@
         return silent and monotonic_ms() - begun_ms > SILENT_MAX_MS
 
 
-def _outcome(outcome: RowsCommitted | RowsConflict, key: RowKey, doubtful: bool) -> StoreOutcome:
+def _outcome(outcome: RowsCommitted | RowsConflict, key: RowKey, doubtful: bool) -> WriteResult:
     if isinstance(outcome, RowsCommitted):
-        return StoreOutcome(Stored.NEW, outcome.version)
-    return StoreOutcome(Stored.NEW if doubtful else Stored.KNOWN, outcome.version_of(key))
+        return WriteResult(WriteStatus.NEW, outcome.version)
+    return WriteResult(
+        WriteStatus.NEW if doubtful else WriteStatus.ALREADY_STORED, outcome.version_of(key)
+    )
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -10,13 +10,13 @@
 import attrs
 
 from baobabhoist.cell.model import CellRules
-from baobabhoist.control.advice import AdviceDesk
+from baobabhoist.control.advice import AdviceDispatcher
 from baobabhoist.control.clock import StoreClock, monotonic_ms
-from baobabhoist.control.config import ConfigInForce
+from baobabhoist.control.config import ActiveConfig
 from baobabhoist.control.election import Claimant
 from baobabhoist.control.interfaces import Adviser, Decoder, WorkerDriver
-from baobabhoist.control.job_api import FrontDesk
-from baobabhoist.control.job_writer import Acceptor
+from baobabhoist.control.job_api import JobApi
+from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.links import Identity, LinkServer, OwnerLink
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.owner import CellOwner, OwnerParts, Ownership
@@ -60,7 +60,7 @@
 
     def __init__(self, cfg: NodeSettings, adapter: Adapter) -> None:
         self.cfg = cfg
-        self.config = ConfigInForce()
+        self.config = ActiveConfig()
         self.clock = StoreClock()
         self.identity = Identity(cfg.instance_id, secrets.token_hex(8))
         self.calls = OwnerCalls(cfg.instance_id, adapter.adviser)
@@ -75,10 +75,10 @@
         store = RelayedStore(direct, Peers(self._links))
         self.calls.relay = store
         adapter = attrs.evolve(adapter, store=store)
-        self.front = FrontDesk(
+        self.job_api = JobApi(
             self.config,
             adapter.store,
-            Acceptor(store, direct.health),
+            JobWriter(store, direct.health),
             adapter.decoder,
             self.clock,
             self.calls,
@@ -86,7 +86,7 @@
             cfg.store.row_max_bytes,
         )
         self._adapter = adapter
-        self._advice = AdviceDesk(adapter.adviser, lambda: self.server.links)
+        self._advice = AdviceDispatcher(adapter.adviser, lambda: self.server.links)
         self._was_ready = False
         self._claimant = Claimant(
             cfg,
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -15,7 +15,7 @@
 from baobabhoist.cell.cell import Cell, Takeover
 from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
-from baobabhoist.control.advice import AdviceDesk
+from baobabhoist.control.advice import AdviceDispatcher
 from baobabhoist.control.cell_loader import CellLoading, CellTables
 from baobabhoist.control.clock import StoreClock, monotonic_ms, unix_ms
 from baobabhoist.control.interfaces import Decoder, WorkerDriver
@@ -71,7 +71,7 @@
     driver: WorkerDriver
     decoder: Decoder
     clock: StoreClock
-    advice: AdviceDesk
+    advice: AdviceDispatcher
     lease_ms: float
     job_kept_ms: float
     # Tell whether the claim was confirmed recently enough to order starts.
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -12,7 +12,7 @@
 from tornado.web import Application, RequestHandler
 
 from baobabhoist.control.clock import monotonic_ms
-from baobabhoist.control.job_api import Admitted, Call, FrontDesk, unknown_outcome
+from baobabhoist.control.job_api import AdmittedCall, ApiCall, JobApi, unknown_outcome_refusal
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.node import Node
 from baobabhoist.errors import ErrorKind, Refusal
@@ -42,11 +42,11 @@
 class CallHandler(RequestHandler):
     """Translate one call of a caller."""
 
-    def initialize(self, desk: FrontDesk, metrics: NodeMetrics) -> None:
+    def initialize(self, desk: JobApi, metrics: NodeMetrics) -> None:
         """Take the desk that answers."""
         self._desk = desk
         self._metrics = metrics
-        self._admitted: Admitted | None = None
+        self._admitted: AdmittedCall | None = None
 
     async def post(self) -> None:
         """Submit a job."""
@@ -77,13 +77,13 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer an unexpected error in the usual form."""
         emit(log, Event.CALL_FAILED, path=self.request.path, status=status_code)
-        self._answer(unknown_outcome("an internal error ended the call"))
+        self._answer(unknown_outcome_refusal("an internal error ended the call"))
 
-    def _admit(self) -> Admitted | None:
+    def _admit(self) -> AdmittedCall | None:
         """Return what route and key allow, or refuse the call."""
         host = self.request.host.partition(":")[0]
         key = self.request.headers.get(KEY_HEADER, "")
-        self._call = Call(host, self.request.path, key, monotonic_ms() + self._wait_ms())
+        self._call = ApiCall(host, self.request.path, key, monotonic_ms() + self._wait_ms())
         admitted = self._desk.admit(self._call)
         if isinstance(admitted, Refusal):
             self._answer(admitted)
@@ -155,7 +155,7 @@
     """Own the listening sockets of one instance."""
 
     def __init__(self, node: Node) -> None:
-        desk = {"desk": node.front, "metrics": node.metrics}
+        desk = {"desk": node.job_api, "metrics": node.metrics}
         calls = Application([(r".*", CallHandler, desk)])
         ready = Application([(r"/-/ready", ReadyHandler, {"node": node})])
         metrics = Application([(r"/metrics", MetricsHandler, {"node": node})])
--- a/baobabhoist/tests/test_control_advice.py
+++ b/baobabhoist/tests/test_control_advice.py
@@ -4,7 +4,7 @@
 
 from baobabhoist.cell.model import AskAdvice, StepKey
 from baobabhoist.control import advice as advice_module
-from baobabhoist.control.advice import LOCAL, AdviceDesk
+from baobabhoist.control.advice import LOCAL_NODE, AdviceDispatcher
 from baobabhoist.control.interfaces import Advice
 from baobabhoist.control.messages import AdviceReply
 from baobabhoist.errors import LinkClosedError
@@ -29,9 +29,9 @@
         return self.reply
 
 
-def desk(monkeypatch, **links):
+def make_dispatcher(monkeypatch, **links):
     monkeypatch.setattr(advice_module, "monotonic_ms", lambda: 1_000.0)
-    return AdviceDesk(Adviser(), lambda: links)
+    return AdviceDispatcher(Adviser(), lambda: links)
 
 
 def question(cost_ms):
@@ -41,13 +41,13 @@
 def test_a_short_question_never_stands_behind_a_long_one(monkeypatch):
     """Guard against urgent steps that wait most of a second for their tickets."""
     links = {f"n{number}": Link() for number in range(5)}
-    found = desk(monkeypatch, **links)
+    dispatcher = make_dispatcher(monkeypatch, **links)
 
     async def run():
         for _ in range(8):
-            await found.ask(question(LONG_MS))
+            await dispatcher.ask(question(LONG_MS))
         for _ in range(4):
-            await found.ask(question(SHORT_MS))
+            await dispatcher.ask(question(SHORT_MS))
 
     asyncio.run(run())
     for link in links.values():
@@ -57,11 +57,11 @@
 def test_long_questions_are_spread_over_the_instances(monkeypatch):
     """Guard against one instance whose adviser works while the others are idle."""
     links = {f"n{number}": Link() for number in range(5)}
-    found = desk(monkeypatch, **links)
+    dispatcher = make_dispatcher(monkeypatch, **links)
 
     async def run():
         for _ in range(4):
-            await found.ask(question(LONG_MS))
+            await dispatcher.ask(question(LONG_MS))
 
     asyncio.run(run())
     assert max(len(link.costs) for link in links.values()) == 1
@@ -69,9 +69,9 @@
 
 def test_an_instance_that_does_not_answer_costs_one_question(monkeypatch):
     """Guard against a lost link that ends the whole round of decisions."""
-    found = desk(monkeypatch, n1=Link(LinkClosedError("gone")))
-    found.busy_until[LOCAL] = 5_000.0
-    assert asyncio.run(found.ask(question(SHORT_MS))) is None
-    found.busy_until = {"n1": 9_000.0}
-    answer = asyncio.run(found.ask(question(SHORT_MS)))
+    dispatcher = make_dispatcher(monkeypatch, n1=Link(LinkClosedError("gone")))
+    dispatcher.busy_until_ms[LOCAL_NODE] = 5_000.0
+    assert asyncio.run(dispatcher.ask(question(SHORT_MS))) is None
+    dispatcher.busy_until_ms = {"n1": 9_000.0}
+    answer = asyncio.run(dispatcher.ask(question(SHORT_MS)))
     assert answer.tickets == {"w": "local"}
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -9,9 +9,9 @@
 from baobabhoist.cell.progress import Progress, encode
 from baobabhoist.control import job_api as job_api_module
 from baobabhoist.control.clock import StoreClock
-from baobabhoist.control.config import CellConfig, ConfigInForce, Route
-from baobabhoist.control.job_api import Admitted, Call, FrontDesk
-from baobabhoist.control.job_writer import Acceptor
+from baobabhoist.control.config import ActiveConfig, CellConfig, Route
+from baobabhoist.control.job_api import AdmittedCall, ApiCall, JobApi
+from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.messages import JobNotice, NotOwner, PendingReply, StateReply
 from baobabhoist.control.row_schema import job_row, progress_row
 from baobabhoist.control.store_health import StoreHealth
@@ -42,19 +42,19 @@
         self.notices.append(notice)
 
 
-class Desk:
-    """Hold a front desk with a store in memory and a clock that the test moves."""
+class ApiRig:
+    """Hold a front rig with a store in memory and a clock that the test moves."""
 
     def __init__(self, monkeypatch):
         self.now = 50_000.0
         monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
         self.rows = MemoryRows()
         self.owner = Owner()
-        self.config = ConfigInForce()
-        self.front = FrontDesk(
+        self.config = ActiveConfig()
+        self.job_api = JobApi(
             self.config,
             self.rows,
-            Acceptor(self.rows, StoreHealth()),
+            JobWriter(self.rows, StoreHealth()),
             PlatformDecoder(),
             StoreClock(),
             self.owner,
@@ -74,106 +74,106 @@
         self.config.confirm(self.now)
 
     def call(self, path=f"/q/{ID}", key="k"):
-        return Call("h", path, key, self.now + 3_000.0)
+        return ApiCall("h", path, key, self.now + 3_000.0)
 
     def admit(self, **options):
-        return self.front.admit(self.call(**options))
+        return self.job_api.admit(self.call(**options))
 
     def submit(self, body=JOB):
         call = self.call()
-        return asyncio.run(self.front.submit(call, self.front.admit(call), body))
+        return asyncio.run(self.job_api.submit(call, self.job_api.admit(call), body))
 
 
 @pytest.fixture
-def desk(monkeypatch):
-    made = Desk(monkeypatch)
+def rig(monkeypatch):
+    made = ApiRig(monkeypatch)
     made.configure()
     return made
 
 
 def test_without_a_configuration_a_call_is_refused_with_a_time_to_come_back(monkeypatch):
     """Guard against a 404 or 401 of an instance that has just started."""
-    refusal = Desk(monkeypatch).admit()
+    refusal = ApiRig(monkeypatch).admit()
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
     assert refusal.retry_after_s is not None
 
 
-def test_a_key_is_refused_once_the_keys_are_not_known_to_be_current(desk):
+def test_a_key_is_refused_once_the_keys_are_not_known_to_be_current(rig):
     """Guard against a withdrawn key that works on an instance cut off from the store."""
-    assert isinstance(desk.admit(), Admitted)
-    desk.now += REVOKE_MS * 0.9
-    assert desk.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
-    assert isinstance(desk.admit(path=f"/open/{ID}", key=""), Admitted)
+    assert isinstance(rig.admit(), AdmittedCall)
+    rig.now += REVOKE_MS * 0.9
+    assert rig.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
+    assert isinstance(rig.admit(path=f"/open/{ID}", key=""), AdmittedCall)
 
 
-def test_an_older_configuration_never_replaces_a_newer_one(desk):
+def test_an_older_configuration_never_replaces_a_newer_one(rig):
     """Guard against a withdrawn key that comes back with a late reading."""
-    desk.configure(version=3, keys={})
-    desk.configure(version=2, keys={"k": "team"})
-    assert desk.admit().kind is ErrorKind.KEY_REJECTED
+    rig.configure(version=3, keys={})
+    rig.configure(version=2, keys={"k": "team"})
+    assert rig.admit().kind is ErrorKind.KEY_REJECTED
 
 
-def test_an_accepted_job_is_stored_before_it_is_answered(desk):
+def test_an_accepted_job_is_stored_before_it_is_answered(rig):
     """Guard against an accepted job that no next owner would find."""
-    assert desk.submit() is None
-    assert job_row(ID) in desk.rows.rows
-    assert isinstance(desk.owner.notices[0], JobNotice)
-    assert desk.submit() is None
-    assert len(desk.owner.notices) == 1
+    assert rig.submit() is None
+    assert job_row(ID) in rig.rows.rows
+    assert isinstance(rig.owner.notices[0], JobNotice)
+    assert rig.submit() is None
+    assert len(rig.owner.notices) == 1
 
 
-def test_a_job_that_the_store_could_not_hold_is_refused(desk):
+def test_a_job_that_the_store_could_not_hold_is_refused(rig):
     """Guard against a job whose row makes every later write fail."""
-    desk.front.row_max_bytes = 10
-    assert desk.submit().kind is ErrorKind.BODY_TOO_LARGE
-    assert desk.rows.rows == {}
+    rig.job_api.row_max_bytes = 10
+    assert rig.submit().kind is ErrorKind.BODY_TOO_LARGE
+    assert rig.rows.rows == {}
 
 
-def test_a_state_is_read_from_the_store_without_an_owner(desk):
+def test_a_state_is_read_from_the_store_without_an_owner(rig):
     """Guard against an accepted job that is answered as unknown during a takeover."""
-    desk.submit()
-    admitted = desk.admit()
-    assert asyncio.run(desk.front.state(admitted)) == "queued"
+    rig.submit()
+    admitted = rig.admit()
+    assert asyncio.run(rig.job_api.state(admitted)) == "queued"
     done = encode(Progress(JobPhase.COMPLETED))
-    desk.rows.apply(RowsTxn({}, {progress_row(ID): done}))
-    assert asyncio.run(desk.front.state(admitted)) == "completed"
+    rig.rows.apply(RowsTxn({}, {progress_row(ID): done}))
+    assert asyncio.run(rig.job_api.state(admitted)) == "completed"
 
 
-def test_a_job_that_the_owner_does_not_know_yet_is_looked_up(desk):
+def test_a_job_that_the_owner_does_not_know_yet_is_looked_up(rig):
     """Guard against a 410 for a job whose notice is still on its way."""
-    desk.submit()
-    desk.owner.answer = StateReply()
-    assert asyncio.run(desk.front.state(desk.admit())) == "queued"
+    rig.submit()
+    rig.owner.answer = StateReply()
+    assert asyncio.run(rig.job_api.state(rig.admit())) == "queued"
 
 
-def test_a_state_that_cannot_be_found_is_not_called_missing(desk):
+def test_a_state_that_cannot_be_found_is_not_called_missing(rig):
     """Guard against a 410 for an accepted job while neither owner nor store answers."""
-    desk.submit()
-    desk.rows.down = True
-    refusal = asyncio.run(desk.front.state(desk.admit()))
+    rig.submit()
+    rig.rows.down = True
+    refusal = asyncio.run(rig.job_api.state(rig.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_a_job_of_another_team_is_not_shown(desk):
+def test_a_job_of_another_team_is_not_shown(rig):
     """Guard against a key that reads the jobs of others."""
-    desk.owner.answer = StateReply("running", "q", "other")
-    refusal = asyncio.run(desk.front.state(desk.admit()))
+    rig.owner.answer = StateReply("running", "q", "other")
+    refusal = asyncio.run(rig.job_api.state(rig.admit()))
     assert refusal.kind is ErrorKind.FORBIDDEN
 
 
-def test_a_count_comes_from_the_owner_or_not_at_all(desk):
+def test_a_count_comes_from_the_owner_or_not_at_all(rig):
     """Guard against a queue that is shown as empty because its owner changes."""
-    desk.owner.answer = PendingReply(7)
-    assert asyncio.run(desk.front.pending(desk.admit(path="/q/"))) == 7
-    desk.owner.answer = NotOwner("n2")
-    refusal = asyncio.run(desk.front.pending(desk.admit(path="/q/")))
+    rig.owner.answer = PendingReply(7)
+    assert asyncio.run(rig.job_api.pending(rig.admit(path="/q/"))) == 7
+    rig.owner.answer = NotOwner("n2")
+    refusal = asyncio.run(rig.job_api.pending(rig.admit(path="/q/")))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_a_cancellation_is_stored_before_it_is_acknowledged(desk):
+def test_a_cancellation_is_stored_before_it_is_acknowledged(rig):
     """Guard against a cancelled job that the next owner runs."""
-    desk.submit()
-    desk.owner.answer = StateReply("running", "q", "team")
-    call = desk.call()
-    assert asyncio.run(desk.front.cancel(call, desk.admit())) is None
-    assert any(key.key == f"{ID}/cancel" for key in desk.rows.rows)
+    rig.submit()
+    rig.owner.answer = StateReply("running", "q", "team")
+    call = rig.call()
+    assert asyncio.run(rig.job_api.cancel(call, rig.admit())) is None
+    assert any(key.key == f"{ID}/cancel" for key in rig.rows.rows)
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.control import job_writer
 from baobabhoist.control.clock import monotonic_ms
-from baobabhoist.control.job_writer import Acceptor, Stored
+from baobabhoist.control.job_writer import JobWriter, WriteStatus
 from baobabhoist.control.row_schema import job_row
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.testing.rows import MemoryRows
@@ -20,11 +20,11 @@
 
 
 def store(rows, budget_ms=2000.0):
-    return asyncio.run(acceptor(rows).store_job(ID, b"{}", monotonic_ms() + budget_ms))
+    return asyncio.run(writer(rows).store_job(ID, b"{}", monotonic_ms() + budget_ms))
 
 
-def acceptor(rows):
-    return Acceptor(rows, StoreHealth())
+def writer(rows):
+    return JobWriter(rows, StoreHealth())
 
 
 @pytest.fixture(autouse=True)
@@ -35,7 +35,7 @@
 def test_a_lost_answer_is_read_back_by_the_same_write():
     """Guard against an accepted job that its caller takes for refused."""
     rows = MemoryRows(fail=failing("lost"))
-    assert store(rows).stored is Stored.NEW
+    assert store(rows).status is WriteStatus.NEW
     assert len(rows.rows) == 1
 
 
@@ -44,16 +44,16 @@
     rows = MemoryRows()
     first = store(rows)
     again = store(rows)
-    assert (again.stored, again.version) == (Stored.KNOWN, first.version)
+    assert (again.status, again.version) == (WriteStatus.ALREADY_STORED, first.version)
 
 
 def test_a_refused_write_is_refused_only_while_nothing_may_come_late(monkeypatch):
     """Guard against "not run" for a job that the store carries out a moment later."""
     monkeypatch.setattr(job_writer, "REFUSED_MAX_MS", 0.0)
     rows = MemoryRows(fail=lambda txn: "refused")
-    assert store(rows, 50.0).stored is Stored.REFUSED
+    assert store(rows, 50.0).status is WriteStatus.REFUSED
     doubtful = MemoryRows(fail=failing("late", *["refused"] * 10_000))
-    assert store(doubtful, 50.0).stored is Stored.UNKNOWN
+    assert store(doubtful, 50.0).status is WriteStatus.UNKNOWN
     doubtful.deliver_late()
     assert job_row(ID) in doubtful.rows
 
@@ -62,4 +62,4 @@
     """Guard against a refusal after a write whose fate is not known."""
     rows = MemoryRows()
     rows.down = True
-    assert store(rows, 30.0).stored is Stored.UNKNOWN
+    assert store(rows, 30.0).status is WriteStatus.UNKNOWN
