--- a/baobabhoist/control/cell_loader.py
+++ b/baobabhoist/control/cell_loader.py
@@ -8,10 +8,10 @@
 
 from baobabhoist.control.row_schema import (
     CELL_TABLE,
-    JOB_PARTS,
+    JOB_PARTITIONS,
     JOBS_TABLE,
-    LEARNED_ROW,
     PROGRESS_TABLE,
+    SPEEDS_ROW_KEY,
 )
 from baobabhoist.store.rows import Rows, RowStore, StoredRow
 
@@ -53,9 +53,9 @@
         self._pieces = (
             Piece(PROGRESS_TABLE),
             Piece(CELL_TABLE),
-            Piece(LEARNED_ROW.table),
+            Piece(SPEEDS_ROW_KEY.table),
             self._directory,
-            *(Piece(JOBS_TABLE, part) for part in JOB_PARTS),
+            *(Piece(JOBS_TABLE, part) for part in JOB_PARTITIONS),
         )
 
     @property
@@ -84,11 +84,11 @@
 
     def tables(self) -> CellTables:
         """Return all that was read."""
-        jobs = [self._read[Piece(JOBS_TABLE, part)] for part in JOB_PARTS]
+        jobs = [self._read[Piece(JOBS_TABLE, part)] for part in JOB_PARTITIONS]
         return CellTables(
             progress=self._rows(Piece(PROGRESS_TABLE)),
             own=self._rows(Piece(CELL_TABLE)),
-            learned=self._rows(Piece(LEARNED_ROW.table)),
+            learned=self._rows(Piece(SPEEDS_ROW_KEY.table)),
             directory=self._rows(self._directory),
             jobs=tuple(row for rows in jobs for row in rows.rows),
             jobs_version=min(rows.version for rows in jobs),
--- a/baobabhoist/control/claim.py
+++ b/baobabhoist/control/claim.py
@@ -9,22 +9,22 @@
 import orjson
 
 # The owner rewrites its beat this often while the store answers.
-BEAT_INTERVAL_MS = 500.0
+HEARTBEAT_INTERVAL_MS = 500.0
 # A beat that has not changed for this long shows an owner that the store no longer hears.
-BEAT_STALE_MS = 2_400.0
+HEARTBEAT_STALE_MS = 2_400.0
 # After this time a live owner's next beat is overdue.
-BEAT_MISSED_MS = 1_200.0
+HEARTBEAT_OVERDUE_MS = 1_200.0
 # An owner with less than one in so many of its links for this long gives the cell up.
-FEW_LINKS_PART = 4
-LINKS_JUDGED = 3
-ALONE_MS = 1_500.0
+MIN_LINKS_DIVISOR = 4
+MIN_PEAK_LINKS = 3
+ISOLATION_TIMEOUT_MS = 1_500.0
 # An instance that gave the cell up for this does not claim it again at once.
-ALONE_PAUSE_MS = 6_000.0
+ISOLATION_BACKOFF_MS = 6_000.0
 # Takeovers from silent owners within this time make the next one slower.
-TAKEOVERS_WITHIN_MS = 20_000.0
-TAKEOVERS_COUNTED = 3
+TAKEOVER_WINDOW_MS = 20_000.0
+MAX_COUNTED_TAKEOVERS = 3
 # An owner that the store has not confirmed for this long orders nothing more.
-CONFIRMED_MS = 3_000.0
+CONFIRMATION_VALID_MS = 3_000.0
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
         raise ValueError(f"not a claim: {exc}") from exc
 
 
-class OwnerSeen(enum.Enum):
+class OwnerLinkState(enum.Enum):
     """Name what an instance sees of the owner over its link."""
 
     # The link has not been tried or is being made.
@@ -82,42 +82,42 @@
 
 
 # After these the earlier owner can order nothing more.
-EARLIER_OWNER_STOPPED = frozenset(
+REASONS_PREVIOUS_OWNER_STOPPED = frozenset(
     {ClaimReason.UNCLAIMED, ClaimReason.RELEASED, ClaimReason.OWNER_ENDED}
 )
 
 
 @attrs.define
-class Company:
+class IsolationDetector:
     """Judge whether an owner still reaches the other instances.
 
     An owner that reaches the store but no instance gets no notices and no advice through others.
     """
 
-    most_links: int = 0
-    enough_ms: float = 0.0
+    peak_links: int = 0
+    last_sufficient_ms: float = 0.0
 
-    def lost(self, links: int, now: float) -> bool:
+    def is_isolated(self, links: int, now: float) -> bool:
         """Take a count of links; tell whether most have been gone for too long."""
-        self.most_links = max(self.most_links, links)
-        if links * FEW_LINKS_PART >= self.most_links or self.most_links < LINKS_JUDGED:
-            self.enough_ms = now
-        return now - self.enough_ms > ALONE_MS
+        self.peak_links = max(self.peak_links, links)
+        if links * MIN_LINKS_DIVISOR >= self.peak_links or self.peak_links < MIN_PEAK_LINKS:
+            self.last_sufficient_ms = now
+        return now - self.last_sufficient_ms > ISOLATION_TIMEOUT_MS
 
 
-def patience_factor(recent_takeovers: int) -> float:
+def takeover_backoff_factor(recent_takeovers: int) -> float:
     """Return how many times longer a silent owner is borne after takeovers in a row.
 
     An owner that loads a large cell on a slow machine may be silent for seconds. Without this,
     owners would replace each other before any of them has begun.
     """
-    return 2.0 ** min(recent_takeovers, TAKEOVERS_COUNTED)
+    return 2.0 ** min(recent_takeovers, MAX_COUNTED_TAKEOVERS)
 
 
 def claim_reason(
     claim: ClaimRow | None,
-    seen: OwnerSeen,
-    beat_age_ms: float,
+    link_state: OwnerLinkState,
+    heartbeat_age_ms: float,
     boot: str,
     recent_takeovers: int = 0,
 ) -> ClaimReason:
@@ -128,15 +128,15 @@
         return ClaimReason.RELEASED
     if claim.boot == boot:
         # This process gave the cell away, and the other one did not take it.
-        return ClaimReason.RELEASED if beat_age_ms > BEAT_STALE_MS else ClaimReason.NONE
-    if seen is OwnerSeen.ENDED:
+        return ClaimReason.RELEASED if heartbeat_age_ms > HEARTBEAT_STALE_MS else ClaimReason.NONE
+    if link_state is OwnerLinkState.ENDED:
         return ClaimReason.OWNER_ENDED
-    beat_age_ms /= patience_factor(recent_takeovers)
-    if seen is OwnerSeen.REFUSED and beat_age_ms > BEAT_MISSED_MS:
+    heartbeat_age_ms /= takeover_backoff_factor(recent_takeovers)
+    if link_state is OwnerLinkState.REFUSED and heartbeat_age_ms > HEARTBEAT_OVERDUE_MS:
         return ClaimReason.OWNER_REFUSES
-    if seen is OwnerSeen.SILENT and beat_age_ms > BEAT_MISSED_MS:
+    if link_state is OwnerLinkState.SILENT and heartbeat_age_ms > HEARTBEAT_OVERDUE_MS:
         return ClaimReason.OWNER_SILENT
     # The owner lives but the store hears nothing of it, so that it can order nothing.
-    if beat_age_ms > BEAT_STALE_MS:
+    if heartbeat_age_ms > HEARTBEAT_STALE_MS:
         return ClaimReason.BEAT_STALE
     return ClaimReason.NONE
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -9,26 +9,26 @@
 from typing import Any
 
 from baobabhoist.control.claim import (
-    ALONE_PAUSE_MS,
-    BEAT_INTERVAL_MS,
-    CONFIRMED_MS,
-    EARLIER_OWNER_STOPPED,
-    TAKEOVERS_WITHIN_MS,
+    CONFIRMATION_VALID_MS,
+    HEARTBEAT_INTERVAL_MS,
+    ISOLATION_BACKOFF_MS,
+    REASONS_PREVIOUS_OWNER_STOPPED,
+    TAKEOVER_WINDOW_MS,
     ClaimReason,
     ClaimRow,
-    Company,
-    OwnerSeen,
+    IsolationDetector,
+    OwnerLinkState,
     claim_reason,
     decode_claim,
     encode_claim,
 )
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.config import ActiveConfig
-from baobabhoist.control.links import OWNER_BEAT_S, Identity, LinkServer, OwnerLink
-from baobabhoist.control.messages import OwnerBeat
+from baobabhoist.control.links import OWNER_HEARTBEAT_INTERVAL_S, Identity, LinkServer, OwnerLink
+from baobabhoist.control.messages import OwnerHeartbeat
 from baobabhoist.control.owner import CellOwner, Ownership
-from baobabhoist.control.owner_router import OwnerCalls
-from baobabhoist.control.row_schema import BEAT_ROW, CELL_TABLE, OWNER_ROW
+from baobabhoist.control.owner_router import OwnerRouter
+from baobabhoist.control.row_schema import CELL_TABLE, HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
@@ -54,7 +54,7 @@
 MakeOwner = Callable[[Ownership, Callable[[], bool], Callable[[str], None]], CellOwner]
 
 
-class Claimant:
+class OwnerElection:
     """Own this instance's part in who owns the cell."""
 
     def __init__(
@@ -63,19 +63,19 @@
         store: RowStore,
         config: ActiveConfig,
         identity: Identity,
-        calls: OwnerCalls,
+        owner_router: OwnerRouter,
         server: LinkServer,
         link: OwnerLink,
         make_owner: MakeOwner,
     ) -> None:
-        self.draining = False
+        self.is_draining = False
         # Reads the cell's table at once.
-        self.hurry: Callable[[], None] = lambda: None
+        self.poll_now: Callable[[], None] = lambda: None
         self._cfg = cfg
         self._store = store
         self._config = config
         self._identity = identity
-        self._calls = calls
+        self._owner_router = owner_router
         self._server = server
         self._link = link
         self._make_owner = make_owner
@@ -87,42 +87,42 @@
         self._loaded = False
         self._wake = asyncio.Event()
         self._takeovers_ms: list[float] = []
-        self._company = Company()
+        self._isolation = IsolationDetector()
         # This instance does not claim the cell before, on the local clock.
         self._claims_from_ms = 0.0
         self._owner_task: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def wake(self) -> None:
+    def recheck(self) -> None:
         """Look at the claim now, because the link to its owner changed."""
-        self.hurry()
+        self.poll_now()
         self._wake.set()
 
-    def pause_s(self) -> float:
+    def poll_pause_s(self) -> float:
         """Return how long the cell's table need not be read, in seconds."""
-        owns = self._calls.local is not None
-        return CLAIM_PAUSE_S if owns or self._link.seen is OwnerSeen.CONNECTED else 0.0
+        owns = self._owner_router.local_owner is not None
+        return CLAIM_PAUSE_S if owns or self._link.state is OwnerLinkState.CONNECTED else 0.0
 
     async def release(self, reason: str) -> None:
         """Give the cell up, so that another instance takes it over at once."""
-        owner = self._calls.local
+        owner = self._owner_router.local_owner
         if owner is None:
             return
         claim = ClaimRow("", "", "", owner.ownership.generation)
         owner.stop()
         if await owner.progress.release(encode_claim(claim), owner.cell):
             emit(log, Event.CLAIM_RELEASED, token=owner.ownership.token)
-            self._tell_links(OwnerBeat(owns=False))
+            self._tell_links(OwnerHeartbeat(owns=False))
         self._step_down(reason)
 
     # What the cell's table says.
 
-    def rows_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
+    def apply_rows(self, rows: Sequence[StoredRow], whole: bool) -> None:
         """Take over rows of the cell's table."""
         for row in rows:
-            if row.key == OWNER_ROW and row.version >= self._claim_version:
+            if row.key == OWNER_ROW_KEY and row.version >= self._claim_version:
                 self._claim_seen(row)
-            elif row.key == BEAT_ROW and row.version > self._beat_version:
+            elif row.key == HEARTBEAT_ROW_KEY and row.version > self._beat_version:
                 self._beat_version = row.version
                 self._beat_changed_ms = monotonic_ms()
 
@@ -144,9 +144,9 @@
             version=row.version,
             generation=claim.generation,
         )
-        if claim.boot != self._identity.boot and self._calls.local is not None:
+        if claim.boot != self._identity.boot_id and self._owner_router.local_owner is not None:
             self._step_down(f"{claim.node or 'nobody'} has the claim")
-        self._link.follow(claim)
+        self._link.connect_to(claim)
         self._wake.set()
 
     def _note_takeover(self, claim: ClaimRow) -> None:
@@ -156,11 +156,11 @@
             self._takeovers_ms.append(monotonic_ms())
 
     def _recent_takeovers(self) -> int:
-        since = monotonic_ms() - TAKEOVERS_WITHIN_MS
+        since = monotonic_ms() - TAKEOVER_WINDOW_MS
         self._takeovers_ms = [moment for moment in self._takeovers_ms if moment > since]
         return len(self._takeovers_ms)
 
-    def confirmed(self, asked_ms: float) -> None:
+    def note_read(self, asked_ms: float) -> None:
         """Note that the rows were read just now."""
         now = monotonic_ms()
         if asked_ms - self._read_ms > ANSWERED_GAP_MS:
@@ -171,7 +171,7 @@
 
     # The claim.
 
-    async def claim_forever(self) -> None:
+    async def run_claims(self) -> None:
         """Claim the cell whenever there is a reason to."""
         while True:
             try:
@@ -188,13 +188,17 @@
 
     def _claim_reason(self) -> ClaimReason:
         fresh = monotonic_ms() - self._read_ms < CLAIM_FRESH_MS
-        if not (self._loaded and fresh) or self.draining or self._calls.local is not None:
+        if (
+            not (self._loaded and fresh)
+            or self.is_draining
+            or self._owner_router.local_owner is not None
+        ):
             return ClaimReason.NONE
         if self._config.current is None or monotonic_ms() < self._claims_from_ms:
             return ClaimReason.NONE
         age = monotonic_ms() - self._beat_changed_ms
         return claim_reason(
-            self._claim, self._link.seen, age, self._identity.boot, self._recent_takeovers()
+            self._claim, self._link.state, age, self._identity.boot_id, self._recent_takeovers()
         )
 
     def _claim_delay_s(self) -> float:
@@ -206,11 +210,11 @@
     async def _take(self, reason: ClaimReason) -> None:
         generation = self._claim.generation + 1 if self._claim is not None else 0
         address = self._cfg.advertised_peer_address
-        claim = ClaimRow(self._identity.node, self._identity.boot, address, generation)
-        expected = {OWNER_ROW: self._claim_version}
-        if reason not in EARLIER_OWNER_STOPPED and self._beat_version:
-            expected[BEAT_ROW] = self._beat_version
-        txn = RowsTxn(expected, {OWNER_ROW: encode_claim(claim)})
+        claim = ClaimRow(self._identity.node, self._identity.boot_id, address, generation)
+        expected = {OWNER_ROW_KEY: self._claim_version}
+        if reason not in REASONS_PREVIOUS_OWNER_STOPPED and self._beat_version:
+            expected[HEARTBEAT_ROW_KEY] = self._beat_version
+        txn = RowsTxn(expected, {OWNER_ROW_KEY: encode_claim(claim)})
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
@@ -220,19 +224,19 @@
             return
         if isinstance(outcome, RowsConflict):
             for row in outcome.rows:
-                self.rows_changed([row], False)
+                self.apply_rows([row], False)
             return
         self._won(claim, outcome.version, reason)
 
     async def _adopt_own_claim(self, claim: ClaimRow, reason: ClaimReason) -> None:
         """Find out whether a claim without an answer was written."""
         try:
-            rows = await self._store.read(OWNER_ROW.table)
+            rows = await self._store.read(OWNER_ROW_KEY.table)
         except StoreError as exc:
             log.debug("the claim cannot be read back: %s", exc)
             return
         for row in rows.rows:
-            if row.key == OWNER_ROW and row.value == encode_claim(claim):
+            if row.key == OWNER_ROW_KEY and row.value == encode_claim(claim):
                 self._won(claim, row.version, reason)
 
     def _won(
@@ -241,14 +245,14 @@
         version: int,
         reason: ClaimReason,
     ) -> None:
-        if self._calls.local is not None:
+        if self._owner_router.local_owner is not None:
             return
         now = monotonic_ms()
         self._claim, self._claim_version = claim, version
-        self._link.follow(None)
+        self._link.connect_to(None)
         until = now
-        if reason not in EARLIER_OWNER_STOPPED:
-            until = max(now, self._beat_changed_ms + CONFIRMED_MS)
+        if reason not in REASONS_PREVIOUS_OWNER_STOPPED:
+            until = max(now, self._beat_changed_ms + CONFIRMATION_VALID_MS)
         ownership = Ownership(version, claim.generation, now, until)
         emit(
             log,
@@ -259,9 +263,9 @@
             wait_ms=round(until - now),
         )
         owner = self._make_owner(ownership, self._may_start, self._step_down)
-        self._company = Company(enough_ms=now)
-        self._calls.local = owner
-        self._identity.owns = True
+        self._isolation = IsolationDetector(last_sufficient_ms=now)
+        self._owner_router.local_owner = owner
+        self._identity.is_owner = True
         self._owner_task = asyncio.create_task(owner.run())
         self._owner_task.add_done_callback(self._owner_ended)
 
@@ -273,33 +277,36 @@
             self._step_down("the owner's task failed")
 
     def _may_start(self) -> bool:
-        owner = self._calls.local
-        return owner is not None and monotonic_ms() - owner.progress.confirmed_ms < CONFIRMED_MS
+        owner = self._owner_router.local_owner
+        return (
+            owner is not None
+            and monotonic_ms() - owner.progress.confirmed_ms < CONFIRMATION_VALID_MS
+        )
 
     def _step_down(self, reason: str) -> None:
-        owner = self._calls.local
+        owner = self._owner_router.local_owner
         if owner is None:
             return
         emit(log, Event.CLAIM_LOST, token=owner.ownership.token, reason=reason)
-        self._calls.local = None
-        self._identity.owns = False
+        self._owner_router.local_owner = None
+        self._identity.is_owner = False
         if self._owner_task is not None:
             self._owner_task.cancel()
         owner.stop()
         self._beat_changed_ms = monotonic_ms()
         if self._claim is not None:
-            self._link.follow(self._claim)
+            self._link.connect_to(self._claim)
 
-    async def beat_links_forever(self) -> None:
+    async def run_link_heartbeats(self) -> None:
         """Show the linked instances that the owner lives, also while the store is away."""
         while True:
-            owner = self._calls.local
+            owner = self._owner_router.local_owner
             if owner is not None:
-                self._tell_links(OwnerBeat())
-                if self._company.lost(len(self._server.links), monotonic_ms()):
-                    self._claims_from_ms = monotonic_ms() + ALONE_PAUSE_MS
+                self._tell_links(OwnerHeartbeat())
+                if self._isolation.is_isolated(len(self._server.links), monotonic_ms()):
+                    self._claims_from_ms = monotonic_ms() + ISOLATION_BACKOFF_MS
                     await self.release("no instance is linked to this one")
-            await asyncio.sleep(OWNER_BEAT_S)
+            await asyncio.sleep(OWNER_HEARTBEAT_INTERVAL_S)
 
     def _tell_links(self, message: Any) -> None:
         for link in list(self._server.links.values()):
@@ -310,13 +317,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def beat_forever(self) -> None:
+    async def run_store_heartbeats(self) -> None:
         """Show the store that the owner lives, while it is this process."""
         while True:
-            owner = self._calls.local
+            owner = self._owner_router.local_owner
             if owner is not None:
                 await owner.progress.beat()
-            await asyncio.sleep(BEAT_INTERVAL_MS / 1000)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
 
 
 async def _notify_quietly(link: Link, message: Any) -> None:
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -22,15 +22,15 @@
     StateQuery,
     StateReply,
 )
-from baobabhoist.control.owner_router import OwnerCalls
+from baobabhoist.control.owner_router import OwnerRouter
 from baobabhoist.control.row_schema import (
     JOBS_TABLE,
     PROGRESS_TABLE,
     JobRow,
-    cancel_row,
+    cancel_row_key,
     decode_job,
     encode_job,
-    job_row,
+    job_row_key,
 )
 from baobabhoist.errors import ErrorKind, LinkClosedError, Refusal
 from baobabhoist.model import Outcome
@@ -103,7 +103,7 @@
     job_writer: JobWriter
     decoder: Decoder
     clock: StoreClock
-    owner: OwnerCalls
+    owner: OwnerRouter
     revoke_ms: float
     row_max_bytes: int
 
@@ -221,7 +221,9 @@
 
     def _no_store(self, message: str) -> Refusal:
         """Refuse a write; an instance that is cut off sends its callers elsewhere at once."""
-        return unavailable_refusal(message, RETRY_AFTER_S if self.owner.reachable else ELSEWHERE_S)
+        return unavailable_refusal(
+            message, RETRY_AFTER_S if self.owner.is_owner_reachable else ELSEWHERE_S
+        )
 
     async def _find(self, job_id: str) -> StateReply | Refusal:
         if JOB_ID.fullmatch(job_id) is None:
@@ -237,14 +239,14 @@
 
     async def _read_state(self, job_id: str) -> StateReply:
         """Return a job's state from the store; raises StoreError or ValueError."""
-        key = job_row(job_id)
+        key = job_row_key(job_id)
         rows = await self.store.read(JOBS_TABLE, key.part, first=job_id, last=job_id + "0")
         by_key = {row.key: row for row in rows.rows}
         stored = by_key.get(key)
         if stored is None or stored.value is None:
             return StateReply()
         job = decode_job(job_id, stored.value, stored.version)
-        phase = JobPhase.CANCELLED if cancel_row(job_id) in by_key else JobPhase.QUEUED
+        phase = JobPhase.CANCELLED if cancel_row_key(job_id) in by_key else JobPhase.QUEUED
         found = await self.store.read(PROGRESS_TABLE, "", first=job_id, last=job_id + "0")
         for row in found.rows:
             if row.value is not None:
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -9,7 +9,7 @@
 import attrs
 
 from baobabhoist.control.clock import monotonic_ms
-from baobabhoist.control.row_schema import cancel_row, job_row
+from baobabhoist.control.row_schema import cancel_row_key, job_row_key
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import (
@@ -61,11 +61,11 @@
 
     async def store_job(self, job_id: str, value: bytes, deadline_ms: float) -> WriteResult:
         """Store a job unless it is there already."""
-        return await self._put_new(job_row(job_id), value, deadline_ms)
+        return await self._put_new(job_row_key(job_id), value, deadline_ms)
 
     async def store_cancel(self, job_id: str, deadline_ms: float) -> WriteResult:
         """Store that a job is cancelled."""
-        return await self._put_new(cancel_row(job_id), b"{}", deadline_ms)
+        return await self._put_new(cancel_row_key(job_id), b"{}", deadline_ms)
 
     async def _put_new(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
         """Store a row that must not be there yet."""
--- a/baobabhoist/control/links.py
+++ b/baobabhoist/control/links.py
@@ -13,9 +13,9 @@
 from websockets.asyncio.server import Server, ServerConnection, serve
 from websockets.exceptions import WebSocketException
 
-from baobabhoist.control.claim import ClaimRow, OwnerSeen
+from baobabhoist.control.claim import ClaimRow, OwnerLinkState
 from baobabhoist.control.clock import monotonic_ms
-from baobabhoist.control.messages import CODEC, Greeting, OwnerBeat, Welcome
+from baobabhoist.control.messages import CODEC, Greeting, OwnerHeartbeat, Welcome
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
@@ -26,7 +26,7 @@
 GREETING_TIMEOUT_S = 1.0
 RECONNECT_S = 0.1
 # The owner sends something over each link this often.
-OWNER_BEAT_S = 0.25
+OWNER_HEARTBEAT_INTERVAL_S = 0.25
 # A link on which the owner was not heard for this long is replaced.
 SILENT_LINK_MS = 900.0
 SILENCE_CHECK_S = 0.2
@@ -39,8 +39,8 @@
     """Hold who this process is, and whether it owns the cell now."""
 
     node: str
-    boot: str
-    owns: bool = False
+    boot_id: str
+    is_owner: bool = False
 
 
 class LinkServer:
@@ -69,7 +69,9 @@
             if isinstance(message, Greeting):
                 node = message.node
                 self.links[node] = link
-                return Welcome(self._identity.node, self._identity.boot, self._identity.owns)
+                return Welcome(
+                    self._identity.node, self._identity.boot_id, self._identity.is_owner
+                )
             return await self._handler(message)
 
         link = Link(conn, CODEC, handle)
@@ -84,7 +86,7 @@
     def __init__(
         self, identity: Identity, handler: Handler, on_change: Callable[[], None]
     ) -> None:
-        self.seen = OwnerSeen.UNKNOWN
+        self.state = OwnerLinkState.UNKNOWN
         self.link: Link | None = None
         self._identity = identity
         self._handler = handler
@@ -93,7 +95,7 @@
         self._claim: ClaimRow | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def follow(self, claim: ClaimRow | None) -> None:
+    def connect_to(self, claim: ClaimRow | None) -> None:
         """Connect to another owner, or to none."""
         if claim == self._claim:
             return
@@ -101,8 +103,8 @@
         if self._task is not None:
             self._task.cancel()
             self._task = None
-        self.link, self.seen = None, OwnerSeen.UNKNOWN
-        if claim is not None and not claim.released and claim.boot != self._identity.boot:
+        self.link, self.state = None, OwnerLinkState.UNKNOWN
+        if claim is not None and not claim.released and claim.boot != self._identity.boot_id:
             self._task = asyncio.create_task(self._keep(claim))
 
     async def call(self, message: Any, timeout_s: float) -> Any:
@@ -116,11 +118,11 @@
             try:
                 await self._connect(claim)
             except ConnectionRefusedError:
-                self._saw(OwnerSeen.REFUSED, claim)
+                self._saw(OwnerLinkState.REFUSED, claim)
             except (OSError, TimeoutError, WebSocketException, LinkClosedError) as exc:
                 log.debug("no link to %s: %s", claim.node, exc)
-                if self.seen is not OwnerSeen.ENDED:
-                    self._saw(OwnerSeen.SILENT, claim)
+                if self.state is not OwnerLinkState.ENDED:
+                    self._saw(OwnerLinkState.SILENT, claim)
             await asyncio.sleep(RECONNECT_S)
 
     async def _connect(self, claim: ClaimRow) -> None:
@@ -131,19 +133,19 @@
         link = Link(conn, CODEC, self._handle)
         running = asyncio.create_task(link.run())
         try:
-            greeting = Greeting(self._identity.node, self._identity.boot)
+            greeting = Greeting(self._identity.node, self._identity.boot_id)
             welcome = await link.call(greeting, GREETING_TIMEOUT_S)
             if not isinstance(welcome, Welcome) or welcome.boot != claim.boot:
-                self._saw(OwnerSeen.ENDED, claim)
+                self._saw(OwnerLinkState.ENDED, claim)
                 return
             self.link = link
-            self._saw(OwnerSeen.CONNECTED, claim)
+            self._saw(OwnerLinkState.CONNECTED, claim)
             await self._while_heard(running)
         finally:
             self.link = None
             link.abort()
             running.cancel()
-        self._saw(OwnerSeen.SILENT, claim)
+        self._saw(OwnerLinkState.SILENT, claim)
 
     async def _while_heard(self, running: asyncio.Task[None]) -> None:
         """Return when the connection ends or the owner falls silent."""
@@ -155,15 +157,15 @@
 
     async def _handle(self, message: Any) -> Any:
         self._heard_ms = monotonic_ms()
-        if not isinstance(message, OwnerBeat):
+        if not isinstance(message, OwnerHeartbeat):
             return await self._handler(message)
         if not message.owns:
             self._on_change()
         return None
 
-    def _saw(self, seen: OwnerSeen, claim: ClaimRow) -> None:
-        if seen is self.seen:
+    def _saw(self, state: OwnerLinkState, claim: ClaimRow) -> None:
+        if state is self.state:
             return
-        emit(log, Event.OWNER_SEEN, owner=claim.node, state=seen.value, before=self.seen.value)
-        self.seen = seen
+        emit(log, Event.OWNER_SEEN, owner=claim.node, state=state.value, before=self.state.value)
+        self.state = state
         self._on_change()
--- a/baobabhoist/control/messages.py
+++ b/baobabhoist/control/messages.py
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen
-class OwnerBeat:
+class OwnerHeartbeat:
     """Show over a link that the owner lives, or that it has given the cell up."""
 
     owns: bool = True
@@ -195,6 +195,6 @@
         RelayedCommit,
         RelayedRows,
         RelayFailed,
-        OwnerBeat,
+        OwnerHeartbeat,
     )
 )
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -13,14 +13,14 @@
 from baobabhoist.control.advice import AdviceDispatcher
 from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.control.config import ActiveConfig
-from baobabhoist.control.election import Claimant
+from baobabhoist.control.election import OwnerElection
 from baobabhoist.control.interfaces import Adviser, Decoder, WorkerDriver
 from baobabhoist.control.job_api import JobApi
 from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.links import Identity, LinkServer, OwnerLink
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.owner import CellOwner, OwnerParts, Ownership
-from baobabhoist.control.owner_router import OwnerCalls
+from baobabhoist.control.owner_router import OwnerRouter
 from baobabhoist.control.relay import Peers, RelayedStore
 from baobabhoist.control.row_schema import (
     CELL_TABLE,
@@ -63,17 +63,19 @@
         self.config = ActiveConfig()
         self.clock = StoreClock()
         self.identity = Identity(cfg.instance_id, secrets.token_hex(8))
-        self.calls = OwnerCalls(cfg.instance_id, adapter.adviser)
-        self.server = LinkServer(self.identity, self.calls.handle)
-        self.link = OwnerLink(self.identity, self.calls.handle, lambda: self._claimant.wake())
-        self.calls.link = self.link
+        self.owner_router = OwnerRouter(cfg.instance_id, adapter.adviser)
+        self.link_server = LinkServer(self.identity, self.owner_router.handle)
+        self.owner_link = OwnerLink(
+            self.identity, self.owner_router.handle, lambda: self._election.recheck()
+        )
+        self.owner_router.owner_link = self.owner_link
         self.metrics = NodeMetrics()
         # Returns how many log lines were dropped or left out.
         self.dropped_lines: Callable[[], int] = lambda: 0
         direct = MonitoredStore(adapter.store, self.metrics)
         self._store_health = direct.health
         store = RelayedStore(direct, Peers(self._links))
-        self.calls.relay = store
+        self.owner_router.relay_store = store
         adapter = attrs.evolve(adapter, store=store)
         self.job_api = JobApi(
             self.config,
@@ -81,27 +83,27 @@
             JobWriter(store, direct.health),
             adapter.decoder,
             self.clock,
-            self.calls,
+            self.owner_router,
             cfg.bounds.revoke_ms,
             cfg.store.row_max_bytes,
         )
         self._adapter = adapter
-        self._advice = AdviceDispatcher(adapter.adviser, lambda: self.server.links)
+        self._advice = AdviceDispatcher(adapter.adviser, lambda: self.link_server.links)
         self._was_ready = False
-        self._claimant = Claimant(
+        self._election = OwnerElection(
             cfg,
             store,
             self.config,
             self.identity,
-            self.calls,
-            self.server,
-            self.link,
+            self.owner_router,
+            self.link_server,
+            self.owner_link,
             self._make_owner,
         )
 
     async def run(self) -> None:
         """Work until cancelled."""
-        await self.server.start(self.cfg.host, self.cfg.peer_port)
+        await self.link_server.start(self.cfg.host, self.cfg.peer_port)
         store = self._adapter.store
         operator = TableFollower(
             store,
@@ -113,27 +115,27 @@
         cell = TableFollower(
             store,
             CELL_TABLE,
-            self._claimant.rows_changed,
+            self._election.apply_rows,
             self.clock,
-            on_confirmed=self._claimant.confirmed,
-            pause_s=self._claimant.pause_s,
+            on_confirmed=self._election.note_read,
+            pause_s=self._election.poll_pause_s,
         )
-        self._claimant.hurry = cell.hurry
+        self._election.poll_now = cell.poll_now
         async with asyncio.TaskGroup() as group:
             group.create_task(operator.run())
             group.create_task(cell.run())
-            group.create_task(self._claimant.claim_forever())
-            group.create_task(self._claimant.beat_forever())
-            group.create_task(self._claimant.beat_links_forever())
+            group.create_task(self._election.run_claims())
+            group.create_task(self._election.run_store_heartbeats())
+            group.create_task(self._election.run_link_heartbeats())
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether this instance should get new callers."""
         current = self.config.age_ms(monotonic_ms()) < READY_CONFIG_MS
         is_ready = (
-            not self._claimant.draining
+            not self._election.is_draining
             and self.config.current is not None
             and current
-            and self.calls.reachable
+            and self.owner_router.is_owner_reachable
             and not self._store_health.is_unreachable_for(READY_CONTACT_MS)
         )
         if is_ready is not self._was_ready:
@@ -143,22 +145,22 @@
                 Event.READINESS,
                 ready=is_ready,
                 config_age_ms=round(self.config.age_ms(monotonic_ms())),
-                owner=self.calls.reachable,
+                owner=self.owner_router.is_owner_reachable,
             )
         return is_ready
 
     def _links(self) -> list[Link]:
         """Return the links to instances through which the store may be reached."""
-        if self.calls.local is not None:
-            return list(self.server.links.values())
-        return [self.link.link] if self.link.link is not None else []
+        if self.owner_router.local_owner is not None:
+            return list(self.link_server.links.values())
+        return [self.owner_link.link] if self.owner_link.link is not None else []
 
     def refresh_metrics(self) -> None:
         """Set the gauges that are read, not counted."""
         cfg, now = self.config.current, monotonic_ms()
         self.metrics.set_dropped_lines(self.dropped_lines())
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
-        owner = self.calls.local
+        owner = self.owner_router.local_owner
         cell = owner.cell if owner is not None else None
         queued = cell.queued_tasks() if cell is not None else {}
         margin = cell.lease_margin_ms(now) if cell is not None else 0.0
@@ -166,8 +168,8 @@
 
     async def drain(self) -> None:
         """Give the cell up, so that another instance takes it over at once."""
-        self._claimant.draining = True
-        await self._claimant.release("this instance drains")
+        self._election.is_draining = True
+        await self._election.release("this instance drains")
 
     def _operator_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
         for row in rows:
@@ -185,8 +187,8 @@
                 teams=len(cfg.rules.teams),
                 keys=len(cfg.keys),
             )
-            if self.calls.local is not None:
-                self.calls.local.use_rules(cfg.rules)
+            if self.owner_router.local_owner is not None:
+                self.owner_router.local_owner.use_rules(cfg.rules)
 
     def _make_owner(
         self,
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -24,7 +24,7 @@
 from baobabhoist.control.progress_writer import ProgressWriter
 from baobabhoist.control.row_schema import (
     CANCEL_SUFFIX,
-    JOB_PARTS,
+    JOB_PARTITIONS,
     JOBS_TABLE,
     PROGRESS_TABLE,
     decode_job,
@@ -246,7 +246,7 @@
             JOBS_TABLE,
             self._jobs_changed,
             self._parts.clock,
-            parts=JOB_PARTS,
+            parts=JOB_PARTITIONS,
             pause_s=lambda: JOBS_PAUSE_S,
             known_version=self._loading.tables().jobs_version,
         )
--- a/baobabhoist/control/owner_router.py
+++ b/baobabhoist/control/owner_router.py
@@ -34,14 +34,14 @@
 QUIET_LINK_MS = 1_000.0
 
 
-class OwnerCalls:
+class OwnerRouter:
     """Pass questions and notices to the owner, wherever it is."""
 
     def __init__(self, node: str, adviser: Adviser) -> None:
-        self.local: CellOwner | None = None
-        self.link: OwnerLink | None = None
+        self.local_owner: CellOwner | None = None
+        self.owner_link: OwnerLink | None = None
         # Carries out what another instance asks of the store.
-        self.relay: RelayedStore | None = None
+        self.relay_store: RelayedStore | None = None
         self._node = node
         self._adviser = adviser
         self._tasks: set[asyncio.Task[None]] = set()
@@ -49,21 +49,21 @@
         self._quiet_until_ms = 0.0
 
     @property
-    def reachable(self) -> bool:
+    def is_owner_reachable(self) -> bool:
         """Tell whether the owner is known and can be asked."""
-        if self.local is not None:
-            return self.local.cell is not None
+        if self.local_owner is not None:
+            return self.local_owner.cell is not None
         quiet = monotonic_ms() < self._quiet_until_ms
-        return self.link is not None and self.link.link is not None and not quiet
+        return self.owner_link is not None and self.owner_link.link is not None and not quiet
 
     async def call(self, question: Any, timeout_s: float) -> Any:
         """Return the owner's answer; raises LinkClosedError or TimeoutError."""
-        if self.local is not None:
+        if self.local_owner is not None:
             return await self.handle(question)
-        if self.link is None or monotonic_ms() < self._quiet_until_ms:
+        if self.owner_link is None or monotonic_ms() < self._quiet_until_ms:
             raise LinkClosedError("the owner is not known or does not answer")
         try:
-            return await self.link.call(question, timeout_s)
+            return await self.owner_link.call(question, timeout_s)
         except TimeoutError:
             self._quiet_until_ms = monotonic_ms() + QUIET_LINK_MS
             raise
@@ -79,10 +79,10 @@
         anywhere = self._ANYWHERE.get(type(message))
         if anywhere is not None:
             return await anywhere(self, message)
-        if self.local is None:
+        if self.local_owner is None:
             return NotOwner(self._node)
         at_owner = self._AT_OWNER.get(type(message))
-        return at_owner(self, self.local, message) if at_owner is not None else None
+        return at_owner(self, self.local_owner, message) if at_owner is not None else None
 
     def _state(self, owner: CellOwner, query: StateQuery) -> StateReply:
         return owner.state_of(query.job_id)
@@ -97,7 +97,7 @@
         owner.job_cancelled(notice.job_id)
 
     async def _serve_store(self, message: Any) -> Any:
-        return await self.relay.serve(message) if self.relay is not None else None
+        return await self.relay_store.serve(message) if self.relay_store is not None else None
 
     async def _advise(self, query: AdviceQuery) -> AdviceReply:
         step = StepKey(query.job_id, query.occurrence, query.step)
@@ -121,10 +121,10 @@
     }
 
     async def _notify(self, notice: Any) -> None:
-        if self.local is not None:
+        if self.local_owner is not None:
             await self.handle(notice)
             return
-        link = self.link.link if self.link is not None else None
+        link = self.owner_link.link if self.owner_link is not None else None
         try:
             if link is not None:
                 await link.notify(notice)
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -10,13 +10,13 @@
 from baobabhoist.cell.cell import Cell
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.row_schema import (
-    BEAT_ROW,
-    LEARNED_ROW,
-    OWNER_ROW,
-    cancel_row,
+    HEARTBEAT_ROW_KEY,
+    OWNER_ROW_KEY,
+    SPEEDS_ROW_KEY,
+    cancel_row_key,
     encode_speeds,
-    job_row,
-    progress_row,
+    job_row_key,
+    progress_row_key,
 )
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import (
@@ -86,20 +86,20 @@
         """Show that the owner lives; tell whether the store confirmed it."""
         self._beats += 1
         value = str(self._beats).encode()
-        return await self._commit({BEAT_ROW: value}, {}) is not None
+        return await self._commit({HEARTBEAT_ROW_KEY: value}, {}) is not None
 
     async def release(self, claim: bytes, cell: Cell | None) -> bool:
         """Give the claim up after storing all progress; tell whether that is stored."""
         if cell is not None:
             await self._flush_all(cell)
-        return await self._commit({OWNER_ROW: claim}, {}) is not None
+        return await self._commit({OWNER_ROW_KEY: claim}, {}) is not None
 
     async def remove_job(self, job_id: str) -> None:
         """Remove the rows of a job that nobody asks for any more."""
         try:
-            removed = (job_row(job_id), cancel_row(job_id))
+            removed = (job_row_key(job_id), cancel_row_key(job_id))
             await self._store.commit(RowsTxn(removes=removed))
-            await self._store.commit(RowsTxn(removes=(progress_row(job_id),)))
+            await self._store.commit(RowsTxn(removes=(progress_row_key(job_id),)))
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
@@ -115,10 +115,10 @@
         lifetimes = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
         dirty = cell.take_dirty()
         unsent, self._unsent = self._unsent, []
-        puts = {progress_row(i): progress_rows.encode(p) for i, p in dirty.items()}
+        puts = {progress_row_key(i): progress_rows.encode(p) for i, p in dirty.items()}
         if monotonic_ms() > self._learned_due_ms and cell.board.speeds.workers:
             self._learned_due_ms = monotonic_ms() + LEARNED_INTERVAL_MS
-            puts[LEARNED_ROW] = encode_speeds(cell.board.speeds)
+            puts[SPEEDS_ROW_KEY] = encode_speeds(cell.board.speeds)
         written = False
         try:
             written = await self._write(puts)
@@ -158,7 +158,7 @@
         self, puts: dict[RowKey, bytes], expected: dict[RowKey, int]
     ) -> RowsCommitted | None:
         sent_ms = monotonic_ms()
-        txn = RowsTxn({OWNER_ROW: self._token, **expected}, puts)
+        txn = RowsTxn({OWNER_ROW_KEY: self._token, **expected}, puts)
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
@@ -167,13 +167,13 @@
         if isinstance(outcome, RowsConflict):
             self._conflicted(outcome, expected)
             return None
-        if BEAT_ROW in puts:
+        if HEARTBEAT_ROW_KEY in puts:
             self.confirmed_ms = max(self.confirmed_ms, sent_ms)
         return outcome
 
     def _conflicted(self, conflict: RowsConflict, expected: dict[RowKey, int]) -> None:
         """Tell a lost claim from an own earlier write whose answer was lost."""
-        if conflict.version_of(OWNER_ROW) != self._token:
+        if conflict.version_of(OWNER_ROW_KEY) != self._token:
             self._on_deposed("the claim in the store has another version")
             return
         for key in expected:
--- a/baobabhoist/control/row_schema.py
+++ b/baobabhoist/control/row_schema.py
@@ -16,13 +16,13 @@
 JOBS_TABLE = "jobs"
 PROGRESS_TABLE = "progress"
 
-OWNER_ROW = RowKey(CELL_TABLE, "", "owner")
-BEAT_ROW = RowKey(CELL_TABLE, "", "beat")
+OWNER_ROW_KEY = RowKey(CELL_TABLE, "", "owner")
+HEARTBEAT_ROW_KEY = RowKey(CELL_TABLE, "", "beat")
 # Not in the cell's table, which every instance follows.
-LEARNED_ROW = RowKey("learned", "", "speeds")
+SPEEDS_ROW_KEY = RowKey("learned", "", "speeds")
 
 # Jobs are spread over parts by the first hex digit of their ids.
-JOB_PARTS = tuple("0123456789abcdef")
+JOB_PARTITIONS = tuple("0123456789abcdef")
 CANCEL_SUFFIX = "/cancel"
 
 _converter = cattrs.Converter()
@@ -39,17 +39,17 @@
     spec: JobSpec
 
 
-def job_row(job_id: str) -> RowKey:
+def job_row_key(job_id: str) -> RowKey:
     """Return the row of a job."""
     return RowKey(JOBS_TABLE, job_id[0], job_id)
 
 
-def cancel_row(job_id: str) -> RowKey:
+def cancel_row_key(job_id: str) -> RowKey:
     """Return the row that says that a job is cancelled."""
     return RowKey(JOBS_TABLE, job_id[0], job_id + CANCEL_SUFFIX)
 
 
-def progress_row(job_id: str) -> RowKey:
+def progress_row_key(job_id: str) -> RowKey:
     """Return the row of a job's progress, which lies in one part with the claim."""
     return RowKey(PROGRESS_TABLE, "", job_id)
 
--- a/baobabhoist/control/table_follower.py
+++ b/baobabhoist/control/table_follower.py
@@ -49,7 +49,7 @@
         self._pause_s = pause_s
         self._on_confirmed = on_confirmed
         self._connected = False
-        self._hurry = asyncio.Event()
+        self._poll_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -87,20 +87,20 @@
         await self._pause()
 
     async def _pause(self) -> None:
-        """Wait between two polls, unless somebody is in a hurry."""
+        """Wait between two polls, unless a poll is requested."""
         pause_s = self._pause_s()
         if pause_s <= 0.0:
             return
         try:
             async with asyncio.timeout(pause_s):
-                await self._hurry.wait()
+                await self._poll_requested.wait()
         except TimeoutError:
             return
-        self._hurry.clear()
+        self._poll_requested.clear()
 
-    def hurry(self) -> None:
+    def poll_now(self) -> None:
         """Ask again now instead of after the pause."""
-        self._hurry.set()
+        self._poll_requested.set()
 
     def _confirm(self, rows: Rows, asked_ms: float) -> None:
         self._clock.observe(rows.now_ms)
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -132,7 +132,7 @@
 
     def get(self) -> None:
         """Answer 200 or 503."""
-        self.set_status(200 if self._node.ready() else 503)
+        self.set_status(200 if self._node.is_ready() else 503)
 
 
 class MetricsHandler(RequestHandler):
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -7,7 +7,12 @@
 import pytest
 
 from baobabhoist.control.cell_loader import CellLoading
-from baobabhoist.control.row_schema import JOB_PARTS, OWNER_ROW, job_row, progress_row
+from baobabhoist.control.row_schema import (
+    JOB_PARTITIONS,
+    OWNER_ROW_KEY,
+    job_row_key,
+    progress_row_key,
+)
 from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
 from baobabhoist.testing.rows import MemoryRows
 
@@ -34,8 +39,8 @@
 
 def filled(rows: MemoryRows) -> None:
     """Store a job and its progress."""
-    rows.apply(RowsTxn(puts={job_row(JOB_ID): b"job"}))
-    rows.apply(RowsTxn(puts={progress_row(JOB_ID): b"progress", OWNER_ROW: b"claim"}))
+    rows.apply(RowsTxn(puts={job_row_key(JOB_ID): b"job"}))
+    rows.apply(RowsTxn(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"}))
 
 
 def test_readings_that_came_are_not_asked_again() -> None:
@@ -45,7 +50,7 @@
     loading = CellLoading(rows, DIRECTORY)
     with pytest.raises(StoreUnansweredError):
         asyncio.run(loading.read_missing())
-    assert len(loading.missing) == len(JOB_PARTS)
+    assert len(loading.missing) == len(JOB_PARTITIONS)
     asyncio.run(loading.read_missing())
     assert loading.complete
     assert len(rows.answered) == len(set(rows.answered))
@@ -58,9 +63,9 @@
     loading = CellLoading(rows, DIRECTORY)
     asyncio.run(loading.read_missing())
     tables = loading.tables()
-    assert [row.key for row in tables.jobs] == [job_row(JOB_ID)]
-    assert [row.key for row in tables.progress] == [progress_row(JOB_ID)]
-    assert [row.key for row in tables.own] == [OWNER_ROW]
+    assert [row.key for row in tables.jobs] == [job_row_key(JOB_ID)]
+    assert [row.key for row in tables.progress] == [progress_row_key(JOB_ID)]
+    assert [row.key for row in tables.own] == [OWNER_ROW_KEY]
     assert tables.jobs_version == rows.version
 
 
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -6,10 +6,10 @@
 import pytest
 
 from baobabhoist.control import election as election_module
-from baobabhoist.control.claim import ClaimRow, OwnerSeen, decode_claim, encode_claim
-from baobabhoist.control.election import ANSWERED_GAP_MS, Claimant
+from baobabhoist.control.claim import ClaimRow, OwnerLinkState, decode_claim, encode_claim
+from baobabhoist.control.election import ANSWERED_GAP_MS, OwnerElection
 from baobabhoist.control.links import Identity
-from baobabhoist.control.row_schema import BEAT_ROW, OWNER_ROW
+from baobabhoist.control.row_schema import HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
@@ -31,39 +31,39 @@
 
 
 class Rig:
-    """Hold one instance's claimant, its store and a clock that the test moves."""
+    """Hold one instance's election, its store and a clock that the test moves."""
 
     def __init__(self, monkeypatch):
         self.now = 100_000.0
         monkeypatch.setattr(election_module, "monotonic_ms", lambda: self.now)
         monkeypatch.setattr(election_module, "CLAIM_SPREAD_S", 0.0)
         self.store = MemoryRows()
-        self.calls = SimpleNamespace(local=None)
-        self.link = SimpleNamespace(seen=OwnerSeen.CONNECTED, follow=lambda claim: None)
+        self.owner_router = SimpleNamespace(local_owner=None)
+        self.link = SimpleNamespace(state=OwnerLinkState.CONNECTED, connect_to=lambda claim: None)
         address = "10.0.0.1:7000"
         cfg = SimpleNamespace(cores=4.0, link_mbps=1000.0, advertised_peer_address=address)
-        self.claimant = Claimant(
+        self.election = OwnerElection(
             cfg,
             self.store,
             SimpleNamespace(current=object()),
             Identity("me", "boot-me"),
-            self.calls,
+            self.owner_router,
             SimpleNamespace(links={}),
             self.link,
             lambda ownership, may_start, on_deposed: Owner(ownership),
         )
 
     def write(self, **rows):
-        keys = {"owner": OWNER_ROW, "beat": BEAT_ROW}
+        keys = {"owner": OWNER_ROW_KEY, "beat": HEARTBEAT_ROW_KEY}
         self.store.apply(RowsTxn({}, {keys[name]: value for name, value in rows.items()}))
 
     def read(self, asked_ms=None):
-        self.claimant.rows_changed(list(self.store.rows.values()), True)
-        self.claimant.confirmed(self.now if asked_ms is None else asked_ms)
+        self.election.apply_rows(list(self.store.rows.values()), True)
+        self.election.note_read(self.now if asked_ms is None else asked_ms)
 
     async def settle(self):
-        task = asyncio.create_task(self.claimant.claim_forever())
-        self.claimant.wake()
+        task = asyncio.create_task(self.election.run_claims())
+        self.election.recheck()
         for _ in range(10):
             await asyncio.sleep(0)
         task.cancel()
@@ -80,8 +80,10 @@
     async def run():
         rig.read()
         await rig.settle()
-        assert rig.calls.local.ownership.token == rig.store.rows[OWNER_ROW].version
-        assert decode_claim(rig.store.rows[OWNER_ROW].value).boot == "boot-me"
+        assert (
+            rig.owner_router.local_owner.ownership.token == rig.store.rows[OWNER_ROW_KEY].version
+        )
+        assert decode_claim(rig.store.rows[OWNER_ROW_KEY].value).boot == "boot-me"
 
     asyncio.run(run())
 
@@ -92,16 +94,16 @@
     async def run():
         rig.write(owner=encode_claim(OTHER), beat=b"1")
         rig.read()
-        rig.link.seen = OwnerSeen.SILENT
+        rig.link.state = OwnerLinkState.SILENT
         rig.now += 1_500.0
         rig.write(beat=b"2")
         await rig.settle()
-        assert rig.calls.local is None
+        assert rig.owner_router.local_owner is None
         rig.read()
         rig.now += 1_500.0
         rig.read(asked_ms=rig.now - 1_000.0)
         await rig.settle()
-        assert rig.calls.local is not None
+        assert rig.owner_router.local_owner is not None
 
     asyncio.run(run())
 
@@ -115,7 +117,7 @@
         rig.now += 4_000.0
         rig.read(asked_ms=rig.now - 50.0)
         await rig.settle()
-        assert rig.calls.local is None
+        assert rig.owner_router.local_owner is None
 
     asyncio.run(run())
 
@@ -131,7 +133,7 @@
             rig.now = asked + 1_000.0
             rig.read(asked_ms=asked)
         await rig.settle()
-        assert rig.calls.local is not None
+        assert rig.owner_router.local_owner is not None
 
     asyncio.run(run())
 
@@ -144,6 +146,6 @@
         await rig.settle()
         rig.write(owner=encode_claim(OTHER))
         rig.read()
-        assert rig.calls.local is None
+        assert rig.owner_router.local_owner is None
 
     asyncio.run(run())
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -13,7 +13,7 @@
 from baobabhoist.control.job_api import AdmittedCall, ApiCall, JobApi
 from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.messages import JobNotice, NotOwner, PendingReply, StateReply
-from baobabhoist.control.row_schema import job_row, progress_row
+from baobabhoist.control.row_schema import job_row_key, progress_row_key
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
@@ -31,7 +31,7 @@
     def __init__(self):
         self.answer = None
         self.notices = []
-        self.reachable = True
+        self.is_owner_reachable = True
 
     async def call(self, question, timeout_s):
         if self.answer is None:
@@ -116,7 +116,7 @@
 def test_an_accepted_job_is_stored_before_it_is_answered(rig):
     """Guard against an accepted job that no next owner would find."""
     assert rig.submit() is None
-    assert job_row(ID) in rig.rows.rows
+    assert job_row_key(ID) in rig.rows.rows
     assert isinstance(rig.owner.notices[0], JobNotice)
     assert rig.submit() is None
     assert len(rig.owner.notices) == 1
@@ -135,7 +135,7 @@
     admitted = rig.admit()
     assert asyncio.run(rig.job_api.state(admitted)) == "queued"
     done = encode(Progress(JobPhase.COMPLETED))
-    rig.rows.apply(RowsTxn({}, {progress_row(ID): done}))
+    rig.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
     assert asyncio.run(rig.job_api.state(admitted)) == "completed"
 
 
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -7,7 +7,7 @@
 from baobabhoist.control import job_writer
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.job_writer import JobWriter, WriteStatus
-from baobabhoist.control.row_schema import job_row
+from baobabhoist.control.row_schema import job_row_key
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.testing.rows import MemoryRows
 
@@ -55,7 +55,7 @@
     doubtful = MemoryRows(fail=failing("late", *["refused"] * 10_000))
     assert store(doubtful, 50.0).status is WriteStatus.UNKNOWN
     doubtful.deliver_late()
-    assert job_row(ID) in doubtful.rows
+    assert job_row_key(ID) in doubtful.rows
 
 
 def test_a_store_that_stays_silent_leaves_the_outcome_unknown():
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -5,7 +5,7 @@
 from baobabhoist.cell import progress as progress_rows
 from baobabhoist.cell.model import EndKind, Step
 from baobabhoist.control.progress_writer import ProgressWriter
-from baobabhoist.control.row_schema import OWNER_ROW, progress_row
+from baobabhoist.control.row_schema import OWNER_ROW_KEY, progress_row_key
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 from baobabhoist.tests.cells import SMALL, Rig, job, task
@@ -15,7 +15,7 @@
 
 def claimed(**options):
     rows = MemoryRows(**options)
-    token = rows.apply(RowsTxn({}, {OWNER_ROW: b"me"})).version
+    token = rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"me"})).version
     deposed = []
     return rows, ProgressWriter(rows, token, deposed.append), deposed
 
@@ -32,7 +32,7 @@
 
 
 def stored_done(rows):
-    (step,) = progress_rows.decode(rows.rows[progress_row(ID)].value).steps
+    (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
     return step.done
 
 
@@ -81,10 +81,10 @@
     rows, writer, deposed = claimed()
     rig = working_rig()
     rig.end(task(index=0))
-    rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
+    rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
-    assert progress_row(ID) not in rows.rows
+    assert progress_row_key(ID) not in rows.rows
 
 
 def test_a_cancelled_write_keeps_its_progress_for_the_next_one():
@@ -106,7 +106,7 @@
         return rows
 
     rows = asyncio.run(run())
-    assert rows.rows[OWNER_ROW].value == b"released"
+    assert rows.rows[OWNER_ROW_KEY].value == b"released"
 
 
 def test_a_start_is_sent_only_after_the_run_is_stored():
@@ -124,7 +124,7 @@
     rows.down = False
     assert flush(writer, rig.cell)
     assert sent == [order]
-    (step,) = progress_rows.decode(rows.rows[progress_row(ID)].value).steps
+    (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
     assert step.runs[0].worker_id == order.worker_id
 
 
@@ -137,7 +137,7 @@
     rig.decide()
     sent = []
     writer.when_stored(lambda: sent.append(1))
-    rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
+    rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
     assert sent == []
