--- a/baobabhoist/control/cell_loader.py
+++ b/baobabhoist/control/cell_loader.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Piece:
+class TablePart:
     """Name what one reading brings."""
 
     table: str
@@ -32,14 +32,14 @@
     """Hold the rows that a cell is made from; jobs are complete up to `jobs_version`."""
 
     progress: tuple[StoredRow, ...]
-    own: tuple[StoredRow, ...]
-    learned: tuple[StoredRow, ...]
+    cell: tuple[StoredRow, ...]
+    speeds: tuple[StoredRow, ...]
     directory: tuple[StoredRow, ...]
     jobs: tuple[StoredRow, ...]
     jobs_version: int
 
 
-class CellLoading:
+class CellLoader:
     """Own the readings of one takeover.
 
     The readings need not be of one moment: progress changes only under the claim that this owner
@@ -48,23 +48,23 @@
 
     def __init__(self, store: RowStore, directory_table: str) -> None:
         self._store = store
-        self._directory = Piece(directory_table)
-        self._read: dict[Piece, Rows] = {}
-        self._pieces = (
-            Piece(PROGRESS_TABLE),
-            Piece(CELL_TABLE),
-            Piece(SPEEDS_ROW_KEY.table),
+        self._directory = TablePart(directory_table)
+        self._read: dict[TablePart, Rows] = {}
+        self._parts = (
+            TablePart(PROGRESS_TABLE),
+            TablePart(CELL_TABLE),
+            TablePart(SPEEDS_ROW_KEY.table),
             self._directory,
-            *(Piece(JOBS_TABLE, part) for part in JOB_PARTITIONS),
+            *(TablePart(JOBS_TABLE, part) for part in JOB_PARTITIONS),
         )
 
     @property
-    def missing(self) -> list[Piece]:
+    def missing(self) -> list[TablePart]:
         """Return what has not been read yet."""
-        return [piece for piece in self._pieces if piece not in self._read]
+        return [part for part in self._parts if part not in self._read]
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether everything has been read."""
         return not self.missing
 
@@ -72,27 +72,27 @@
         """Read what is missing; raises the first StoreError after all readings ended."""
         limit = asyncio.Semaphore(READS_AT_ONCE)
         outcomes = await asyncio.gather(
-            *(self._read_piece(piece, limit) for piece in self.missing), return_exceptions=True
+            *(self._read_part(part, limit) for part in self.missing), return_exceptions=True
         )
         for outcome in outcomes:
             if outcome is not None:
                 raise outcome
 
-    async def _read_piece(self, piece: Piece, limit: asyncio.Semaphore) -> None:
+    async def _read_part(self, part: TablePart, limit: asyncio.Semaphore) -> None:
         async with limit:
-            self._read[piece] = await self._store.read(piece.table, piece.part)
+            self._read[part] = await self._store.read(part.table, part.part)
 
     def tables(self) -> CellTables:
         """Return all that was read."""
-        jobs = [self._read[Piece(JOBS_TABLE, part)] for part in JOB_PARTITIONS]
+        jobs = [self._read[TablePart(JOBS_TABLE, part)] for part in JOB_PARTITIONS]
         return CellTables(
-            progress=self._rows(Piece(PROGRESS_TABLE)),
-            own=self._rows(Piece(CELL_TABLE)),
-            learned=self._rows(Piece(SPEEDS_ROW_KEY.table)),
+            progress=self._rows(TablePart(PROGRESS_TABLE)),
+            cell=self._rows(TablePart(CELL_TABLE)),
+            speeds=self._rows(TablePart(SPEEDS_ROW_KEY.table)),
             directory=self._rows(self._directory),
             jobs=tuple(row for rows in jobs for row in rows.rows),
             jobs_version=min(rows.version for rows in jobs),
         )
 
-    def _rows(self, piece: Piece) -> tuple[StoredRow, ...]:
-        return self._read[piece].rows
+    def _rows(self, part: TablePart) -> tuple[StoredRow, ...]:
+        return self._read[part].rows
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -26,7 +26,7 @@
 from baobabhoist.control.config import ActiveConfig
 from baobabhoist.control.links import OWNER_HEARTBEAT_INTERVAL_S, Identity, LinkServer, OwnerLink
 from baobabhoist.control.messages import OwnerHeartbeat
-from baobabhoist.control.owner import CellOwner, Ownership
+from baobabhoist.control.owner import CellOwner, OwnershipTerm
 from baobabhoist.control.owner_router import OwnerRouter
 from baobabhoist.control.row_schema import CELL_TABLE, HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.control.settings import NodeSettings
@@ -51,7 +51,7 @@
 # A reading that is older than a pause and a poll shows nothing.
 CLAIM_FRESH_MS = 3_200.0
 
-MakeOwner = Callable[[Ownership, Callable[[], bool], Callable[[str], None]], CellOwner]
+MakeOwner = Callable[[OwnershipTerm, Callable[[], bool], Callable[[str], None]], CellOwner]
 
 
 class OwnerElection:
@@ -110,7 +110,7 @@
             return
         claim = ClaimRow("", "", "", owner.ownership.generation)
         owner.stop()
-        if await owner.progress.release(encode_claim(claim), owner.cell):
+        if await owner.progress_writer.release(encode_claim(claim), owner.cell):
             emit(log, Event.CLAIM_RELEASED, token=owner.ownership.token)
             self._tell_links(OwnerHeartbeat(owns=False))
         self._step_down(reason)
@@ -253,7 +253,7 @@
         until = now
         if reason not in REASONS_PREVIOUS_OWNER_STOPPED:
             until = max(now, self._beat_changed_ms + CONFIRMATION_VALID_MS)
-        ownership = Ownership(version, claim.generation, now, until)
+        ownership = OwnershipTerm(version, claim.generation, now, until)
         emit(
             log,
             Event.CLAIM_WON,
@@ -280,7 +280,8 @@
         owner = self._owner_router.local_owner
         return (
             owner is not None
-            and monotonic_ms() - owner.progress.confirmed_ms < CONFIRMATION_VALID_MS
+            and monotonic_ms() - owner.progress_writer.heartbeat_confirmed_ms
+            < CONFIRMATION_VALID_MS
         )
 
     def _step_down(self, reason: str) -> None:
@@ -322,7 +323,7 @@
         while True:
             owner = self._owner_router.local_owner
             if owner is not None:
-                await owner.progress.beat()
+                await owner.progress_writer.write_heartbeat()
             await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
 
 
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class OrderAnswer:
+class OrderResponse:
     """Hold a worker's answer to an order and a reading of its clock, if it gave one."""
 
     outcome: OrderOutcome
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class OutsideTables:
+class ExternalTables:
     """Name the rows that others write: the operator's configuration, the workers' directory."""
 
     operator: str
@@ -55,10 +55,10 @@
 
     async def start(
         self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
-    ) -> OrderAnswer:
+    ) -> OrderResponse:
         """Start a run under a lease up to a deadline on the worker's clock."""
 
-    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderAnswer:
+    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderResponse:
         """Stop a run."""
 
 
@@ -72,7 +72,7 @@
 class Decoder(Protocol):
     """Read what operators, workers and callers write; each method tolerates foreign content."""
 
-    tables: OutsideTables
+    tables: ExternalTables
 
     def config(self, value: bytes) -> CellConfig | None:
         """Return a configuration, or None if it cannot be read."""
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -56,33 +56,33 @@
             "lease_margin_seconds", "Time to the first lease of a worker that would lapse."
         )
 
-    def call_answered(self, team: str, queue: str, status: int, seconds: float) -> None:
+    def observe_call(self, team: str, queue: str, status: int, seconds: float) -> None:
         """Observe an answer to a caller."""
         labels = {"team": self._teams.of(team or NO_TEAM), "queue": self._queues.of(queue)}
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
-    def call_refused(self, reason: str) -> None:
-        """Count a refusal."""
+    def count_refusal(self, reason: str) -> None:
+        """Count a refused call by reason; the log event for it is `call_refused`."""
         self._refusals.inc({"reason": self._reasons.of(reason)})
 
-    def started(self, team: str, queue: str, waited_s: float) -> None:
+    def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
         """Observe how long a task waited."""
         labels = {"team": self._teams.of(team or NO_TEAM), "class": self._queues.of(queue)}
         self._waiting.observe(labels, waited_s)
 
-    def decided(self, seconds: float) -> None:
+    def observe_decision(self, seconds: float) -> None:
         """Observe a round of decisions."""
         self._decision.observe({}, seconds)
 
-    def store_called(self, call: str, outcome: str, seconds: float) -> None:
+    def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
         """Observe a call to the store."""
         self._store.observe({"call": call, "outcome": outcome}, seconds)
 
-    def worker_called(self, call: str, outcome: str, seconds: float) -> None:
+    def observe_worker_call(self, call: str, outcome: str, seconds: float) -> None:
         """Observe an order to a worker."""
         self._worker.observe({"call": call, "outcome": outcome}, seconds)
 
-    def took_over(self, seconds: float) -> None:
+    def observe_takeover(self, seconds: float) -> None:
         """Observe a takeover."""
         self._takeover.observe({}, seconds)
 
@@ -98,7 +98,7 @@
         for queue, tasks in queued.items():
             self._queued.set({"class": self._queues.of(queue)}, tasks)
 
-    def set_dropped_lines(self, count: int) -> None:
+    def set_dropped_log_lines(self, count: int) -> None:
         """Report how many log lines were dropped."""
         self._dropped.set({}, count)
 
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -19,9 +19,9 @@
 from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.links import Identity, LinkServer, OwnerLink
 from baobabhoist.control.metrics import NodeMetrics
-from baobabhoist.control.owner import CellOwner, OwnerParts, Ownership
+from baobabhoist.control.owner import CellOwner, OwnerDependencies, OwnershipTerm
 from baobabhoist.control.owner_router import OwnerRouter
-from baobabhoist.control.relay import Peers, RelayedStore
+from baobabhoist.control.relay import RelayedStore, RelayPeers
 from baobabhoist.control.row_schema import (
     CELL_TABLE,
 )
@@ -46,7 +46,7 @@
 
 
 @attrs.define
-class Adapter:
+class PlatformAdapter:
     """Hold what a platform's adapter provides."""
 
     store: RowStore
@@ -58,7 +58,7 @@
 class Node:
     """Own the tasks of one instance."""
 
-    def __init__(self, cfg: NodeSettings, adapter: Adapter) -> None:
+    def __init__(self, cfg: NodeSettings, adapter: PlatformAdapter) -> None:
         self.cfg = cfg
         self.config = ActiveConfig()
         self.clock = StoreClock()
@@ -71,10 +71,10 @@
         self.owner_router.owner_link = self.owner_link
         self.metrics = NodeMetrics()
         # Returns how many log lines were dropped or left out.
-        self.dropped_lines: Callable[[], int] = lambda: 0
+        self.count_dropped_lines: Callable[[], int] = lambda: 0
         direct = MonitoredStore(adapter.store, self.metrics)
         self._store_health = direct.health
-        store = RelayedStore(direct, Peers(self._links))
+        store = RelayedStore(direct, RelayPeers(self._links))
         self.owner_router.relay_store = store
         adapter = attrs.evolve(adapter, store=store)
         self.job_api = JobApi(
@@ -158,7 +158,7 @@
     def refresh_metrics(self) -> None:
         """Set the gauges that are read, not counted."""
         cfg, now = self.config.current, monotonic_ms()
-        self.metrics.set_dropped_lines(self.dropped_lines())
+        self.metrics.set_dropped_log_lines(self.count_dropped_lines())
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
         owner = self.owner_router.local_owner
         cell = owner.cell if owner is not None else None
@@ -188,16 +188,16 @@
                 keys=len(cfg.keys),
             )
             if self.owner_router.local_owner is not None:
-                self.owner_router.local_owner.use_rules(cfg.rules)
+                self.owner_router.local_owner.apply_rules(cfg.rules)
 
     def _make_owner(
         self,
-        ownership: Ownership,
+        ownership: OwnershipTerm,
         may_start: Callable[[], bool],
-        on_deposed: Callable[[str], None],
+        on_ownership_lost: Callable[[str], None],
     ) -> CellOwner:
         rules = self.config.current.rules if self.config.current is not None else NO_RULES
-        parts = OwnerParts(
+        deps = OwnerDependencies(
             self._adapter.store,
             self._adapter.driver,
             self._adapter.decoder,
@@ -206,7 +206,7 @@
             min(LEASE_MS, self.cfg.bounds.lease_max_ms),
             self.cfg.bounds.job_kept_s * 1000,
             may_start,
-            on_deposed,
+            on_ownership_lost,
             self.metrics,
         )
-        return CellOwner(parts, ownership, rules)
+        return CellOwner(deps, ownership, rules)
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -16,7 +16,7 @@
 from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
 from baobabhoist.control.advice import AdviceDispatcher
-from baobabhoist.control.cell_loader import CellLoading, CellTables
+from baobabhoist.control.cell_loader import CellLoader, CellTables
 from baobabhoist.control.clock import StoreClock, monotonic_ms, unix_ms
 from baobabhoist.control.interfaces import Decoder, WorkerDriver
 from baobabhoist.control.messages import PendingReply, StateReply
@@ -31,7 +31,7 @@
     decode_speeds,
 )
 from baobabhoist.control.table_follower import TableFollower
-from baobabhoist.control.worker_session import WorkerLoop
+from baobabhoist.control.worker_session import WorkerSession
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.store.rows import RowStore, StoredRow, StoreError
 
@@ -50,21 +50,21 @@
 
 
 @attrs.frozen
-class Ownership:
+class OwnershipTerm:
     """Hold a won claim.
 
-    `token` fences the workers; `began_ms` is when the claim was won and `earlier_until_ms`
+    `token` fences the workers; `won_ms` is when the claim was won and `previous_owner_until_ms`
     until when an earlier owner may still renew leases, on the local clock.
     """
 
     token: int
     generation: int
-    began_ms: float
-    earlier_until_ms: float
+    won_ms: float
+    previous_owner_until_ms: float
 
 
 @attrs.define
-class OwnerParts:
+class OwnerDependencies:
     """Hold what an owner works with."""
 
     store: RowStore
@@ -77,27 +77,31 @@
     # Tell whether the claim was confirmed recently enough to order starts.
     may_start: Callable[[], bool]
     # Called once when another owner has the cell.
-    on_deposed: Callable[[str], None]
+    on_ownership_lost: Callable[[str], None]
     metrics: NodeMetrics
 
 
 class CellOwner:
     """Own the tasks that drive one cell; made anew for each claim."""
 
-    def __init__(self, parts: OwnerParts, ownership: Ownership, rules: CellRules) -> None:
-        self.loaded = False
+    def __init__(
+        self, deps: OwnerDependencies, ownership: OwnershipTerm, rules: CellRules
+    ) -> None:
+        self.is_loaded = False
         self._cell: Cell | None = None
         self.ownership = ownership
-        self.progress = ProgressWriter(parts.store, ownership.token, self._deposed)
-        self.progress.on_acked = self._acked
-        self._parts = parts
+        self.progress_writer = ProgressWriter(
+            deps.store, ownership.token, self._report_ownership_lost
+        )
+        self.progress_writer.on_end_acked = self._acked
+        self._deps = deps
         self._rules = rules
-        self._loading = CellLoading(parts.store, parts.decoder.tables.directory)
+        self._loader = CellLoader(deps.store, deps.decoder.tables.directory)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._loops: dict[str, WorkerLoop] = {}
-        self._kicked = False
+        self._loops: dict[str, WorkerSession] = {}
+        self._decision_scheduled = False
         self._decide_from_ms = 0.0
-        self._deposed_told = False
+        self._ownership_lost_reported = False
         self._ticks = 0
 
     async def run(self) -> None:
@@ -106,7 +110,7 @@
             await self._load()
             self.spawn(self._jobs_follower().run())
             self.spawn(self._directory_follower().run())
-            self.spawn(self.progress.run(self._require_cell()))
+            self.spawn(self.progress_writer.run(self._require_cell()))
             await self._tick_forever()
         finally:
             self.stop()
@@ -122,22 +126,22 @@
     @property
     def cell(self) -> Cell | None:
         """Return the cell once it is loaded: before, its jobs look as if nothing had run."""
-        return self._cell if self.loaded else None
+        return self._cell if self.is_loaded else None
 
-    def use_rules(self, rules: CellRules) -> None:
+    def apply_rules(self, rules: CellRules) -> None:
         """Use these queues and teams from now on."""
         self._rules = rules
         if self._cell is not None:
             self._cell.use_rules(rules)
-            self.kick()
+            self.schedule_decision()
 
     def may_renew(self) -> bool:
         """Tell whether leases may be renewed: not once a later owner may count on their end."""
-        return self._parts.may_start()
+        return self._deps.may_start()
 
     # Questions and notices of the other instances.
 
-    def job_stored(self, job_id: str, value: bytes, version: int) -> None:
+    def handle_stored_job(self, job_id: str, value: bytes, version: int) -> None:
         """Take a job over that was just stored."""
         cell = self._cell
         if cell is None:
@@ -147,47 +151,47 @@
         except ValueError as exc:
             emit(log, Event.ROW_UNREADABLE, table=JOBS_TABLE, row=job_id, detail=exc)
             return
-        accepted_at = self._parts.clock.to_local_ms(accepted.accepted_ms)
+        accepted_at = self._deps.clock.to_local_ms(accepted.accepted_ms)
         if cell.job_accepted(accepted, accepted_at, monotonic_ms(), unix_ms()):
-            self.kick()
+            self.schedule_decision()
 
-    def job_cancelled(self, job_id: str) -> None:
+    def handle_cancelled_job(self, job_id: str) -> None:
         """Cancel a job whose cancellation was just stored."""
         if self._cell is not None and self._cell.job_cancelled(job_id, monotonic_ms()):
-            self.kick()
-            self.progress.wake()
+            self.schedule_decision()
+            self.progress_writer.request_flush()
 
-    def state_of(self, job_id: str) -> StateReply:
+    def job_state(self, job_id: str) -> StateReply:
         """Return the state of a job."""
         job = self.cell.job_state(job_id) if self.cell is not None else None
         if job is None:
             return StateReply()
         return StateReply(job.phase.value, job.accepted.queue, job.accepted.team)
 
-    def pending_in(self, queue: str) -> PendingReply | None:
+    def count_pending_jobs(self, queue: str) -> PendingReply | None:
         """Return how many jobs of a queue have not begun, or None while loading."""
         return PendingReply(self.cell.pending(queue)) if self.cell is not None else None
 
     # Loading.
 
     async def _load(self) -> None:
-        while not self._loading.complete:
+        while not self._loader.is_complete:
             try:
-                await self._loading.read_missing()
+                await self._loader.read_missing()
             except StoreError as exc:
-                emit(log, Event.LOAD_FAILED, missing=len(self._loading.missing), detail=exc)
+                emit(log, Event.LOAD_FAILED, missing=len(self._loader.missing), detail=exc)
                 await asyncio.sleep(LOAD_RETRY_S)
-        await self._use_loaded(self._loading.tables())
+        await self._use_loaded(self._loader.tables())
 
     async def _use_loaded(self, tables: CellTables) -> None:
         takeover = Takeover(
             self.ownership.generation, self.ownership.token, self._leases_lapsed_ms()
         )
-        known = (*tables.progress, *tables.own, *tables.learned)
-        self.progress.loaded({row.key: row.version for row in known})
-        cell = Cell(self._rules, takeover, self._parts.lease_ms)
-        cell.decisions.advisers = self._parts.advice.capacity
-        self._use_learned(cell, tables.learned)
+        known = (*tables.progress, *tables.cell, *tables.speeds)
+        self.progress_writer.set_versions({row.key: row.version for row in known})
+        cell = Cell(self._rules, takeover, self._deps.lease_ms)
+        cell.decisions.advisers = self._deps.advice.capacity
+        self._use_learned(cell, tables.speeds)
         self._cell = cell
         self._directory_changed(tables.directory, True)
         await self._load_jobs(tables.jobs)
@@ -196,7 +200,7 @@
             self._apply_progress(cell, row, now)
             if number % ROWS_A_TURN == 0:
                 await asyncio.sleep(0)
-        self.loaded = True
+        self.is_loaded = True
         self._sync_workers()
         cell.announce_inherited(now)
         emit(
@@ -206,14 +210,14 @@
             workers=len(cell.board.workers),
             runs=sum(len(worker.runs) for worker in cell.board.workers.values()),
             token=self.ownership.token,
-            took_ms=round(now - self.ownership.began_ms),
+            took_ms=round(now - self.ownership.won_ms),
         )
-        self._parts.metrics.took_over((now - self.ownership.began_ms) / 1000)
+        self._deps.metrics.observe_takeover((now - self.ownership.won_ms) / 1000)
 
     def _leases_lapsed_ms(self) -> float:
         """Return when every lease that earlier owners gave has lapsed for certain."""
-        last_ms = max(self.ownership.began_ms, self.ownership.earlier_until_ms)
-        return last_ms + self._parts.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
+        last_ms = max(self.ownership.won_ms, self.ownership.previous_owner_until_ms)
+        return last_ms + self._deps.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
 
     async def _load_jobs(self, rows: Sequence[StoredRow]) -> None:
         # Cancellations come last, because they need their jobs.
@@ -242,21 +246,21 @@
     def _jobs_follower(self) -> TableFollower:
         """Follow the jobs from where they were read, because that was the largest reading."""
         return TableFollower(
-            self._parts.store,
+            self._deps.store,
             JOBS_TABLE,
             self._jobs_changed,
-            self._parts.clock,
+            self._deps.clock,
             parts=JOB_PARTITIONS,
             pause_s=lambda: JOBS_PAUSE_S,
-            known_version=self._loading.tables().jobs_version,
+            known_version=self._loader.tables().jobs_version,
         )
 
     def _directory_follower(self) -> TableFollower:
         return TableFollower(
-            self._parts.store,
-            self._parts.decoder.tables.directory,
+            self._deps.store,
+            self._deps.decoder.tables.directory,
             self._directory_changed,
-            self._parts.clock,
+            self._deps.clock,
             pause_s=lambda: DIRECTORY_PAUSE_S,
         )
 
@@ -265,9 +269,9 @@
             if row.value is None:
                 continue
             if row.key.key.endswith(CANCEL_SUFFIX):
-                self.job_cancelled(row.key.key.removesuffix(CANCEL_SUFFIX))
+                self.handle_cancelled_job(row.key.key.removesuffix(CANCEL_SUFFIX))
             else:
-                self.job_stored(row.key.key, row.value, row.version)
+                self.handle_stored_job(row.key.key, row.value, row.version)
 
     def _directory_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
         cell, now = self._require_cell(), monotonic_ms()
@@ -276,7 +280,7 @@
             if row.value is None:
                 cell.worker_unlisted(row.key.key, now)
                 continue
-            info = self._parts.decoder.worker(row.key.key, row.value)
+            info = self._deps.decoder.worker(row.key.key, row.value)
             if info is not None:
                 found.append(info)
         if whole:
@@ -287,7 +291,7 @@
 
     def _sync_workers(self) -> None:
         """Keep a loop for each worker."""
-        if not self.loaded:
+        if not self.is_loaded:
             return
         workers = self._require_cell().board.workers
         for worker_id in list(self._loops):
@@ -296,13 +300,13 @@
         for worker_id, worker in workers.items():
             if worker.info.address:
                 self._open_loop(worker_id)
-        self.kick()
+        self.schedule_decision()
 
     def _open_loop(self, worker_id: str) -> None:
         if worker_id in self._loops:
             return
         state = self._require_cell().board.workers[worker_id]
-        loop = WorkerLoop(self, self._parts.driver, state, self._parts.lease_ms)
+        loop = WorkerSession(self, self._deps.driver, state, self._deps.lease_ms)
         self._loops[worker_id] = loop
         loop.start()
 
@@ -313,34 +317,34 @@
 
     # Decisions and orders.
 
-    def kick(self) -> None:
+    def schedule_decision(self) -> None:
         """Decide in this turn of the event loop, once for all events that came in it."""
-        if not self._kicked:
-            self._kicked = True
+        if not self._decision_scheduled:
+            self._decision_scheduled = True
             delay_s = (self._decide_from_ms - monotonic_ms()) / 1000
             asyncio.get_running_loop().call_later(max(0.0, delay_s), self._decide)
 
     def _decide(self) -> None:
-        self._kicked = False
+        self._decision_scheduled = False
         cell = self.cell
         if cell is None:
             return
         if cell.fenced_off:
-            self._deposed("a worker obeys a higher fencing token")
+            self._report_ownership_lost("a worker obeys a higher fencing token")
             return
         began_s = time.perf_counter()
-        commands = cell.decide(monotonic_ms(), self._parts.may_start())
+        commands = cell.decide(monotonic_ms(), self._deps.may_start())
         took_s = time.perf_counter() - began_s
         # Under a flood of events decisions take at most a part of the processor.
         self._decide_from_ms = monotonic_ms() + took_s * 1000 * DECISION_PAUSE_FACTOR
-        self._parts.metrics.decided(took_s)
+        self._deps.metrics.observe_decision(took_s)
         for command in commands:
             if isinstance(command, StartTask):
-                self.progress.when_stored(functools.partial(self._send, command))
+                self.progress_writer.call_when_stored(functools.partial(self._send, command))
             else:
                 self._send(command)
         if cell.board.dirty:
-            self.progress.wake()
+            self.progress_writer.request_flush()
 
     def _send(self, command: Command) -> None:
         self.spawn(self._ORDERS[type(command)](self, command))
@@ -353,26 +357,26 @@
             sent_ms = monotonic_ms()
             outcome = await loop.start_task(order)
             seconds = (monotonic_ms() - sent_ms) / 1000
-            self._parts.metrics.worker_called("start", outcome.value, seconds)
+            self._deps.metrics.observe_worker_call("start", outcome.value, seconds)
             cell.start_answered(order, outcome, monotonic_ms())
-            self.kick()
+            self.schedule_decision()
 
     def _observe_start(self, order: StartTask) -> None:
         job = self._require_cell().job_state(order.task.job_id)
         step = job.step_of(order.task) if job is not None else None
         if job is not None and step is not None:
             waited_s = (monotonic_ms() - step.ready_ms) / 1000
-            self._parts.metrics.started(job.accepted.team, job.accepted.queue, waited_s)
+            self._deps.metrics.observe_wait(job.accepted.team, job.accepted.queue, waited_s)
 
     async def _stop(self, order: StopTask) -> None:
         loop = self._loops.get(order.worker_id)
         if loop is not None:
             outcome = await loop.stop_task(order)
             self._require_cell().stop_answered(order, outcome, monotonic_ms())
-            self.kick()
+            self.schedule_decision()
 
     async def _ask(self, question: AskAdvice) -> None:
-        advice = await self._parts.advice.ask(question)
+        advice = await self._deps.advice.ask(question)
         cell, now = self._require_cell(), monotonic_ms()
         if advice is None:
             cell.advice_failed(question.step, now + LOAD_RETRY_S * 1000)
@@ -380,7 +384,7 @@
             cell.advice_answered(
                 question.step, question.workers, advice.tickets, now + advice.valid_ms
             )
-        self.kick()
+        self.schedule_decision()
 
     _ORDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
         StartTask: _start,
@@ -391,23 +395,23 @@
     async def _tick_forever(self) -> None:
         while True:
             cell = self._require_cell()
-            cell.decisions.advisers = self._parts.advice.capacity
+            cell.decisions.advisers = self._deps.advice.capacity
             cell.tick(monotonic_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % FORGET_EVERY_TICKS == 0:
                 self._forget_old(cell)
             if set(self._loops) - set(cell.board.workers):
                 self._sync_workers()
-            self.kick()
+            self.schedule_decision()
             await asyncio.sleep(TICK_S)
 
     def _forget_old(self, cell: Cell) -> None:
         """Remove jobs that finished long enough ago."""
-        limit = monotonic_ms() - 2 * self._parts.job_kept_ms
+        limit = monotonic_ms() - 2 * self._deps.job_kept_ms
         old = [j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < limit]
         for job_id in old:
             cell.forget_job(job_id)
-            self.spawn(self.progress.remove_job(job_id))
+            self.spawn(self.progress_writer.remove_job(job_id))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         """Run a task as long as this owner."""
@@ -421,10 +425,10 @@
             emit(log, Event.TASK_CRASHED, detail=repr(task.exception()))
             log.error("task crashed", exc_info=task.exception())
 
-    def _deposed(self, reason: str) -> None:
-        if not self._deposed_told:
-            self._deposed_told = True
-            self._parts.on_deposed(reason)
+    def _report_ownership_lost(self, reason: str) -> None:
+        if not self._ownership_lost_reported:
+            self._ownership_lost_reported = True
+            self._deps.on_ownership_lost(reason)
 
     def _require_cell(self) -> Cell:
         if self._cell is None:
--- a/baobabhoist/control/owner_router.py
+++ b/baobabhoist/control/owner_router.py
@@ -85,16 +85,16 @@
         return at_owner(self, self.local_owner, message) if at_owner is not None else None
 
     def _state(self, owner: CellOwner, query: StateQuery) -> StateReply:
-        return owner.state_of(query.job_id)
+        return owner.job_state(query.job_id)
 
     def _pending(self, owner: CellOwner, query: PendingQuery) -> PendingReply | NotOwner:
-        return owner.pending_in(query.queue) or NotOwner(self._node)
+        return owner.count_pending_jobs(query.queue) or NotOwner(self._node)
 
     def _job(self, owner: CellOwner, notice: JobNotice) -> None:
-        owner.job_stored(notice.job_id, notice.value, notice.version)
+        owner.handle_stored_job(notice.job_id, notice.value, notice.version)
 
     def _cancel(self, owner: CellOwner, notice: CancelNotice) -> None:
-        owner.job_cancelled(notice.job_id)
+        owner.handle_cancelled_job(notice.job_id)
 
     async def _serve_store(self, message: Any) -> Any:
         return await self.relay_store.serve(message) if self.relay_store is not None else None
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -43,13 +43,15 @@
 class ProgressWriter:
     """Own all writes under one claim; each one fails once another owner has the cell."""
 
-    def __init__(self, store: RowStore, token: int, on_deposed: Callable[[str], None]) -> None:
+    def __init__(
+        self, store: RowStore, token: int, on_ownership_lost: Callable[[str], None]
+    ) -> None:
         # When the last beat that the store confirmed was sent, on the local clock.
-        self.confirmed_ms = monotonic_ms()
-        self.on_acked: Callable[[str], None] = lambda worker_id: None
+        self.heartbeat_confirmed_ms = monotonic_ms()
+        self.on_end_acked: Callable[[str], None] = lambda worker_id: None
         self._store = store
         self._token = token
-        self._on_deposed = on_deposed
+        self._on_ownership_lost = on_ownership_lost
         self._wake = asyncio.Event()
         # What may be sent once the progress that it belongs to is stored.
         self._unsent: list[Callable[[], None]] = []
@@ -59,15 +61,15 @@
         # expects the version of every row that it replaces.
         self._versions: dict[RowKey, int] = {}
 
-    def loaded(self, versions: dict[RowKey, int]) -> None:
+    def set_versions(self, versions: dict[RowKey, int]) -> None:
         """Take over the versions of the rows as they were loaded."""
         self._versions = versions
 
-    def wake(self) -> None:
+    def request_flush(self) -> None:
         """Write soon."""
         self._wake.set()
 
-    def when_stored(self, send: Callable[[], None]) -> None:
+    def call_when_stored(self, send: Callable[[], None]) -> None:
         """Call back once the progress of this moment is stored."""
         self._unsent.append(send)
         self._wake.set()
@@ -82,7 +84,7 @@
                 await asyncio.sleep(RETRY_S)
             await asyncio.sleep(BATCH_S)
 
-    async def beat(self) -> bool:
+    async def write_heartbeat(self) -> bool:
         """Show that the owner lives; tell whether the store confirmed it."""
         self._beats += 1
         value = str(self._beats).encode()
@@ -152,7 +154,7 @@
                 continue
             if number > worker.acked_end:
                 worker.acked_end = number
-                self.on_acked(worker_id)
+                self.on_end_acked(worker_id)
 
     async def _commit(
         self, puts: dict[RowKey, bytes], expected: dict[RowKey, int]
@@ -168,13 +170,13 @@
             self._conflicted(outcome, expected)
             return None
         if HEARTBEAT_ROW_KEY in puts:
-            self.confirmed_ms = max(self.confirmed_ms, sent_ms)
+            self.heartbeat_confirmed_ms = max(self.heartbeat_confirmed_ms, sent_ms)
         return outcome
 
     def _conflicted(self, conflict: RowsConflict, expected: dict[RowKey, int]) -> None:
         """Tell a lost claim from an own earlier write whose answer was lost."""
         if conflict.version_of(OWNER_ROW_KEY) != self._token:
-            self._on_deposed("the claim in the store has another version")
+            self._on_ownership_lost("the claim in the store has another version")
             return
         for key in expected:
             self._versions[key] = conflict.version_of(key)
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -39,14 +39,14 @@
 log = logging.getLogger(__name__)
 
 # Instances that are asked before a call is given up.
-PEERS_ASKED = 5
+MAX_PEERS_TRIED = 5
 CALL_TIMEOUT_S = 0.6
 # While the store is out of reach it is tried again this often.
 PROBE_INTERVAL_MS = 400.0
 # A table of few rows.
 PROBED_TABLE = "cell"
 # A peer that gave no answer, or has no way to the store either, is not asked for this long.
-PEER_REST_MS = 1_500.0
+PEER_BACKOFF_MS = 1_500.0
 # A relayed call may pass one more instance: the owner, if it is cut off from the store too.
 HOPS_MAX = 1
 
@@ -58,35 +58,35 @@
 
 
 @attrs.define
-class Peers:
+class RelayPeers:
     """Choose links for relayed calls: the one that served last first, useless ones rest."""
 
     links: Callable[[], list[Link]]
-    resting_until: dict[int, float] = attrs.Factory(dict)
-    served_last: int = 0
+    unusable_until_ms: dict[int, float] = attrs.Factory(dict)
+    last_served_id: int = 0
 
-    def usable(self) -> list[Link]:
+    def usable_links(self) -> list[Link]:
         """Return the links to try, best first."""
         now = monotonic_ms()
-        found = [k for k in self.links() if self.resting_until.get(id(k), 0.0) < now]
-        found.sort(key=lambda link: id(link) != self.served_last)
-        return found[:PEERS_ASKED]
+        found = [k for k in self.links() if self.unusable_until_ms.get(id(k), 0.0) < now]
+        found.sort(key=lambda link: id(link) != self.last_served_id)
+        return found[:MAX_PEERS_TRIED]
 
-    def served(self, link: Link) -> None:
+    def mark_served(self, link: Link) -> None:
         """Ask this peer first from now on."""
-        self.served_last = id(link)
+        self.last_served_id = id(link)
 
-    def rest(self, link: Link) -> None:
+    def mark_unusable(self, link: Link) -> None:
         """Do not ask a peer for a while."""
         now = monotonic_ms()
-        self.resting_until = {k: v for k, v in self.resting_until.items() if v > now}
-        self.resting_until[id(link)] = now + PEER_REST_MS
+        self.unusable_until_ms = {k: v for k, v in self.unusable_until_ms.items() if v > now}
+        self.unusable_until_ms[id(link)] = now + PEER_BACKOFF_MS
 
 
 class RelayedStore:
     """Be the store directly while it answers, else through a peer that reaches it."""
 
-    def __init__(self, direct: MonitoredStore, peers: Peers) -> None:
+    def __init__(self, direct: MonitoredStore, peers: RelayPeers) -> None:
         self.direct = direct
         self._peers = peers
         self._probe_due_ms = 0.0
@@ -142,7 +142,7 @@
         if not self.direct.health.is_unreachable():
             return True
         self._probe()
-        return not self._peers.usable()
+        return not self._peers.usable_links()
 
     def _probe(self) -> None:
         """Find out beside the calls whether a lost store answers again."""
@@ -162,22 +162,22 @@
 
     async def _relay(self, message: Any, timeout_s: float) -> Any:
         """Return a peer's answer; raises StoreError."""
-        for link in self._peers.usable():
+        for link in self._peers.usable_links():
             try:
                 reply = await link.call(message, timeout_s)
             except NotSentError:
                 continue
             except (LinkClosedError, TimeoutError) as exc:
-                self._peers.rest(link)
+                self._peers.mark_unusable(link)
                 if isinstance(message, RelayCommit):
                     raise StoreUnansweredError(f"a peer did not answer: {exc}") from exc
                 continue
             if not isinstance(reply, RelayFailed):
-                self._peers.served(link)
+                self._peers.mark_served(link)
                 return reply
             if reply.kind != "refused":
                 raise _ERRORS[reply.kind](reply.detail)
-            self._peers.rest(link)
+            self._peers.mark_unusable(link)
             emit(log, Event.RELAY_REFUSED, detail=reply.detail)
         raise StoreRefusedError("neither the store nor a peer that reaches it answers")
 
--- a/baobabhoist/control/settings.py
+++ b/baobabhoist/control/settings.py
@@ -20,15 +20,15 @@
 
 ADDRESS = Text(r"[^\s:]+:[0-9]{1,5}", "an address such as 10.1.2.3:8080")
 OPTIONAL_ADDRESS = Text(r"([^\s:]+:[0-9]{1,5})?", "an address such as 10.1.2.3:8080, or nothing")
-LONGEST_MS = 600_000
+MAX_DURATION_MS = 600_000
 
 
 def _ms(low: int = 1) -> Number:
-    return Number(low, LONGEST_MS, "ms")
+    return Number(low, MAX_DURATION_MS, "ms")
 
 
 def _seconds() -> Number:
-    return Number(0.0, LONGEST_MS / 1000, "s")
+    return Number(0.0, MAX_DURATION_MS / 1000, "s")
 
 
 @attrs.frozen
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -78,4 +78,4 @@
             self.health.last_answer_ms = monotonic_ms()
             return result
         finally:
-            self._metrics.store_called(call, outcome, (monotonic_ms() - began_ms) / 1000)
+            self._metrics.observe_store_call(call, outcome, (monotonic_ms() - began_ms) / 1000)
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -25,7 +25,7 @@
 ACK_WAIT_S = 0.15
 
 
-class WorkerLoop:
+class WorkerSession:
     """Own the calls to one worker."""
 
     def __init__(
@@ -98,13 +98,13 @@
             return False
         self._note_answering(True, "")
         cell.reported(state.worker_id, answer, sent_ms, monotonic_ms())
-        self._owner.kick()
+        self._owner.schedule_decision()
         if state.seen_end > state.acked_end:
             await self._wait_for_ack()
         return True
 
     async def _wait_for_ack(self) -> None:
-        self._owner.progress.wake()
+        self._owner.progress_writer.request_flush()
         self.acked.clear()
         try:
             async with asyncio.timeout(ACK_WAIT_S):
@@ -115,7 +115,7 @@
     def _failed(self, outcome: OrderOutcome) -> None:
         if outcome is OrderOutcome.FENCED and self._owner.cell is not None:
             self._owner.cell.was_fenced()
-            self._owner.kick()
+            self._owner.schedule_decision()
         self._note_answering(False, outcome.value)
 
     def _note_answering(self, answering: bool, reason: str) -> None:
--- a/baobabhoist/platform/decode.py
+++ b/baobabhoist/platform/decode.py
@@ -18,7 +18,7 @@
     WorkerInfo,
 )
 from baobabhoist.control.config import CellConfig, Route
-from baobabhoist.control.interfaces import OutsideTables
+from baobabhoist.control.interfaces import ExternalTables
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.observability.events import Event, emit
 
@@ -39,7 +39,7 @@
 class PlatformDecoder:
     """Read the platform's JSON."""
 
-    tables = OutsideTables(operator="op", config_key="config", directory="servers")
+    tables = ExternalTables(operator="op", config_key="config", directory="servers")
 
     def config(self, value: bytes) -> CellConfig | None:
         """Return a configuration, or None if it cannot be read."""
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -103,7 +103,7 @@
         status = not_found if content.kind is ErrorKind.NOT_FOUND else status
         if content.retry_after_s is not None:
             self.set_header("Retry-After", str(round(content.retry_after_s)))
-        self._metrics.call_refused(content.kind.value)
+        self._metrics.count_refusal(content.kind.value)
         emit(
             log,
             Event.CALL_REFUSED,
@@ -117,7 +117,7 @@
     def _finish(self, status: int, body: dict[str, Any]) -> None:
         admitted = self._admitted
         team, queue = (admitted.team, admitted.route.queue.name) if admitted else ("", "")
-        self._metrics.call_answered(team, queue, status, self.request.request_time())
+        self._metrics.observe_call(team, queue, status, self.request.request_time())
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(body))
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from baobabhoist.config.load import load_with_warnings
-from baobabhoist.control.node import Adapter, Node
+from baobabhoist.control.node import Node, PlatformAdapter
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import SettingsError
 from baobabhoist.observability.events import EVENT_ATTRIBUTE, Event, configure_logging, emit
@@ -42,7 +42,7 @@
 def make_node(cfg: NodeSettings) -> Node:
     """Return an instance on the platform's interfaces."""
     http = HttpCaller()
-    adapter = Adapter(
+    adapter = PlatformAdapter(
         PlatformRows(http, cfg.store.address),
         PlatformWorkers(http),
         PlatformAdviser(http, cfg.adviser_address),
@@ -59,7 +59,7 @@
         loop.add_signal_handler(number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _reloaded)
     node = make_node(cfg)
-    node.dropped_lines = dropped_lines
+    node.count_dropped_lines = dropped_lines
     servers = Servers(node)
     servers.start()
     running = asyncio.create_task(node.run())
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -16,7 +16,7 @@
     WorkerInfo,
     WorkerReport,
 )
-from baobabhoist.control.interfaces import OrderAnswer
+from baobabhoist.control.interfaces import OrderResponse
 from baobabhoist.platform.http import Answer, HttpCaller
 
 log = logging.getLogger(__name__)
@@ -66,7 +66,7 @@
 
     async def start(
         self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
-    ) -> OrderAnswer:
+    ) -> OrderResponse:
         """Start a run."""
         body: dict[str, Any] = {
             "task": order.task.text(),
@@ -81,7 +81,7 @@
             body["ticket"] = order.ticket
         return _order_answer(await self._call(worker, "/-/run-start", body, ORDER_TIMEOUT_S))
 
-    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderAnswer:
+    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderResponse:
         """Stop a run."""
         body = {"task": order.task.text(), "runId": order.run, "fencingToken": token}
         return _order_answer(await self._call(worker, "/-/run-stop", body, ORDER_TIMEOUT_S))
@@ -95,9 +95,9 @@
         )
 
 
-def _order_answer(answer: Answer) -> OrderAnswer:
+def _order_answer(answer: Answer) -> OrderResponse:
     clock = answer.field("clockMs")
-    return OrderAnswer(_outcome(answer), clock if isinstance(clock, int) else None)
+    return OrderResponse(_outcome(answer), clock if isinstance(clock, int) else None)
 
 
 def _outcome(answer: Answer) -> OrderOutcome:
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from baobabhoist.control.cell_loader import CellLoading
+from baobabhoist.control.cell_loader import CellLoader
 from baobabhoist.control.row_schema import (
     JOB_PARTITIONS,
     OWNER_ROW_KEY,
@@ -47,12 +47,12 @@
     """Guard against takeovers that start over for ever on a slow link."""
     rows = FlakyRows()
     filled(rows)
-    loading = CellLoading(rows, DIRECTORY)
+    loader = CellLoader(rows, DIRECTORY)
     with pytest.raises(StoreUnansweredError):
-        asyncio.run(loading.read_missing())
-    assert len(loading.missing) == len(JOB_PARTITIONS)
-    asyncio.run(loading.read_missing())
-    assert loading.complete
+        asyncio.run(loader.read_missing())
+    assert len(loader.missing) == len(JOB_PARTITIONS)
+    asyncio.run(loader.read_missing())
+    assert loader.is_complete
     assert len(rows.answered) == len(set(rows.answered))
 
 
@@ -60,12 +60,12 @@
     """Guard against a cell that lacks a part, or follows the jobs from too late a version."""
     rows = MemoryRows()
     filled(rows)
-    loading = CellLoading(rows, DIRECTORY)
-    asyncio.run(loading.read_missing())
-    tables = loading.tables()
+    loader = CellLoader(rows, DIRECTORY)
+    asyncio.run(loader.read_missing())
+    tables = loader.tables()
     assert [row.key for row in tables.jobs] == [job_row_key(JOB_ID)]
     assert [row.key for row in tables.progress] == [progress_row_key(JOB_ID)]
-    assert [row.key for row in tables.own] == [OWNER_ROW_KEY]
+    assert [row.key for row in tables.cell] == [OWNER_ROW_KEY]
     assert tables.jobs_version == rows.version
 
 
@@ -85,5 +85,5 @@
             open_now -= 1
             return await super().read(table, part, first=first, last=last)
 
-    asyncio.run(CellLoading(CountedRows(), DIRECTORY).read_missing())
+    asyncio.run(CellLoader(CountedRows(), DIRECTORY).read_missing())
     assert 1 < most <= 6
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -50,7 +50,7 @@
             self.owner_router,
             SimpleNamespace(links={}),
             self.link,
-            lambda ownership, may_start, on_deposed: Owner(ownership),
+            lambda ownership, may_start, on_ownership_lost: Owner(ownership),
         )
 
     def write(self, **rows):
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -117,7 +117,7 @@
     rig.accept(job(ID))
     (order,) = rig.decide()
     sent = []
-    writer.when_stored(lambda: sent.append(order))
+    writer.call_when_stored(lambda: sent.append(order))
     rows.down = True
     assert not flush(writer, rig.cell)
     assert sent == []
@@ -136,7 +136,7 @@
     rig.accept(job(ID))
     rig.decide()
     sent = []
-    writer.when_stored(lambda: sent.append(1))
+    writer.call_when_stored(lambda: sent.append(1))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
--- a/baobabhoist/tests/test_control_worker_session.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -7,7 +7,7 @@
 
 from baobabhoist.cell.model import OrderOutcome
 from baobabhoist.control import worker_session
-from baobabhoist.control.worker_session import WorkerLoop
+from baobabhoist.control.worker_session import WorkerSession
 from baobabhoist.tests.cells import LEASE_MS, Rig, job
 
 
@@ -38,10 +38,10 @@
         cell=rig.cell,
         ownership=SimpleNamespace(token=rig.token),
         may_renew=lambda: True,
-        kick=lambda: None,
-        progress=SimpleNamespace(wake=lambda: None),
+        schedule_decision=lambda: None,
+        progress_writer=SimpleNamespace(request_flush=lambda: None),
     )
-    loop = WorkerLoop(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
+    loop = WorkerSession(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
