--- a/baobabhoist/control/config.py
+++ b/baobabhoist/control/config.py
@@ -23,8 +23,7 @@
     version: int
     rules: CellRules
     routes: tuple[Route, ...]
-    # The team of each valid key.
-    keys: dict[str, str]
+    team_by_key: dict[str, str]
     body_max_bytes: int
 
     def route_for(self, host: str, path: str) -> Route | None:
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -37,21 +37,21 @@
 
 log = logging.getLogger(__name__)
 
-CLAIM_CHECK_S = 0.1
+CLAIM_CHECK_INTERVAL_S = 0.1
 # Instances that would claim at the same moment are spread over this time.
-CLAIM_SPREAD_S = 0.06
+CLAIM_JITTER_S = 0.06
 # An owner needs about this much; a smaller machine waits longer before it claims.
-OWNER_CORES = 1.0
-OWNER_LINK_MBPS = 50.0
-CLAIM_SIZE_SPREAD_S = 0.5
+RECOMMENDED_CORES = 1.0
+RECOMMENDED_LINK_MBPS = 50.0
+MAX_SMALL_MACHINE_DELAY_S = 0.5
 # While the link shows that the owner lives, the claim is read this rarely.
-CLAIM_PAUSE_S = 1.5
+CLAIM_POLL_PAUSE_S = 1.5
 # Between two readings lies the pause, unless a question in between got no answer.
-ANSWERED_GAP_MS = 1_700.0
+MAX_READ_GAP_MS = 1_700.0
 # A reading that is older than a pause and a poll shows nothing.
-CLAIM_FRESH_MS = 3_200.0
+MAX_READ_AGE_MS = 3_200.0
 
-MakeOwner = Callable[[OwnershipTerm, Callable[[], bool], Callable[[str], None]], CellOwner]
+OwnerFactory = Callable[[OwnershipTerm, Callable[[], bool], Callable[[str], None]], CellOwner]
 
 
 class OwnerElection:
@@ -66,7 +66,7 @@
         owner_router: OwnerRouter,
         server: LinkServer,
         link: OwnerLink,
-        make_owner: MakeOwner,
+        make_owner: OwnerFactory,
     ) -> None:
         self.is_draining = False
         # Reads the cell's table at once.
@@ -101,7 +101,7 @@
     def poll_pause_s(self) -> float:
         """Return how long the cell's table need not be read, in seconds."""
         owns = self._owner_router.local_owner is not None
-        return CLAIM_PAUSE_S if owns or self._link.state is OwnerLinkState.CONNECTED else 0.0
+        return CLAIM_POLL_PAUSE_S if owns or self._link.state is OwnerLinkState.CONNECTED else 0.0
 
     async def release(self, reason: str) -> None:
         """Give the cell up, so that another instance takes it over at once."""
@@ -163,7 +163,7 @@
     def note_read(self, asked_ms: float) -> None:
         """Note that the rows were read just now."""
         now = monotonic_ms()
-        if asked_ms - self._read_ms > ANSWERED_GAP_MS:
+        if asked_ms - self._read_ms > MAX_READ_GAP_MS:
             # While the store was away, the owner could not show that it lives either.
             self._beat_changed_ms = now
         self._read_ms = now
@@ -175,7 +175,7 @@
         """Claim the cell whenever there is a reason to."""
         while True:
             try:
-                async with asyncio.timeout(CLAIM_CHECK_S):
+                async with asyncio.timeout(CLAIM_CHECK_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
@@ -187,7 +187,7 @@
                     await self._take(reason)
 
     def _claim_reason(self) -> ClaimReason:
-        fresh = monotonic_ms() - self._read_ms < CLAIM_FRESH_MS
+        fresh = monotonic_ms() - self._read_ms < MAX_READ_AGE_MS
         if (
             not (self._loaded and fresh)
             or self.is_draining
@@ -202,10 +202,10 @@
         )
 
     def _claim_delay_s(self) -> float:
-        cores = min(1.0, self._cfg.cores / OWNER_CORES)
-        link = min(1.0, self._cfg.link_mbps / OWNER_LINK_MBPS)
+        cores = min(1.0, self._cfg.cores / RECOMMENDED_CORES)
+        link = min(1.0, self._cfg.link_mbps / RECOMMENDED_LINK_MBPS)
         lacking = 1.0 - min(cores, link)
-        return lacking * CLAIM_SIZE_SPREAD_S + random.random() * CLAIM_SPREAD_S
+        return lacking * MAX_SMALL_MACHINE_DELAY_S + random.random() * CLAIM_JITTER_S
 
     async def _take(self, reason: ClaimReason) -> None:
         generation = self._claim.generation + 1 if self._claim is not None else 0
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -74,11 +74,11 @@
 
     tables: ExternalTables
 
-    def config(self, value: bytes) -> CellConfig | None:
+    def decode_config(self, value: bytes) -> CellConfig | None:
         """Return a configuration, or None if it cannot be read."""
 
-    def worker(self, worker_id: str, value: bytes) -> WorkerInfo | None:
+    def decode_worker(self, worker_id: str, value: bytes) -> WorkerInfo | None:
         """Return an entry of the directory, or None if it names no usable worker."""
 
-    def job(self, body: bytes) -> JobSpec | Refusal:
+    def decode_job(self, body: bytes) -> JobSpec | Refusal:
         """Return a job as its caller described it, or what is wrong with it."""
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -103,7 +103,7 @@
     job_writer: JobWriter
     decoder: Decoder
     clock: StoreClock
-    owner: OwnerRouter
+    owner_router: OwnerRouter
     revoke_ms: float
     row_max_bytes: int
 
@@ -123,11 +123,11 @@
                 return unavailable_refusal(
                     "the keys in force are not known to be current", ELSEWHERE_S
                 )
-            if call.key not in cfg.keys:
+            if call.key not in cfg.team_by_key:
                 kind = ErrorKind.KEY_REJECTED if call.key else ErrorKind.KEY_MISSING
                 emit(log, Event.KEY_REFUSED, queue=route.queue.name, version=cfg.version)
                 return Refusal(kind, "the key is not valid", remedy="send a key of the team")
-            team = cfg.keys[call.key]
+            team = cfg.team_by_key[call.key]
         job_id = call.path[len(route.prefix) :].partition("?")[0]
         return AdmittedCall(cfg, route, team, job_id)
 
@@ -139,7 +139,7 @@
         if len(body) > admitted.cfg.body_max_bytes:
             message = f"a body has at most {admitted.cfg.body_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy="send a smaller job")
-        spec = self.decoder.job(body)
+        spec = self.decoder.decode_job(body)
         if isinstance(spec, Refusal):
             return spec
         return await self._store_job(call, admitted, spec)
@@ -175,10 +175,10 @@
         if outcome.status is WriteStatus.UNKNOWN:
             return unknown_outcome_refusal("the store did not say whether the job was stored")
         if outcome.status is WriteStatus.NEW:
-            self.owner.notify(JobNotice(admitted.job_id, value, outcome.version))
+            self.owner_router.notify(JobNotice(admitted.job_id, value, outcome.version))
         return None
 
-    async def state(self, admitted: AdmittedCall) -> str | Refusal:
+    async def job_state(self, admitted: AdmittedCall) -> str | Refusal:
         """Return the state of a job."""
         found = await self._find(admitted.job_id)
         if isinstance(found, Refusal):
@@ -208,10 +208,10 @@
             return self._no_store("the store takes no cancellations now")
         if outcome.status is WriteStatus.UNKNOWN:
             return unknown_outcome_refusal("the store did not say whether the job was cancelled")
-        self.owner.notify(CancelNotice(admitted.job_id))
+        self.owner_router.notify(CancelNotice(admitted.job_id))
         return None
 
-    async def pending(self, admitted: AdmittedCall) -> int | Refusal:
+    async def count_pending_jobs(self, admitted: AdmittedCall) -> int | Refusal:
         """Return how many jobs of a queue have not begun."""
         queue = admitted.route.queue.name
         reply = await self._ask_owner(PendingQuery(queue))
@@ -222,7 +222,7 @@
     def _no_store(self, message: str) -> Refusal:
         """Refuse a write; an instance that is cut off sends its callers elsewhere at once."""
         return unavailable_refusal(
-            message, RETRY_AFTER_S if self.owner.is_owner_reachable else ELSEWHERE_S
+            message, RETRY_AFTER_S if self.owner_router.is_owner_reachable else ELSEWHERE_S
         )
 
     async def _find(self, job_id: str) -> StateReply | Refusal:
@@ -256,7 +256,7 @@
 
     async def _ask_owner(self, question: Any) -> Any:
         try:
-            return await self.owner.call(question, QUERY_TIMEOUT_S)
+            return await self.owner_router.call(question, QUERY_TIMEOUT_S)
         except (LinkClosedError, TimeoutError) as exc:
             log.debug("the owner did not answer: %s", exc)
             return None
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -17,7 +17,7 @@
 CALL_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, INF)
 TAKEOVER_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, INF)
 REASON_LABELS_MAX = 32
-NO_TEAM = "none"
+NO_TEAM_LABEL = "none"
 
 
 class NodeMetrics:
@@ -58,7 +58,7 @@
 
     def observe_call(self, team: str, queue: str, status: int, seconds: float) -> None:
         """Observe an answer to a caller."""
-        labels = {"team": self._teams.of(team or NO_TEAM), "queue": self._queues.of(queue)}
+        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "queue": self._queues.of(queue)}
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
     def count_refusal(self, reason: str) -> None:
@@ -67,7 +67,7 @@
 
     def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
         """Observe how long a task waited."""
-        labels = {"team": self._teams.of(team or NO_TEAM), "class": self._queues.of(queue)}
+        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "class": self._queues.of(queue)}
         self._waiting.observe(labels, waited_s)
 
     def observe_decision(self, seconds: float) -> None:
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -176,7 +176,7 @@
             is_config = row.key.key == self._adapter.decoder.tables.config_key
             if not is_config or row.value is None:
                 continue
-            cfg = self._adapter.decoder.config(row.value)
+            cfg = self._adapter.decoder.decode_config(row.value)
             if cfg is None or not self.config.accept(cfg):
                 continue
             emit(
@@ -185,7 +185,7 @@
                 version=cfg.version,
                 queues=len(cfg.rules.queues),
                 teams=len(cfg.rules.teams),
-                keys=len(cfg.keys),
+                keys=len(cfg.team_by_key),
             )
             if self.owner_router.local_owner is not None:
                 self.owner_router.local_owner.apply_rules(cfg.rules)
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -280,7 +280,7 @@
             if row.value is None:
                 cell.worker_unlisted(row.key.key, now)
                 continue
-            info = self._deps.decoder.worker(row.key.key, row.value)
+            info = self._deps.decoder.decode_worker(row.key.key, row.value)
             if info is not None:
                 found.append(info)
         if whole:
--- a/baobabhoist/platform/decode.py
+++ b/baobabhoist/platform/decode.py
@@ -41,7 +41,7 @@
 
     tables = ExternalTables(operator="op", config_key="config", directory="servers")
 
-    def config(self, value: bytes) -> CellConfig | None:
+    def decode_config(self, value: bytes) -> CellConfig | None:
         """Return a configuration, or None if it cannot be read."""
         try:
             return _config(_object(value))
@@ -55,7 +55,7 @@
             )
             return None
 
-    def worker(self, worker_id: str, value: bytes) -> WorkerInfo | None:
+    def decode_worker(self, worker_id: str, value: bytes) -> WorkerInfo | None:
         """Return an entry of the directory, or None if it names no usable worker."""
         try:
             return _worker(worker_id, _object(value))
@@ -63,7 +63,7 @@
             emit(log, Event.ROW_UNREADABLE, table=self.tables.directory, row=worker_id, detail=exc)
             return None
 
-    def job(self, body: bytes) -> JobSpec | Refusal:
+    def decode_job(self, body: bytes) -> JobSpec | Refusal:
         """Return a job as its caller described it, or what is wrong with it."""
         try:
             return _job(_object(body))
--- a/baobabhoist/platform/front.py
+++ b/baobabhoist/platform/front.py
@@ -61,10 +61,10 @@
         if admitted is None:
             return
         if admitted.job_id:
-            found = await self._desk.state(admitted)
+            found = await self._desk.job_state(admitted)
             self._answer(found if isinstance(found, Refusal) else {"state": found}, JOB_GONE)
         else:
-            waiting = await self._desk.pending(admitted)
+            waiting = await self._desk.count_pending_jobs(admitted)
             self._answer(waiting if isinstance(waiting, Refusal) else {"pending": waiting})
 
     async def delete(self) -> None:
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -7,7 +7,7 @@
 
 from baobabhoist.control import election as election_module
 from baobabhoist.control.claim import ClaimRow, OwnerLinkState, decode_claim, encode_claim
-from baobabhoist.control.election import ANSWERED_GAP_MS, OwnerElection
+from baobabhoist.control.election import MAX_READ_GAP_MS, OwnerElection
 from baobabhoist.control.links import Identity
 from baobabhoist.control.row_schema import HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.store.rows import RowsTxn
@@ -36,7 +36,7 @@
     def __init__(self, monkeypatch):
         self.now = 100_000.0
         monkeypatch.setattr(election_module, "monotonic_ms", lambda: self.now)
-        monkeypatch.setattr(election_module, "CLAIM_SPREAD_S", 0.0)
+        monkeypatch.setattr(election_module, "CLAIM_JITTER_S", 0.0)
         self.store = MemoryRows()
         self.owner_router = SimpleNamespace(local_owner=None)
         self.link = SimpleNamespace(state=OwnerLinkState.CONNECTED, connect_to=lambda claim: None)
@@ -129,7 +129,7 @@
         rig.write(owner=encode_claim(OTHER), beat=b"1")
         rig.read()
         for _ in range(2):
-            asked = rig.now + ANSWERED_GAP_MS - 200.0
+            asked = rig.now + MAX_READ_GAP_MS - 200.0
             rig.now = asked + 1_000.0
             rig.read(asked_ms=asked)
         await rig.settle()
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -25,7 +25,7 @@
 REVOKE_MS = 5_000.0
 
 
-class Owner:
+class FakeOwnerRouter:
     """Answer for the cell's owner, or be out of reach."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
         self.now = 50_000.0
         monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
         self.rows = MemoryRows()
-        self.owner = Owner()
+        self.owner_router = FakeOwnerRouter()
         self.config = ActiveConfig()
         self.job_api = JobApi(
             self.config,
@@ -57,7 +57,7 @@
             JobWriter(self.rows, StoreHealth()),
             PlatformDecoder(),
             StoreClock(),
-            self.owner,
+            self.owner_router,
             REVOKE_MS,
             65_536,
         )
@@ -117,9 +117,9 @@
     """Guard against an accepted job that no next owner would find."""
     assert rig.submit() is None
     assert job_row_key(ID) in rig.rows.rows
-    assert isinstance(rig.owner.notices[0], JobNotice)
+    assert isinstance(rig.owner_router.notices[0], JobNotice)
     assert rig.submit() is None
-    assert len(rig.owner.notices) == 1
+    assert len(rig.owner_router.notices) == 1
 
 
 def test_a_job_that_the_store_could_not_hold_is_refused(rig):
@@ -133,47 +133,47 @@
     """Guard against an accepted job that is answered as unknown during a takeover."""
     rig.submit()
     admitted = rig.admit()
-    assert asyncio.run(rig.job_api.state(admitted)) == "queued"
+    assert asyncio.run(rig.job_api.job_state(admitted)) == "queued"
     done = encode(Progress(JobPhase.COMPLETED))
     rig.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
-    assert asyncio.run(rig.job_api.state(admitted)) == "completed"
+    assert asyncio.run(rig.job_api.job_state(admitted)) == "completed"
 
 
 def test_a_job_that_the_owner_does_not_know_yet_is_looked_up(rig):
     """Guard against a 410 for a job whose notice is still on its way."""
     rig.submit()
-    rig.owner.answer = StateReply()
-    assert asyncio.run(rig.job_api.state(rig.admit())) == "queued"
+    rig.owner_router.answer = StateReply()
+    assert asyncio.run(rig.job_api.job_state(rig.admit())) == "queued"
 
 
 def test_a_state_that_cannot_be_found_is_not_called_missing(rig):
     """Guard against a 410 for an accepted job while neither owner nor store answers."""
     rig.submit()
     rig.rows.down = True
-    refusal = asyncio.run(rig.job_api.state(rig.admit()))
+    refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
 def test_a_job_of_another_team_is_not_shown(rig):
     """Guard against a key that reads the jobs of others."""
-    rig.owner.answer = StateReply("running", "q", "other")
-    refusal = asyncio.run(rig.job_api.state(rig.admit()))
+    rig.owner_router.answer = StateReply("running", "q", "other")
+    refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
     assert refusal.kind is ErrorKind.FORBIDDEN
 
 
 def test_a_count_comes_from_the_owner_or_not_at_all(rig):
     """Guard against a queue that is shown as empty because its owner changes."""
-    rig.owner.answer = PendingReply(7)
-    assert asyncio.run(rig.job_api.pending(rig.admit(path="/q/"))) == 7
-    rig.owner.answer = NotOwner("n2")
-    refusal = asyncio.run(rig.job_api.pending(rig.admit(path="/q/")))
+    rig.owner_router.answer = PendingReply(7)
+    assert asyncio.run(rig.job_api.count_pending_jobs(rig.admit(path="/q/"))) == 7
+    rig.owner_router.answer = NotOwner("n2")
+    refusal = asyncio.run(rig.job_api.count_pending_jobs(rig.admit(path="/q/")))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
 def test_a_cancellation_is_stored_before_it_is_acknowledged(rig):
     """Guard against a cancelled job that the next owner runs."""
     rig.submit()
-    rig.owner.answer = StateReply("running", "q", "team")
+    rig.owner_router.answer = StateReply("running", "q", "team")
     call = rig.call()
     assert asyncio.run(rig.job_api.cancel(call, rig.admit())) is None
     assert any(key.key == f"{ID}/cancel" for key in rig.rows.rows)
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -57,7 +57,7 @@
 
 def test_a_job_keeps_its_meaning_through_its_row():
     """Guard against a step that loses a demand between the caller and the worker."""
-    spec = DECODER.job(orjson.dumps(JOB))
+    spec = DECODER.decode_job(orjson.dumps(JOB))
     assert isinstance(spec, JobSpec)
     assert spec.steps[0].data_rack == "r1-3"
     assert spec.steps[1].gang and spec.steps[1].checkpoints and spec.steps[1].after == (0,)
@@ -81,7 +81,7 @@
 )
 def test_a_malformed_job_is_refused_with_a_reason(change):
     """Guard against a job that is accepted although it can't be understood."""
-    refusal = DECODER.job(orjson.dumps({**JOB, **change}))
+    refusal = DECODER.decode_job(orjson.dumps({**JOB, **change}))
     assert isinstance(refusal, Refusal)
     assert refusal.kind is ErrorKind.BAD_REQUEST
     assert refusal.message and refusal.remedy
@@ -89,17 +89,17 @@
 
 def test_a_worker_is_read_and_a_foreign_entry_set_aside():
     """Guard against work sent to an entry of another writer."""
-    worker = DECODER.worker("w", orjson.dumps(WORKER))
+    worker = DECODER.decode_worker("w", orjson.dumps(WORKER))
     assert worker.capacity == Room(16000, 32768, 0)
     assert (worker.rack, worker.kind, worker.born_ms) == ("r1-3", "a", 17)
     for change in ({"state": "odd"}, {"address": 7}, {"capacity": []}, {"labels": "a"}):
-        assert DECODER.worker("w", orjson.dumps({**WORKER, **change})) is None
+        assert DECODER.decode_worker("w", orjson.dumps({**WORKER, **change})) is None
 
 
 def test_a_configuration_is_read():
     """Guard against a key, limit or route that is lost on the way."""
-    cfg = DECODER.config(orjson.dumps(CONFIG))
-    assert cfg.keys == {"k1": "t"}
+    cfg = DECODER.decode_config(orjson.dumps(CONFIG))
+    assert cfg.team_by_key == {"k1": "t"}
     assert cfg.rules.teams["t"].limit == Room(cpu=9)
     assert cfg.route_for("h.example", "/a/b/0").queue.name == "deep"
     assert cfg.route_for("h.example", "/a/c").queue.advice.valid_ms == 2500
@@ -119,6 +119,6 @@
     except TypeError:
         pass
     for body in bodies:
-        assert isinstance(DECODER.job(body), JobSpec | Refusal)
-        assert isinstance(DECODER.worker("w", body), WorkerInfo | None)
-        assert isinstance(DECODER.config(body), CellConfig | None)
+        assert isinstance(DECODER.decode_job(body), JobSpec | Refusal)
+        assert isinstance(DECODER.decode_worker("w", body), WorkerInfo | None)
+        assert isinstance(DECODER.decode_config(body), CellConfig | None)
