--- a/baobabhoist/control/__init__.py
+++ b/baobabhoist/control/__init__.py
@@ -1,1 +1,1 @@
-"""Run one instance: take work in, elect the cell's owner, drive workers, answer callers."""
+"""Run one instance: accept jobs, elect the cell's owner, drive workers and answer callers."""
--- a/baobabhoist/control/claim.py
+++ b/baobabhoist/control/claim.py
@@ -1,4 +1,4 @@
-"""Decide when an instance claims the cell; the store's conditional writes settle races."""
+"""Decide when an instance claims the cell; conditional writes to the store resolve races."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 import cattrs
 import orjson
 
-# The owner rewrites its beat this often while the store answers.
+# Interval at which the owner writes its heartbeat row while the store answers.
 HEARTBEAT_INTERVAL_MS = 500.0
-# A beat that has not changed for this long shows an owner that the store no longer hears.
+# A heartbeat row unchanged for this long means that the owner can no longer write to the store.
 HEARTBEAT_STALE_MS = 2_400.0
-# After this time a live owner's next beat is overdue.
+# A live owner writes its next heartbeat within this time.
 HEARTBEAT_OVERDUE_MS = 1_200.0
-# An owner with less than one in so many of its links for this long gives the cell up.
+# An owner releases the cell after ISOLATION_TIMEOUT_MS with fewer than 1 / MIN_LINKS_DIVISOR of
+# its peak number of links. Sites whose peak is below MIN_PEAK_LINKS are exempt.
 MIN_LINKS_DIVISOR = 4
 MIN_PEAK_LINKS = 3
 ISOLATION_TIMEOUT_MS = 1_500.0
-# An instance that gave the cell up for this does not claim it again at once.
+# An instance that released the cell because it was isolated does not claim it for this long.
 ISOLATION_BACKOFF_MS = 6_000.0
-# Takeovers from silent owners within this time make the next one slower.
+# Each takeover from an owner that did not release the cell, within this window, delays the next.
 TAKEOVER_WINDOW_MS = 20_000.0
 MAX_COUNTED_TAKEOVERS = 3
-# An owner that the store has not confirmed for this long orders nothing more.
+# An owner sends no orders once its last confirmed heartbeat is older than this.
 CONFIRMATION_VALID_MS = 3_000.0
 
 
 @attrs.frozen
 class ClaimRow:
-    """Hold the claim: `boot` names the owner's process, empty after it was released."""
+    """Hold the claim to the cell; `boot` identifies the owner's process, empty once released."""
 
     node: str
     boot: str
@@ -37,40 +38,40 @@
     generation: int
 
     @property
-    def released(self) -> bool:
-        """Tell whether the owner gave the cell up."""
+    def is_released(self) -> bool:
+        """Return whether the owner has released the cell."""
         return not self.boot
 
 
 def encode_claim(claim: ClaimRow) -> bytes:
-    """Return the value of the claim's row."""
+    """Encode a claim as the value of its row."""
     return orjson.dumps(attrs.asdict(claim))
 
 
 def decode_claim(value: bytes) -> ClaimRow:
-    """Return the claim in a row; raises ValueError if it cannot be read."""
+    """Decode the value of a claim row; raises ValueError if it is malformed."""
     try:
         return cattrs.structure(orjson.loads(value), ClaimRow)
     except Exception as exc:
-        raise ValueError(f"not a claim: {exc}") from exc
+        raise ValueError(f"malformed claim row: {exc}") from exc
 
 
 class OwnerLinkState(enum.Enum):
-    """Name what an instance sees of the owner over its link."""
+    """Describe the link from an instance to the cell's owner."""
 
-    # The link has not been tried or is being made.
+    # No connection has been attempted yet, or the first attempt is in progress.
     UNKNOWN = "unknown"
     CONNECTED = "connected"
-    # Nothing answers at the owner's address.
+    # The owner's address does not answer.
     SILENT = "silent"
-    # Connections are refused: the process has ended, or something between resets them.
+    # Connections are refused: the process has ended, or something on the path resets them.
     REFUSED = "refused"
-    # Another process answers at the owner's address, so that the owner's has ended.
+    # Another process answers at the owner's address, so the owner's process has ended.
     ENDED = "ended"
 
 
 class ClaimReason(enum.Enum):
-    """Name why an instance claims the cell."""
+    """Describe why an instance claims the cell."""
 
     NONE = "none"
     UNCLAIMED = "unclaimed"
@@ -81,7 +82,7 @@
     BEAT_STALE = "beat_stale"
 
 
-# After these the earlier owner can order nothing more.
+# With these reasons the previous owner can no longer send orders.
 REASONS_PREVIOUS_OWNER_STOPPED = frozenset(
     {ClaimReason.UNCLAIMED, ClaimReason.RELEASED, ClaimReason.OWNER_ENDED}
 )
@@ -89,16 +90,17 @@
 
 @attrs.define
 class IsolationDetector:
-    """Judge whether an owner still reaches the other instances.
+    """Detect that an owner has lost contact with the other instances.
 
-    An owner that reaches the store but no instance gets no notices and no advice through others.
+    An isolated owner that still reaches the store gets neither their notices nor the advice that
+    they would relay.
     """
 
     peak_links: int = 0
     last_sufficient_ms: float = 0.0
 
     def is_isolated(self, links: int, now: float) -> bool:
-        """Take a count of links; tell whether most have been gone for too long."""
+        """Record the number of links; return whether it has been too low for too long."""
         self.peak_links = max(self.peak_links, links)
         if links * MIN_LINKS_DIVISOR >= self.peak_links or self.peak_links < MIN_PEAK_LINKS:
             self.last_sufficient_ms = now
@@ -106,28 +108,28 @@
 
 
 def takeover_backoff_factor(recent_takeovers: int) -> float:
-    """Return how many times longer a silent owner is borne after takeovers in a row.
+    """Return the factor by which recent takeovers lengthen the timeouts for the owner.
 
-    An owner that loads a large cell on a slow machine may be silent for seconds. Without this,
-    owners would replace each other before any of them has begun.
+    An owner that loads a large cell on a slow machine may be silent for seconds. Without this
+    backoff, owners would replace each other before any of them has finished loading.
     """
     return 2.0 ** min(recent_takeovers, MAX_COUNTED_TAKEOVERS)
 
 
-def claim_reason(
+def find_claim_reason(
     claim: ClaimRow | None,
     link_state: OwnerLinkState,
     heartbeat_age_ms: float,
-    boot: str,
+    boot_id: str,
     recent_takeovers: int = 0,
 ) -> ClaimReason:
-    """Return why an instance should claim the cell now, or NONE."""
+    """Return the reason for an instance to claim the cell now, or NONE."""
     if claim is None:
         return ClaimReason.UNCLAIMED
-    if claim.released:
+    if claim.is_released:
         return ClaimReason.RELEASED
-    if claim.boot == boot:
-        # This process gave the cell away, and the other one did not take it.
+    if claim.boot == boot_id:
+        # This process has stepped down, but its claim is still stored: nobody has taken over.
         return ClaimReason.RELEASED if heartbeat_age_ms > HEARTBEAT_STALE_MS else ClaimReason.NONE
     if link_state is OwnerLinkState.ENDED:
         return ClaimReason.OWNER_ENDED
@@ -136,7 +138,7 @@
         return ClaimReason.OWNER_REFUSES
     if link_state is OwnerLinkState.SILENT and heartbeat_age_ms > HEARTBEAT_OVERDUE_MS:
         return ClaimReason.OWNER_SILENT
-    # The owner lives but the store hears nothing of it, so that it can order nothing.
+    # The owner may be alive, but its heartbeats do not reach the store, so it sends no orders.
     if heartbeat_age_ms > HEARTBEAT_STALE_MS:
         return ClaimReason.BEAT_STALE
     return ClaimReason.NONE
--- a/baobabhoist/control/config.py
+++ b/baobabhoist/control/config.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force and judge whether it is recent enough to act on."""
+"""Hold the active configuration and track how recently the store confirmed it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Route:
-    """Map calls for a host and path prefix to a queue."""
+    """Map a host and path prefix to a queue."""
 
     host: str
     prefix: str
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class CellConfig:
-    """Hold one accepted version of the configuration."""
+    """Hold one version of the configuration."""
 
     version: int
     rules: CellRules
@@ -27,32 +27,32 @@
     body_max_bytes: int
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that a path begins with, or None."""
-        found = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
-        return max(found, key=lambda route: len(route.prefix), default=None)
+        """Return the route with the longest matching path prefix, or None."""
+        matching = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
+        return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 @attrs.define
 class ActiveConfig:
-    """Hold the newest configuration; versions only rise.
+    """Hold the newest known configuration; its version never decreases.
 
-    `confirmed_ms` is the latest moment at which it was the store's newest, on the local clock.
+    `confirmed_ms` is the last time, on the local clock, at which the store had no newer version.
     """
 
     current: CellConfig | None = None
     confirmed_ms: float = -1e12
 
     def accept(self, cfg: CellConfig) -> bool:
-        """Take a version over unless it is older; tell whether it is new."""
+        """Activate a version if it is newer than the current one; return whether it was."""
         if self.current is not None and cfg.version <= self.current.version:
             return False
         self.current = cfg
         return True
 
-    def confirm(self, moment_ms: float) -> None:
-        """Note that no newer version existed at a moment."""
-        self.confirmed_ms = max(self.confirmed_ms, moment_ms)
+    def confirm(self, read_ms: float) -> None:
+        """Record that the store had no newer version at `read_ms`."""
+        self.confirmed_ms = max(self.confirmed_ms, read_ms)
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago the configuration was known to be the newest."""
+        """Return the time since the configuration was last confirmed to be the newest."""
         return now - self.confirmed_ms
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -1,4 +1,4 @@
-"""Claim the cell, keep the claim while this process owns it, and give it up."""
+"""Elect the cell's owner: claim the cell, keep the claim alive and release it."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     ClaimRow,
     IsolationDetector,
     OwnerLinkState,
-    claim_reason,
     decode_claim,
     encode_claim,
+    find_claim_reason,
 )
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.config import ActiveConfig
@@ -38,24 +38,24 @@
 log = logging.getLogger(__name__)
 
 CLAIM_CHECK_INTERVAL_S = 0.1
-# Instances that would claim at the same moment are spread over this time.
+# Random delay before a claim, so that instances do not all claim at the same moment.
 CLAIM_JITTER_S = 0.06
-# An owner needs about this much; a smaller machine waits longer before it claims.
+# Resources that an owner needs; a smaller machine delays its claim, so that larger ones win.
 RECOMMENDED_CORES = 1.0
 RECOMMENDED_LINK_MBPS = 50.0
 MAX_SMALL_MACHINE_DELAY_S = 0.5
-# While the link shows that the owner lives, the claim is read this rarely.
+# Pause between polls of the claim while the link shows that the owner is alive.
 CLAIM_POLL_PAUSE_S = 1.5
-# Between two readings lies the pause, unless a question in between got no answer.
+# Successful polls are further apart than this only if a poll between them failed.
 MAX_READ_GAP_MS = 1_700.0
-# A reading that is older than a pause and a poll shows nothing.
+# One pause and one long poll; a claim that was read longer ago may be out of date.
 MAX_READ_AGE_MS = 3_200.0
 
 OwnerFactory = Callable[[OwnershipTerm, Callable[[], bool], Callable[[str], None]], CellOwner]
 
 
 class OwnerElection:
-    """Own this instance's part in who owns the cell."""
+    """Run this instance's side of the election of the cell's owner."""
 
     def __init__(
         self,
@@ -64,47 +64,51 @@
         config: ActiveConfig,
         identity: Identity,
         owner_router: OwnerRouter,
-        server: LinkServer,
-        link: OwnerLink,
+        link_server: LinkServer,
+        owner_link: OwnerLink,
         make_owner: OwnerFactory,
     ) -> None:
         self.is_draining = False
-        # Reads the cell's table at once.
+        # Polls the cell's table without waiting for the pause to end.
         self.poll_now: Callable[[], None] = lambda: None
         self._cfg = cfg
         self._store = store
         self._config = config
         self._identity = identity
         self._owner_router = owner_router
-        self._server = server
-        self._link = link
+        self._link_server = link_server
+        self._owner_link = owner_link
         self._make_owner = make_owner
         self._claim: ClaimRow | None = None
         self._claim_version = 0
-        self._beat_version = 0
-        self._beat_changed_ms = monotonic_ms()
+        self._heartbeat_version = 0
+        self._heartbeat_changed_ms = monotonic_ms()
         self._read_ms = -1e12
-        self._loaded = False
-        self._wake = asyncio.Event()
-        self._takeovers_ms: list[float] = []
-        self._isolation = IsolationDetector()
-        # This instance does not claim the cell before, on the local clock.
-        self._claims_from_ms = 0.0
+        self._has_read = False
+        self._check_requested = asyncio.Event()
+        self._takeover_times_ms: list[float] = []
+        self._isolation_detector = IsolationDetector()
+        # Earliest time of the next claim, on the local clock.
+        self._next_claim_ms = 0.0
         self._owner_task: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def recheck(self) -> None:
-        """Look at the claim now, because the link to its owner changed."""
+        """Check the claim now, because the state of the owner link changed."""
         self.poll_now()
-        self._wake.set()
+        self._check_requested.set()
 
     def poll_pause_s(self) -> float:
-        """Return how long the cell's table need not be read, in seconds."""
-        owns = self._owner_router.local_owner is not None
-        return CLAIM_POLL_PAUSE_S if owns or self._link.state is OwnerLinkState.CONNECTED else 0.0
+        """Return the pause between polls of the cell's table, in seconds."""
+        is_owner = self._owner_router.local_owner is not None
+        return (
+            CLAIM_POLL_PAUSE_S
+            if is_owner or self._owner_link.state is OwnerLinkState.CONNECTED
+            else 0.0
+        )
 
     async def release(self, reason: str) -> None:
-        """Give the cell up, so that another instance takes it over at once."""
+        """Release the cell, so that another instance can take it over immediately."""
         owner = self._owner_router.local_owner
         if owner is None:
             return
@@ -112,21 +116,21 @@
         owner.stop()
         if await owner.progress_writer.release(encode_claim(claim), owner.cell):
             emit(log, Event.CLAIM_RELEASED, token=owner.ownership.token)
-            self._tell_links(OwnerHeartbeat(owns=False))
+            self._notify_links(OwnerHeartbeat(owns=False))
         self._step_down(reason)
 
-    # What the cell's table says.
+    # Changes of the cell's table.
 
-    def apply_rows(self, rows: Sequence[StoredRow], whole: bool) -> None:
-        """Take over rows of the cell's table."""
+    def apply_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
+        """Apply new versions of the claim and of the heartbeat."""
         for row in rows:
             if row.key == OWNER_ROW_KEY and row.version >= self._claim_version:
-                self._claim_seen(row)
-            elif row.key == HEARTBEAT_ROW_KEY and row.version > self._beat_version:
-                self._beat_version = row.version
-                self._beat_changed_ms = monotonic_ms()
+                self._apply_claim(row)
+            elif row.key == HEARTBEAT_ROW_KEY and row.version > self._heartbeat_version:
+                self._heartbeat_version = row.version
+                self._heartbeat_changed_ms = monotonic_ms()
 
-    def _claim_seen(self, row: StoredRow) -> None:
+    def _apply_claim(self, row: StoredRow) -> None:
         if row.value is None or row.version == self._claim_version:
             return
         try:
@@ -134,9 +138,9 @@
         except ValueError as exc:
             emit(log, Event.ROW_UNREADABLE, table=CELL_TABLE, row=row.key.key, detail=exc)
             return
-        self._note_takeover(claim)
+        self._record_takeover(claim)
         self._claim, self._claim_version = claim, row.version
-        self._beat_changed_ms = monotonic_ms()
+        self._heartbeat_changed_ms = monotonic_ms()
         emit(
             log,
             Event.CLAIM_SEEN,
@@ -146,100 +150,104 @@
         )
         if claim.boot != self._identity.boot_id and self._owner_router.local_owner is not None:
             self._step_down(f"{claim.node or 'nobody'} has the claim")
-        self._link.connect_to(claim)
-        self._wake.set()
+        self._owner_link.connect_to(claim)
+        self._check_requested.set()
 
-    def _note_takeover(self, claim: ClaimRow) -> None:
+    def _record_takeover(self, claim: ClaimRow) -> None:
         """Count takeovers from owners that did not release the cell."""
-        before = self._claim
-        if before is not None and not before.released and not claim.released:
-            self._takeovers_ms.append(monotonic_ms())
+        previous = self._claim
+        if previous is not None and not previous.is_released and not claim.is_released:
+            self._takeover_times_ms.append(monotonic_ms())
 
-    def _recent_takeovers(self) -> int:
+    def _count_recent_takeovers(self) -> int:
         since = monotonic_ms() - TAKEOVER_WINDOW_MS
-        self._takeovers_ms = [moment for moment in self._takeovers_ms if moment > since]
-        return len(self._takeovers_ms)
+        self._takeover_times_ms = [t for t in self._takeover_times_ms if t > since]
+        return len(self._takeover_times_ms)
 
-    def note_read(self, asked_ms: float) -> None:
-        """Note that the rows were read just now."""
+    def note_read(self, sent_ms: float) -> None:
+        """Record that a poll of the table, sent at `sent_ms`, was answered."""
         now = monotonic_ms()
-        if asked_ms - self._read_ms > MAX_READ_GAP_MS:
-            # While the store was away, the owner could not show that it lives either.
-            self._beat_changed_ms = now
+        if sent_ms - self._read_ms > MAX_READ_GAP_MS:
+            # The store was unavailable, so the owner could not write heartbeats either.
+            self._heartbeat_changed_ms = now
         self._read_ms = now
-        self._loaded = True
+        self._has_read = True
 
     # The claim.
 
     async def run_claims(self) -> None:
-        """Claim the cell whenever there is a reason to."""
+        """Claim the cell whenever there is a reason to, until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(CLAIM_CHECK_INTERVAL_S):
-                    await self._wake.wait()
+                    await self._check_requested.wait()
             except TimeoutError:
                 pass
-            self._wake.clear()
-            reason = self._claim_reason()
+            self._check_requested.clear()
+            reason = self._find_reason()
             if reason is not ClaimReason.NONE:
                 await asyncio.sleep(self._claim_delay_s())
-                if self._claim_reason() is reason:
-                    await self._take(reason)
+                if self._find_reason() is reason:
+                    await self._try_claim(reason)
 
-    def _claim_reason(self) -> ClaimReason:
-        fresh = monotonic_ms() - self._read_ms < MAX_READ_AGE_MS
+    def _find_reason(self) -> ClaimReason:
+        is_fresh = monotonic_ms() - self._read_ms < MAX_READ_AGE_MS
         if (
-            not (self._loaded and fresh)
+            not (self._has_read and is_fresh)
             or self.is_draining
             or self._owner_router.local_owner is not None
         ):
             return ClaimReason.NONE
-        if self._config.current is None or monotonic_ms() < self._claims_from_ms:
+        if self._config.current is None or monotonic_ms() < self._next_claim_ms:
             return ClaimReason.NONE
-        age = monotonic_ms() - self._beat_changed_ms
-        return claim_reason(
-            self._claim, self._link.state, age, self._identity.boot_id, self._recent_takeovers()
+        heartbeat_age_ms = monotonic_ms() - self._heartbeat_changed_ms
+        return find_claim_reason(
+            self._claim,
+            self._owner_link.state,
+            heartbeat_age_ms,
+            self._identity.boot_id,
+            self._count_recent_takeovers(),
         )
 
     def _claim_delay_s(self) -> float:
         cores = min(1.0, self._cfg.cores / RECOMMENDED_CORES)
         link = min(1.0, self._cfg.link_mbps / RECOMMENDED_LINK_MBPS)
-        lacking = 1.0 - min(cores, link)
-        return lacking * MAX_SMALL_MACHINE_DELAY_S + random.random() * CLAIM_JITTER_S
+        shortfall = 1.0 - min(cores, link)
+        return shortfall * MAX_SMALL_MACHINE_DELAY_S + random.random() * CLAIM_JITTER_S
 
-    async def _take(self, reason: ClaimReason) -> None:
+    async def _try_claim(self, reason: ClaimReason) -> None:
         generation = self._claim.generation + 1 if self._claim is not None else 0
         address = self._cfg.advertised_peer_address
         claim = ClaimRow(self._identity.node, self._identity.boot_id, address, generation)
         expected = {OWNER_ROW_KEY: self._claim_version}
-        if reason not in REASONS_PREVIOUS_OWNER_STOPPED and self._beat_version:
-            expected[HEARTBEAT_ROW_KEY] = self._beat_version
+        if reason not in REASONS_PREVIOUS_OWNER_STOPPED and self._heartbeat_version:
+            expected[HEARTBEAT_ROW_KEY] = self._heartbeat_version
         txn = RowsTxn(expected, {OWNER_ROW_KEY: encode_claim(claim)})
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
-            # If the claim was written, the table's changes bring it.
+            # The claim may have been written without an answer.
             emit(log, Event.CLAIM_FAILED, reason=reason.value, detail=exc)
-            await self._adopt_own_claim(claim, reason)
+            await self._read_back_claim(claim, reason)
             return
         if isinstance(outcome, RowsConflict):
             for row in outcome.rows:
                 self.apply_rows([row], False)
             return
-        self._won(claim, outcome.version, reason)
+        self._become_owner(claim, outcome.version, reason)
 
-    async def _adopt_own_claim(self, claim: ClaimRow, reason: ClaimReason) -> None:
-        """Find out whether a claim without an answer was written."""
+    async def _read_back_claim(self, claim: ClaimRow, reason: ClaimReason) -> None:
+        """Become the owner if a claim that got no answer was written after all."""
         try:
             rows = await self._store.read(OWNER_ROW_KEY.table)
         except StoreError as exc:
-            log.debug("the claim cannot be read back: %s", exc)
+            log.debug("reading back the claim failed: %s", exc)
             return
         for row in rows.rows:
             if row.key == OWNER_ROW_KEY and row.value == encode_claim(claim):
-                self._won(claim, row.version, reason)
+                self._become_owner(claim, row.version, reason)
 
-    def _won(
+    def _become_owner(
         self,
         claim: ClaimRow,
         version: int,
@@ -249,31 +257,31 @@
             return
         now = monotonic_ms()
         self._claim, self._claim_version = claim, version
-        self._link.connect_to(None)
-        until = now
+        self._owner_link.connect_to(None)
+        previous_owner_until_ms = now
         if reason not in REASONS_PREVIOUS_OWNER_STOPPED:
-            until = max(now, self._beat_changed_ms + CONFIRMATION_VALID_MS)
-        ownership = OwnershipTerm(version, claim.generation, now, until)
+            previous_owner_until_ms = max(now, self._heartbeat_changed_ms + CONFIRMATION_VALID_MS)
+        ownership = OwnershipTerm(version, claim.generation, now, previous_owner_until_ms)
         emit(
             log,
             Event.CLAIM_WON,
             token=version,
             generation=claim.generation,
             reason=reason.value,
-            wait_ms=round(until - now),
+            wait_ms=round(previous_owner_until_ms - now),
         )
         owner = self._make_owner(ownership, self._may_start, self._step_down)
-        self._isolation = IsolationDetector(last_sufficient_ms=now)
+        self._isolation_detector = IsolationDetector(last_sufficient_ms=now)
         self._owner_router.local_owner = owner
         self._identity.is_owner = True
         self._owner_task = asyncio.create_task(owner.run())
-        self._owner_task.add_done_callback(self._owner_ended)
+        self._owner_task.add_done_callback(self._handle_owner_end)
 
-    def _owner_ended(self, task: asyncio.Task[None]) -> None:
-        """Let another instance try after a fault here; beats alone must not keep the cell."""
+    def _handle_owner_end(self, task: asyncio.Task[None]) -> None:
+        """Step down if the owner's task crashed: heartbeats alone must not keep the cell."""
         if not task.cancelled() and task.exception() is not None:
             emit(log, Event.TASK_CRASHED, detail=repr(task.exception()))
-            log.error("the cell's owner failed", exc_info=task.exception())
+            log.error("the task of the cell's owner crashed", exc_info=task.exception())
             self._step_down("the owner's task failed")
 
     def _may_start(self) -> bool:
@@ -294,32 +302,34 @@
         if self._owner_task is not None:
             self._owner_task.cancel()
         owner.stop()
-        self._beat_changed_ms = monotonic_ms()
+        self._heartbeat_changed_ms = monotonic_ms()
         if self._claim is not None:
-            self._link.connect_to(self._claim)
+            self._owner_link.connect_to(self._claim)
 
     async def run_link_heartbeats(self) -> None:
-        """Show the linked instances that the owner lives, also while the store is away."""
+        """Send heartbeats over the links, which also works while the store is unavailable."""
         while True:
             owner = self._owner_router.local_owner
             if owner is not None:
-                self._tell_links(OwnerHeartbeat())
-                if self._isolation.is_isolated(len(self._server.links), monotonic_ms()):
-                    self._claims_from_ms = monotonic_ms() + ISOLATION_BACKOFF_MS
+                self._notify_links(OwnerHeartbeat())
+                if self._isolation_detector.is_isolated(
+                    len(self._link_server.links), monotonic_ms()
+                ):
+                    self._next_claim_ms = monotonic_ms() + ISOLATION_BACKOFF_MS
                     await self.release("no instance is linked to this one")
             await asyncio.sleep(OWNER_HEARTBEAT_INTERVAL_S)
 
-    def _tell_links(self, message: Any) -> None:
-        for link in list(self._server.links.values()):
+    def _notify_links(self, message: Any) -> None:
+        for link in list(self._link_server.links.values()):
             self._notify(link, message)
 
     def _notify(self, link: Link, message: Any) -> None:
-        task = asyncio.create_task(_notify_quietly(link, message))
+        task = asyncio.create_task(_notify_unless_closed(link, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def run_store_heartbeats(self) -> None:
-        """Show the store that the owner lives, while it is this process."""
+        """Write heartbeats to the store while this process is the owner."""
         while True:
             owner = self._owner_router.local_owner
             if owner is not None:
@@ -327,8 +337,8 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
 
 
-async def _notify_quietly(link: Link, message: Any) -> None:
+async def _notify_unless_closed(link: Link, message: Any) -> None:
     try:
         await link.notify(message)
     except LinkClosedError as exc:
-        log.debug("a link ended: %s", exc)
+        log.debug("a link closed before the owner's notification was sent: %s", exc)
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -1,4 +1,4 @@
-"""Define what the control code needs of workers, advisers and decoders."""
+"""Define the interfaces through which the control code uses workers, advisers and decoders."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class OrderResponse:
-    """Hold a worker's answer to an order and a reading of its clock, if it gave one."""
+    """Hold a worker's response to an order, with a reading of its clock if it sent one."""
 
     outcome: OrderOutcome
     clock_ms: int | None = None
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Advice:
-    """Hold the tickets of the approved workers and how long they are valid, in ms."""
+    """Hold the tickets of the approved workers by worker id, and their validity in ms."""
 
     tickets: dict[str, str]
     valid_ms: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class ExternalTables:
-    """Name the rows that others write: the operator's configuration, the workers' directory."""
+    """Name the tables written outside this system: operator configuration, worker directory."""
 
     operator: str
     config_key: str
@@ -46,39 +46,39 @@
 
 
 class WorkerDriver(Protocol):
-    """Give orders to workers under a fencing token."""
+    """Send orders to workers under a fencing token."""
 
     async def renew(
         self, worker: WorkerInfo, token: int, acked_end: int, deadline_ms: int | None, wait_ms: int
     ) -> WorkerReport | OrderOutcome:
-        """Renew the lease and return what runs and what ended, waiting for an end."""
+        """Renew the lease and return the running and ended tasks; long-poll until a task ends."""
 
     async def start(
         self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
     ) -> OrderResponse:
-        """Start a run under a lease up to a deadline on the worker's clock."""
+        """Start a run under a lease that ends at `deadline_ms` on the worker's clock."""
 
     async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderResponse:
         """Stop a run."""
 
 
 class Adviser(Protocol):
-    """Tell which workers may run a step."""
+    """Decide which workers may run a step."""
 
     async def ask(self, step: StepKey, workers: Sequence[str], cost_ms: float) -> Advice | None:
-        """Return the approved workers, or None without an answer."""
+        """Return the approved workers, or None if the adviser did not answer."""
 
 
 class Decoder(Protocol):
-    """Read what operators, workers and callers write; each method tolerates foreign content."""
+    """Decode input from operators, workers and callers; no method raises on malformed input."""
 
     tables: ExternalTables
 
     def decode_config(self, value: bytes) -> CellConfig | None:
-        """Return a configuration, or None if it cannot be read."""
+        """Return the decoded configuration, or None if it is malformed."""
 
     def decode_worker(self, worker_id: str, value: bytes) -> WorkerInfo | None:
-        """Return an entry of the directory, or None if it names no usable worker."""
+        """Return a worker of the directory, or None if the entry is malformed or incomplete."""
 
     def decode_job(self, body: bytes) -> JobSpec | Refusal:
-        """Return a job as its caller described it, or what is wrong with it."""
+        """Return the submitted job, or the refusal that explains why it is invalid."""
--- a/baobabhoist/control/links.py
+++ b/baobabhoist/control/links.py
@@ -104,7 +104,7 @@
             self._task.cancel()
             self._task = None
         self.link, self.state = None, OwnerLinkState.UNKNOWN
-        if claim is not None and not claim.released and claim.boot != self._identity.boot_id:
+        if claim is not None and not claim.is_released and claim.boot != self._identity.boot_id:
             self._task = asyncio.create_task(self._keep(claim))
 
     async def call(self, message: Any, timeout_s: float) -> Any:
--- a/baobabhoist/control/messages.py
+++ b/baobabhoist/control/messages.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Greeting:
-    """Introduce the process at the connecting end; `boot` is new at each start."""
+    """Identify the connecting process; `boot` is a new id at each process start."""
 
     node: str
     boot: str
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Welcome:
-    """Introduce the process that was connected to, and whether it owns the cell."""
+    """Identify the accepting process, and say whether it owns the cell."""
 
     node: str
     boot: str
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class JobNotice:
-    """Tell the owner of a job that was just stored."""
+    """Notify the owner of a newly stored job."""
 
     job_id: str
     value: bytes
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class CancelNotice:
-    """Tell the owner of a cancellation that was just stored."""
+    """Notify the owner of a newly stored cancellation."""
 
     job_id: str
 
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class StateReply:
-    """Give the state of a job; `state` is empty if the owner does not know the job."""
+    """Return the state of a job; `state` is empty if the owner does not know the job."""
 
     state: str = ""
     queue: str = ""
@@ -59,21 +59,21 @@
 
 @attrs.frozen
 class PendingQuery:
-    """Ask how many jobs of a queue have not begun."""
+    """Ask how many jobs of a queue have not started."""
 
     queue: str
 
 
 @attrs.frozen
 class PendingReply:
-    """Give the number of jobs that have not begun."""
+    """Return the number of jobs that have not started."""
 
     jobs: int
 
 
 @attrs.frozen
 class AdviceQuery:
-    """Ask another instance to put a question to the placement adviser."""
+    """Ask another instance to query the placement adviser."""
 
     job_id: str
     occurrence: int
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class AdviceReply:
-    """Give the adviser's answer, or `answered` false without one."""
+    """Return the adviser's answer; `answered` is false if the adviser did not answer."""
 
     answered: bool
     tickets: dict[str, str] = attrs.Factory(dict)
@@ -93,14 +93,14 @@
 
 @attrs.frozen
 class OwnerHeartbeat:
-    """Show over a link that the owner lives, or that it has given the cell up."""
+    """Show that the owner is alive, or with `owns` false that it has released the cell."""
 
     owns: bool = True
 
 
 @attrs.frozen
 class WireRow:
-    """Carry a row; `version` is the expected or the present one, 0 for an absent row."""
+    """Carry a row; `version` is the expected or the current version, 0 for an absent row."""
 
     table: str
     part: str
@@ -111,7 +111,7 @@
 
 @attrs.frozen
 class RelayCommit:
-    """Ask another instance to apply a transaction to the store."""
+    """Ask another instance to apply a store transaction."""
 
     expected: tuple[WireRow, ...]
     puts: tuple[WireRow, ...]
@@ -121,7 +121,7 @@
 
 @attrs.frozen
 class RelayRead:
-    """Ask another instance to read rows of the store."""
+    """Ask another instance to read rows from the store."""
 
     table: str
     part: str
@@ -132,7 +132,7 @@
 
 @attrs.frozen
 class RelayFollow:
-    """Ask another instance for the changes of a table."""
+    """Ask another instance for the changes of a table after a version."""
 
     table: str
     after: int
@@ -142,7 +142,7 @@
 
 @attrs.frozen
 class RelayedCommit:
-    """Give what became of a relayed transaction; `rows` are those in conflict."""
+    """Return the outcome of a relayed transaction; `rows` are the conflicting rows."""
 
     committed: bool
     version: int
@@ -152,7 +152,7 @@
 
 @attrs.frozen
 class RelayedRows:
-    """Give rows of the store as of one moment."""
+    """Return a consistent snapshot of rows from the store."""
 
     rows: tuple[WireRow, ...]
     version: int
@@ -161,7 +161,7 @@
 
 @attrs.frozen
 class RelayFailed:
-    """Say how a relayed call failed: `refused`, `unanswered` or `history_lost`."""
+    """Report how a relayed call failed: `refused`, `unanswered` or `history_lost`."""
 
     kind: str
     detail: str
@@ -169,12 +169,12 @@
 
 @attrs.frozen
 class NotOwner:
-    """Answer a question for the owner at an instance that does not own the cell."""
+    """Report that the instance that got a query for the owner does not own the cell."""
 
     node: str
 
 
-# A position in this list is part of the protocol: append, never reorder.
+# The position of a type is its tag on the wire: append new types, never reorder.
 CODEC = Codec(
     (
         *STREAM_TYPES,
--- a/baobabhoist/control/settings.py
+++ b/baobabhoist/control/settings.py
@@ -1,4 +1,4 @@
-"""Define the settings of an instance that runs on a platform."""
+"""Define the settings of an instance that runs on the platform."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 )
 
 ADDRESS = Text(r"[^\s:]+:[0-9]{1,5}", "an address such as 10.1.2.3:8080")
-OPTIONAL_ADDRESS = Text(r"([^\s:]+:[0-9]{1,5})?", "an address such as 10.1.2.3:8080, or nothing")
+OPTIONAL_ADDRESS = Text(r"([^\s:]+:[0-9]{1,5})?", "an address such as 10.1.2.3:8080, or empty")
 MAX_DURATION_MS = 600_000
 
 
-def _ms(low: int = 1) -> Number:
+def _milliseconds(low: int = 1) -> Number:
     return Number(low, MAX_DURATION_MS, "ms")
 
 
@@ -33,17 +33,17 @@
 
 @attrs.frozen
 class BoundSettings:
-    """Hold the platform's bounds that the control code keeps."""
+    """Hold the limits set by the platform that an instance must respect."""
 
-    lease_max_ms: float = setting(_ms(), "Longest lease that a worker grants.")
-    revoke_ms: float = setting(_ms(), "A withdrawn key stops working within this time.")
+    lease_max_ms: float = setting(_milliseconds(), "Longest lease that a worker grants.")
+    revoke_ms: float = setting(_milliseconds(), "Time within which a withdrawn key stops working.")
     grace_s: float = setting(_seconds(), "Time from SIGTERM to SIGKILL.")
-    job_kept_s: float = setting(_seconds(), "A finished job is shown for at least this time.")
+    job_kept_s: float = setting(_seconds(), "Least time for which a finished job can be queried.")
 
 
 @attrs.frozen
 class StoreSettings:
-    """Name the platform's store and what it allows."""
+    """Hold the address and the limits of the platform's store."""
 
     address: str = setting(ADDRESS, "Address of the store.")
     row_max_bytes: int = setting(Whole(1, 1 << 30, "bytes"), "Largest value of a row.")
@@ -61,41 +61,43 @@
     peer_port: int = setting(port(), "Port for the other instances.")
     metrics_port: int = setting(port(), "Port of the metrics.")
     store: StoreSettings = setting(Section(StoreSettings), "The platform's store.")
-    bounds: BoundSettings = setting(Section(BoundSettings), "Bounds that the platform states.")
+    bounds: BoundSettings = setting(Section(BoundSettings), "Limits set by the platform.")
     cpu_share: float = setting(
-        Number(0.001, 4096.0), "Part of a core that this instance has, in units of cpu_speed."
+        Number(0.001, 4096.0), "Share of a core that this instance may use, in units of cpu_speed."
+    )
+    cpu_speed: float = setting(
+        Number(0.001, 4096.0), "Speed of that core relative to a reference core."
     )
-    cpu_speed: float = setting(Number(0.001, 4096.0), "Speed of that core against a common one.")
     link_mbps: float = setting(Number(0.001, 1e6, "Mbit/s"), "Bandwidth of this machine's link.")
     adviser_address: str = setting(
-        OPTIONAL_ADDRESS, "Address of the placement adviser, or nothing.", default=""
+        OPTIONAL_ADDRESS, "Address of the placement adviser; empty if there is none.", default=""
     )
     peer_address: str = setting(
         OPTIONAL_ADDRESS,
-        "Address that other instances use; host and peer_port if it is left out.",
+        "Address that other instances use; defaults to host and peer_port.",
         default="",
     )
     log_level: str = setting(
         Choice(("debug", "info", "warning", "error")),
-        "Least level that is logged.",
+        "Lowest level that is logged.",
         default="info",
     )
 
     @property
     def advertised_peer_address(self) -> str:
-        """Return the address under which the other instances reach this one."""
+        """Return the address at which other instances reach this one."""
         return self.peer_address or f"{self.host}:{self.peer_port}"
 
     @property
     def cores(self) -> float:
-        """Return the processor power in common cores."""
+        """Return the processing capacity in reference cores."""
         return self.cpu_share * self.cpu_speed
 
     def problems(self) -> Iterator[Problem]:
-        """Yield what is wrong across options."""
+        """Yield conflicts between options."""
         if self.peer_port == self.metrics_port:
-            yield Problem("metrics_port", "is the peer port too", "give another port")
+            yield Problem("metrics_port", "is the same as peer_port", "choose another port")
 
     def warnings(self) -> Iterator[Problem]:
-        """Yield what is allowed but unwise."""
+        """Yield warnings about valid but inadvisable values."""
         yield from ()
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -1,4 +1,4 @@
-"""Test how an instance follows the claim and takes the cell over, with a store in memory."""
+"""Test how an instance tracks the claim and takes over the cell, with an in-memory store."""
 
 import asyncio
 from types import SimpleNamespace
@@ -16,8 +16,8 @@
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
 
 
-class Owner:
-    """Stand in for a cell's owner, which needs workers and a network."""
+class FakeOwner:
+    """Replace the cell's owner, which needs workers and a network."""
 
     def __init__(self, ownership):
         self.ownership = ownership
@@ -31,7 +31,7 @@
 
 
 class Rig:
-    """Hold one instance's election, its store and a clock that the test moves."""
+    """Run one instance's election with an in-memory store and a clock set by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 100_000.0
@@ -39,7 +39,9 @@
         monkeypatch.setattr(election_module, "CLAIM_JITTER_S", 0.0)
         self.store = MemoryRows()
         self.owner_router = SimpleNamespace(local_owner=None)
-        self.link = SimpleNamespace(state=OwnerLinkState.CONNECTED, connect_to=lambda claim: None)
+        self.owner_link = SimpleNamespace(
+            state=OwnerLinkState.CONNECTED, connect_to=lambda claim: None
+        )
         address = "10.0.0.1:7000"
         cfg = SimpleNamespace(cores=4.0, link_mbps=1000.0, advertised_peer_address=address)
         self.election = OwnerElection(
@@ -49,17 +51,17 @@
             Identity("me", "boot-me"),
             self.owner_router,
             SimpleNamespace(links={}),
-            self.link,
-            lambda ownership, may_start, on_ownership_lost: Owner(ownership),
+            self.owner_link,
+            lambda ownership, may_start, on_ownership_lost: FakeOwner(ownership),
         )
 
     def write(self, **rows):
-        keys = {"owner": OWNER_ROW_KEY, "beat": HEARTBEAT_ROW_KEY}
+        keys = {"owner": OWNER_ROW_KEY, "heartbeat": HEARTBEAT_ROW_KEY}
         self.store.apply(RowsTxn({}, {keys[name]: value for name, value in rows.items()}))
 
-    def read(self, asked_ms=None):
+    def read(self, sent_ms=None):
         self.election.apply_rows(list(self.store.rows.values()), True)
-        self.election.note_read(self.now if asked_ms is None else asked_ms)
+        self.election.note_read(self.now if sent_ms is None else sent_ms)
 
     async def settle(self):
         task = asyncio.create_task(self.election.run_claims())
@@ -74,8 +76,8 @@
     return Rig(monkeypatch)
 
 
-def test_an_unclaimed_cell_is_claimed_once(rig):
-    """Guard against a start at which no instance, or more than one, owns the cell."""
+def test_unclaimed_cell_is_claimed_once(rig):
+    """Guard against a start after which no instance, or more than one, owns the cell."""
 
     async def run():
         rig.read()
@@ -88,58 +90,58 @@
     asyncio.run(run())
 
 
-def test_a_claim_loses_against_a_beat_that_came_in_between(rig):
-    """Guard against a takeover from an owner that was only slow to be seen."""
+def test_claim_fails_if_a_heartbeat_was_written_meanwhile(rig):
+    """Guard against a takeover from a live owner whose heartbeat was only read late."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), beat=b"1")
+        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
         rig.read()
-        rig.link.state = OwnerLinkState.SILENT
+        rig.owner_link.state = OwnerLinkState.SILENT
         rig.now += 1_500.0
-        rig.write(beat=b"2")
+        rig.write(heartbeat=b"2")
         await rig.settle()
         assert rig.owner_router.local_owner is None
         rig.read()
         rig.now += 1_500.0
-        rig.read(asked_ms=rig.now - 1_000.0)
+        rig.read(sent_ms=rig.now - 1_000.0)
         await rig.settle()
         assert rig.owner_router.local_owner is not None
 
     asyncio.run(run())
 
 
-def test_an_outage_of_the_store_is_no_silence_of_the_owner(rig):
-    """Guard against a takeover at the end of each outage."""
+def test_store_outage_does_not_count_as_missing_heartbeats(rig):
+    """Guard against a takeover at the end of each store outage."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), beat=b"1")
+        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
         rig.read()
         rig.now += 4_000.0
-        rig.read(asked_ms=rig.now - 50.0)
+        rig.read(sent_ms=rig.now - 50.0)
         await rig.settle()
         assert rig.owner_router.local_owner is None
 
     asyncio.run(run())
 
 
-def test_a_beat_that_stands_still_while_the_store_answers_ends_the_ownership(rig):
-    """Guard against an owner that the rare readings of the claim keep for ever."""
+def test_unchanged_heartbeat_while_the_store_answers_leads_to_a_takeover(rig):
+    """Guard against infrequent polls that count as outages and so keep a dead owner for ever."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), beat=b"1")
+        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
         rig.read()
         for _ in range(2):
-            asked = rig.now + MAX_READ_GAP_MS - 200.0
-            rig.now = asked + 1_000.0
-            rig.read(asked_ms=asked)
+            sent_ms = rig.now + MAX_READ_GAP_MS - 200.0
+            rig.now = sent_ms + 1_000.0
+            rig.read(sent_ms=sent_ms)
         await rig.settle()
         assert rig.owner_router.local_owner is not None
 
     asyncio.run(run())
 
 
-def test_another_claim_ends_this_ownership(rig):
-    """Guard against an owner that goes on after another has won."""
+def test_owner_steps_down_when_another_instance_has_the_claim(rig):
+    """Guard against an owner that continues after another instance has won the claim."""
 
     async def run():
         rig.read()
