--- a/baobabhoist/control/cell_loader.py
+++ b/baobabhoist/control/cell_loader.py
@@ -1,4 +1,4 @@
-"""Read what a new owner needs, and keep what was read when a part of it fails."""
+"""Load the tables that a new owner needs; completed reads are kept when others fail."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 )
 from baobabhoist.store.rows import Rows, RowStore, StoredRow
 
-# More at once would share a slow link, so that none of them arrives in time.
-READS_AT_ONCE = 6
+# More concurrent reads would share a slow link, so that none of them completes in time.
+MAX_CONCURRENT_READS = 6
 
 
 @attrs.frozen
 class TablePart:
-    """Name what one reading brings."""
+    """Identify the partition of a table that one read returns."""
 
     table: str
     part: str = ""
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class CellTables:
-    """Hold the rows that a cell is made from; jobs are complete up to `jobs_version`."""
+    """Hold the rows that a cell is built from; the jobs are complete up to `jobs_version`."""
 
     progress: tuple[StoredRow, ...]
     cell: tuple[StoredRow, ...]
@@ -40,10 +40,10 @@
 
 
 class CellLoader:
-    """Own the readings of one takeover.
+    """Read the tables for one takeover.
 
-    The readings need not be of one moment: progress changes only under the claim that this owner
-    holds, and newer jobs are followed.
+    The reads need not form a consistent snapshot: progress changes only under the claim that this
+    owner holds, and newer jobs are read by following the table.
     """
 
     def __init__(self, store: RowStore, directory_table: str) -> None:
@@ -60,17 +60,17 @@
 
     @property
     def missing(self) -> list[TablePart]:
-        """Return what has not been read yet."""
+        """Return the partitions that have not been read yet."""
         return [part for part in self._parts if part not in self._read]
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether everything has been read."""
+        """Return whether all partitions have been read."""
         return not self.missing
 
     async def read_missing(self) -> None:
-        """Read what is missing; raises the first StoreError after all readings ended."""
-        limit = asyncio.Semaphore(READS_AT_ONCE)
+        """Read the missing partitions; raises the first StoreError once all reads have ended."""
+        limit = asyncio.Semaphore(MAX_CONCURRENT_READS)
         outcomes = await asyncio.gather(
             *(self._read_part(part, limit) for part in self.missing), return_exceptions=True
         )
@@ -83,7 +83,7 @@
             self._read[part] = await self._store.read(part.table, part.part)
 
     def tables(self) -> CellTables:
-        """Return all that was read."""
+        """Return the rows of all tables."""
         jobs = [self._read[TablePart(JOBS_TABLE, part)] for part in JOB_PARTITIONS]
         return CellTables(
             progress=self._rows(TablePart(PROGRESS_TABLE)),
--- a/baobabhoist/control/links.py
+++ b/baobabhoist/control/links.py
@@ -1,4 +1,4 @@
-"""Connect the cell's owner with every other instance: each keeps one link to the owner."""
+"""Connect the cell's owner with all other instances; each keeps one link to the owner."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 CONNECT_TIMEOUT_S = 0.8
 GREETING_TIMEOUT_S = 1.0
-RECONNECT_S = 0.1
-# The owner sends something over each link this often.
+RECONNECT_INTERVAL_S = 0.1
+# Interval at which the owner sends a heartbeat over each link.
 OWNER_HEARTBEAT_INTERVAL_S = 0.25
-# A link on which the owner was not heard for this long is replaced.
-SILENT_LINK_MS = 900.0
-SILENCE_CHECK_S = 0.2
+# A link on which the owner sent nothing for this long is closed and replaced.
+SILENT_LINK_TIMEOUT_MS = 900.0
+SILENCE_CHECK_INTERVAL_S = 0.2
 
 Handler = Callable[[Any], Awaitable[Any]]
 
 
 @attrs.define
 class Identity:
-    """Hold who this process is, and whether it owns the cell now."""
+    """Identify this process, and hold whether it owns the cell now."""
 
     node: str
     boot_id: str
@@ -44,7 +44,7 @@
 
 
 class LinkServer:
-    """Accept links from the other instances and keep them while they last."""
+    """Accept links from the other instances and track the open ones by node name."""
 
     def __init__(self, identity: Identity, handler: Handler) -> None:
         self.links: dict[str, Link] = {}
@@ -53,11 +53,11 @@
         self._server: Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start to listen on `host` and `port`."""
         self._server = await serve(self._serve, host, port, **WEBSOCKET_OPTIONS)
 
     async def stop(self) -> None:
-        """Stop listening and close the links."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
 
@@ -81,7 +81,7 @@
 
 
 class OwnerLink:
-    """Keep one link to the owner that the claim names."""
+    """Maintain a link to the owner named in the claim."""
 
     def __init__(
         self, identity: Identity, handler: Handler, on_change: Callable[[], None]
@@ -91,12 +91,12 @@
         self._identity = identity
         self._handler = handler
         self._on_change = on_change
-        self._heard_ms = 0.0
+        self._last_message_ms = 0.0
         self._claim: ClaimRow | None = None
         self._task: asyncio.Task[None] | None = None
 
     def connect_to(self, claim: ClaimRow | None) -> None:
-        """Connect to another owner, or to none."""
+        """Connect to the owner named in a claim, or disconnect if there is none."""
         if claim == self._claim:
             return
         self._claim = claim
@@ -105,25 +105,25 @@
             self._task = None
         self.link, self.state = None, OwnerLinkState.UNKNOWN
         if claim is not None and not claim.is_released and claim.boot != self._identity.boot_id:
-            self._task = asyncio.create_task(self._keep(claim))
+            self._task = asyncio.create_task(self._maintain(claim))
 
     async def call(self, message: Any, timeout_s: float) -> Any:
         """Call the owner; raises LinkClosedError or TimeoutError."""
         if self.link is None:
-            raise LinkClosedError("there is no link to the owner")
+            raise LinkClosedError("no link to the owner is open")
         return await self.link.call(message, timeout_s)
 
-    async def _keep(self, claim: ClaimRow) -> None:
+    async def _maintain(self, claim: ClaimRow) -> None:
         while True:
             try:
                 await self._connect(claim)
             except ConnectionRefusedError:
-                self._saw(OwnerLinkState.REFUSED, claim)
+                self._set_state(OwnerLinkState.REFUSED, claim)
             except (OSError, TimeoutError, WebSocketException, LinkClosedError) as exc:
-                log.debug("no link to %s: %s", claim.node, exc)
+                log.debug("connecting to the owner %s failed: %s", claim.node, exc)
                 if self.state is not OwnerLinkState.ENDED:
-                    self._saw(OwnerLinkState.SILENT, claim)
-            await asyncio.sleep(RECONNECT_S)
+                    self._set_state(OwnerLinkState.SILENT, claim)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
 
     async def _connect(self, claim: ClaimRow) -> None:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -131,39 +131,39 @@
                 f"ws://{claim.address}", proxy=None, **WEBSOCKET_OPTIONS
             )
         link = Link(conn, CODEC, self._handle)
-        running = asyncio.create_task(link.run())
+        reader = asyncio.create_task(link.run())
         try:
             greeting = Greeting(self._identity.node, self._identity.boot_id)
             welcome = await link.call(greeting, GREETING_TIMEOUT_S)
             if not isinstance(welcome, Welcome) or welcome.boot != claim.boot:
-                self._saw(OwnerLinkState.ENDED, claim)
+                self._set_state(OwnerLinkState.ENDED, claim)
                 return
             self.link = link
-            self._saw(OwnerLinkState.CONNECTED, claim)
-            await self._while_heard(running)
+            self._set_state(OwnerLinkState.CONNECTED, claim)
+            await self._wait_until_silent(reader)
         finally:
             self.link = None
             link.abort()
-            running.cancel()
-        self._saw(OwnerLinkState.SILENT, claim)
-
-    async def _while_heard(self, running: asyncio.Task[None]) -> None:
-        """Return when the connection ends or the owner falls silent."""
-        self._heard_ms = monotonic_ms()
-        while monotonic_ms() - self._heard_ms < SILENT_LINK_MS:
-            done, _ = await asyncio.wait((running,), timeout=SILENCE_CHECK_S)
+            reader.cancel()
+        self._set_state(OwnerLinkState.SILENT, claim)
+
+    async def _wait_until_silent(self, reader: asyncio.Task[None]) -> None:
+        """Wait until the connection ends or the owner has sent nothing for too long."""
+        self._last_message_ms = monotonic_ms()
+        while monotonic_ms() - self._last_message_ms < SILENT_LINK_TIMEOUT_MS:
+            done, _ = await asyncio.wait((reader,), timeout=SILENCE_CHECK_INTERVAL_S)
             if done:
                 return
 
     async def _handle(self, message: Any) -> Any:
-        self._heard_ms = monotonic_ms()
+        self._last_message_ms = monotonic_ms()
         if not isinstance(message, OwnerHeartbeat):
             return await self._handler(message)
         if not message.owns:
             self._on_change()
         return None
 
-    def _saw(self, state: OwnerLinkState, claim: ClaimRow) -> None:
+    def _set_state(self, state: OwnerLinkState, claim: ClaimRow) -> None:
         if state is self.state:
             return
         emit(log, Event.OWNER_SEEN, owner=claim.node, state=state.value, before=self.state.value)
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -37,24 +37,24 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.1
-DIRECTORY_PAUSE_S = 0.2
-# Most jobs come by notice; this table brings those whose notice was lost.
-JOBS_PAUSE_S = 0.2
-LOAD_RETRY_S = 0.15
-FORGET_EVERY_TICKS = 100
-# The pause after a round of decisions is this many times as long as the round.
+TICK_INTERVAL_S = 0.1
+DIRECTORY_POLL_PAUSE_S = 0.2
+# Most jobs arrive by notification; polling the table finds those whose notification was lost.
+JOBS_POLL_PAUSE_S = 0.2
+LOAD_RETRY_INTERVAL_S = 0.15
+RETENTION_CHECK_TICKS = 100
+# Least pause after a scheduling round, as a multiple of the round's duration.
 DECISION_PAUSE_FACTOR = 3.0
-# While a cell is loaded, the loop turns after this many rows, so that beats go out.
-ROWS_A_TURN = 40
+# While loading a cell, yield to the event loop after this many rows, so that heartbeats are sent.
+ROWS_PER_YIELD = 40
 
 
 @attrs.frozen
 class OwnershipTerm:
-    """Hold a won claim.
+    """Describe one term of ownership, which begins with a won claim.
 
-    `token` fences the workers; `won_ms` is when the claim was won and `previous_owner_until_ms`
-    until when an earlier owner may still renew leases, on the local clock.
+    `token` is the fencing token for the workers. On the local clock, `won_ms` is when the claim
+    was won and `previous_owner_until_ms` until when a previous owner may still renew leases.
     """
 
     token: int
@@ -65,7 +65,7 @@
 
 @attrs.define
 class OwnerDependencies:
-    """Hold what an owner works with."""
+    """Hold the collaborators and settings of a cell's owner."""
 
     store: RowStore
     driver: WorkerDriver
@@ -74,15 +74,15 @@
     advice: AdviceDispatcher
     lease_ms: float
     job_kept_ms: float
-    # Tell whether the claim was confirmed recently enough to order starts.
+    # Returns whether the claim was confirmed recently enough to order starts.
     may_start: Callable[[], bool]
-    # Called once when another owner has the cell.
+    # Called once, with the reason, when another instance owns the cell.
     on_ownership_lost: Callable[[str], None]
     metrics: NodeMetrics
 
 
 class CellOwner:
-    """Own the tasks that drive one cell; made anew for each claim."""
+    """Run the tasks that drive one cell; each won claim gets a new instance."""
 
     def __init__(
         self, deps: OwnerDependencies, ownership: OwnershipTerm, rules: CellRules
@@ -93,56 +93,56 @@
         self.progress_writer = ProgressWriter(
             deps.store, ownership.token, self._report_ownership_lost
         )
-        self.progress_writer.on_end_acked = self._acked
+        self.progress_writer.on_end_acked = self._handle_end_acked
         self._deps = deps
         self._rules = rules
         self._loader = CellLoader(deps.store, deps.decoder.tables.directory)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._loops: dict[str, WorkerSession] = {}
+        self._sessions: dict[str, WorkerSession] = {}
         self._decision_scheduled = False
-        self._decide_from_ms = 0.0
+        self._next_decision_ms = 0.0
         self._ownership_lost_reported = False
         self._ticks = 0
 
     async def run(self) -> None:
-        """Load what lasts, then work until cancelled."""
+        """Load the stored state, then run the cell until cancelled."""
         try:
             await self._load()
             self.spawn(self._jobs_follower().run())
             self.spawn(self._directory_follower().run())
             self.spawn(self.progress_writer.run(self._require_cell()))
-            await self._tick_forever()
+            await self._run_ticks()
         finally:
             self.stop()
 
     def stop(self) -> None:
-        """Stop all tasks; nothing is ordered any more."""
-        for loop in self._loops.values():
-            loop.cancel()
-        self._loops.clear()
+        """Cancel all tasks, so that no further orders are sent."""
+        for session in self._sessions.values():
+            session.cancel()
+        self._sessions.clear()
         for task in self._tasks:
             task.cancel()
 
     @property
     def cell(self) -> Cell | None:
-        """Return the cell once it is loaded: before, its jobs look as if nothing had run."""
+        """Return the cell, or None until it is loaded: its jobs would look as if never run."""
         return self._cell if self.is_loaded else None
 
     def apply_rules(self, rules: CellRules) -> None:
-        """Use these queues and teams from now on."""
+        """Apply a new configuration of queues and teams."""
         self._rules = rules
         if self._cell is not None:
             self._cell.use_rules(rules)
             self.schedule_decision()
 
     def may_renew(self) -> bool:
-        """Tell whether leases may be renewed: not once a later owner may count on their end."""
+        """Return whether leases may be renewed: not if a later owner may rely on their expiry."""
         return self._deps.may_start()
 
-    # Questions and notices of the other instances.
+    # Queries and notifications from the instances.
 
     def handle_stored_job(self, job_id: str, value: bytes, version: int) -> None:
-        """Take a job over that was just stored."""
+        """Add a stored job to the cell."""
         cell = self._cell
         if cell is None:
             return
@@ -151,12 +151,12 @@
         except ValueError as exc:
             emit(log, Event.ROW_UNREADABLE, table=JOBS_TABLE, row=job_id, detail=exc)
             return
-        accepted_at = self._deps.clock.to_local_ms(accepted.accepted_ms)
-        if cell.job_accepted(accepted, accepted_at, monotonic_ms(), unix_ms()):
+        accepted_local_ms = self._deps.clock.to_local_ms(accepted.accepted_ms)
+        if cell.job_accepted(accepted, accepted_local_ms, monotonic_ms(), unix_ms()):
             self.schedule_decision()
 
     def handle_cancelled_job(self, job_id: str) -> None:
-        """Cancel a job whose cancellation was just stored."""
+        """Cancel a job whose cancellation is stored."""
         if self._cell is not None and self._cell.job_cancelled(job_id, monotonic_ms()):
             self.schedule_decision()
             self.progress_writer.request_flush()
@@ -169,7 +169,7 @@
         return StateReply(job.phase.value, job.accepted.queue, job.accepted.team)
 
     def count_pending_jobs(self, queue: str) -> PendingReply | None:
-        """Return how many jobs of a queue have not begun, or None while loading."""
+        """Return the number of jobs of a queue that have not started, or None while loading."""
         return PendingReply(self.cell.pending(queue)) if self.cell is not None else None
 
     # Loading.
@@ -180,28 +180,28 @@
                 await self._loader.read_missing()
             except StoreError as exc:
                 emit(log, Event.LOAD_FAILED, missing=len(self._loader.missing), detail=exc)
-                await asyncio.sleep(LOAD_RETRY_S)
-        await self._use_loaded(self._loader.tables())
+                await asyncio.sleep(LOAD_RETRY_INTERVAL_S)
+        await self._build_cell(self._loader.tables())
 
-    async def _use_loaded(self, tables: CellTables) -> None:
+    async def _build_cell(self, tables: CellTables) -> None:
         takeover = Takeover(
-            self.ownership.generation, self.ownership.token, self._leases_lapsed_ms()
+            self.ownership.generation, self.ownership.token, self._leases_expired_ms()
         )
-        known = (*tables.progress, *tables.cell, *tables.speeds)
-        self.progress_writer.set_versions({row.key: row.version for row in known})
+        loaded_rows = (*tables.progress, *tables.cell, *tables.speeds)
+        self.progress_writer.set_versions({row.key: row.version for row in loaded_rows})
         cell = Cell(self._rules, takeover, self._deps.lease_ms)
         cell.decisions.advisers = self._deps.advice.capacity
-        self._use_learned(cell, tables.speeds)
+        self._apply_speeds(cell, tables.speeds)
         self._cell = cell
-        self._directory_changed(tables.directory, True)
+        self._apply_directory_rows(tables.directory, True)
         await self._load_jobs(tables.jobs)
         now = monotonic_ms()
-        for number, row in enumerate(tables.progress):
+        for index, row in enumerate(tables.progress):
             self._apply_progress(cell, row, now)
-            if number % ROWS_A_TURN == 0:
+            if index % ROWS_PER_YIELD == 0:
                 await asyncio.sleep(0)
         self.is_loaded = True
-        self._sync_workers()
+        self._sync_sessions()
         cell.announce_inherited(now)
         emit(
             log,
@@ -214,19 +214,19 @@
         )
         self._deps.metrics.observe_takeover((now - self.ownership.won_ms) / 1000)
 
-    def _leases_lapsed_ms(self) -> float:
-        """Return when every lease that earlier owners gave has lapsed for certain."""
+    def _leases_expired_ms(self) -> float:
+        """Return when every lease granted by previous owners has certainly expired."""
         last_ms = max(self.ownership.won_ms, self.ownership.previous_owner_until_ms)
         return last_ms + self._deps.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
 
     async def _load_jobs(self, rows: Sequence[StoredRow]) -> None:
-        # Cancellations come last, because they need their jobs.
-        ordered = sorted(rows, key=lambda r: r.key.key.endswith(CANCEL_SUFFIX))
-        for first in range(0, len(ordered), ROWS_A_TURN):
-            self._jobs_changed(ordered[first : first + ROWS_A_TURN], False)
+        # Cancellations come last, because they refer to jobs that must already be loaded.
+        sorted_rows = sorted(rows, key=lambda r: r.key.key.endswith(CANCEL_SUFFIX))
+        for first in range(0, len(sorted_rows), ROWS_PER_YIELD):
+            self._apply_job_rows(sorted_rows[first : first + ROWS_PER_YIELD], False)
             await asyncio.sleep(0)
 
-    def _use_learned(self, cell: Cell, rows: Sequence[StoredRow]) -> None:
+    def _apply_speeds(self, cell: Cell, rows: Sequence[StoredRow]) -> None:
         for row in rows:
             try:
                 if row.value is not None:
@@ -241,17 +241,17 @@
         except (ValueError, IndexError) as exc:
             emit(log, Event.ROW_UNREADABLE, table=PROGRESS_TABLE, row=row.key.key, detail=exc)
 
-    # Tables.
+    # Changes of tables.
 
     def _jobs_follower(self) -> TableFollower:
-        """Follow the jobs from where they were read, because that was the largest reading."""
+        """Follow the jobs from the loaded version, to avoid reading the largest table twice."""
         return TableFollower(
             self._deps.store,
             JOBS_TABLE,
-            self._jobs_changed,
+            self._apply_job_rows,
             self._deps.clock,
-            parts=JOB_PARTITIONS,
-            pause_s=lambda: JOBS_PAUSE_S,
+            partitions=JOB_PARTITIONS,
+            pause_s=lambda: JOBS_POLL_PAUSE_S,
             known_version=self._loader.tables().jobs_version,
         )
 
@@ -259,12 +259,12 @@
         return TableFollower(
             self._deps.store,
             self._deps.decoder.tables.directory,
-            self._directory_changed,
+            self._apply_directory_rows,
             self._deps.clock,
-            pause_s=lambda: DIRECTORY_PAUSE_S,
+            pause_s=lambda: DIRECTORY_POLL_PAUSE_S,
         )
 
-    def _jobs_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
+    def _apply_job_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
         for row in sorted(rows, key=lambda r: r.key.key.endswith(CANCEL_SUFFIX)):
             if row.value is None:
                 continue
@@ -273,55 +273,55 @@
             else:
                 self.handle_stored_job(row.key.key, row.value, row.version)
 
-    def _directory_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
+    def _apply_directory_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
         cell, now = self._require_cell(), monotonic_ms()
-        found = []
+        listed = []
         for row in rows:
             if row.value is None:
                 cell.worker_unlisted(row.key.key, now)
                 continue
             info = self._deps.decoder.decode_worker(row.key.key, row.value)
             if info is not None:
-                found.append(info)
-        if whole:
-            cell.workers_listed(found, now)
-        for info in found:
+                listed.append(info)
+        if is_snapshot:
+            cell.workers_listed(listed, now)
+        for info in listed:
             cell.worker_listed(info, now)
-        self._sync_workers()
+        self._sync_sessions()
 
-    def _sync_workers(self) -> None:
-        """Keep a loop for each worker."""
+    def _sync_sessions(self) -> None:
+        """Open a session for each worker and close those of removed workers."""
         if not self.is_loaded:
             return
         workers = self._require_cell().board.workers
-        for worker_id in list(self._loops):
+        for worker_id in list(self._sessions):
             if worker_id not in workers:
-                self._loops.pop(worker_id).cancel()
+                self._sessions.pop(worker_id).cancel()
         for worker_id, worker in workers.items():
             if worker.info.address:
-                self._open_loop(worker_id)
+                self._open_session(worker_id)
         self.schedule_decision()
 
-    def _open_loop(self, worker_id: str) -> None:
-        if worker_id in self._loops:
+    def _open_session(self, worker_id: str) -> None:
+        if worker_id in self._sessions:
             return
         state = self._require_cell().board.workers[worker_id]
-        loop = WorkerSession(self, self._deps.driver, state, self._deps.lease_ms)
-        self._loops[worker_id] = loop
-        loop.start()
+        session = WorkerSession(self, self._deps.driver, state, self._deps.lease_ms)
+        self._sessions[worker_id] = session
+        session.start()
 
-    def _acked(self, worker_id: str) -> None:
-        loop = self._loops.get(worker_id)
-        if loop is not None:
-            loop.acked.set()
+    def _handle_end_acked(self, worker_id: str) -> None:
+        session = self._sessions.get(worker_id)
+        if session is not None:
+            session.ends_acked.set()
 
-    # Decisions and orders.
+    # Scheduling and orders.
 
     def schedule_decision(self) -> None:
-        """Decide in this turn of the event loop, once for all events that came in it."""
+        """Schedule one round of decisions for all events of this turn of the event loop."""
         if not self._decision_scheduled:
             self._decision_scheduled = True
-            delay_s = (self._decide_from_ms - monotonic_ms()) / 1000
+            delay_s = (self._next_decision_ms - monotonic_ms()) / 1000
             asyncio.get_running_loop().call_later(max(0.0, delay_s), self._decide)
 
     def _decide(self) -> None:
@@ -332,98 +332,98 @@
         if cell.fenced_off:
             self._report_ownership_lost("a worker obeys a higher fencing token")
             return
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         commands = cell.decide(monotonic_ms(), self._deps.may_start())
-        took_s = time.perf_counter() - began_s
-        # Under a flood of events decisions take at most a part of the processor.
-        self._decide_from_ms = monotonic_ms() + took_s * 1000 * DECISION_PAUSE_FACTOR
-        self._deps.metrics.observe_decision(took_s)
+        duration_s = time.perf_counter() - start_s
+        # Limits the share of the processor that decisions take under a flood of events.
+        self._next_decision_ms = monotonic_ms() + duration_s * 1000 * DECISION_PAUSE_FACTOR
+        self._deps.metrics.observe_decision(duration_s)
         for command in commands:
             if isinstance(command, StartTask):
-                self.progress_writer.call_when_stored(functools.partial(self._send, command))
+                self.progress_writer.call_when_stored(functools.partial(self._send_order, command))
             else:
-                self._send(command)
+                self._send_order(command)
         if cell.board.dirty:
             self.progress_writer.request_flush()
 
-    def _send(self, command: Command) -> None:
-        self.spawn(self._ORDERS[type(command)](self, command))
+    def _send_order(self, command: Command) -> None:
+        self.spawn(self._SENDERS[type(command)](self, command))
 
-    async def _start(self, order: StartTask) -> None:
-        loop = self._loops.get(order.worker_id)
+    async def _send_start(self, order: StartTask) -> None:
+        session = self._sessions.get(order.worker_id)
         cell = self._require_cell()
-        if loop is not None and cell.still_wanted(order):
-            self._observe_start(order)
+        if session is not None and cell.still_wanted(order):
+            self._observe_wait(order)
             sent_ms = monotonic_ms()
-            outcome = await loop.start_task(order)
-            seconds = (monotonic_ms() - sent_ms) / 1000
-            self._deps.metrics.observe_worker_call("start", outcome.value, seconds)
+            outcome = await session.start_task(order)
+            duration_s = (monotonic_ms() - sent_ms) / 1000
+            self._deps.metrics.observe_worker_call("start", outcome.value, duration_s)
             cell.start_answered(order, outcome, monotonic_ms())
             self.schedule_decision()
 
-    def _observe_start(self, order: StartTask) -> None:
+    def _observe_wait(self, order: StartTask) -> None:
         job = self._require_cell().job_state(order.task.job_id)
         step = job.step_of(order.task) if job is not None else None
         if job is not None and step is not None:
             waited_s = (monotonic_ms() - step.ready_ms) / 1000
             self._deps.metrics.observe_wait(job.accepted.team, job.accepted.queue, waited_s)
 
-    async def _stop(self, order: StopTask) -> None:
-        loop = self._loops.get(order.worker_id)
-        if loop is not None:
-            outcome = await loop.stop_task(order)
+    async def _send_stop(self, order: StopTask) -> None:
+        session = self._sessions.get(order.worker_id)
+        if session is not None:
+            outcome = await session.stop_task(order)
             self._require_cell().stop_answered(order, outcome, monotonic_ms())
             self.schedule_decision()
 
-    async def _ask(self, question: AskAdvice) -> None:
-        advice = await self._deps.advice.ask(question)
+    async def _ask_adviser(self, query: AskAdvice) -> None:
+        advice = await self._deps.advice.ask(query)
         cell, now = self._require_cell(), monotonic_ms()
         if advice is None:
-            cell.advice_failed(question.step, now + LOAD_RETRY_S * 1000)
+            cell.advice_failed(query.step, now + LOAD_RETRY_INTERVAL_S * 1000)
         else:
-            cell.advice_answered(
-                question.step, question.workers, advice.tickets, now + advice.valid_ms
-            )
+            cell.advice_answered(query.step, query.workers, advice.tickets, now + advice.valid_ms)
         self.schedule_decision()
 
-    _ORDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
-        StartTask: _start,
-        StopTask: _stop,
-        AskAdvice: _ask,
+    _SENDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
+        StartTask: _send_start,
+        StopTask: _send_stop,
+        AskAdvice: _ask_adviser,
     }
 
-    async def _tick_forever(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             cell = self._require_cell()
             cell.decisions.advisers = self._deps.advice.capacity
             cell.tick(monotonic_ms(), unix_ms())
             self._ticks += 1
-            if self._ticks % FORGET_EVERY_TICKS == 0:
-                self._forget_old(cell)
-            if set(self._loops) - set(cell.board.workers):
-                self._sync_workers()
+            if self._ticks % RETENTION_CHECK_TICKS == 0:
+                self._remove_expired_jobs(cell)
+            if set(self._sessions) - set(cell.board.workers):
+                self._sync_sessions()
             self.schedule_decision()
-            await asyncio.sleep(TICK_S)
-
-    def _forget_old(self, cell: Cell) -> None:
-        """Remove jobs that finished long enough ago."""
-        limit = monotonic_ms() - 2 * self._deps.job_kept_ms
-        old = [j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < limit]
-        for job_id in old:
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    def _remove_expired_jobs(self, cell: Cell) -> None:
+        """Remove jobs whose retention period has passed."""
+        cutoff_ms = monotonic_ms() - 2 * self._deps.job_kept_ms
+        expired = [
+            j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < cutoff_ms
+        ]
+        for job_id in expired:
             cell.forget_job(job_id)
             self.spawn(self.progress_writer.remove_job(job_id))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
-        """Run a task as long as this owner."""
+        """Run a background task that ends with this owner at the latest."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._handle_task_end)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             emit(log, Event.TASK_CRASHED, detail=repr(task.exception()))
-            log.error("task crashed", exc_info=task.exception())
+            log.error("a background task of the owner crashed", exc_info=task.exception())
 
     def _report_ownership_lost(self, reason: str) -> None:
         if not self._ownership_lost_reported:
@@ -432,5 +432,5 @@
 
     def _require_cell(self) -> Cell:
         if self._cell is None:
-            raise RuntimeError("the cell is not loaded")
+            raise RuntimeError("the cell has not been loaded")
         return self._cell
--- a/baobabhoist/control/owner_router.py
+++ b/baobabhoist/control/owner_router.py
@@ -1,4 +1,4 @@
-"""Reach the cell's owner: this process itself or another over its link."""
+"""Route queries and notifications to the cell's owner, in this process or over its link."""
 
 from __future__ import annotations
 
@@ -31,93 +31,98 @@
 
 log = logging.getLogger(__name__)
 
-QUIET_LINK_MS = 1_000.0
+# After a query timed out, further queries fail at once for this long.
+OWNER_TIMEOUT_BACKOFF_MS = 1_000.0
 
 
 class OwnerRouter:
-    """Pass questions and notices to the owner, wherever it is."""
+    """Send queries and notifications to the owner, and answer those of other instances."""
 
     def __init__(self, node: str, adviser: Adviser) -> None:
         self.local_owner: CellOwner | None = None
         self.owner_link: OwnerLink | None = None
-        # Carries out what another instance asks of the store.
+        # Executes store calls that other instances relay through this one.
         self.relay_store: RelayedStore | None = None
         self._node = node
         self._adviser = adviser
         self._tasks: set[asyncio.Task[None]] = set()
-        # Until then a question to the owner would most likely find the same silent link.
-        self._quiet_until_ms = 0.0
+        # Until this time a query would most likely time out on the same silent link.
+        self._backoff_until_ms = 0.0
 
     @property
     def is_owner_reachable(self) -> bool:
-        """Tell whether the owner is known and can be asked."""
+        """Return whether the owner is known and likely to answer."""
         if self.local_owner is not None:
             return self.local_owner.cell is not None
-        quiet = monotonic_ms() < self._quiet_until_ms
-        return self.owner_link is not None and self.owner_link.link is not None and not quiet
+        is_backing_off = monotonic_ms() < self._backoff_until_ms
+        return (
+            self.owner_link is not None and self.owner_link.link is not None and not is_backing_off
+        )
 
-    async def call(self, question: Any, timeout_s: float) -> Any:
+    async def call(self, query: Any, timeout_s: float) -> Any:
         """Return the owner's answer; raises LinkClosedError or TimeoutError."""
         if self.local_owner is not None:
-            return await self.handle(question)
-        if self.owner_link is None or monotonic_ms() < self._quiet_until_ms:
-            raise LinkClosedError("the owner is not known or does not answer")
+            return await self.handle(query)
+        if self.owner_link is None or monotonic_ms() < self._backoff_until_ms:
+            raise LinkClosedError("the owner is unknown or has not answered recently")
         try:
-            return await self.owner_link.call(question, timeout_s)
+            return await self.owner_link.call(query, timeout_s)
         except TimeoutError:
-            self._quiet_until_ms = monotonic_ms() + QUIET_LINK_MS
+            self._backoff_until_ms = monotonic_ms() + OWNER_TIMEOUT_BACKOFF_MS
             raise
 
     def notify(self, notice: Any) -> None:
-        """Tell the owner; a notice that gets lost comes with the store's changes."""
+        """Notify the owner in the background; it reads missed changes from the store."""
         task = asyncio.create_task(self._notify(notice))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def handle(self, message: Any) -> Any:
-        """Answer a message of another instance, or of this one."""
-        anywhere = self._ANYWHERE.get(type(message))
-        if anywhere is not None:
-            return await anywhere(self, message)
+        """Answer a message from another instance or from this one."""
+        instance_handler = self._INSTANCE_HANDLERS.get(type(message))
+        if instance_handler is not None:
+            return await instance_handler(self, message)
         if self.local_owner is None:
             return NotOwner(self._node)
-        at_owner = self._AT_OWNER.get(type(message))
-        return at_owner(self, self.local_owner, message) if at_owner is not None else None
+        owner_handler = self._OWNER_HANDLERS.get(type(message))
+        return (
+            owner_handler(self, self.local_owner, message) if owner_handler is not None else None
+        )
 
-    def _state(self, owner: CellOwner, query: StateQuery) -> StateReply:
+    def _answer_state(self, owner: CellOwner, query: StateQuery) -> StateReply:
         return owner.job_state(query.job_id)
 
-    def _pending(self, owner: CellOwner, query: PendingQuery) -> PendingReply | NotOwner:
+    def _answer_pending(self, owner: CellOwner, query: PendingQuery) -> PendingReply | NotOwner:
         return owner.count_pending_jobs(query.queue) or NotOwner(self._node)
 
-    def _job(self, owner: CellOwner, notice: JobNotice) -> None:
+    def _take_job(self, owner: CellOwner, notice: JobNotice) -> None:
         owner.handle_stored_job(notice.job_id, notice.value, notice.version)
 
-    def _cancel(self, owner: CellOwner, notice: CancelNotice) -> None:
+    def _take_cancellation(self, owner: CellOwner, notice: CancelNotice) -> None:
         owner.handle_cancelled_job(notice.job_id)
 
-    async def _serve_store(self, message: Any) -> Any:
+    async def _serve_store_call(self, message: Any) -> Any:
         return await self.relay_store.serve(message) if self.relay_store is not None else None
 
-    async def _advise(self, query: AdviceQuery) -> AdviceReply:
+    async def _ask_adviser(self, query: AdviceQuery) -> AdviceReply:
         step = StepKey(query.job_id, query.occurrence, query.step)
         advice = await self._adviser.ask(step, query.workers, query.cost_ms)
         if advice is None:
             return AdviceReply(False)
         return AdviceReply(True, advice.tickets, advice.valid_ms)
 
-    # What every instance answers, and what only the owner can.
-    _ANYWHERE: dict[type, Callable[[Any, Any], Awaitable[Any]]] = {
-        AdviceQuery: _advise,
-        RelayCommit: _serve_store,
-        RelayRead: _serve_store,
-        RelayFollow: _serve_store,
+    # Messages that every instance answers, and messages that only the owner answers.
+    _INSTANCE_HANDLERS: dict[type, Callable[[Any, Any], Awaitable[Any]]] = {
+        AdviceQuery: _ask_adviser,
+        RelayCommit: _serve_store_call,
+        RelayRead: _serve_store_call,
+        RelayFollow: _serve_store_call,
     }
-    _AT_OWNER: dict[type, Callable[[Any, CellOwner, Any], Any]] = {
-        StateQuery: _state,
-        PendingQuery: _pending,
-        JobNotice: _job,
-        CancelNotice: _cancel,
+    _OWNER_HANDLERS: dict[type, Callable[[Any, CellOwner, Any], Any]] = {
+        StateQuery: _answer_state,
+        PendingQuery: _answer_pending,
+        JobNotice: _take_job,
+        CancelNotice: _take_cancellation,
     }
 
     async def _notify(self, notice: Any) -> None:
@@ -129,4 +134,4 @@
             if link is not None:
                 await link.notify(notice)
         except LinkClosedError as exc:
-            log.debug("a notice to the owner was lost: %s", exc)
+            log.debug("a notification to the owner was lost: %s", exc)
--- a/baobabhoist/control/table_follower.py
+++ b/baobabhoist/control/table_follower.py
@@ -1,4 +1,4 @@
-"""Follow a table: read it once, then take its changes as they come."""
+"""Follow a table: read a snapshot of it, then poll for its changes."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.15
-# Long polls are this short, so that each answer shows that the last reading is still current.
-WAIT_MS = 1_000
+RETRY_INTERVAL_S = 0.15
+# Long polls are short because each answer also confirms that the known rows are current.
+POLL_WAIT_MS = 1_000
 
 OnRows = Callable[[Sequence[StoredRow], bool], None]
 
 
 class TableFollower:
-    """Own the reading of one table.
+    """Follow one table.
 
-    `on_rows` gets rows and whether they are the whole table. `confirmed_ms` is when the last
-    answered question was asked, on the local clock. The table is not read where its rows up to
-    `known_version` are known already.
+    `on_rows` gets rows and whether they are a snapshot of the table. `confirmed_ms` is when the
+    last answered call was sent, on the local clock. With a `known_version` no snapshot is read:
+    the caller already has the rows up to that version.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         on_rows: OnRows,
         clock: StoreClock,
         *,
-        parts: Iterable[str] = ("",),
+        partitions: Iterable[str] = ("",),
         pause_s: Callable[[], float] = lambda: 0.0,
         on_confirmed: Callable[[float], None] | None = None,
         known_version: int = 0,
@@ -45,49 +45,49 @@
         self._table = table
         self._on_rows = on_rows
         self._clock = clock
-        self._parts = tuple(parts)
+        self._partitions = tuple(partitions)
         self._pause_s = pause_s
         self._on_confirmed = on_confirmed
-        self._connected = False
+        self._is_connected = False
         self._poll_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        loaded = self.version > 0
+        is_loaded = self.version > 0
         while True:
             try:
-                if not loaded:
+                if not is_loaded:
                     await self.load()
-                    loaded = True
+                    is_loaded = True
                 await self._poll()
             except HistoryLostError:
                 emit(log, Event.HISTORY_LOST, table=self._table, version=self.version)
-                loaded = False
+                is_loaded = False
             except StoreError as exc:
-                self._note_lost(exc)
-                await asyncio.sleep(RETRY_S)
+                self._log_disconnected(exc)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def load(self) -> None:
-        """Read the whole table; raises StoreError."""
-        asked_ms = monotonic_ms()
-        read = (self._store.read(self._table, part) for part in self._parts)
-        found: list[Rows] = await asyncio.gather(*read)
-        # Changes after the oldest reading are read again by the first poll.
-        self.version = min(rows.version for rows in found)
-        self._on_rows([row for rows in found for row in rows.rows], True)
-        self._confirm(found[-1], asked_ms)
+        """Read a snapshot of the table; raises StoreError."""
+        sent_ms = monotonic_ms()
+        reads = (self._store.read(self._table, partition) for partition in self._partitions)
+        snapshots: list[Rows] = await asyncio.gather(*reads)
+        # Partitions may differ in version; the first poll repeats the changes after the oldest.
+        self.version = min(rows.version for rows in snapshots)
+        self._on_rows([row for rows in snapshots for row in rows.rows], True)
+        self._confirm(snapshots[-1], sent_ms)
 
     async def _poll(self) -> None:
-        asked_ms = monotonic_ms()
-        changes = await self._store.follow(self._table, self.version, WAIT_MS)
+        sent_ms = monotonic_ms()
+        changes = await self._store.follow(self._table, self.version, POLL_WAIT_MS)
         self.version = max(self.version, changes.version)
         if changes.rows:
             self._on_rows(changes.rows, False)
-        self._confirm(changes, asked_ms)
+        self._confirm(changes, sent_ms)
         await self._pause()
 
     async def _pause(self) -> None:
-        """Wait between two polls, unless a poll is requested."""
+        """Wait for the pause between polls, or until a poll is requested."""
         pause_s = self._pause_s()
         if pause_s <= 0.0:
             return
@@ -99,19 +99,19 @@
         self._poll_requested.clear()
 
     def poll_now(self) -> None:
-        """Ask again now instead of after the pause."""
+        """Poll without waiting for the pause to end."""
         self._poll_requested.set()
 
-    def _confirm(self, rows: Rows, asked_ms: float) -> None:
+    def _confirm(self, rows: Rows, sent_ms: float) -> None:
         self._clock.observe(rows.now_ms)
-        self.confirmed_ms = asked_ms
-        if not self._connected:
-            self._connected = True
+        self.confirmed_ms = sent_ms
+        if not self._is_connected:
+            self._is_connected = True
             emit(log, Event.TABLE_FOLLOWED, table=self._table, version=self.version)
         if self._on_confirmed is not None:
-            self._on_confirmed(asked_ms)
+            self._on_confirmed(sent_ms)
 
-    def _note_lost(self, exc: StoreError) -> None:
-        if self._connected:
-            self._connected = False
+    def _log_disconnected(self, exc: StoreError) -> None:
+        if self._is_connected:
+            self._is_connected = False
             emit(log, Event.TABLE_LOST, table=self._table, version=self.version, detail=exc)
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -1,4 +1,4 @@
-"""Drive one worker: renew its lease, take its reports, give it orders."""
+"""Drive one worker: renew its lease, process its reports and send it orders."""
 
 from __future__ import annotations
 
@@ -17,63 +17,63 @@
 
 log = logging.getLogger(__name__)
 
-# A renewal waits at the worker this long for an end.
-WAIT_MS = 1_000
-RETRY_S = 0.1
+# Long-poll time of a renewal, in which the worker waits for a task to end.
+RENEW_WAIT_MS = 1_000
+RETRY_INITIAL_S = 0.1
 RETRY_MAX_S = 0.4
-# While an end is not stored yet, the worker would answer each renewal at once.
-ACK_WAIT_S = 0.15
+# Pause for an end to be stored: until it is acknowledged, the worker answers renewals at once.
+ACK_TIMEOUT_S = 0.15
 
 
 class WorkerSession:
-    """Own the calls to one worker."""
+    """Make all calls to one worker."""
 
     def __init__(
         self, owner: CellOwner, driver: WorkerDriver, state: WorkerState, lease_ms: float
     ) -> None:
-        self.acked = asyncio.Event()
+        self.ends_acked = asyncio.Event()
         self._owner = owner
         self._driver = driver
         self._state = state
         self._lease_ms = lease_ms
         self._task: asyncio.Task[None] | None = None
-        self._answering = True
+        self._is_answering = True
 
     def start(self) -> None:
-        """Begin to renew the lease."""
+        """Start to renew the lease in the background."""
         self._task = asyncio.create_task(self._run())
 
     def cancel(self) -> None:
-        """Stop renewing."""
+        """Stop renewing the lease."""
         if self._task is not None:
             self._task.cancel()
 
     async def start_task(self, order: StartTask) -> OrderOutcome:
-        """Give an order to start."""
-        deadline = self._deadline()
-        if deadline is None:
+        """Order the worker to start a run."""
+        deadline_ms = self._next_deadline()
+        if deadline_ms is None:
             return OrderOutcome.LATE
         token = self._owner.ownership.token
-        answer = await self._driver.start(self._state.info, token, order, deadline)
+        answer = await self._driver.start(self._state.info, token, order, deadline_ms)
         if answer.clock_ms is not None:
             self._state.lease.heard(answer.clock_ms, monotonic_ms())
         return answer.outcome
 
     async def stop_task(self, order: StopTask) -> OrderOutcome:
-        """Give an order to stop."""
+        """Order the worker to stop a run."""
         token = self._owner.ownership.token
         answer = await self._driver.stop(self._state.info, token, order)
         return answer.outcome
 
-    def _deadline(self) -> int | None:
+    def _next_deadline(self) -> int | None:
         return self._state.lease.next_deadline(monotonic_ms(), self._lease_ms)
 
     async def _run(self) -> None:
-        delay_s = RETRY_S
+        delay_s = RETRY_INITIAL_S
         try:
             while True:
                 if await self._renew():
-                    delay_s = RETRY_S
+                    delay_s = RETRY_INITIAL_S
                     continue
                 await asyncio.sleep(delay_s)
                 delay_s = min(RETRY_MAX_S, 2 * delay_s)
@@ -81,22 +81,25 @@
             self._task = None
 
     async def _renew(self) -> bool:
-        """Renew once; tell whether the worker answered."""
+        """Renew the lease once; return whether the worker answered."""
         state, cell = self._state, self._owner.cell
         if cell is None:
             return False
-        behind = state.seen_end > state.acked_end
-        wait_ms = WAIT_MS if state.fenced and self._answering and not behind else 0
-        # A silent worker is offered no longer lease: its tasks wait for the end of the last one.
-        may_extend = self._answering and self._owner.may_renew()
-        deadline = self._deadline() if may_extend else None
+        has_unacked_ends = state.seen_end > state.acked_end
+        wait_ms = (
+            RENEW_WAIT_MS if state.fenced and self._is_answering and not has_unacked_ends else 0
+        )
+        # A silent worker is offered no longer lease: its tasks can only restart elsewhere once
+        # the last deadline sent to it has passed.
+        may_extend = self._is_answering and self._owner.may_renew()
+        deadline_ms = self._next_deadline() if may_extend else None
         sent_ms = monotonic_ms()
         token = self._owner.ownership.token
-        answer = await self._driver.renew(state.info, token, state.acked_end, deadline, wait_ms)
+        answer = await self._driver.renew(state.info, token, state.acked_end, deadline_ms, wait_ms)
         if not isinstance(answer, WorkerReport):
-            self._failed(answer)
+            self._handle_failure(answer)
             return False
-        self._note_answering(True, "")
+        self._set_answering(True, "")
         cell.reported(state.worker_id, answer, sent_ms, monotonic_ms())
         self._owner.schedule_decision()
         if state.seen_end > state.acked_end:
@@ -105,22 +108,22 @@
 
     async def _wait_for_ack(self) -> None:
         self._owner.progress_writer.request_flush()
-        self.acked.clear()
+        self.ends_acked.clear()
         try:
-            async with asyncio.timeout(ACK_WAIT_S):
-                await self.acked.wait()
+            async with asyncio.timeout(ACK_TIMEOUT_S):
+                await self.ends_acked.wait()
         except TimeoutError:
-            log.debug("the ends of %s are not stored yet", self._state.worker_id)
+            log.debug("ended tasks of worker %s are not stored yet", self._state.worker_id)
 
-    def _failed(self, outcome: OrderOutcome) -> None:
+    def _handle_failure(self, outcome: OrderOutcome) -> None:
         if outcome is OrderOutcome.FENCED and self._owner.cell is not None:
             self._owner.cell.was_fenced()
             self._owner.schedule_decision()
-        self._note_answering(False, outcome.value)
+        self._set_answering(False, outcome.value)
 
-    def _note_answering(self, answering: bool, reason: str) -> None:
-        if answering is self._answering:
+    def _set_answering(self, is_answering: bool, reason: str) -> None:
+        if is_answering is self._is_answering:
             return
-        self._answering = answering
-        event = Event.WORKER_ANSWERS if answering else Event.WORKER_SILENT
+        self._is_answering = is_answering
+        event = Event.WORKER_ANSWERS if is_answering else Event.WORKER_SILENT
         emit(log, event, worker=self._state.worker_id, reason=reason)
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -1,4 +1,4 @@
-"""Test that a takeover ends although single readings fail."""
+"""Test that a takeover completes although single reads fail."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FlakyRows(MemoryRows):
-    """Answer each reading only after one failure, and count the answers."""
+    """Fail the first read of each partition of the jobs, and record the answered reads."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
         self.answered: list[tuple[str, str]] = []
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
-        """Fail the first reading of each part of a job's id."""
+        """Fail if this is the first read of a jobs partition."""
         if part and (table, part) not in self.failed:
             self.failed.add((table, part))
             raise StoreUnansweredError("no answer")
@@ -37,16 +37,16 @@
         return await super().read(table, part, first=first, last=last)
 
 
-def filled(rows: MemoryRows) -> None:
-    """Store a job and its progress."""
+def store_job_and_progress(rows: MemoryRows) -> None:
+    """Store a job and its progress under a claim."""
     rows.apply(RowsTxn(puts={job_row_key(JOB_ID): b"job"}))
     rows.apply(RowsTxn(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"}))
 
 
-def test_readings_that_came_are_not_asked_again() -> None:
-    """Guard against takeovers that start over for ever on a slow link."""
+def test_completed_reads_are_not_repeated() -> None:
+    """Guard against takeovers that restart for ever on a slow link."""
     rows = FlakyRows()
-    filled(rows)
+    store_job_and_progress(rows)
     loader = CellLoader(rows, DIRECTORY)
     with pytest.raises(StoreUnansweredError):
         asyncio.run(loader.read_missing())
@@ -56,10 +56,10 @@
     assert len(rows.answered) == len(set(rows.answered))
 
 
-def test_tables_hold_what_was_read() -> None:
-    """Guard against a cell that lacks a part, or follows the jobs from too late a version."""
+def test_tables_contain_the_rows_read() -> None:
+    """Guard against a cell that lacks rows, or that follows the jobs from too late a version."""
     rows = MemoryRows()
-    filled(rows)
+    store_job_and_progress(rows)
     loader = CellLoader(rows, DIRECTORY)
     asyncio.run(loader.read_missing())
     tables = loader.tables()
@@ -69,21 +69,21 @@
     assert tables.jobs_version == rows.version
 
 
-def test_few_readings_share_the_link() -> None:
-    """Guard against readings that together fill a slow link, so that none arrives in time."""
-    open_now = 0
-    most = 0
+def test_concurrent_reads_are_limited() -> None:
+    """Guard against reads that together saturate a slow link, so that none completes in time."""
+    in_flight = 0
+    max_in_flight = 0
 
-    class CountedRows(MemoryRows):
+    class CountingRows(MemoryRows):
         async def read(
             self, table: str, part: str = "", *, first: str = "", last: str = ""
         ) -> Rows:
-            nonlocal open_now, most
-            open_now += 1
-            most = max(most, open_now)
+            nonlocal in_flight, max_in_flight
+            in_flight += 1
+            max_in_flight = max(max_in_flight, in_flight)
             await asyncio.sleep(0)
-            open_now -= 1
+            in_flight -= 1
             return await super().read(table, part, first=first, last=last)
 
-    asyncio.run(CellLoader(CountedRows(), DIRECTORY).read_missing())
-    assert 1 < most <= 6
+    asyncio.run(CellLoader(CountingRows(), DIRECTORY).read_missing())
+    assert 1 < max_in_flight <= 6
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -1,4 +1,4 @@
-"""Test how a table is followed through outages and lost history."""
+"""Test how a table is followed through store outages and lost history."""
 
 import asyncio
 
@@ -14,74 +14,74 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
-    monkeypatch.setattr(table_follower_module, "RETRY_S", 0.0)
+def no_retry_delay(monkeypatch):
+    monkeypatch.setattr(table_follower_module, "RETRY_INTERVAL_S", 0.0)
 
 
 def put(rows, value):
     rows.apply(RowsTxn({}, {KEY: value}))
 
 
-async def turn(times=30):
+async def run_event_loop(times=30):
     for _ in range(times):
         await asyncio.sleep(0)
 
 
-def follow(test):
-    """Run a test beside a follower; it gets the store, the readings and the follower."""
+def run_with_follower(test):
+    """Run a test next to a follower, with the store, the rows seen and the follower."""
 
     async def run():
         rows, seen = MemoryRows(), []
 
-        def take(found, whole):
-            seen.extend((row.value, whole) for row in found)
+        def record(changed, is_snapshot):
+            seen.extend((row.value, is_snapshot) for row in changed)
 
-        follower = TableFollower(rows, "t", take, StoreClock())
+        follower = TableFollower(rows, "t", record, StoreClock())
         task = asyncio.create_task(follower.run())
-        await turn()
+        await run_event_loop()
         await test(rows, seen, follower)
         task.cancel()
 
     asyncio.run(run())
 
 
-def test_changes_come_after_the_first_reading():
-    """Guard against a change that neither the reading nor the changes bring."""
+def test_changes_follow_the_snapshot():
+    """Guard against a change that is in neither the snapshot nor the polled changes."""
 
     async def test(rows, seen, follower):
         put(rows, b"1")
-        await turn()
+        await run_event_loop()
         assert seen == [(b"1", False)]
 
-    follow(test)
+    run_with_follower(test)
 
 
-def test_a_lost_history_leads_to_a_whole_reading():
-    """Guard against a change that was made while the store dropped its history."""
+def test_lost_history_leads_to_a_new_snapshot():
+    """Guard against missing a change whose history the store has dropped."""
 
     async def test(rows, seen, follower):
         put(rows, b"1")
         rows.history_from = rows.version + 1
         rows.log.clear()
-        await turn()
+        await run_event_loop()
         assert (b"1", True) in seen
 
-    follow(test)
+    run_with_follower(test)
 
 
-def test_following_goes_on_after_an_outage():
-    """Guard against a watch that ends with the first failed call."""
+def test_following_continues_after_an_outage():
+    """Guard against a follower that stops at the first failed call."""
 
     async def test(rows, seen, follower):
         rows.down = True
-        await turn()
+        await run_event_loop()
         confirmed = follower.confirmed_ms
         put(rows, b"2")
-        await turn()
+        await run_event_loop()
         assert seen == []
         assert follower.confirmed_ms == confirmed
         rows.down = False
-        await turn()
+        await run_event_loop()
         assert seen == [(b"2", False)]
 
-    follow(test)
+    run_with_follower(test)
--- a/baobabhoist/tests/test_control_worker_session.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -1,4 +1,4 @@
-"""Test how one worker is driven: renewals, acknowledgements and silence."""
+"""Test lease renewal for one worker, with and without answers."""
 
 import asyncio
 from types import SimpleNamespace
@@ -11,8 +11,8 @@
 from baobabhoist.tests.cells import LEASE_MS, Rig, job
 
 
-class Driver:
-    """Answer renewals from a stand-in worker until it falls silent."""
+class FakeDriver:
+    """Answer renewals from a simulated worker, unless it is silent."""
 
     def __init__(self, worker):
         self.worker = worker
@@ -29,11 +29,11 @@
         return self.worker.renew(token, acked_end, deadline_ms)
 
 
-def drive(rounds, silent_from):
+def run_renewals(rounds, silent_from):
     rig = Rig.with_workers(1)
     rig.accept(job())
     rig.settle()
-    driver = Driver(rig.workers["w0"])
+    driver = FakeDriver(rig.workers["w0"])
     owner = SimpleNamespace(
         cell=rig.cell,
         ownership=SimpleNamespace(token=rig.token),
@@ -41,31 +41,35 @@
         schedule_decision=lambda: None,
         progress_writer=SimpleNamespace(request_flush=lambda: None),
     )
-    loop = WorkerSession(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
+    session = WorkerSession(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
             driver.silent = number >= silent_from
-            await loop._renew()
+            await session._renew()
 
     asyncio.run(run())
     return rig, driver
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
-    monkeypatch.setattr(worker_session, "ACK_WAIT_S", 0.001)
+def short_ack_timeout(monkeypatch):
+    monkeypatch.setattr(worker_session, "ACK_TIMEOUT_S", 0.001)
 
 
-def test_a_silent_worker_is_not_offered_a_longer_lease():
-    """Guard against tasks that never start again (hunt 15b2, LOST): each try moved the end."""
-    rig, driver = drive(6, silent_from=2)
+def test_silent_worker_is_not_offered_a_longer_lease():
+    """Guard against tasks of a silent worker that are never restarted.
+
+    Each failed renewal moved the deadline of the lease, so that it never expired. Found by
+    hunt 15b2, which reported LOST.
+    """
+    rig, driver = run_renewals(6, silent_from=2)
     assert driver.deadlines[2] is not None
     assert driver.deadlines[3:] == [None, None, None]
     assert rig.cell.board.workers["w0"].lease.deadline_ms == driver.deadlines[2]
 
 
-def test_a_worker_that_answers_again_gets_its_lease_renewed():
-    """Guard against a lease that lapses although its worker is back."""
-    _, driver = drive(4, silent_from=4)
+def test_answering_worker_gets_its_lease_renewed():
+    """Guard against a lease that expires although its worker answers."""
+    _, driver = run_renewals(4, silent_from=4)
     assert all(driver.deadlines)
