--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -1,4 +1,4 @@
-"""Answer callers: take jobs in, show and cancel them, count what waits."""
+"""Serve callers: accept, query and cancel jobs, and count the pending ones."""
 
 from __future__ import annotations
 
@@ -41,18 +41,19 @@
 
 JOB_ID = re.compile(r"[0-9a-f]{16}")
 RETRY_AFTER_S = 1.0
-# Another instance can most likely take the call now.
-ELSEWHERE_S = 0.0
+# Sent when another instance can probably serve the call now.
+RETRY_ELSEWHERE_S = 0.0
 QUERY_TIMEOUT_S = 0.5
-# Time kept back from a caller's deadline for the way of the answer.
+# Part of a caller's deadline that is reserved for sending the answer.
 ANSWER_RESERVE_MS = 150.0
-# A key is accepted while the configuration is known to be at most this part of the bound old.
-KEY_AGE_PART = 0.85
+# Keys are checked only while the configuration is younger than this fraction of revoke_ms, the
+# time within which a withdrawn key must stop working.
+MAX_KEY_AGE_FRACTION = 0.85
 
 
 @attrs.frozen
 class ApiCall:
-    """Hold what every call carries; `deadline_ms` is on the local clock."""
+    """Hold the fields common to all calls; `deadline_ms` is on the local clock."""
 
     host: str
     path: str
@@ -62,7 +63,7 @@
 
 @attrs.frozen
 class AdmittedCall:
-    """Hold a call that its route and key allow; `job_id` is empty for the queue itself."""
+    """Hold a call admitted by its route and key; `job_id` is empty for a call to the queue."""
 
     cfg: CellConfig
     route: Route
@@ -71,32 +72,32 @@
 
 
 def unavailable_refusal(message: str, retry_after_s: float = RETRY_AFTER_S) -> Refusal:
-    """Return the refusal of work that this instance cannot take now."""
+    """Return the refusal of a call that this instance cannot serve now."""
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
         message,
-        remedy="send it again after the time given",
+        remedy="retry after the given time",
         retry_after_s=retry_after_s,
     )
 
 
 def unknown_outcome_refusal(message: str) -> Refusal:
-    """Return the answer for a call whose effect is not known."""
+    """Return the refusal of a call whose outcome is unknown."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
         message,
         Outcome.UNKNOWN,
-        remedy="send it again with the same id; it is taken once",
+        remedy="retry with the same id; the job is accepted only once",
     )
 
 
-def _no_job(job_id: str) -> Refusal:
+def _unknown_job_refusal(job_id: str) -> Refusal:
     return Refusal(ErrorKind.NOT_FOUND, f"there is no job {job_id}", remedy="check the id")
 
 
 @attrs.define
 class JobApi:
-    """Own no state: each call is answered from the configuration, the owner and the store."""
+    """Answer calls from the configuration, the owner and the store, without state of its own."""
 
     config: ActiveConfig
     store: RowStore
@@ -108,7 +109,7 @@
     row_max_bytes: int
 
     def admit(self, call: ApiCall) -> AdmittedCall | Refusal:
-        """Return the route and team of a call, or why it is refused."""
+        """Return the admitted call with its route and team, or the refusal."""
         cfg = self.config.current
         if cfg is None:
             return unavailable_refusal("no configuration has been loaded yet")
@@ -119,10 +120,8 @@
             )
         team = ""
         if not route.queue.open_to_all:
-            if self.config.age_ms(monotonic_ms()) > KEY_AGE_PART * self.revoke_ms:
-                return unavailable_refusal(
-                    "the keys in force are not known to be current", ELSEWHERE_S
-                )
+            if self.config.age_ms(monotonic_ms()) > MAX_KEY_AGE_FRACTION * self.revoke_ms:
+                return unavailable_refusal("the active keys may be out of date", RETRY_ELSEWHERE_S)
             if call.key not in cfg.team_by_key:
                 kind = ErrorKind.KEY_REJECTED if call.key else ErrorKind.KEY_MISSING
                 emit(log, Event.KEY_REFUSED, queue=route.queue.name, version=cfg.version)
@@ -132,12 +131,12 @@
         return AdmittedCall(cfg, route, team, job_id)
 
     async def submit(self, call: ApiCall, admitted: AdmittedCall, body: bytes) -> Refusal | None:
-        """Store a job; returns None once it is accepted."""
+        """Store a job; return None once it is accepted."""
         if JOB_ID.fullmatch(admitted.job_id) is None:
             message = f"{admitted.job_id!r} is not a job id"
             return Refusal(ErrorKind.BAD_REQUEST, message, remedy="give 16 hex digits")
         if len(body) > admitted.cfg.body_max_bytes:
-            message = f"a body has at most {admitted.cfg.body_max_bytes} bytes"
+            message = f"a body may have at most {admitted.cfg.body_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy="send a smaller job")
         spec = self.decoder.decode_job(body)
         if isinstance(spec, Refusal):
@@ -151,10 +150,10 @@
         row = JobRow(queue.name, queue.service, admitted.team, self.clock.now_ms(), spec)
         value = encode_job(row)
         if len(value) > self.row_max_bytes:
-            message = f"the job takes {len(value)} bytes as it is stored"
+            message = f"the stored job would take {len(value)} bytes"
             remedy = f"send a job of at most {self.row_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy=remedy)
-        began_ms = monotonic_ms()
+        start_ms = monotonic_ms()
         outcome = await self.job_writer.store_job(
             admitted.job_id, value, call.deadline_ms - ANSWER_RESERVE_MS
         )
@@ -168,64 +167,66 @@
             config_age_ms=round(self.config.age_ms(monotonic_ms())),
             outcome=outcome.status.value,
             version=outcome.version,
-            took_ms=round(monotonic_ms() - began_ms),
+            took_ms=round(monotonic_ms() - start_ms),
         )
         if outcome.status is WriteStatus.REFUSED:
-            return self._no_store("the store takes no jobs now")
+            return self._store_refusal("the store cannot accept jobs now")
         if outcome.status is WriteStatus.UNKNOWN:
-            return unknown_outcome_refusal("the store did not say whether the job was stored")
+            return unknown_outcome_refusal("the store did not confirm whether the job was stored")
         if outcome.status is WriteStatus.NEW:
             self.owner_router.notify(JobNotice(admitted.job_id, value, outcome.version))
         return None
 
     async def job_state(self, admitted: AdmittedCall) -> str | Refusal:
         """Return the state of a job."""
-        found = await self._find(admitted.job_id)
-        if isinstance(found, Refusal):
-            return found
-        if not found.state:
-            return _no_job(admitted.job_id)
-        if found.team and found.team != admitted.team:
+        reply = await self._find_state(admitted.job_id)
+        if isinstance(reply, Refusal):
+            return reply
+        if not reply.state:
+            return _unknown_job_refusal(admitted.job_id)
+        if reply.team and reply.team != admitted.team:
             return Refusal(
                 ErrorKind.FORBIDDEN, "the job belongs to another team", remedy="use its key"
             )
-        return found.state
+        return reply.state
 
     async def cancel(self, call: ApiCall, admitted: AdmittedCall) -> Refusal | None:
-        """Cancel a job; returns None once that is stored."""
-        found = await self._find(admitted.job_id)
-        if isinstance(found, Refusal):
-            return found
-        if not found.state:
-            return _no_job(admitted.job_id)
-        if found.state in FINAL_PHASES:
+        """Cancel a job; return None once the cancellation is stored."""
+        reply = await self._find_state(admitted.job_id)
+        if isinstance(reply, Refusal):
+            return reply
+        if not reply.state:
+            return _unknown_job_refusal(admitted.job_id)
+        if reply.state in FINAL_PHASES:
             return None
         outcome = await self.job_writer.store_cancel(
             admitted.job_id, call.deadline_ms - ANSWER_RESERVE_MS
         )
         emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=outcome.status.value)
         if outcome.status is WriteStatus.REFUSED:
-            return self._no_store("the store takes no cancellations now")
+            return self._store_refusal("the store cannot accept cancellations now")
         if outcome.status is WriteStatus.UNKNOWN:
-            return unknown_outcome_refusal("the store did not say whether the job was cancelled")
+            return unknown_outcome_refusal(
+                "the store did not confirm whether the job was cancelled"
+            )
         self.owner_router.notify(CancelNotice(admitted.job_id))
         return None
 
     async def count_pending_jobs(self, admitted: AdmittedCall) -> int | Refusal:
-        """Return how many jobs of a queue have not begun."""
+        """Return the number of jobs of a queue that have not started."""
         queue = admitted.route.queue.name
         reply = await self._ask_owner(PendingQuery(queue))
         if isinstance(reply, PendingReply):
             return reply.jobs
         return unavailable_refusal("the owner of the queue cannot be reached")
 
-    def _no_store(self, message: str) -> Refusal:
-        """Refuse a write; an instance that is cut off sends its callers elsewhere at once."""
+    def _store_refusal(self, message: str) -> Refusal:
+        """Return the refusal of a write; callers of a cut-off instance retry elsewhere at once."""
         return unavailable_refusal(
-            message, RETRY_AFTER_S if self.owner_router.is_owner_reachable else ELSEWHERE_S
+            message, RETRY_AFTER_S if self.owner_router.is_owner_reachable else RETRY_ELSEWHERE_S
         )
 
-    async def _find(self, job_id: str) -> StateReply | Refusal:
+    async def _find_state(self, job_id: str) -> StateReply | Refusal:
         if JOB_ID.fullmatch(job_id) is None:
             return StateReply()
         reply = await self._ask_owner(StateQuery(job_id))
@@ -235,28 +236,28 @@
             return await self._read_state(job_id)
         except (StoreError, ValueError) as exc:
             emit(log, Event.STATE_UNKNOWN, job=job_id, detail=exc)
-            return unavailable_refusal("neither the owner nor the store can be asked")
+            return unavailable_refusal("neither the owner nor the store can be reached")
 
     async def _read_state(self, job_id: str) -> StateReply:
-        """Return a job's state from the store; raises StoreError or ValueError."""
+        """Read the state of a job from the store; raises StoreError or ValueError."""
         key = job_row_key(job_id)
         rows = await self.store.read(JOBS_TABLE, key.part, first=job_id, last=job_id + "0")
-        by_key = {row.key: row for row in rows.rows}
-        stored = by_key.get(key)
+        rows_by_key = {row.key: row for row in rows.rows}
+        stored = rows_by_key.get(key)
         if stored is None or stored.value is None:
             return StateReply()
         job = decode_job(job_id, stored.value, stored.version)
-        phase = JobPhase.CANCELLED if cancel_row_key(job_id) in by_key else JobPhase.QUEUED
-        found = await self.store.read(PROGRESS_TABLE, "", first=job_id, last=job_id + "0")
-        for row in found.rows:
+        phase = JobPhase.CANCELLED if cancel_row_key(job_id) in rows_by_key else JobPhase.QUEUED
+        progress = await self.store.read(PROGRESS_TABLE, "", first=job_id, last=job_id + "0")
+        for row in progress.rows:
             if row.value is not None:
-                written = progress_rows.decode(row.value).phase
-                phase = written if written in FINAL_PHASES else phase
+                stored_phase = progress_rows.decode(row.value).phase
+                phase = stored_phase if stored_phase in FINAL_PHASES else phase
         return StateReply(phase.value, job.queue, job.team)
 
-    async def _ask_owner(self, question: Any) -> Any:
+    async def _ask_owner(self, query: Any) -> Any:
         try:
-            return await self.owner_router.call(question, QUERY_TIMEOUT_S)
+            return await self.owner_router.call(query, QUERY_TIMEOUT_S)
         except (LinkClosedError, TimeoutError) as exc:
             log.debug("the owner did not answer: %s", exc)
             return None
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -1,4 +1,4 @@
-"""Store accepted jobs and cancellations, and find out what became of lost answers."""
+"""Store accepted jobs and cancellations, and resolve the outcome of unanswered writes."""
 
 from __future__ import annotations
 
@@ -25,86 +25,88 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.06
-# A write that is refused is tried again for this long before its caller is told.
-REFUSED_MAX_MS = 150.0
-# A write without an answer is tried again for this long while the store answers nothing else.
-SILENT_MAX_MS = 700.0
+RETRY_INTERVAL_S = 0.06
+# A refused write is retried for this long before the refusal is reported.
+REFUSED_RETRY_MS = 150.0
+# An unanswered write is retried for this long while the store answers no other call either.
+UNANSWERED_RETRY_MS = 700.0
 
 
 class WriteStatus(enum.Enum):
-    """Name what became of a row that was to be stored."""
+    """Describe the outcome of storing a row."""
 
     NEW = "new"
-    # The row was there already, from an earlier try.
+    # An earlier call had already stored the row.
     ALREADY_STORED = "known"
-    # Nothing was written, and nothing will be.
+    # The row was not written, and no late write is pending.
     REFUSED = "refused"
-    # It is not known whether the row was written, or will be.
+    # The row may have been written, or may be written late.
     UNKNOWN = "unknown"
 
 
 @attrs.frozen
 class WriteResult:
-    """Hold what became of a write and the row's version if it is there."""
+    """Hold the outcome of a write, and the version of the row if it is stored."""
 
     status: WriteStatus
     version: int = 0
 
 
 class JobWriter:
-    """Write rows that must not exist yet; a repeated write reads back a lost answer."""
+    """Insert rows idempotently; repeating a write tells the outcome of an unanswered one."""
 
     def __init__(self, store: RowStore, store_health: StoreHealth) -> None:
         self._store = store
         self._store_health = store_health
 
     async def store_job(self, job_id: str, value: bytes, deadline_ms: float) -> WriteResult:
-        """Store a job unless it is there already."""
-        return await self._put_new(job_row_key(job_id), value, deadline_ms)
+        """Store a job unless it is already stored."""
+        return await self._insert(job_row_key(job_id), value, deadline_ms)
 
     async def store_cancel(self, job_id: str, deadline_ms: float) -> WriteResult:
-        """Store that a job is cancelled."""
-        return await self._put_new(cancel_row_key(job_id), b"{}", deadline_ms)
+        """Store the cancellation of a job."""
+        return await self._insert(cancel_row_key(job_id), b"{}", deadline_ms)
 
-    async def _put_new(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
-        """Store a row that must not be there yet."""
+    async def _insert(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
+        """Insert a row, and retry until the outcome is known or the time is up."""
         txn = RowsTxn({key: 0}, {key: value})
-        begun_ms = monotonic_ms()
-        doubtful = False
+        start_ms = monotonic_ms()
+        may_be_written = False
         while True:
             try:
                 outcome = await self._store.commit(txn)
             except StoreRefusedError as exc:
-                out_of_reach = self._store_health.is_unreachable()
-                tried_long = monotonic_ms() - begun_ms > REFUSED_MAX_MS
-                if not doubtful and (out_of_reach or tried_long):
+                is_unreachable = self._store_health.is_unreachable()
+                retried_too_long = monotonic_ms() - start_ms > REFUSED_RETRY_MS
+                if not may_be_written and (is_unreachable or retried_too_long):
                     emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
                     return WriteResult(WriteStatus.REFUSED)
             except StoreUnansweredError as exc:
-                # The same write again tells what became of this one.
-                doubtful = True
+                # Repeating the same write tells whether this one was applied.
+                may_be_written = True
                 emit(log, Event.WRITE_UNANSWERED, row=key.key, detail=exc)
-                if self._silent_since(begun_ms):
+                if self._is_silent_since(start_ms):
                     return WriteResult(WriteStatus.UNKNOWN)
             except StoreError as exc:
                 emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
-                return WriteResult(WriteStatus.UNKNOWN if doubtful else WriteStatus.REFUSED)
+                return WriteResult(WriteStatus.UNKNOWN if may_be_written else WriteStatus.REFUSED)
             else:
-                return _outcome(outcome, key, doubtful)
-            if monotonic_ms() + RETRY_S * 1000 >= deadline_ms:
-                return WriteResult(WriteStatus.UNKNOWN if doubtful else WriteStatus.REFUSED)
-            await asyncio.sleep(RETRY_S)
+                return _write_result(outcome, key, may_be_written)
+            if monotonic_ms() + RETRY_INTERVAL_S * 1000 >= deadline_ms:
+                return WriteResult(WriteStatus.UNKNOWN if may_be_written else WriteStatus.REFUSED)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    def _silent_since(self, begun_ms: float) -> bool:
-        """Tell whether the store has answered nothing since a write, for long enough."""
-        silent = self._store_health.last_answer_ms < begun_ms
-        return silent and monotonic_ms() - begun_ms > SILENT_MAX_MS
+    def _is_silent_since(self, start_ms: float) -> bool:
+        """Return whether the store has answered no call since a write, for too long."""
+        is_silent = self._store_health.last_answer_ms < start_ms
+        return is_silent and monotonic_ms() - start_ms > UNANSWERED_RETRY_MS
 
 
-def _outcome(outcome: RowsCommitted | RowsConflict, key: RowKey, doubtful: bool) -> WriteResult:
+def _write_result(
+    outcome: RowsCommitted | RowsConflict, key: RowKey, may_be_written: bool
+) -> WriteResult:
     if isinstance(outcome, RowsCommitted):
         return WriteResult(WriteStatus.NEW, outcome.version)
     return WriteResult(
-        WriteStatus.NEW if doubtful else WriteStatus.ALREADY_STORED, outcome.version_of(key)
+        WriteStatus.NEW if may_be_written else WriteStatus.ALREADY_STORED, outcome.version_of(key)
     )
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -1,4 +1,4 @@
-"""Measure one instance: calls, decisions, waiting, the store, workers and takeovers."""
+"""Define the metrics of one instance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class NodeMetrics:
-    """Own the registry of one instance; all times are in seconds."""
+    """Record the metrics of one instance; all durations are in seconds."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -57,7 +57,7 @@
         )
 
     def observe_call(self, team: str, queue: str, status: int, seconds: float) -> None:
-        """Observe an answer to a caller."""
+        """Record an answered call."""
         labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "queue": self._queues.of(queue)}
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
@@ -66,44 +66,44 @@
         self._refusals.inc({"reason": self._reasons.of(reason)})
 
     def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
-        """Observe how long a task waited."""
+        """Record how long a task waited for its start."""
         labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "class": self._queues.of(queue)}
         self._waiting.observe(labels, waited_s)
 
     def observe_decision(self, seconds: float) -> None:
-        """Observe a round of decisions."""
+        """Record a scheduling round."""
         self._decision.observe({}, seconds)
 
     def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
-        """Observe a call to the store."""
+        """Record a call to the store."""
         self._store.observe({"call": call, "outcome": outcome}, seconds)
 
     def observe_worker_call(self, call: str, outcome: str, seconds: float) -> None:
-        """Observe an order to a worker."""
+        """Record an order to a worker."""
         self._worker.observe({"call": call, "outcome": outcome}, seconds)
 
     def observe_takeover(self, seconds: float) -> None:
-        """Observe a takeover."""
+        """Record a takeover."""
         self._takeover.observe({}, seconds)
 
     def set_config(self, version: int, age_s: float) -> None:
-        """Report the configuration in force."""
+        """Set the version and age of the active configuration."""
         self._config.set({}, version)
         self._config_age.set({}, age_s)
 
     def set_owner(self, owns: bool, queued: dict[str, int], lease_margin_s: float) -> None:
-        """Report what the owner of the cell sees."""
+        """Set the gauges of the cell's owner."""
         self._owns.set({}, int(owns))
         self._lease_margin.set({}, lease_margin_s)
         for queue, tasks in queued.items():
             self._queued.set({"class": self._queues.of(queue)}, tasks)
 
     def set_dropped_log_lines(self, count: int) -> None:
-        """Report how many log lines were dropped."""
+        """Set the number of dropped log lines."""
         self._dropped.set({}, count)
 
     def exposition(self) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics as text and the headers that go with them."""
+        """Return the metrics in the text exposition format, and the HTTP headers for it."""
         content, headers = render(self.registry, ["text/plain"])
         return content, dict(headers)
 
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -1,4 +1,4 @@
-"""Wire one instance: configuration, claim, links, callers, readiness and metrics."""
+"""Assemble and run one instance."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 
 log = logging.getLogger(__name__)
 
-# An instance whose configuration is older than this is not ready.
-READY_CONFIG_MS = 2_800.0
-# An instance that has no way of its own to the store for this long takes no new callers.
-READY_CONTACT_MS = 800.0
-LEASE_MS = 5_000.0
-NO_RULES = CellRules(0, {}, {})
+# An instance whose configuration was confirmed longer ago than this is not ready.
+MAX_READY_CONFIG_AGE_MS = 2_800.0
+# An instance that could not reach the store directly for this long is not ready.
+MAX_READY_STORE_OUTAGE_MS = 800.0
+DEFAULT_LEASE_MS = 5_000.0
+EMPTY_RULES = CellRules(0, {}, {})
 
 
 @attrs.define
 class PlatformAdapter:
-    """Hold what a platform's adapter provides."""
+    """Hold the platform's implementations of the interfaces that an instance uses."""
 
     store: RowStore
     driver: WorkerDriver
@@ -56,7 +56,7 @@
 
 
 class Node:
-    """Own the tasks of one instance."""
+    """Run the tasks of one instance."""
 
     def __init__(self, cfg: NodeSettings, adapter: PlatformAdapter) -> None:
         self.cfg = cfg
@@ -70,11 +70,11 @@
         )
         self.owner_router.owner_link = self.owner_link
         self.metrics = NodeMetrics()
-        # Returns how many log lines were dropped or left out.
+        # Returns how many log lines were dropped or suppressed.
         self.count_dropped_lines: Callable[[], int] = lambda: 0
         direct = MonitoredStore(adapter.store, self.metrics)
         self._store_health = direct.health
-        store = RelayedStore(direct, RelayPeers(self._links))
+        store = RelayedStore(direct, RelayPeers(self._relay_links))
         self.owner_router.relay_store = store
         adapter = attrs.evolve(adapter, store=store)
         self.job_api = JobApi(
@@ -88,7 +88,7 @@
             cfg.store.row_max_bytes,
         )
         self._adapter = adapter
-        self._advice = AdviceDispatcher(adapter.adviser, lambda: self.link_server.links)
+        self._advice_dispatcher = AdviceDispatcher(adapter.adviser, lambda: self.link_server.links)
         self._was_ready = False
         self._election = OwnerElection(
             cfg,
@@ -102,17 +102,17 @@
         )
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         await self.link_server.start(self.cfg.host, self.cfg.peer_port)
         store = self._adapter.store
-        operator = TableFollower(
+        operator_follower = TableFollower(
             store,
             self._adapter.decoder.tables.operator,
-            self._operator_changed,
+            self._apply_operator_rows,
             self.clock,
             on_confirmed=self.config.confirm,
         )
-        cell = TableFollower(
+        cell_follower = TableFollower(
             store,
             CELL_TABLE,
             self._election.apply_rows,
@@ -120,23 +120,23 @@
             on_confirmed=self._election.note_read,
             pause_s=self._election.poll_pause_s,
         )
-        self._election.poll_now = cell.poll_now
+        self._election.poll_now = cell_follower.poll_now
         async with asyncio.TaskGroup() as group:
-            group.create_task(operator.run())
-            group.create_task(cell.run())
+            group.create_task(operator_follower.run())
+            group.create_task(cell_follower.run())
             group.create_task(self._election.run_claims())
             group.create_task(self._election.run_store_heartbeats())
             group.create_task(self._election.run_link_heartbeats())
 
     def is_ready(self) -> bool:
-        """Tell whether this instance should get new callers."""
-        current = self.config.age_ms(monotonic_ms()) < READY_CONFIG_MS
+        """Return whether this instance should receive new calls."""
+        is_config_recent = self.config.age_ms(monotonic_ms()) < MAX_READY_CONFIG_AGE_MS
         is_ready = (
             not self._election.is_draining
             and self.config.current is not None
-            and current
+            and is_config_recent
             and self.owner_router.is_owner_reachable
-            and not self._store_health.is_unreachable_for(READY_CONTACT_MS)
+            and not self._store_health.is_unreachable_for(MAX_READY_STORE_OUTAGE_MS)
         )
         if is_ready is not self._was_ready:
             self._was_ready = is_ready
@@ -149,14 +149,14 @@
             )
         return is_ready
 
-    def _links(self) -> list[Link]:
+    def _relay_links(self) -> list[Link]:
         """Return the links to instances through which the store may be reached."""
         if self.owner_router.local_owner is not None:
             return list(self.link_server.links.values())
         return [self.owner_link.link] if self.owner_link.link is not None else []
 
     def refresh_metrics(self) -> None:
-        """Set the gauges that are read, not counted."""
+        """Set the gauges whose values are read when the metrics are scraped."""
         cfg, now = self.config.current, monotonic_ms()
         self.metrics.set_dropped_log_lines(self.count_dropped_lines())
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
@@ -167,11 +167,11 @@
         self.metrics.set_owner(owner is not None, queued, margin / 1000)
 
     async def drain(self) -> None:
-        """Give the cell up, so that another instance takes it over at once."""
+        """Stop claiming the cell, and release it so that another instance takes over at once."""
         self._election.is_draining = True
         await self._election.release("this instance drains")
 
-    def _operator_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
+    def _apply_operator_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
         for row in rows:
             is_config = row.key.key == self._adapter.decoder.tables.config_key
             if not is_config or row.value is None:
@@ -196,14 +196,14 @@
         may_start: Callable[[], bool],
         on_ownership_lost: Callable[[str], None],
     ) -> CellOwner:
-        rules = self.config.current.rules if self.config.current is not None else NO_RULES
+        rules = self.config.current.rules if self.config.current is not None else EMPTY_RULES
         deps = OwnerDependencies(
             self._adapter.store,
             self._adapter.driver,
             self._adapter.decoder,
             self.clock,
-            self._advice,
-            min(LEASE_MS, self.cfg.bounds.lease_max_ms),
+            self._advice_dispatcher,
+            min(DEFAULT_LEASE_MS, self.cfg.bounds.lease_max_ms),
             self.cfg.bounds.job_kept_s * 1000,
             may_start,
             on_ownership_lost,
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -1,4 +1,4 @@
-"""Watch a store's answers: whether it can be reached, and how long it takes."""
+"""Track whether the store can be reached, and measure how long its calls take."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 @attrs.define
 class StoreHealth:
-    """Hold when the store last answered and last failed to, on the local clock in ms."""
+    """Hold when the store last answered and when a call last failed, on the local clock."""
 
     last_answer_ms: float = -1e12
     last_failure_ms: float = -1e12
 
     def is_unreachable(self) -> bool:
-        """Tell whether the last call had no use: the next one would most likely fail too."""
+        """Return whether the last call failed, in which case the next will probably fail too."""
         return self.last_failure_ms > self.last_answer_ms
 
     def is_unreachable_for(self, ms: float) -> bool:
-        """Tell whether the store has been out of reach for a time."""
+        """Return whether the store has been unreachable for more than a number of ms."""
         return self.is_unreachable() and monotonic_ms() - self.last_answer_ms > ms
 
 
 class MonitoredStore:
-    """Pass calls to a store, and note how each one went."""
+    """Forward calls to a store, and record the outcome and duration of each."""
 
     def __init__(self, store: RowStore, metrics: NodeMetrics) -> None:
         self.health = StoreHealth()
@@ -48,19 +48,19 @@
         self._metrics = metrics
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
-        """Return the rows of a part in a range of keys."""
-        return await self._watch("read", self._store.read(table, part, first=first, last=last))
+        """Return the rows of a partition in a range of keys."""
+        return await self._record("read", self._store.read(table, part, first=first, last=last))
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
-        """Return what changed after a version."""
-        return await self._watch("follow", self._store.follow(table, after_version, wait_ms))
+        """Return the rows of a table that changed after a version."""
+        return await self._record("follow", self._store.follow(table, after_version, wait_ms))
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
-        return await self._watch("commit", self._store.commit(txn))
+        return await self._record("commit", self._store.commit(txn))
 
-    async def _watch(self, call: str, answer: Awaitable[T]) -> T:
-        began_ms = monotonic_ms()
+    async def _record(self, call: str, answer: Awaitable[T]) -> T:
+        start_ms = monotonic_ms()
         outcome = "ok"
         try:
             result = await answer
@@ -70,12 +70,12 @@
             raise
         except StoreError as exc:
             outcome = "refused" if isinstance(exc, StoreRefusedError) else "unanswered"
-            # A call that was answered since this one was sent says more about the store.
-            if self.health.last_answer_ms < began_ms:
+            # An answer to a later call is more recent evidence about the store.
+            if self.health.last_answer_ms < start_ms:
                 self.health.last_failure_ms = monotonic_ms()
             raise
         else:
             self.health.last_answer_ms = monotonic_ms()
             return result
         finally:
-            self._metrics.observe_store_call(call, outcome, (monotonic_ms() - began_ms) / 1000)
+            self._metrics.observe_store_call(call, outcome, (monotonic_ms() - start_ms) / 1000)
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -1,4 +1,4 @@
-"""Test what callers are told: admission, true refusals, states and counts."""
+"""Test the answers to callers: admission, refusals, job states and counts."""
 
 import asyncio
 
@@ -26,14 +26,14 @@
 
 
 class FakeOwnerRouter:
-    """Answer for the cell's owner, or be out of reach."""
+    """Answer in place of the cell's owner, or fail as if it were unreachable."""
 
     def __init__(self):
         self.answer = None
         self.notices = []
         self.is_owner_reachable = True
 
-    async def call(self, question, timeout_s):
+    async def call(self, query, timeout_s):
         if self.answer is None:
             raise LinkClosedError("no owner")
         return self.answer
@@ -43,7 +43,7 @@
 
 
 class ApiRig:
-    """Hold a front rig with a store in memory and a clock that the test moves."""
+    """Run a job API with an in-memory store and a clock set by the test."""
 
     def __init__(self, monkeypatch):
         self.now = 50_000.0
@@ -86,35 +86,35 @@
 
 @pytest.fixture
 def rig(monkeypatch):
-    made = ApiRig(monkeypatch)
-    made.configure()
-    return made
+    rig = ApiRig(monkeypatch)
+    rig.configure()
+    return rig
 
 
-def test_without_a_configuration_a_call_is_refused_with_a_time_to_come_back(monkeypatch):
-    """Guard against a 404 or 401 of an instance that has just started."""
+def test_call_without_a_configuration_is_refused_with_a_retry_time(monkeypatch):
+    """Guard against a 404 or 401 from an instance that has just started."""
     refusal = ApiRig(monkeypatch).admit()
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
     assert refusal.retry_after_s is not None
 
 
-def test_a_key_is_refused_once_the_keys_are_not_known_to_be_current(rig):
-    """Guard against a withdrawn key that works on an instance cut off from the store."""
+def test_keys_are_refused_once_the_configuration_is_too_old(rig):
+    """Guard against a withdrawn key that still works on an instance cut off from the store."""
     assert isinstance(rig.admit(), AdmittedCall)
     rig.now += REVOKE_MS * 0.9
     assert rig.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
     assert isinstance(rig.admit(path=f"/open/{ID}", key=""), AdmittedCall)
 
 
-def test_an_older_configuration_never_replaces_a_newer_one(rig):
-    """Guard against a withdrawn key that comes back with a late reading."""
+def test_older_configuration_never_replaces_a_newer_one(rig):
+    """Guard against a withdrawn key that a delayed read makes valid again."""
     rig.configure(version=3, keys={})
     rig.configure(version=2, keys={"k": "team"})
     assert rig.admit().kind is ErrorKind.KEY_REJECTED
 
 
-def test_an_accepted_job_is_stored_before_it_is_answered(rig):
-    """Guard against an accepted job that no next owner would find."""
+def test_accepted_job_is_stored_before_the_answer(rig):
+    """Guard against an accepted job that the next owner would not find."""
     assert rig.submit() is None
     assert job_row_key(ID) in rig.rows.rows
     assert isinstance(rig.owner_router.notices[0], JobNotice)
@@ -122,15 +122,15 @@
     assert len(rig.owner_router.notices) == 1
 
 
-def test_a_job_that_the_store_could_not_hold_is_refused(rig):
-    """Guard against a job whose row makes every later write fail."""
+def test_job_larger_than_a_row_is_refused(rig):
+    """Guard against a job whose oversized row makes every later write fail."""
     rig.job_api.row_max_bytes = 10
     assert rig.submit().kind is ErrorKind.BODY_TOO_LARGE
     assert rig.rows.rows == {}
 
 
-def test_a_state_is_read_from_the_store_without_an_owner(rig):
-    """Guard against an accepted job that is answered as unknown during a takeover."""
+def test_state_is_read_from_the_store_without_an_owner(rig):
+    """Guard against an accepted job that is reported as unknown during a takeover."""
     rig.submit()
     admitted = rig.admit()
     assert asyncio.run(rig.job_api.job_state(admitted)) == "queued"
@@ -139,30 +139,30 @@
     assert asyncio.run(rig.job_api.job_state(admitted)) == "completed"
 
 
-def test_a_job_that_the_owner_does_not_know_yet_is_looked_up(rig):
-    """Guard against a 410 for a job whose notice is still on its way."""
+def test_job_unknown_to_the_owner_is_read_from_the_store(rig):
+    """Guard against a 410 for a job whose notification has not reached the owner yet."""
     rig.submit()
     rig.owner_router.answer = StateReply()
     assert asyncio.run(rig.job_api.job_state(rig.admit())) == "queued"
 
 
-def test_a_state_that_cannot_be_found_is_not_called_missing(rig):
-    """Guard against a 410 for an accepted job while neither owner nor store answers."""
+def test_unreadable_state_is_not_reported_as_missing(rig):
+    """Guard against a 410 for an accepted job while neither the owner nor the store answers."""
     rig.submit()
     rig.rows.down = True
     refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_a_job_of_another_team_is_not_shown(rig):
-    """Guard against a key that reads the jobs of others."""
+def test_job_of_another_team_is_forbidden(rig):
+    """Guard against a key that gives access to the jobs of other teams."""
     rig.owner_router.answer = StateReply("running", "q", "other")
     refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
     assert refusal.kind is ErrorKind.FORBIDDEN
 
 
-def test_a_count_comes_from_the_owner_or_not_at_all(rig):
-    """Guard against a queue that is shown as empty because its owner changes."""
+def test_pending_count_comes_from_the_owner_or_is_refused(rig):
+    """Guard against a queue that is reported as empty during a change of owner."""
     rig.owner_router.answer = PendingReply(7)
     assert asyncio.run(rig.job_api.count_pending_jobs(rig.admit(path="/q/"))) == 7
     rig.owner_router.answer = NotOwner("n2")
@@ -170,8 +170,8 @@
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_a_cancellation_is_stored_before_it_is_acknowledged(rig):
-    """Guard against a cancelled job that the next owner runs."""
+def test_cancellation_is_stored_before_the_answer(rig):
+    """Guard against a cancelled job that the next owner still runs."""
     rig.submit()
     rig.owner_router.answer = StateReply("running", "q", "team")
     call = rig.call()
