--- a/baobabhoist/control/advice.py
+++ b/baobabhoist/control/advice.py
@@ -1,7 +1,7 @@
-"""Spread questions to the placement adviser over the instances.
+"""Distribute queries to the placement adviser over the instances.
 
-The adviser works on one question of each instance at a time, so that a long question must not
-stand in front of short ones.
+The adviser processes one query per instance at a time, so a long query must not be queued ahead
+of short ones.
 """
 
 from __future__ import annotations
@@ -21,56 +21,56 @@
 
 log = logging.getLogger(__name__)
 
-# Questions that take longer use only some of the instances.
-LONG_MS = 150.0
-# One of this many instances takes no long questions.
-SHORT_ONLY_EVERY = 3
-# Questions in hand beyond one for each instance.
-QUEUED_QUESTIONS = 6
+# Queries that cost more than this are sent through only some of the instances.
+LONG_QUERY_MS = 150.0
+# One in this many instances is reserved for short queries.
+SHORT_ONLY_INTERVAL = 3
+# Queries that may be in flight beyond one per instance.
+MAX_QUEUED_QUERIES = 6
 ANSWER_SLACK_S = 1.0
 LOCAL_NODE = ""
 
 
 @attrs.define
 class AdviceDispatcher:
-    """Own the questions in hand; `links` returns the links to the other instances by name."""
+    """Dispatch queries; `links` returns the links to the other instances by node name."""
 
     adviser: Adviser
     links: Callable[[], dict[str, Link]]
-    # When each instance's questions in hand are expected to be done, on the local clock in ms.
+    # When the queries in flight through each node should be answered, on the local clock.
     busy_until_ms: dict[str, float] = attrs.Factory(dict)
 
     @property
     def capacity(self) -> int:
-        """Return how many questions may be in hand at once."""
-        return len(self.links()) + 1 + QUEUED_QUESTIONS
+        """Return the maximum number of queries in flight."""
+        return len(self.links()) + 1 + MAX_QUEUED_QUERIES
 
-    async def ask(self, question: AskAdvice) -> Advice | None:
-        """Return the adviser's answer through the least busy instance, or None."""
+    async def ask(self, query: AskAdvice) -> Advice | None:
+        """Query the adviser through the least busy instance; return None if there is no answer."""
         links = dict(self.links())
-        node = self._choose(sorted([LOCAL_NODE, *links]), question.cost_ms)
-        done_ms = max(self.busy_until_ms.get(node, 0.0), monotonic_ms()) + question.cost_ms
+        node = self._choose(sorted([LOCAL_NODE, *links]), query.cost_ms)
+        done_ms = max(self.busy_until_ms.get(node, 0.0), monotonic_ms()) + query.cost_ms
         self.busy_until_ms[node] = done_ms
         if node == LOCAL_NODE:
-            return await self.adviser.ask(question.step, question.workers, question.cost_ms)
-        return await self._ask_through(links[node], node, question, done_ms)
+            return await self.adviser.ask(query.step, query.workers, query.cost_ms)
+        return await self._ask_through(links[node], node, query, done_ms)
 
     def _choose(self, nodes: list[str], cost_ms: float) -> str:
         now = monotonic_ms()
-        if cost_ms > LONG_MS and len(nodes) >= SHORT_ONLY_EVERY:
-            nodes = [n for i, n in enumerate(nodes) if i % SHORT_ONLY_EVERY]
+        if cost_ms > LONG_QUERY_MS and len(nodes) >= SHORT_ONLY_INTERVAL:
+            nodes = [n for i, n in enumerate(nodes) if i % SHORT_ONLY_INTERVAL]
         return min(nodes, key=lambda n: max(now, self.busy_until_ms.get(n, 0.0)))
 
     async def _ask_through(
-        self, link: Link, node: str, question: AskAdvice, done_ms: float
+        self, link: Link, node: str, query: AskAdvice, done_ms: float
     ) -> Advice | None:
-        step = question.step
-        query = AdviceQuery(
-            step.job_id, step.occurrence, step.step, question.workers, question.cost_ms
+        step = query.step
+        message = AdviceQuery(
+            step.job_id, step.occurrence, step.step, query.workers, query.cost_ms
         )
         timeout_s = max(0.0, done_ms - monotonic_ms()) / 1000 + ANSWER_SLACK_S
         try:
-            reply = await link.call(query, timeout_s)
+            reply = await link.call(message, timeout_s)
         except (LinkClosedError, TimeoutError) as exc:
             emit(log, Event.ADVICE_FAILED, job=step.job_id, step=step.step, node=node, detail=exc)
             return None
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -1,4 +1,4 @@
-"""Store runs before they are ordered, and ends before their workers may forget them."""
+"""Store runs before their start is ordered, and ends before workers may discard them."""
 
 from __future__ import annotations
 
@@ -30,74 +30,74 @@
 
 log = logging.getLogger(__name__)
 
-# Starts and ends of this time go into one write.
-BATCH_S = 0.015
-RETRY_S = 0.15
-# The store takes at most 100 entries a call: the claim, and two for each row.
-ROWS_MAX = 45
-FLUSH_TRIES = 3
-# What was learned of workers is stored with other progress, at most this often.
-LEARNED_INTERVAL_MS = 2_000.0
+# Starts and ends within this interval are batched into one write.
+BATCH_INTERVAL_S = 0.015
+RETRY_INTERVAL_S = 0.15
+# The store accepts at most 100 entries per call; a write has one for the claim and two per row.
+MAX_ROWS_PER_WRITE = 45
+RELEASE_FLUSH_ATTEMPTS = 3
+# The measured speeds of workers are stored along with progress, at most once per interval.
+SPEEDS_INTERVAL_MS = 2_000.0
 
 
 class ProgressWriter:
-    """Own all writes under one claim; each one fails once another owner has the cell."""
+    """Make all writes under one claim; they fail once another instance owns the cell."""
 
     def __init__(
         self, store: RowStore, token: int, on_ownership_lost: Callable[[str], None]
     ) -> None:
-        # When the last beat that the store confirmed was sent, on the local clock.
+        # When the last confirmed heartbeat was sent, on the local clock.
         self.heartbeat_confirmed_ms = monotonic_ms()
         self.on_end_acked: Callable[[str], None] = lambda worker_id: None
         self._store = store
         self._token = token
         self._on_ownership_lost = on_ownership_lost
-        self._wake = asyncio.Event()
-        # What may be sent once the progress that it belongs to is stored.
-        self._unsent: list[Callable[[], None]] = []
-        self._beats = 0
-        self._learned_due_ms = monotonic_ms()
-        # A write that the store carries out late must not undo a newer one, so each write
-        # expects the version of every row that it replaces.
+        self._flush_requested = asyncio.Event()
+        # Callbacks that send orders, which wait until the progress behind them is stored.
+        self._deferred_sends: list[Callable[[], None]] = []
+        self._heartbeats = 0
+        self._next_speeds_ms = monotonic_ms()
+        # A write that the store applies late must not undo a newer one, so each write is
+        # conditional on the version of every row that it replaces.
         self._versions: dict[RowKey, int] = {}
 
     def set_versions(self, versions: dict[RowKey, int]) -> None:
-        """Take over the versions of the rows as they were loaded."""
+        """Set the versions of the rows, as loaded from the store."""
         self._versions = versions
 
     def request_flush(self) -> None:
-        """Write soon."""
-        self._wake.set()
+        """Request a write of the changed progress in the background."""
+        self._flush_requested.set()
 
     def call_when_stored(self, send: Callable[[], None]) -> None:
-        """Call back once the progress of this moment is stored."""
-        self._unsent.append(send)
-        self._wake.set()
+        """Call `send` once all progress made so far is stored."""
+        self._deferred_sends.append(send)
+        self._flush_requested.set()
 
     async def run(self, cell: Cell) -> None:
-        """Write what changed until cancelled."""
+        """Write changed progress until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._flush_requested.wait()
+            self._flush_requested.clear()
             if not await self._flush(cell):
-                self._wake.set()
-                await asyncio.sleep(RETRY_S)
-            await asyncio.sleep(BATCH_S)
+                self._flush_requested.set()
+                await asyncio.sleep(RETRY_INTERVAL_S)
+            await asyncio.sleep(BATCH_INTERVAL_S)
 
     async def write_heartbeat(self) -> bool:
-        """Show that the owner lives; tell whether the store confirmed it."""
-        self._beats += 1
-        value = str(self._beats).encode()
+        """Write a heartbeat; return whether the store confirmed it."""
+        self._heartbeats += 1
+        value = str(self._heartbeats).encode()
         return await self._commit({HEARTBEAT_ROW_KEY: value}, {}) is not None
 
     async def release(self, claim: bytes, cell: Cell | None) -> bool:
-        """Give the claim up after storing all progress; tell whether that is stored."""
+        """Store all progress and release the claim; return whether the release is stored."""
         if cell is not None:
             await self._flush_all(cell)
         return await self._commit({OWNER_ROW_KEY: claim}, {}) is not None
 
     async def remove_job(self, job_id: str) -> None:
-        """Remove the rows of a job that nobody asks for any more."""
+        """Remove the rows of a job whose retention period has passed."""
         try:
             removed = (job_row_key(job_id), cancel_row_key(job_id))
             await self._store.commit(RowsTxn(removes=removed))
@@ -106,40 +106,40 @@
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
     async def _flush_all(self, cell: Cell) -> bool:
-        """Store all progress; a try may fail because an earlier write was cut short."""
-        for _ in range(FLUSH_TRIES):
+        """Store all progress; retry, because an earlier write may have been interrupted."""
+        for _ in range(RELEASE_FLUSH_ATTEMPTS):
             if await self._flush(cell):
                 return True
         return False
 
     async def _flush(self, cell: Cell) -> bool:
-        seen = cell.seen_ends()
-        lifetimes = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
+        seen_ends = cell.seen_ends()
+        birth_times_ms = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
         dirty = cell.take_dirty()
-        unsent, self._unsent = self._unsent, []
+        deferred_sends, self._deferred_sends = self._deferred_sends, []
         puts = {progress_row_key(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if monotonic_ms() > self._learned_due_ms and cell.board.speeds.workers:
-            self._learned_due_ms = monotonic_ms() + LEARNED_INTERVAL_MS
+        if monotonic_ms() > self._next_speeds_ms and cell.board.speeds.workers:
+            self._next_speeds_ms = monotonic_ms() + SPEEDS_INTERVAL_MS
             puts[SPEEDS_ROW_KEY] = encode_speeds(cell.board.speeds)
-        written = False
+        is_written = False
         try:
-            written = await self._write(puts)
+            is_written = await self._write(puts)
         finally:
-            # Also when this task is cancelled, because another one then writes the rest.
-            if not written:
+            # This also runs on cancellation, because another task then writes the rest.
+            if not is_written:
                 cell.board.dirty.update(dirty)
-                self._unsent = unsent + self._unsent
-        if not written:
+                self._deferred_sends = deferred_sends + self._deferred_sends
+        if not is_written:
             return False
-        for send in unsent:
+        for send in deferred_sends:
             send()
-        self._acknowledge(cell, seen, lifetimes)
+        self._acknowledge(cell, seen_ends, birth_times_ms)
         return True
 
     async def _write(self, puts: dict[RowKey, bytes]) -> bool:
         items = list(puts.items())
-        for first in range(0, len(items), ROWS_MAX):
-            chunk = dict(items[first : first + ROWS_MAX])
+        for first in range(0, len(items), MAX_ROWS_PER_WRITE):
+            chunk = dict(items[first : first + MAX_ROWS_PER_WRITE])
             expected = {key: self._versions.get(key, 0) for key in chunk}
             committed = await self._commit(chunk, expected)
             if committed is None:
@@ -147,13 +147,15 @@
             self._versions.update(dict.fromkeys(chunk, committed.version))
         return True
 
-    def _acknowledge(self, cell: Cell, seen: dict[str, int], lifetimes: dict[str, int]) -> None:
-        for worker_id, number in seen.items():
+    def _acknowledge(
+        self, cell: Cell, seen_ends: dict[str, int], birth_times_ms: dict[str, int]
+    ) -> None:
+        for worker_id, end_number in seen_ends.items():
             worker = cell.board.workers.get(worker_id)
-            if worker is None or worker.born_ms != lifetimes[worker_id]:
+            if worker is None or worker.born_ms != birth_times_ms[worker_id]:
                 continue
-            if number > worker.acked_end:
-                worker.acked_end = number
+            if end_number > worker.acked_end:
+                worker.acked_end = end_number
                 self.on_end_acked(worker_id)
 
     async def _commit(
@@ -167,14 +169,14 @@
             emit(log, Event.WRITE_REFUSED, row=f"{len(puts)} rows of progress", detail=exc)
             return None
         if isinstance(outcome, RowsConflict):
-            self._conflicted(outcome, expected)
+            self._handle_conflict(outcome, expected)
             return None
         if HEARTBEAT_ROW_KEY in puts:
             self.heartbeat_confirmed_ms = max(self.heartbeat_confirmed_ms, sent_ms)
         return outcome
 
-    def _conflicted(self, conflict: RowsConflict, expected: dict[RowKey, int]) -> None:
-        """Tell a lost claim from an own earlier write whose answer was lost."""
+    def _handle_conflict(self, conflict: RowsConflict, expected: dict[RowKey, int]) -> None:
+        """Distinguish a lost claim from an earlier write of this owner that got no answer."""
         if conflict.version_of(OWNER_ROW_KEY) != self._token:
             self._on_ownership_lost("the claim in the store has another version")
             return
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -1,4 +1,4 @@
-"""Use the store through another instance while it can't be reached from this one."""
+"""Relay store calls through another instance while this one cannot reach the store."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 log = logging.getLogger(__name__)
 
-# Instances that are asked before a call is given up.
+# Number of instances that are tried before a call fails.
 MAX_PEERS_TRIED = 5
 CALL_TIMEOUT_S = 0.6
-# While the store is out of reach it is tried again this often.
+# Least time between direct probes of an unreachable store.
 PROBE_INTERVAL_MS = 400.0
-# A table of few rows.
-PROBED_TABLE = "cell"
-# A peer that gave no answer, or has no way to the store either, is not asked for this long.
+# A table with few rows, so that a probe is cheap.
+PROBE_TABLE = "cell"
+# A peer that did not answer, or cannot reach the store either, is not tried for this long.
 PEER_BACKOFF_MS = 1_500.0
-# A relayed call may pass one more instance: the owner, if it is cut off from the store too.
-HOPS_MAX = 1
+# A relayed call may be forwarded once more: by the owner, if it cannot reach the store either.
+MAX_HOPS = 1
 
-_ERRORS: dict[str, type[StoreError]] = {
+_ERROR_TYPES: dict[str, type[StoreError]] = {
     "refused": StoreRefusedError,
     "unanswered": StoreUnansweredError,
     "history_lost": HistoryLostError,
@@ -59,51 +59,51 @@
 
 @attrs.define
 class RelayPeers:
-    """Choose links for relayed calls: the one that served last first, useless ones rest."""
+    """Choose links for relayed calls: the last successful one first, failed ones after a pause."""
 
     links: Callable[[], list[Link]]
     unusable_until_ms: dict[int, float] = attrs.Factory(dict)
     last_served_id: int = 0
 
     def usable_links(self) -> list[Link]:
-        """Return the links to try, best first."""
+        """Return the links to try, in order."""
         now = monotonic_ms()
-        found = [k for k in self.links() if self.unusable_until_ms.get(id(k), 0.0) < now]
-        found.sort(key=lambda link: id(link) != self.last_served_id)
-        return found[:MAX_PEERS_TRIED]
+        usable = [k for k in self.links() if self.unusable_until_ms.get(id(k), 0.0) < now]
+        usable.sort(key=lambda link: id(link) != self.last_served_id)
+        return usable[:MAX_PEERS_TRIED]
 
     def mark_served(self, link: Link) -> None:
-        """Ask this peer first from now on."""
+        """Prefer this peer from now on."""
         self.last_served_id = id(link)
 
     def mark_unusable(self, link: Link) -> None:
-        """Do not ask a peer for a while."""
+        """Skip this peer for PEER_BACKOFF_MS."""
         now = monotonic_ms()
         self.unusable_until_ms = {k: v for k, v in self.unusable_until_ms.items() if v > now}
         self.unusable_until_ms[id(link)] = now + PEER_BACKOFF_MS
 
 
 class RelayedStore:
-    """Be the store directly while it answers, else through a peer that reaches it."""
+    """Forward calls to the store while it answers, and otherwise to a peer that reaches it."""
 
     def __init__(self, direct: MonitoredStore, peers: RelayPeers) -> None:
         self.direct = direct
         self._peers = peers
-        self._probe_due_ms = 0.0
-        self._probing: asyncio.Task[None] | None = None
+        self._next_probe_ms = 0.0
+        self._probe_task: asyncio.Task[None] | None = None
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
-        """Return the rows of a part in a range of keys."""
+        """Return the rows of a partition in a range of keys."""
         if self._use_direct():
             return await self.direct.read(table, part, first=first, last=last)
-        return _rows(await self._relay(RelayRead(table, part, first, last), CALL_TIMEOUT_S))
+        return _to_rows(await self._relay(RelayRead(table, part, first, last), CALL_TIMEOUT_S))
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
-        """Return what changed after a version."""
+        """Return the rows of a table that changed after a version."""
         if self._use_direct():
             return await self.direct.follow(table, after_version, wait_ms)
         timeout_s = wait_ms / 1000 + CALL_TIMEOUT_S
-        return _rows(await self._relay(RelayFollow(table, after_version, wait_ms), timeout_s))
+        return _to_rows(await self._relay(RelayFollow(table, after_version, wait_ms), timeout_s))
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
@@ -113,55 +113,55 @@
             except StoreRefusedError:
                 if not self.direct.health.is_unreachable():
                     raise
-        return _committed(await self._relay(_wire_txn(txn), CALL_TIMEOUT_S))
+        return _to_commit_outcome(await self._relay(_to_relay_commit(txn), CALL_TIMEOUT_S))
 
     async def serve(self, message: Any) -> Any:
-        """Carry a relayed call out for another instance."""
+        """Execute a call that another instance relayed."""
         try:
-            if self.direct.health.is_unreachable() and message.hops < HOPS_MAX:
-                onward = attrs.evolve(message, hops=message.hops + 1)
-                return await self._relay(onward, CALL_TIMEOUT_S)
+            if self.direct.health.is_unreachable() and message.hops < MAX_HOPS:
+                forwarded = attrs.evolve(message, hops=message.hops + 1)
+                return await self._relay(forwarded, CALL_TIMEOUT_S)
             return await self._serve_directly(message)
         except StoreError as exc:
-            kind = next((k for k, v in _ERRORS.items() if isinstance(exc, v)), "refused")
+            kind = next((k for k, v in _ERROR_TYPES.items() if isinstance(exc, v)), "refused")
             return RelayFailed(kind, str(exc))
 
     async def _serve_directly(self, message: Any) -> Any:
         if isinstance(message, RelayCommit):
-            return _wire_outcome(await self.direct.commit(_txn(message)))
+            return _to_relayed_commit(await self.direct.commit(_to_txn(message)))
         if isinstance(message, RelayRead):
             rows = await self.direct.read(
                 message.table, message.part, first=message.first, last=message.last
             )
         else:
             rows = await self.direct.follow(message.table, message.after, message.wait_ms)
-        return RelayedRows(tuple(map(_wire_row, rows.rows)), rows.version, rows.now_ms)
+        return RelayedRows(tuple(map(_to_wire_row, rows.rows)), rows.version, rows.now_ms)
 
     def _use_direct(self) -> bool:
-        """Tell whether to ask the store itself: while it answers, or without any peer."""
+        """Return whether to call the store directly: while it answers, or if no peer is usable."""
         if not self.direct.health.is_unreachable():
             return True
         self._probe()
         return not self._peers.usable_links()
 
     def _probe(self) -> None:
-        """Find out beside the calls whether a lost store answers again."""
+        """Probe in the background whether an unreachable store answers again."""
         now = monotonic_ms()
-        if now < self._probe_due_ms or self._probing is not None:
+        if now < self._next_probe_ms or self._probe_task is not None:
             return
-        self._probe_due_ms = now + PROBE_INTERVAL_MS
-        self._probing = asyncio.create_task(self._probe_once())
+        self._next_probe_ms = now + PROBE_INTERVAL_MS
+        self._probe_task = asyncio.create_task(self._probe_once())
 
     async def _probe_once(self) -> None:
         try:
-            await self.direct.read(PROBED_TABLE)
+            await self.direct.read(PROBE_TABLE)
         except StoreError as exc:
-            log.debug("the store is still out of reach: %s", exc)
+            log.debug("the store is still unreachable: %s", exc)
         finally:
-            self._probing = None
+            self._probe_task = None
 
     async def _relay(self, message: Any, timeout_s: float) -> Any:
-        """Return a peer's answer; raises StoreError."""
+        """Return the answer of the first peer that serves a call; raises StoreError."""
         for link in self._peers.usable_links():
             try:
                 reply = await link.call(message, timeout_s)
@@ -170,27 +170,27 @@
             except (LinkClosedError, TimeoutError) as exc:
                 self._peers.mark_unusable(link)
                 if isinstance(message, RelayCommit):
-                    raise StoreUnansweredError(f"a peer did not answer: {exc}") from exc
+                    raise StoreUnansweredError(f"the relaying peer did not answer: {exc}") from exc
                 continue
             if not isinstance(reply, RelayFailed):
                 self._peers.mark_served(link)
                 return reply
             if reply.kind != "refused":
-                raise _ERRORS[reply.kind](reply.detail)
+                raise _ERROR_TYPES[reply.kind](reply.detail)
             self._peers.mark_unusable(link)
             emit(log, Event.RELAY_REFUSED, detail=reply.detail)
-        raise StoreRefusedError("neither the store nor a peer that reaches it answers")
+        raise StoreRefusedError("neither the store nor any peer that can reach it answered")
 
 
-def _wire_row(row: StoredRow) -> WireRow:
+def _to_wire_row(row: StoredRow) -> WireRow:
     return WireRow(row.key.table, row.key.part, row.key.key, row.value, row.version)
 
 
-def _stored_row(row: WireRow) -> StoredRow:
+def _to_stored_row(row: WireRow) -> StoredRow:
     return StoredRow(RowKey(row.table, row.part, row.key), row.value, row.version)
 
 
-def _wire_txn(txn: RowsTxn) -> RelayCommit:
+def _to_relay_commit(txn: RowsTxn) -> RelayCommit:
     return RelayCommit(
         tuple(WireRow(k.table, k.part, k.key, None, v) for k, v in txn.expected.items()),
         tuple(WireRow(k.table, k.part, k.key, v, 0) for k, v in txn.puts.items()),
@@ -198,29 +198,29 @@
     )
 
 
-def _txn(message: RelayCommit) -> RowsTxn:
+def _to_txn(message: RelayCommit) -> RowsTxn:
     return RowsTxn(
-        {_stored_row(row).key: row.version for row in message.expected},
-        {_stored_row(row).key: row.value or b"" for row in message.puts},
-        tuple(_stored_row(row).key for row in message.removes),
+        {_to_stored_row(row).key: row.version for row in message.expected},
+        {_to_stored_row(row).key: row.value or b"" for row in message.puts},
+        tuple(_to_stored_row(row).key for row in message.removes),
     )
 
 
-def _wire_outcome(outcome: RowsCommitted | RowsConflict) -> RelayedCommit:
+def _to_relayed_commit(outcome: RowsCommitted | RowsConflict) -> RelayedCommit:
     if isinstance(outcome, RowsConflict):
-        return RelayedCommit(False, 0, 0, tuple(map(_wire_row, outcome.rows)))
+        return RelayedCommit(False, 0, 0, tuple(map(_to_wire_row, outcome.rows)))
     return RelayedCommit(True, outcome.version, outcome.now_ms, ())
 
 
-def _committed(reply: Any) -> RowsCommitted | RowsConflict:
+def _to_commit_outcome(reply: Any) -> RowsCommitted | RowsConflict:
     if not isinstance(reply, RelayedCommit):
-        raise StoreUnansweredError("a peer answered something else")
+        raise StoreUnansweredError("the relaying peer sent an unexpected reply")
     if reply.committed:
         return RowsCommitted(reply.version, reply.now_ms)
-    return RowsConflict(tuple(map(_stored_row, reply.rows)))
+    return RowsConflict(tuple(map(_to_stored_row, reply.rows)))
 
 
-def _rows(reply: Any) -> Rows:
+def _to_rows(reply: Any) -> Rows:
     if not isinstance(reply, RelayedRows):
-        raise StoreUnansweredError("a peer answered something else")
-    return Rows(tuple(map(_stored_row, reply.rows)), reply.version, reply.now_ms)
+        raise StoreUnansweredError("the relaying peer sent an unexpected reply")
+    return Rows(tuple(map(_to_stored_row, reply.rows)), reply.version, reply.now_ms)
--- a/baobabhoist/control/row_schema.py
+++ b/baobabhoist/control/row_schema.py
@@ -1,4 +1,4 @@
-"""Lay out the system's tables: names, keys and row values."""
+"""Define the tables in the store: their names, row keys and row values."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 OWNER_ROW_KEY = RowKey(CELL_TABLE, "", "owner")
 HEARTBEAT_ROW_KEY = RowKey(CELL_TABLE, "", "beat")
-# Not in the cell's table, which every instance follows.
+# In a table of its own, because every instance follows the cell's table.
 SPEEDS_ROW_KEY = RowKey("learned", "", "speeds")
 
-# Jobs are spread over parts by the first hex digit of their ids.
+# Jobs are partitioned by the first hex digit of their ids.
 JOB_PARTITIONS = tuple("0123456789abcdef")
 CANCEL_SUFFIX = "/cancel"
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class JobRow:
-    """Hold a job as its row keeps it; `accepted_ms` is on the store's steady clock."""
+    """Hold a job as it is stored; `accepted_ms` is on the store's monotonic clock."""
 
     queue: str
     service: str
@@ -40,49 +40,49 @@
 
 
 def job_row_key(job_id: str) -> RowKey:
-    """Return the row of a job."""
+    """Return the key of a job's row."""
     return RowKey(JOBS_TABLE, job_id[0], job_id)
 
 
 def cancel_row_key(job_id: str) -> RowKey:
-    """Return the row that says that a job is cancelled."""
+    """Return the key of the row that marks a job as cancelled."""
     return RowKey(JOBS_TABLE, job_id[0], job_id + CANCEL_SUFFIX)
 
 
 def progress_row_key(job_id: str) -> RowKey:
-    """Return the row of a job's progress, which lies in one part with the claim."""
+    """Return the key of a job's progress, which is in the same partition as the claim."""
     return RowKey(PROGRESS_TABLE, "", job_id)
 
 
 def encode_job(row: JobRow) -> bytes:
-    """Return the value of a job's row; defaults are left out."""
+    """Encode a job as the value of its row; default values are omitted."""
     body = _converter.unstructure(row)
     body["spec"]["steps"] = [_without_defaults(step) for step in row.spec.steps]
     return orjson.dumps(body)
 
 
 def decode_job(job_id: str, value: bytes, version: int) -> AcceptedJob:
-    """Return the job in a row; raises ValueError if it cannot be read."""
+    """Decode the value of a job's row; raises ValueError if it is malformed."""
     try:
         row = _converter.structure(orjson.loads(value), JobRow)
     except Exception as exc:
-        raise ValueError(f"job {job_id}: {exc}") from exc
+        raise ValueError(f"malformed row of job {job_id}: {exc}") from exc
     return AcceptedJob(
         job_id, row.queue, row.service, row.team, row.accepted_ms, row.spec, version
     )
 
 
 def encode_speeds(speeds: Speeds) -> bytes:
-    """Return what was learned of workers and queues as the value of a row."""
+    """Encode the measured speeds of workers and queues as the value of a row."""
     return orjson.dumps(_converter.unstructure(speeds))
 
 
 def decode_speeds(value: bytes) -> Speeds:
-    """Return what an earlier owner learned; raises ValueError if it cannot be read."""
+    """Decode the speeds that a previous owner measured; raises ValueError if malformed."""
     try:
         return _converter.structure(orjson.loads(value), Speeds)
     except Exception as exc:
-        raise ValueError(f"learned speeds: {exc}") from exc
+        raise ValueError(f"malformed row of measured speeds: {exc}") from exc
 
 
 def _without_defaults(step: Any) -> dict[str, Any]:
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -1,4 +1,4 @@
-"""Test that progress is stored before workers forget it, and never goes back."""
+"""Test that progress is stored before workers discard it, and is never overwritten by older."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 ID = "0" * 16
 
 
-def claimed(**options):
+def make_writer(**options):
     rows = MemoryRows(**options)
     token = rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"me"})).version
-    deposed = []
-    return rows, ProgressWriter(rows, token, deposed.append), deposed
+    loss_reasons = []
+    return rows, ProgressWriter(rows, token, loss_reasons.append), loss_reasons
 
 
-def working_rig():
+def make_rig_with_runs():
     rig = Rig.with_workers(2)
     rig.accept(job(ID, Step(3, SMALL, 100)))
     rig.settle()
@@ -31,15 +31,15 @@
     return asyncio.run(writer._flush(cell))
 
 
-def stored_done(rows):
+def stored_done_tasks(rows):
     (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
     return step.done
 
 
 def test_ends_are_acknowledged_only_after_their_progress_is_stored():
-    """Guard against a done task that both the worker and the store have forgotten."""
-    rows, writer, _ = claimed()
-    rig = working_rig()
+    """Guard against a finished task that neither the worker nor the store has a record of."""
+    rows, writer, _ = make_writer()
+    rig = make_rig_with_runs()
     rig.end(task(index=0))
     worker = rig.cell.board.workers["w0"]
     rows.down = True
@@ -48,51 +48,51 @@
     rows.down = False
     assert flush(writer, rig.cell)
     assert worker.acked_end == 1
-    assert stored_done(rows) == (0,)
+    assert stored_done_tasks(rows) == (0,)
 
 
-def test_a_write_that_is_carried_out_late_does_not_undo_a_newer_one():
-    """Guard against progress that goes back after the store answered a newer write."""
-    ways = ["late"]
-    rows, writer, _ = claimed(fail=lambda txn: ways.pop() if ways else "")
-    rig = working_rig()
+def test_late_write_does_not_undo_a_newer_one():
+    """Guard against older progress that replaces newer, already confirmed progress."""
+    failures = ["late"]
+    rows, writer, _ = make_writer(fail=lambda txn: failures.pop() if failures else "")
+    rig = make_rig_with_runs()
     rig.end(task(index=0))
     assert not flush(writer, rig.cell)
     rig.end(task(index=1))
     assert flush(writer, rig.cell)
     rows.deliver_late()
-    assert stored_done(rows) == (0, 1)
+    assert stored_done_tasks(rows) == (0, 1)
 
 
-def test_a_write_whose_answer_was_lost_does_not_block_the_next_one():
-    """Guard against an owner that takes its own earlier write for another owner's."""
-    ways = ["lost"]
-    rows, writer, deposed = claimed(fail=lambda txn: ways.pop() if ways else "")
-    rig = working_rig()
+def test_unanswered_write_does_not_block_the_next_one():
+    """Guard against an owner that mistakes its own earlier write for that of another owner."""
+    failures = ["lost"]
+    rows, writer, loss_reasons = make_writer(fail=lambda txn: failures.pop() if failures else "")
+    rig = make_rig_with_runs()
     rig.end(task(index=0))
-    tries = [flush(writer, rig.cell) for _ in range(3)]
-    assert tries == [False, False, True]
-    assert deposed == []
-    assert stored_done(rows) == (0,)
+    outcomes = [flush(writer, rig.cell) for _ in range(3)]
+    assert outcomes == [False, False, True]
+    assert loss_reasons == []
+    assert stored_done_tasks(rows) == (0,)
 
 
-def test_a_deposed_owner_writes_nothing():
-    """Guard against progress of an earlier owner over that of the present one."""
-    rows, writer, deposed = claimed()
-    rig = working_rig()
+def test_replaced_owner_writes_nothing():
+    """Guard against a previous owner that overwrites the progress of the current one."""
+    rows, writer, loss_reasons = make_writer()
+    rig = make_rig_with_runs()
     rig.end(task(index=0))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
-    assert deposed
+    assert loss_reasons
     assert progress_row_key(ID) not in rows.rows
 
 
-def test_a_cancelled_write_keeps_its_progress_for_the_next_one():
-    """Guard against progress lost when the writer is stopped in the middle of a write."""
+def test_progress_of_a_cancelled_write_is_written_next():
+    """Guard against progress that is lost when the writer is cancelled during a write."""
 
     async def run():
-        rows, writer, _ = claimed()
-        rig = working_rig()
+        rows, writer, _ = make_writer()
+        rig = make_rig_with_runs()
         rig.end(task(index=0), EndKind.DONE)
         rows.hangs = True
         flushing = asyncio.create_task(writer._flush(rig.cell))
@@ -102,16 +102,16 @@
         await asyncio.gather(flushing, return_exceptions=True)
         rows.hangs = False
         assert await writer.release(b"released", rig.cell)
-        assert stored_done(rows) == (0,)
+        assert stored_done_tasks(rows) == (0,)
         return rows
 
     rows = asyncio.run(run())
     assert rows.rows[OWNER_ROW_KEY].value == b"released"
 
 
-def test_a_start_is_sent_only_after_the_run_is_stored():
-    """Guard against a run that the next owner does not know of and starts again."""
-    rows, writer, _ = claimed()
+def test_start_is_sent_only_after_the_run_is_stored():
+    """Guard against a run that the next owner does not know of and so starts again."""
+    rows, writer, _ = make_writer()
     rig = Rig.with_workers(1)
     rig.deliver = False
     rig.accept(job(ID))
@@ -128,9 +128,9 @@
     assert step.runs[0].worker_id == order.worker_id
 
 
-def test_a_start_of_a_deposed_owner_is_never_sent():
-    """Guard against two owners that both order runs while only one holds the claim."""
-    rows, writer, deposed = claimed()
+def test_start_of_a_replaced_owner_is_never_sent():
+    """Guard against two owners that both order runs although only one holds the claim."""
+    rows, writer, loss_reasons = make_writer()
     rig = Rig.with_workers(1)
     rig.deliver = False
     rig.accept(job(ID))
@@ -139,5 +139,5 @@
     writer.call_when_stored(lambda: sent.append(1))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
-    assert deposed
+    assert loss_reasons
     assert sent == []
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -1,4 +1,4 @@
-"""Test that an instance works through its peers while it is cut off from the store."""
+"""Test that an instance uses the store through its peers while it cannot reach it directly."""
 
 import asyncio
 
@@ -23,8 +23,8 @@
 TXN = RowsTxn({KEY: 0}, {KEY: b"value"})
 
 
-class View(MemoryRows):
-    """Be one instance's way to a shared store, which can be cut."""
+class StoreView(MemoryRows):
+    """Give one instance access to a shared store; `down` cuts this instance off."""
 
     def __init__(self, shared):
         super().__init__(rows=shared.rows, log=shared.log)
@@ -39,8 +39,8 @@
         return await self.shared.follow(table, after_version, wait_ms)
 
 
-class DirectLink:
-    """Pass messages to a peer through the codec, as a link does."""
+class FakeLink:
+    """Send messages to a peer through the codec, as a link does, but without a network."""
 
     def __init__(self, peer):
         self.peer = peer
@@ -58,31 +58,31 @@
         return CODEC.decode(CODEC.encode(reply)).message
 
 
-def instance(shared, *links):
-    view = View(shared)
+def make_instance(shared, *links):
+    view = StoreView(shared)
     return view, RelayedStore(MonitoredStore(view, NodeMetrics()), RelayPeers(lambda: list(links)))
 
 
-def pair():
+def make_pair():
     shared = MemoryRows()
-    _, peer = instance(shared)
-    link = DirectLink(peer)
-    view, store = instance(shared, link)
+    _, peer = make_instance(shared)
+    link = FakeLink(peer)
+    view, store = make_instance(shared, link)
     return shared, view, store, link
 
 
-async def lose(view, store):
+async def cut_off(view, store):
     view.down = True
     with pytest.raises(StoreUnansweredError):
         await store.commit(TXN)
 
 
-def test_a_cut_off_instance_commits_and_follows_through_a_peer():
-    """Guard against an owner that stops all starts because only it lost the store."""
+def test_cut_off_instance_commits_and_follows_through_a_peer():
+    """Guard against an owner that stops all starts because it alone cannot reach the store."""
 
     async def run():
-        shared, view, store, _ = pair()
-        await lose(view, store)
+        shared, view, store, _ = make_pair()
+        await cut_off(view, store)
         assert isinstance(await store.commit(TXN), RowsCommitted)
         again = await store.commit(TXN)
         assert isinstance(again, RowsConflict)
@@ -93,16 +93,16 @@
     asyncio.run(run())
 
 
-def test_a_commit_without_a_peers_answer_is_not_called_refused():
-    """Guard against "not run" for a job that a peer stored without saying so."""
+def test_commit_without_an_answer_from_the_peer_is_not_refused():
+    """Guard against a refusal of a job that a peer stored without answering."""
 
     async def run():
-        _, view, store, link = pair()
-        await lose(view, store)
+        _, view, store, link = make_pair()
+        await cut_off(view, store)
         link.silent = True
         with pytest.raises(StoreUnansweredError):
             await store.commit(TXN)
-        # The silent link rests, so the next call is refused at once and truly.
+        # The silent peer is skipped, so the next call is refused without being sent.
         with pytest.raises(StoreRefusedError):
             await store.commit(TXN)
         assert link.calls == 1
@@ -110,15 +110,15 @@
     asyncio.run(run())
 
 
-def test_a_peer_that_lost_the_store_too_refuses():
-    """Guard against calls that go round between instances which are all cut off."""
+def test_peer_that_cannot_reach_the_store_refuses():
+    """Guard against calls that circulate among instances which are all cut off."""
 
     async def run():
         shared = MemoryRows()
-        peer_view, peer = instance(shared)
-        view, store = instance(shared, DirectLink(peer))
-        await lose(view, store)
-        await lose(peer_view, peer)
+        peer_view, peer = make_instance(shared)
+        view, store = make_instance(shared, FakeLink(peer))
+        await cut_off(view, store)
+        await cut_off(peer_view, peer)
         with pytest.raises(StoreRefusedError):
             await store.commit(TXN)
         assert KEY not in shared.rows
@@ -126,35 +126,38 @@
     asyncio.run(run())
 
 
-def test_peers_that_are_cut_off_too_are_passed_over():
-    """Guard against an owner that always asks the same cut-off peers (pulunadi grown scale-2)."""
+def test_cut_off_peers_are_skipped():
+    """Guard against an owner that keeps trying the same cut-off peers.
+
+    Found in run "pulunadi grown scale-2".
+    """
 
     async def run():
         shared = MemoryRows()
-        cut = []
+        cut_off_links = []
         for _ in range(7):
-            peer_view, peer = instance(shared)
-            await lose(peer_view, peer)
-            cut.append(DirectLink(peer))
-        _, good = instance(shared)
-        view, store = instance(shared, *cut, DirectLink(good))
-        await lose(view, store)
+            peer_view, peer = make_instance(shared)
+            await cut_off(peer_view, peer)
+            cut_off_links.append(FakeLink(peer))
+        _, connected = make_instance(shared)
+        view, store = make_instance(shared, *cut_off_links, FakeLink(connected))
+        await cut_off(view, store)
         with pytest.raises(StoreRefusedError):
             await store.commit(TXN)
         assert isinstance(await store.commit(TXN), RowsCommitted)
-        asked = sum(link.calls for link in cut)
+        calls_before = sum(link.calls for link in cut_off_links)
         assert isinstance(await store.commit(TXN), RowsConflict)
-        assert sum(link.calls for link in cut) == asked
+        assert sum(link.calls for link in cut_off_links) == calls_before
 
     asyncio.run(run())
 
 
-def test_the_store_is_used_directly_again_once_it_answers():
-    """Guard against an instance that burdens its peers for ever after one lost answer."""
+def test_store_is_called_directly_again_once_it_answers():
+    """Guard against an instance that keeps relaying through its peers after one lost answer."""
 
     async def run():
-        _, view, store, link = pair()
-        await lose(view, store)
+        _, view, store, link = make_pair()
+        await cut_off(view, store)
         view.down = False
         await store.read("jobs", "0")
         assert link.calls == 1
