--- a/baobabhoist/control/cell_loader.py
+++ b/baobabhoist/control/cell_loader.py
@@ -20,11 +20,11 @@
 
 
 @attrs.frozen
-class TablePart:
+class TablePartition:
     """Identify the partition of a table that one read returns."""
 
     table: str
-    part: str = ""
+    name: str = ""
 
 
 @attrs.frozen
@@ -48,20 +48,20 @@
 
     def __init__(self, store: RowStore, directory_table: str) -> None:
         self._store = store
-        self._directory = TablePart(directory_table)
-        self._read: dict[TablePart, Rows] = {}
-        self._parts = (
-            TablePart(PROGRESS_TABLE),
-            TablePart(CELL_TABLE),
-            TablePart(SPEEDS_ROW_KEY.table),
+        self._directory = TablePartition(directory_table)
+        self._rows_read: dict[TablePartition, Rows] = {}
+        self._partitions = (
+            TablePartition(PROGRESS_TABLE),
+            TablePartition(CELL_TABLE),
+            TablePartition(SPEEDS_ROW_KEY.table),
             self._directory,
-            *(TablePart(JOBS_TABLE, part) for part in JOB_PARTITIONS),
+            *(TablePartition(JOBS_TABLE, partition) for partition in JOB_PARTITIONS),
         )
 
     @property
-    def missing(self) -> list[TablePart]:
+    def missing(self) -> list[TablePartition]:
         """Return the partitions that have not been read yet."""
-        return [part for part in self._parts if part not in self._read]
+        return [partition for partition in self._partitions if partition not in self._rows_read]
 
     @property
     def is_complete(self) -> bool:
@@ -72,27 +72,30 @@
         """Read the missing partitions; raises the first StoreError once all reads have ended."""
         limit = asyncio.Semaphore(MAX_CONCURRENT_READS)
         outcomes = await asyncio.gather(
-            *(self._read_part(part, limit) for part in self.missing), return_exceptions=True
+            *(self._read_partition(partition, limit) for partition in self.missing),
+            return_exceptions=True,
         )
         for outcome in outcomes:
             if outcome is not None:
                 raise outcome
 
-    async def _read_part(self, part: TablePart, limit: asyncio.Semaphore) -> None:
+    async def _read_partition(self, partition: TablePartition, limit: asyncio.Semaphore) -> None:
         async with limit:
-            self._read[part] = await self._store.read(part.table, part.part)
+            self._rows_read[partition] = await self._store.read(partition.table, partition.name)
 
     def tables(self) -> CellTables:
         """Return the rows of all tables."""
-        jobs = [self._read[TablePart(JOBS_TABLE, part)] for part in JOB_PARTITIONS]
+        jobs = [
+            self._rows_read[TablePartition(JOBS_TABLE, partition)] for partition in JOB_PARTITIONS
+        ]
         return CellTables(
-            progress=self._rows(TablePart(PROGRESS_TABLE)),
-            cell=self._rows(TablePart(CELL_TABLE)),
-            speeds=self._rows(TablePart(SPEEDS_ROW_KEY.table)),
-            directory=self._rows(self._directory),
+            progress=self._rows_of(TablePartition(PROGRESS_TABLE)),
+            cell=self._rows_of(TablePartition(CELL_TABLE)),
+            speeds=self._rows_of(TablePartition(SPEEDS_ROW_KEY.table)),
+            directory=self._rows_of(self._directory),
             jobs=tuple(row for rows in jobs for row in rows.rows),
             jobs_version=min(rows.version for rows in jobs),
         )
 
-    def _rows(self, part: TablePart) -> tuple[StoredRow, ...]:
-        return self._read[part].rows
+    def _rows_of(self, partition: TablePartition) -> tuple[StoredRow, ...]:
+        return self._rows_read[partition].rows
--- a/baobabhoist/control/claim.py
+++ b/baobabhoist/control/claim.py
@@ -10,7 +10,7 @@
 
 # Interval at which the owner writes its heartbeat row while the store answers.
 HEARTBEAT_INTERVAL_MS = 500.0
-# A heartbeat row unchanged for this long means that the owner can no longer write to the store.
+# If the heartbeat is unchanged for this long, the owner can no longer write to the store.
 HEARTBEAT_STALE_MS = 2_400.0
 # A live owner writes its next heartbeat within this time.
 HEARTBEAT_OVERDUE_MS = 1_200.0
@@ -21,7 +21,8 @@
 ISOLATION_TIMEOUT_MS = 1_500.0
 # An instance that released the cell because it was isolated does not claim it for this long.
 ISOLATION_BACKOFF_MS = 6_000.0
-# Each takeover from an owner that did not release the cell, within this window, delays the next.
+# Takeovers from owners that did not release the cell delay the next one while they are within
+# this window; at most MAX_COUNTED_TAKEOVERS of them count.
 TAKEOVER_WINDOW_MS = 20_000.0
 MAX_COUNTED_TAKEOVERS = 3
 # An owner sends no orders once its last confirmed heartbeat is older than this.
--- a/baobabhoist/control/config.py
+++ b/baobabhoist/control/config.py
@@ -26,7 +26,7 @@
     team_by_key: dict[str, str]
     body_max_bytes: int
 
-    def route_for(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest matching path prefix, or None."""
         matching = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
         return max(matching, key=lambda route: len(route.prefix), default=None)
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -87,7 +87,7 @@
         ErrorKind.OUTCOME_UNKNOWN,
         message,
         Outcome.UNKNOWN,
-        remedy="retry with the same id; the job is accepted only once",
+        remedy="retry with the same id; a repeated call has no further effect",
     )
 
 
@@ -113,7 +113,7 @@
         cfg = self.config.current
         if cfg is None:
             return unavailable_refusal("no configuration has been loaded yet")
-        route = cfg.route_for(call.host, call.path)
+        route = cfg.find_route(call.host, call.path)
         if route is None:
             return Refusal(
                 ErrorKind.NOT_FOUND, f"no queue at {call.path}", remedy="check host and path"
@@ -150,11 +150,11 @@
         row = JobRow(queue.name, queue.service, admitted.team, self.clock.now_ms(), spec)
         value = encode_job(row)
         if len(value) > self.row_max_bytes:
-            message = f"the stored job would take {len(value)} bytes"
+            message = f"the job would take {len(value)} bytes in the store"
             remedy = f"send a job of at most {self.row_max_bytes} bytes"
             return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy=remedy)
         start_ms = monotonic_ms()
-        outcome = await self.job_writer.store_job(
+        result = await self.job_writer.store_job(
             admitted.job_id, value, call.deadline_ms - ANSWER_RESERVE_MS
         )
         emit(
@@ -165,16 +165,16 @@
             team=admitted.team,
             config=admitted.cfg.version,
             config_age_ms=round(self.config.age_ms(monotonic_ms())),
-            outcome=outcome.status.value,
-            version=outcome.version,
+            outcome=result.status.value,
+            version=result.version,
             took_ms=round(monotonic_ms() - start_ms),
         )
-        if outcome.status is WriteStatus.REFUSED:
+        if result.status is WriteStatus.REFUSED:
             return self._store_refusal("the store cannot accept jobs now")
-        if outcome.status is WriteStatus.UNKNOWN:
+        if result.status is WriteStatus.UNKNOWN:
             return unknown_outcome_refusal("the store did not confirm whether the job was stored")
-        if outcome.status is WriteStatus.NEW:
-            self.owner_router.notify(JobNotice(admitted.job_id, value, outcome.version))
+        if result.status is WriteStatus.NEW:
+            self.owner_router.notify(JobNotice(admitted.job_id, value, result.version))
         return None
 
     async def job_state(self, admitted: AdmittedCall) -> str | Refusal:
@@ -199,13 +199,13 @@
             return _unknown_job_refusal(admitted.job_id)
         if reply.state in FINAL_PHASES:
             return None
-        outcome = await self.job_writer.store_cancel(
+        result = await self.job_writer.store_cancellation(
             admitted.job_id, call.deadline_ms - ANSWER_RESERVE_MS
         )
-        emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=outcome.status.value)
-        if outcome.status is WriteStatus.REFUSED:
+        emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=result.status.value)
+        if result.status is WriteStatus.REFUSED:
             return self._store_refusal("the store cannot accept cancellations now")
-        if outcome.status is WriteStatus.UNKNOWN:
+        if result.status is WriteStatus.UNKNOWN:
             return unknown_outcome_refusal(
                 "the store did not confirm whether the job was cancelled"
             )
@@ -236,7 +236,9 @@
             return await self._read_state(job_id)
         except (StoreError, ValueError) as exc:
             emit(log, Event.STATE_UNKNOWN, job=job_id, detail=exc)
-            return unavailable_refusal("neither the owner nor the store can be reached")
+            return unavailable_refusal(
+                "neither the owner nor the store returned the state of the job"
+            )
 
     async def _read_state(self, job_id: str) -> StateReply:
         """Read the state of a job from the store; raises StoreError or ValueError."""
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -63,7 +63,7 @@
         """Store a job unless it is already stored."""
         return await self._insert(job_row_key(job_id), value, deadline_ms)
 
-    async def store_cancel(self, job_id: str, deadline_ms: float) -> WriteResult:
+    async def store_cancellation(self, job_id: str, deadline_ms: float) -> WriteResult:
         """Store the cancellation of a job."""
         return await self._insert(cancel_row_key(job_id), b"{}", deadline_ms)
 
--- a/baobabhoist/control/links.py
+++ b/baobabhoist/control/links.py
@@ -53,7 +53,7 @@
         self._server: Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Start to listen on `host` and `port`."""
+        """Start listening on `host` and `port`."""
         self._server = await serve(self._serve, host, port, **WEBSOCKET_OPTIONS)
 
     async def stop(self) -> None:
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -91,7 +91,7 @@
         self._config.set({}, version)
         self._config_age.set({}, age_s)
 
-    def set_owner(self, owns: bool, queued: dict[str, int], lease_margin_s: float) -> None:
+    def set_owner_gauges(self, owns: bool, queued: dict[str, int], lease_margin_s: float) -> None:
         """Set the gauges of the cell's owner."""
         self._owns.set({}, int(owns))
         self._lease_margin.set({}, lease_margin_s)
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -21,7 +21,7 @@
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.owner import CellOwner, OwnerDependencies, OwnershipTerm
 from baobabhoist.control.owner_router import OwnerRouter
-from baobabhoist.control.relay import RelayedStore, RelayPeers
+from baobabhoist.control.relay import FailoverStore, RelayPeers
 from baobabhoist.control.row_schema import (
     CELL_TABLE,
 )
@@ -74,7 +74,7 @@
         self.count_dropped_lines: Callable[[], int] = lambda: 0
         direct = MonitoredStore(adapter.store, self.metrics)
         self._store_health = direct.health
-        store = RelayedStore(direct, RelayPeers(self._relay_links))
+        store = FailoverStore(direct, RelayPeers(self._relay_links))
         self.owner_router.relay_store = store
         adapter = attrs.evolve(adapter, store=store)
         self.job_api = JobApi(
@@ -164,7 +164,7 @@
         cell = owner.cell if owner is not None else None
         queued = cell.queued_tasks() if cell is not None else {}
         margin = cell.lease_margin_ms(now) if cell is not None else 0.0
-        self.metrics.set_owner(owner is not None, queued, margin / 1000)
+        self.metrics.set_owner_gauges(owner is not None, queued, margin / 1000)
 
     async def drain(self) -> None:
         """Stop claiming the cell, and release it so that another instance takes over at once."""
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -71,7 +71,7 @@
     driver: WorkerDriver
     decoder: Decoder
     clock: StoreClock
-    advice: AdviceDispatcher
+    advice_dispatcher: AdviceDispatcher
     lease_ms: float
     job_kept_ms: float
     # Returns whether the claim was confirmed recently enough to order starts.
@@ -125,7 +125,7 @@
 
     @property
     def cell(self) -> Cell | None:
-        """Return the cell, or None until it is loaded: its jobs would look as if never run."""
+        """Return the cell, or None while loading, when its jobs look as if they had never run."""
         return self._cell if self.is_loaded else None
 
     def apply_rules(self, rules: CellRules) -> None:
@@ -139,7 +139,7 @@
         """Return whether leases may be renewed: not if a later owner may rely on their expiry."""
         return self._deps.may_start()
 
-    # Queries and notifications from the instances.
+    # Queries and notifications from this and other instances.
 
     def handle_stored_job(self, job_id: str, value: bytes, version: int) -> None:
         """Add a stored job to the cell."""
@@ -185,12 +185,12 @@
 
     async def _build_cell(self, tables: CellTables) -> None:
         takeover = Takeover(
-            self.ownership.generation, self.ownership.token, self._leases_expired_ms()
+            self.ownership.generation, self.ownership.token, self._lease_expiry_ms()
         )
         loaded_rows = (*tables.progress, *tables.cell, *tables.speeds)
         self.progress_writer.set_versions({row.key: row.version for row in loaded_rows})
         cell = Cell(self._rules, takeover, self._deps.lease_ms)
-        cell.decisions.advisers = self._deps.advice.capacity
+        cell.decisions.advisers = self._deps.advice_dispatcher.capacity
         self._apply_speeds(cell, tables.speeds)
         self._cell = cell
         self._apply_directory_rows(tables.directory, True)
@@ -214,7 +214,7 @@
         )
         self._deps.metrics.observe_takeover((now - self.ownership.won_ms) / 1000)
 
-    def _leases_expired_ms(self) -> float:
+    def _lease_expiry_ms(self) -> float:
         """Return when every lease granted by previous owners has certainly expired."""
         last_ms = max(self.ownership.won_ms, self.ownership.previous_owner_until_ms)
         return last_ms + self._deps.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
@@ -376,7 +376,7 @@
             self.schedule_decision()
 
     async def _ask_adviser(self, query: AskAdvice) -> None:
-        advice = await self._deps.advice.ask(query)
+        advice = await self._deps.advice_dispatcher.ask(query)
         cell, now = self._require_cell(), monotonic_ms()
         if advice is None:
             cell.advice_failed(query.step, now + LOAD_RETRY_INTERVAL_S * 1000)
@@ -393,7 +393,7 @@
     async def _run_ticks(self) -> None:
         while True:
             cell = self._require_cell()
-            cell.decisions.advisers = self._deps.advice.capacity
+            cell.decisions.advisers = self._deps.advice_dispatcher.capacity
             cell.tick(monotonic_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % RETENTION_CHECK_TICKS == 0:
@@ -414,7 +414,7 @@
             self.spawn(self.progress_writer.remove_job(job_id))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
-        """Run a background task that ends with this owner at the latest."""
+        """Start a background task that is cancelled when this owner stops."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._handle_task_end)
--- a/baobabhoist/control/owner_router.py
+++ b/baobabhoist/control/owner_router.py
@@ -26,7 +26,7 @@
     StateReply,
 )
 from baobabhoist.control.owner import CellOwner
-from baobabhoist.control.relay import RelayedStore
+from baobabhoist.control.relay import FailoverStore
 from baobabhoist.errors import LinkClosedError
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         self.local_owner: CellOwner | None = None
         self.owner_link: OwnerLink | None = None
         # Executes store calls that other instances relay through this one.
-        self.relay_store: RelayedStore | None = None
+        self.relay_store: FailoverStore | None = None
         self._node = node
         self._adviser = adviser
         self._tasks: set[asyncio.Task[None]] = set()
@@ -95,10 +95,10 @@
     def _answer_pending(self, owner: CellOwner, query: PendingQuery) -> PendingReply | NotOwner:
         return owner.count_pending_jobs(query.queue) or NotOwner(self._node)
 
-    def _take_job(self, owner: CellOwner, notice: JobNotice) -> None:
+    def _handle_job_notice(self, owner: CellOwner, notice: JobNotice) -> None:
         owner.handle_stored_job(notice.job_id, notice.value, notice.version)
 
-    def _take_cancellation(self, owner: CellOwner, notice: CancelNotice) -> None:
+    def _handle_cancel_notice(self, owner: CellOwner, notice: CancelNotice) -> None:
         owner.handle_cancelled_job(notice.job_id)
 
     async def _serve_store_call(self, message: Any) -> Any:
@@ -121,8 +121,8 @@
     _OWNER_HANDLERS: dict[type, Callable[[Any, CellOwner, Any], Any]] = {
         StateQuery: _answer_state,
         PendingQuery: _answer_pending,
-        JobNotice: _take_job,
-        CancelNotice: _take_cancellation,
+        JobNotice: _handle_job_notice,
+        CancelNotice: _handle_cancel_notice,
     }
 
     async def _notify(self, notice: Any) -> None:
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -53,10 +53,10 @@
         self._token = token
         self._on_ownership_lost = on_ownership_lost
         self._flush_requested = asyncio.Event()
-        # Callbacks that send orders, which wait until the progress behind them is stored.
+        # Callbacks that send orders, to be called once the progress they depend on is stored.
         self._deferred_sends: list[Callable[[], None]] = []
-        self._heartbeats = 0
-        self._next_speeds_ms = monotonic_ms()
+        self._heartbeat_count = 0
+        self._next_speeds_write_ms = monotonic_ms()
         # A write that the store applies late must not undo a newer one, so each write is
         # conditional on the version of every row that it replaces.
         self._versions: dict[RowKey, int] = {}
@@ -86,8 +86,8 @@
 
     async def write_heartbeat(self) -> bool:
         """Write a heartbeat; return whether the store confirmed it."""
-        self._heartbeats += 1
-        value = str(self._heartbeats).encode()
+        self._heartbeat_count += 1
+        value = str(self._heartbeat_count).encode()
         return await self._commit({HEARTBEAT_ROW_KEY: value}, {}) is not None
 
     async def release(self, claim: bytes, cell: Cell | None) -> bool:
@@ -118,8 +118,8 @@
         dirty = cell.take_dirty()
         deferred_sends, self._deferred_sends = self._deferred_sends, []
         puts = {progress_row_key(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if monotonic_ms() > self._next_speeds_ms and cell.board.speeds.workers:
-            self._next_speeds_ms = monotonic_ms() + SPEEDS_INTERVAL_MS
+        if monotonic_ms() > self._next_speeds_write_ms and cell.board.speeds.workers:
+            self._next_speeds_write_ms = monotonic_ms() + SPEEDS_INTERVAL_MS
             puts[SPEEDS_ROW_KEY] = encode_speeds(cell.board.speeds)
         is_written = False
         try:
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -83,7 +83,7 @@
         self.unusable_until_ms[id(link)] = now + PEER_BACKOFF_MS
 
 
-class RelayedStore:
+class FailoverStore:
     """Forward calls to the store while it answers, and otherwise to a peer that reaches it."""
 
     def __init__(self, direct: MonitoredStore, peers: RelayPeers) -> None:
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -49,17 +49,17 @@
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
         """Return the rows of a partition in a range of keys."""
-        return await self._record("read", self._store.read(table, part, first=first, last=last))
+        return await self._measure("read", self._store.read(table, part, first=first, last=last))
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
         """Return the rows of a table that changed after a version."""
-        return await self._record("follow", self._store.follow(table, after_version, wait_ms))
+        return await self._measure("follow", self._store.follow(table, after_version, wait_ms))
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
-        return await self._record("commit", self._store.commit(txn))
+        return await self._measure("commit", self._store.commit(txn))
 
-    async def _record(self, call: str, answer: Awaitable[T]) -> T:
+    async def _measure(self, call: str, answer: Awaitable[T]) -> T:
         start_ms = monotonic_ms()
         outcome = "ok"
         try:
--- a/baobabhoist/control/table_follower.py
+++ b/baobabhoist/control/table_follower.py
@@ -16,7 +16,7 @@
 # Long polls are short because each answer also confirms that the known rows are current.
 POLL_WAIT_MS = 1_000
 
-OnRows = Callable[[Sequence[StoredRow], bool], None]
+RowsCallback = Callable[[Sequence[StoredRow], bool], None]
 
 
 class TableFollower:
@@ -31,7 +31,7 @@
         self,
         store: RowStore,
         table: str,
-        on_rows: OnRows,
+        on_rows: RowsCallback,
         clock: StoreClock,
         *,
         partitions: Iterable[str] = ("",),
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -21,7 +21,8 @@
 RENEW_WAIT_MS = 1_000
 RETRY_INITIAL_S = 0.1
 RETRY_MAX_S = 0.4
-# Pause for an end to be stored: until it is acknowledged, the worker answers renewals at once.
+# Longest wait for a reported end to be stored. Until the end is acknowledged, the worker answers
+# each renewal at once, so renewing meanwhile would be a busy loop.
 ACK_TIMEOUT_S = 0.15
 
 
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.control.messages import CODEC
 from baobabhoist.control.metrics import NodeMetrics
-from baobabhoist.control.relay import RelayedStore, RelayPeers
+from baobabhoist.control.relay import FailoverStore, RelayPeers
 from baobabhoist.control.store_health import MonitoredStore
 from baobabhoist.errors import NotSentError
 from baobabhoist.store.rows import (
@@ -60,7 +60,9 @@
 
 def make_instance(shared, *links):
     view = StoreView(shared)
-    return view, RelayedStore(MonitoredStore(view, NodeMetrics()), RelayPeers(lambda: list(links)))
+    return view, FailoverStore(
+        MonitoredStore(view, NodeMetrics()), RelayPeers(lambda: list(links))
+    )
 
 
 def make_pair():
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -101,9 +101,9 @@
     cfg = DECODER.decode_config(orjson.dumps(CONFIG))
     assert cfg.team_by_key == {"k1": "t"}
     assert cfg.rules.teams["t"].limit == Room(cpu=9)
-    assert cfg.route_for("h.example", "/a/b/0").queue.name == "deep"
-    assert cfg.route_for("h.example", "/a/c").queue.advice.valid_ms == 2500
-    assert cfg.route_for("other", "/a/c") is None
+    assert cfg.find_route("h.example", "/a/b/0").queue.name == "deep"
+    assert cfg.find_route("h.example", "/a/c").queue.advice.valid_ms == 2500
+    assert cfg.find_route("other", "/a/c") is None
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
