--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -25,8 +25,6 @@
     make_stream,
 )
 from baobabhoist.benchmarks.figures import quantile
-from baobabhoist.cell.cell import Cell, Takeover
-from baobabhoist.cell.decide import Decisions
 from baobabhoist.cell.jobs import LATE_FACTOR, StepState
 from baobabhoist.cell.model import (
     AskAdvice,
@@ -39,7 +37,9 @@
     TaskKey,
     WorkerInfo,
 )
-from baobabhoist.cell.order import Band, Rank
+from baobabhoist.cell.placer import Decisions
+from baobabhoist.cell.ranking import Band, Rank
+from baobabhoist.cell.scheduler import Cell, Takeover
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
 
--- a/baobabhoist/cell/upkeep.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -4,9 +4,9 @@
 
 import logging
 
-from baobabhoist.cell.board import Board
-from baobabhoist.cell.ends import Ends, lost
 from baobabhoist.cell.jobs import Run, RunPhase, StepState
+from baobabhoist.cell.run_ends import Ends, lost
+from baobabhoist.cell.state import Board
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
--- a/baobabhoist/cell/decide.py
+++ b/baobabhoist/cell/placer.py
@@ -6,14 +6,14 @@
 
 import attrs
 
-from baobabhoist.cell.board import Board
-from baobabhoist.cell.gathering import Holds
 from baobabhoist.cell.jobs import StepState
-from baobabhoist.cell.matching import speed_cost, tolerance
 from baobabhoist.cell.model import AdviceTerms, AskAdvice, Queue, Room
-from baobabhoist.cell.order import Band, Rank, band_of, rank_of
-from baobabhoist.cell.placing import Slots, gather_gang, slots_on, spread_singles
-from baobabhoist.cell.pools import Pools
+from baobabhoist.cell.ranking import Band, Rank, band_of, rank_of
+from baobabhoist.cell.reservations import Holds
+from baobabhoist.cell.speed_matching import speed_cost, tolerance
+from baobabhoist.cell.state import Board
+from baobabhoist.cell.worker_index import Pools
+from baobabhoist.cell.worker_selection import Slots, gather_gang, slots_on, spread_singles
 from baobabhoist.cell.workers import WorkerState
 
 # Most workers that one question to the adviser may name.
--- a/baobabhoist/cell/gathering.py
+++ b/baobabhoist/cell/reservations.py
@@ -5,7 +5,7 @@
 import attrs
 
 from baobabhoist.cell.jobs import StepState
-from baobabhoist.cell.placing import room_for
+from baobabhoist.cell.worker_selection import room_for
 from baobabhoist.cell.workers import WorkerState
 
 # Gangs that gather at the same time; more would leave too many cores idle.
--- a/baobabhoist/cell/ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -4,9 +4,9 @@
 
 import logging
 
-from baobabhoist.cell.board import Board
 from baobabhoist.cell.jobs import Run, RunPhase, StepState, TaskState
 from baobabhoist.cell.model import EndKind, JobPhase
+from baobabhoist.cell.state import Board
 from baobabhoist.observability.events import Event, emit
 
 log = logging.getLogger(__name__)
--- a/baobabhoist/cell/cell.py
+++ b/baobabhoist/cell/scheduler.py
@@ -8,10 +8,7 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.board import Board
-from baobabhoist.cell.decide import Decisions
-from baobabhoist.cell.ends import Ends
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.jobs import JobState, StepState, chain_ms
 from baobabhoist.cell.model import (
     NO_ROOM,
@@ -26,9 +23,12 @@
     WorkerInfo,
     WorkerReport,
 )
-from baobabhoist.cell.progress import Progress
-from baobabhoist.cell.reports import Reports
-from baobabhoist.cell.upkeep import Upkeep
+from baobabhoist.cell.periodic_checks import Upkeep
+from baobabhoist.cell.placer import Decisions
+from baobabhoist.cell.progress_rows import Progress
+from baobabhoist.cell.run_ends import Ends
+from baobabhoist.cell.state import Board
+from baobabhoist.cell.worker_reports import Reports
 from baobabhoist.cell.workers import Lease, WorkerState
 from baobabhoist.observability.events import Event, emit
 
--- a/baobabhoist/cell/board.py
+++ b/baobabhoist/cell/state.py
@@ -21,7 +21,7 @@
     TaskKey,
     Team,
 )
-from baobabhoist.cell.speeds import Speeds
+from baobabhoist.cell.speed_estimates import Speeds
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
--- a/baobabhoist/cell/reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -4,8 +4,6 @@
 
 import logging
 
-from baobabhoist.cell.board import Board
-from baobabhoist.cell.ends import Ends, lost
 from baobabhoist.cell.jobs import Run, RunPhase
 from baobabhoist.cell.model import (
     NOT_STARTED,
@@ -17,6 +15,8 @@
     StopTask,
     WorkerReport,
 )
+from baobabhoist.cell.run_ends import Ends, lost
+from baobabhoist.cell.state import Board
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
--- a/baobabhoist/control/frontdesk.py
+++ b/baobabhoist/control/frontdesk.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
 from baobabhoist.control.accept import Acceptor, Stored
 from baobabhoist.control.clock import SharedClock, boot_ms
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.cell import Cell, Takeover
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
+from baobabhoist.cell.scheduler import Cell, Takeover
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
 from baobabhoist.control.advice import AdviceDesk
 from baobabhoist.control.clock import SharedClock, boot_ms, unix_ms
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.cell import Cell
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.scheduler import Cell
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.rowmap import (
     BEAT_ROW,
--- a/baobabhoist/control/rowmap.py
+++ b/baobabhoist/control/rowmap.py
@@ -9,7 +9,7 @@
 import orjson
 
 from baobabhoist.cell.model import AcceptedJob, JobSpec
-from baobabhoist.cell.speeds import Speeds
+from baobabhoist.cell.speed_estimates import Speeds
 from baobabhoist.store.rows import RowKey
 
 CELL_TABLE = "cell"
--- a/baobabhoist/tests/cells.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -2,7 +2,6 @@
 
 import attrs
 
-from baobabhoist.cell.cell import Cell, Takeover
 from baobabhoist.cell.model import (
     NO_ROOM,
     AcceptedJob,
@@ -19,6 +18,7 @@
     TaskKey,
     Team,
 )
+from baobabhoist.cell.scheduler import Cell, Takeover
 from baobabhoist.testing.cell_worker import StandInWorker
 
 LEASE_MS = 5_000.0
--- a/baobabhoist/tests/test_cell_order.py
+++ b/baobabhoist/tests/test_cell_ranking.py
@@ -1,8 +1,8 @@
 """Test the load of more work than room: what can still be served in time comes first."""
 
 from baobabhoist.cell.model import CellRules, Queue, Room, Step, Team
-from baobabhoist.cell.order import Band, band_of
-from baobabhoist.tests.cells import Rig, job, task
+from baobabhoist.cell.ranking import Band, band_of
+from baobabhoist.tests.cell_harness import Rig, job, task
 
 WIDE = Room(4000, 512, 0)
 
--- a/baobabhoist/tests/test_cell_gathering.py
+++ b/baobabhoist/tests/test_cell_reservations.py
@@ -1,7 +1,7 @@
 """Test the load of a gang among small work: it gets its room although small tasks keep coming."""
 
 from baobabhoist.cell.model import EndKind, Step
-from baobabhoist.tests.cells import SMALL, Rig, job, rules, task
+from baobabhoist.tests.cell_harness import SMALL, Rig, job, rules, task
 
 
 def fill(rig, first, count):
--- a/baobabhoist/tests/test_cell_cell.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -13,7 +13,7 @@
     Step,
     StopTask,
 )
-from baobabhoist.tests.cells import LEASE_MS, SMALL, Rig, job, rules, task
+from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, Rig, job, rules, task
 
 
 def test_a_job_runs_its_steps_in_order_and_completes():
--- a/baobabhoist/tests/test_cell_speeds.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -3,9 +3,9 @@
 import random
 
 from baobabhoist.cell.model import Step
-from baobabhoist.cell.speeds import Speeds
+from baobabhoist.cell.speed_estimates import Speeds
 from baobabhoist.control.rowmap import decode_speeds, encode_speeds
-from baobabhoist.tests.cells import SMALL, Rig, job
+from baobabhoist.tests.cell_harness import SMALL, Rig, job
 
 SPEEDS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
 
--- a/baobabhoist/tests/test_cell_machine.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from baobabhoist.cell.cell import Cell, Takeover
 from baobabhoist.cell.model import (
     EndKind,
     JobPhase,
@@ -18,9 +17,10 @@
     StartTask,
     Step,
 )
+from baobabhoist.cell.scheduler import Cell, Takeover
 from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
-from baobabhoist.tests.cells import LEASE_MS, SMALL, job, rules
+from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, job, rules
 
 MAX_ATTEMPTS = 2
 ENDS = st.sampled_from([EndKind.DONE, EndKind.FAILED])
--- a/baobabhoist/tests/test_cell_pools.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from baobabhoist.cell.decide import Decisions
 from baobabhoist.cell.model import AdviceTerms, EndKind, Room, Step
-from baobabhoist.cell.pools import Pools
-from baobabhoist.tests.cells import SMALL, Rig, job, rules, task
+from baobabhoist.cell.placer import Decisions
+from baobabhoist.cell.worker_index import Pools
+from baobabhoist.tests.cell_harness import SMALL, Rig, job, rules, task
 
 LARGE = Room(4000, 4096, 0)
 
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
-from baobabhoist.cell.progress import Progress, encode
+from baobabhoist.cell.progress_rows import Progress, encode
 from baobabhoist.control import frontdesk as frontdesk_module
 from baobabhoist.control.accept import Acceptor
 from baobabhoist.control.clock import SharedClock
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from baobabhoist.cell import progress as progress_rows
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.model import EndKind, Step
 from baobabhoist.control.progress import ProgressWriter
 from baobabhoist.control.rowmap import OWNER_ROW, progress_row
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
-from baobabhoist.tests.cells import SMALL, Rig, job, task
+from baobabhoist.tests.cell_harness import SMALL, Rig, job, task
 
 ID = "0" * 16
 
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_workers.py
@@ -8,7 +8,7 @@
 from baobabhoist.cell.model import OrderOutcome
 from baobabhoist.control import workers
 from baobabhoist.control.workers import WorkerLoop
-from baobabhoist.tests.cells import LEASE_MS, Rig, job
+from baobabhoist.tests.cell_harness import LEASE_MS, Rig, job
 
 
 class Driver:
