--- a/baobabhoist/benchmarks/cell_loads.py
+++ b/baobabhoist/benchmarks/cell_loads.py
@@ -12,7 +12,7 @@
     CellRules,
     JobSpec,
     Queue,
-    Room,
+    Resources,
     Step,
     Team,
 )
@@ -21,7 +21,7 @@
 TEAMS = 6
 # A team may have this many times its share running.
 LIMIT_FACTOR = 1.9
-WORKER = Room(16_000, 65_536, 0)
+WORKER = Resources(16_000, 65_536, 0)
 WORKERS_A_RACK = 20
 # How many times longer than declared a task takes on a worker.
 SPEEDS = (0.7, 0.7, 1.7)
@@ -145,7 +145,7 @@
     rng = random.Random(seed)
     speeds = {f"w{n}": rng.choice(SPEEDS) for n in range(workers)}
     share = WORKER.times(workers).cpu / TEAMS
-    limit = Room(int(LIMIT_FACTOR * share))
+    limit = Resources(int(LIMIT_FACTOR * share))
     teams = {f"t{n}": Team(f"t{n}", 1.0, limit) for n in range(TEAMS)}
     queues = {kind.queue.name: kind.queue for kind in KINDS}
     arrivals = [
@@ -178,14 +178,16 @@
     gang = rng.random() < kind.gang
     for number in range(rng.randint(1, kind.steps)):
         count = max(1, round(kind.tasks * rng.lognormvariate(-0.3, 0.8)))
-        need = Room(
+        need = Resources(
             round(kind.cpu * rng.lognormvariate(-0.1, 0.4)),
             round(kind.memory_mb * rng.lognormvariate(-0.1, 0.4)),
         )
         declared = round(kind.run_ms * rng.lognormvariate(-0.1, 0.4))
         after = (number - 1,) if number else ()
         saves = rng.random() < kind.checkpoints
-        small = Room(min(need.cpu, WORKER.cpu // 2), min(need.memory_mb, WORKER.memory_mb // 2))
+        small = Resources(
+            min(need.cpu, WORKER.cpu // 2), min(need.memory_mb, WORKER.memory_mb // 2)
+        )
         steps.append(Step(min(count, 40), small, declared, after, gang, checkpoints=saves))
     job_id = f"{rng.getrandbits(64):016x}"
     spec = JobSpec("(payload)", tuple(steps))
--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -25,21 +25,21 @@
     make_stream,
 )
 from baobabhoist.benchmarks.figures import quantile
-from baobabhoist.cell.jobs import LATE_FACTOR, StepState
+from baobabhoist.cell.jobs import LATE_LIMIT_FACTOR, StepState
 from baobabhoist.cell.model import (
-    AskAdvice,
     Command,
-    EndKind,
+    CommandOutcome,
     JobPhase,
-    OrderOutcome,
+    RequestAdvice,
+    RunOutcome,
     StartTask,
     StopTask,
     TaskKey,
     WorkerInfo,
 )
-from baobabhoist.cell.placer import Decisions
-from baobabhoist.cell.ranking import Band, Rank
-from baobabhoist.cell.scheduler import Cell, Takeover
+from baobabhoist.cell.placer import TaskPlacer
+from baobabhoist.cell.ranking import Rank, Timeliness
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
 
@@ -60,11 +60,11 @@
 DRAIN_S = 20.0
 
 
-class FirstFit(Decisions):
+class FirstFit(TaskPlacer):
     """Take steps in the order of their arrival and the first workers with room."""
 
     def _rank(self, step: StepState, now: float) -> Rank:
-        return Rank(Band.IN_TIME, 0, step.job.accepted_at_ms, step.job.accepted_at_ms)
+        return Rank(Timeliness.ON_TIME, 0, step.job.accepted_at_ms, step.job.accepted_at_ms)
 
     def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return 0.0
@@ -77,8 +77,8 @@
         return float(worker.free_cpu)
 
 
-POLICIES: dict[str, type[Decisions]] = {
-    "baobabhoist": Decisions,
+POLICIES: dict[str, type[TaskPlacer]] = {
+    "baobabhoist": TaskPlacer,
     "first fit": FirstFit,
     "best fit": BestFit,
 }
@@ -89,8 +89,8 @@
     """Hold the state of one run; times are in ms."""
 
     stream: Stream
-    policy: type[Decisions]
-    cell: Cell = attrs.field(init=False)
+    policy: type[TaskPlacer]
+    cell: CellScheduler = attrs.field(init=False)
     workers: dict[str, StandInWorker] = attrs.field(init=False)
     arrivals: dict[str, Arrival] = attrs.field(init=False)
     now: float = 0.0
@@ -103,7 +103,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Make the cell and its workers."""
-        self.cell = Cell(self.stream.rules, Takeover(0, 0), LEASE_MS)
+        self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
         self.cell.decisions = self.policy(self.cell.board, advisers=ADVISERS)
         self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
         self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
@@ -157,7 +157,7 @@
         self.cell.job_cancelled(job_id, self.now)
         self._kick()
 
-    def _ask(self, question: AskAdvice) -> None:
+    def _ask(self, question: RequestAdvice) -> None:
         def answer() -> None:
             key = question.step
             tickets = {
@@ -180,7 +180,7 @@
                 return
             outcome = worker.start(1, order, self._deadline(order.worker_id) or 0)
             self.cell.start_answered(order, outcome, self.now)
-            if outcome is OrderOutcome.OK:
+            if outcome is CommandOutcome.OK:
                 ends_ms = self.now + self._run_ms(order)
                 self.spans[order.task] = (self.now, ends_ms)
                 self._at(ends_ms, lambda: self._end(order))
@@ -210,9 +210,9 @@
         arrival = self.arrivals[order.task.job_id]
         fails = self.stream.fails(order.worker_id, self.now)
         fails = fails or order.run <= arrival.failures
-        worker.end(order.task, EndKind.FAILED if fails else EndKind.DONE)
+        worker.end(order.task, RunOutcome.FAILED if fails else RunOutcome.DONE)
         if fails and arrival.job.spec.steps[order.task.step].gang:
-            for name in end_gang(self.workers, order.task, order.run, EndKind.BROKEN):
+            for name in end_gang(self.workers, order.task, order.run, RunOutcome.BROKEN):
                 self._report_soon(name)
         self._report_soon(order.worker_id)
 
@@ -242,7 +242,7 @@
             began, ends = self.spans[key]
             held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
         report = worker.renew(1, state.acked_end, self._deadline(name))
-        if not isinstance(report, OrderOutcome):
+        if not isinstance(report, CommandOutcome):
             self.cell.reported(name, report, self.now - REPORT_MS, self.now)
         self._kick()
         if again:
@@ -273,13 +273,13 @@
         took = ended_ms - job.accepted_at_ms
         if took <= patience:
             return 1.0
-        return LATE_WORTH if took <= LATE_FACTOR * patience else 0.0
+        return LATE_WORTH if took <= LATE_LIMIT_FACTOR * patience else 0.0
 
 
 _ORDERS: dict[type[Command], Callable[[CellReplay, Any], None]] = {
     StartTask: CellReplay._start,
     StopTask: CellReplay._stop,
-    AskAdvice: CellReplay._ask,
+    RequestAdvice: CellReplay._ask,
 }
 
 
@@ -288,7 +288,7 @@
     # The logs of simulated runs would cost more than the decisions.
     logging.getLogger("baobabhoist").setLevel(logging.CRITICAL)
     names = [load] if load else list(LOADS)
-    chosen = POLICIES if baselines else {"baobabhoist": Decisions}
+    chosen = POLICIES if baselines else {"baobabhoist": TaskPlacer}
     report: dict[str, Any] = {"workers": workers, "seed": seed, "loads": {}}
     for name in names:
         stream = make_stream(LOADS[name], workers, seconds, seed)
@@ -296,7 +296,7 @@
     return report
 
 
-def _measure(stream: Stream, policy: type[Decisions], seconds: float) -> dict[str, Any]:
+def _measure(stream: Stream, policy: type[TaskPlacer], seconds: float) -> dict[str, Any]:
     replay = CellReplay(stream, policy)
     gc.collect()
     gc.freeze()
--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class Health:
+class WorkerHealth:
     """Judge one worker by the ends of its runs."""
 
     failed_jobs: list[str] = attrs.Factory(list)
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -12,14 +12,14 @@
     FINAL_PHASES,
     AcceptedJob,
     JobPhase,
-    Room,
+    Resources,
     Step,
     StepKey,
     TaskKey,
 )
 
 # A job that is late by up to this factor of its objective is still worth something.
-LATE_FACTOR = 3.0
+LATE_LIMIT_FACTOR = 3.0
 
 
 class RunPhase(enum.Enum):
@@ -40,7 +40,7 @@
     task: TaskState
     number: int
     worker_id: str
-    charged: Room
+    charged: Resources
     phase: RunPhase
     # When the order to start was answered or the run was first listed.
     confirmed_ms: float = 0.0
@@ -168,7 +168,7 @@
     @property
     def late_limit_ms(self) -> float:
         """Return when the job stops being worth anything."""
-        return self.accepted_at_ms + LATE_FACTOR * (self.objective_ms - self.accepted_at_ms)
+        return self.accepted_at_ms + LATE_LIMIT_FACTOR * (self.objective_ms - self.accepted_at_ms)
 
     def drop_payload(self) -> None:
         """Forget what the tasks are given, once none will start any more; it may be large."""
--- a/baobabhoist/cell/model.py
+++ b/baobabhoist/cell/model.py
@@ -8,33 +8,37 @@
 
 
 @attrs.frozen
-class Room:
+class Resources:
     """Hold an amount of each resource; `cpu` is in thousandths of a core, memory in MiB."""
 
     cpu: int = 0
     memory_mb: int = 0
     gpu: int = 0
 
-    def fits(self, other: Room) -> bool:
+    def fits(self, other: Resources) -> bool:
         """Tell whether this amount fits into another."""
         return (
             self.cpu <= other.cpu and self.memory_mb <= other.memory_mb and self.gpu <= other.gpu
         )
 
-    def plus(self, other: Room) -> Room:
+    def plus(self, other: Resources) -> Resources:
         """Return the sum."""
-        return Room(self.cpu + other.cpu, self.memory_mb + other.memory_mb, self.gpu + other.gpu)
+        return Resources(
+            self.cpu + other.cpu, self.memory_mb + other.memory_mb, self.gpu + other.gpu
+        )
 
-    def minus(self, other: Room) -> Room:
+    def minus(self, other: Resources) -> Resources:
         """Return the difference."""
-        return Room(self.cpu - other.cpu, self.memory_mb - other.memory_mb, self.gpu - other.gpu)
+        return Resources(
+            self.cpu - other.cpu, self.memory_mb - other.memory_mb, self.gpu - other.gpu
+        )
 
-    def times(self, count: int) -> Room:
+    def times(self, count: int) -> Resources:
         """Return this amount for several tasks."""
-        return Room(self.cpu * count, self.memory_mb * count, self.gpu * count)
+        return Resources(self.cpu * count, self.memory_mb * count, self.gpu * count)
 
 
-NO_ROOM = Room()
+NO_RESOURCES = Resources()
 
 
 @attrs.frozen
@@ -46,7 +50,7 @@
     """
 
     count: int
-    need: Room
+    need: Resources
     expected_ms: int = 0
     after: tuple[int, ...] = ()
     gang: bool = False
@@ -63,7 +67,7 @@
     may_miss: int = 0
 
     @property
-    def charged(self) -> Room:
+    def charged(self) -> Resources:
         """Return what one task takes of a worker's capacity; fill-in tasks use spare cores."""
         return attrs.evolve(self.need, cpu=0) if self.fills else self.need
 
@@ -159,9 +163,9 @@
 
     name: str
     weight: float = 1.0
-    limit: Room = NO_ROOM
+    limit: Resources = NO_RESOURCES
 
-    def allows(self, total: Room) -> bool:
+    def allows(self, total: Resources) -> bool:
         """Tell whether the team may have this much running."""
         return (
             (not self.limit.cpu or total.cpu <= self.limit.cpu)
@@ -187,7 +191,7 @@
     service: str
     address: str
     data_centre: str
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     draining: bool = False
     born_ms: int = 0
@@ -240,7 +244,7 @@
         return cls(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
 
 
-class EndKind(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """Name how a run ended, as its worker reports it."""
 
     DONE = "done"
@@ -252,7 +256,7 @@
 
 
 @attrs.frozen
-class RunningRow:
+class ActiveRun:
     """Report one run on a worker; `usage` is its rough load of the last half second."""
 
     task: TaskKey
@@ -263,13 +267,13 @@
 
 
 @attrs.frozen
-class EndRow:
+class EndedRun:
     """Report one end on a worker; `number` rises by one with each end of its lifetime."""
 
     number: int
     task: TaskKey
     run: int
-    kind: EndKind
+    kind: RunOutcome
     checkpoint: str
 
 
@@ -282,11 +286,11 @@
 
     clock_ms: int
     born_ms: int
-    running: tuple[RunningRow, ...]
-    ended: tuple[EndRow, ...]
+    running: tuple[ActiveRun, ...]
+    ended: tuple[EndedRun, ...]
 
 
-class OrderOutcome(enum.StrEnum):
+class CommandOutcome(enum.StrEnum):
     """Name what became of an order to a worker."""
 
     OK = "ok"
@@ -307,7 +311,7 @@
     UNKNOWN = "unknown"
 
 
-NOT_STARTED = frozenset(OrderOutcome) - {OrderOutcome.OK, OrderOutcome.UNKNOWN}
+REJECTED_OUTCOMES = frozenset(CommandOutcome) - {CommandOutcome.OK, CommandOutcome.UNKNOWN}
 
 
 @attrs.frozen
@@ -332,7 +336,7 @@
 
 
 @attrs.frozen
-class AskAdvice:
+class RequestAdvice:
     """Ask which workers may run a step."""
 
     step: StepKey
@@ -340,4 +344,4 @@
     cost_ms: float
 
 
-Command = StartTask | StopTask | AskAdvice
+Command = StartTask | StopTask | RequestAdvice
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -5,8 +5,8 @@
 import logging
 
 from baobabhoist.cell.jobs import Run, RunPhase, StepState
-from baobabhoist.cell.run_ends import Ends, lost
-from baobabhoist.cell.state import Board
+from baobabhoist.cell.run_ends import RunEndHandler, lost
+from baobabhoist.cell.state import CellState
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
@@ -19,10 +19,10 @@
 ENTRY_RETURN_MS = 2_500.0
 
 
-class Upkeep:
+class PeriodicChecks:
     """Look over the board every now and then; all times are on the owner's clock, in ms."""
 
-    def __init__(self, board: Board, ends: Ends) -> None:
+    def __init__(self, board: CellState, ends: RunEndHandler) -> None:
         self._board = board
         self._ends = ends
 
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -7,13 +7,13 @@
 import attrs
 
 from baobabhoist.cell.jobs import StepState
-from baobabhoist.cell.model import AdviceTerms, AskAdvice, Queue, Room
-from baobabhoist.cell.ranking import Band, Rank, band_of, rank_of
-from baobabhoist.cell.reservations import Holds
+from baobabhoist.cell.model import AdviceTerms, Queue, RequestAdvice, Resources
+from baobabhoist.cell.ranking import Rank, Timeliness, band_of, rank_of
+from baobabhoist.cell.reservations import Reservations
 from baobabhoist.cell.speed_matching import speed_cost, tolerance
-from baobabhoist.cell.state import Board
-from baobabhoist.cell.worker_index import Pools
-from baobabhoist.cell.worker_selection import Slots, gather_gang, slots_on, spread_singles
+from baobabhoist.cell.state import CellState
+from baobabhoist.cell.worker_index import WorkerIndex
+from baobabhoist.cell.worker_selection import WorkerSlots, gather_gang, slots_on, spread_singles
 from baobabhoist.cell.workers import WorkerState
 
 # Most workers that one question to the adviser may name.
@@ -30,14 +30,14 @@
 
 
 @attrs.define
-class Decisions:
+class TaskPlacer:
     """Decide for one cell; call `decide` after any change."""
 
-    board: Board
+    board: CellState
     # How many questions the advisers can work on at once.
     advisers: int = 1
     asking: int = 0
-    holds: Holds = attrs.Factory(Holds)
+    holds: Reservations = attrs.Factory(Reservations)
 
     def decide(self, now: float, may_start: bool) -> None:
         """Start what fits, and ask for advice on what waits."""
@@ -45,7 +45,7 @@
         if not waiting:
             return
         ranked = sorted(waiting, key=lambda step: self._rank(step, now))
-        pools = Pools(self.board.workers.values(), now)
+        pools = WorkerIndex(self.board.workers.values(), now)
         self.holds.begin()
         for position, step in enumerate(ranked):
             service = self.board.service_of(step.job)
@@ -60,7 +60,7 @@
     def _queue(self, step: StepState) -> Queue | None:
         return self.board.queue_of(step.job)
 
-    def _place(self, step: StepState, pools: Pools, now: float) -> None:
+    def _place(self, step: StepState, pools: WorkerIndex, now: float) -> None:
         spec = step.spec
         if spec.gang and step.idle < step.pending:
             return
@@ -88,13 +88,15 @@
                 return
             self.board.start(task, worker, self.board.next_number([task]), now)
 
-    def _may_wait_for_limit(self, step: StepState, need: Room, now: float) -> bool:
+    def _may_wait_for_limit(self, step: StepState, need: Resources, now: float) -> bool:
         """Tell whether a gang may keep its team's limit: it fits, and is worth something."""
         team = self.board.team_of(step.job)
         fits = team is not None and team.allows(need)
-        return fits and band_of(step.job, now) is not Band.HOPELESS
+        return fits and band_of(step.job, now) is not Timeliness.EXPIRED
 
-    def _place_gang(self, step: StepState, slots: list[Slots], pools: Pools, now: float) -> None:
+    def _place_gang(
+        self, step: StepState, slots: list[WorkerSlots], pools: WorkerIndex, now: float
+    ) -> None:
         members = list(step.idle_tasks())
         chosen = gather_gang(slots, len(members), step.spec.same_rack)
         if not chosen:
@@ -120,14 +122,14 @@
 
     # Who may run a step.
 
-    def _open_to(self, step: StepState, pools: Pools) -> list[WorkerState]:
+    def _open_to(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
         """Return the workers on which a task of the step may start now, if there is room."""
         service, label = self.board.service_of(step.job), step.spec.label
         if self.board.queue_needs_advice(step.job):
             return pools.ticketed(step, service, label)
         return pools.usable(service, label)
 
-    def _approved(self, step: StepState, pools: Pools) -> list[WorkerState]:
+    def _approved(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
         """Return the usable workers that may run the step, also without a valid ticket."""
         service, label = self.board.service_of(step.job), step.spec.label
         if self.board.queue_needs_advice(step.job):
@@ -136,7 +138,7 @@
 
     # Advice.
 
-    def _ask(self, step: StepState, position: int, pools: Pools, now: float) -> None:
+    def _ask(self, step: StepState, position: int, pools: WorkerIndex, now: float) -> None:
         queue = self._queue(step)
         if queue is None or queue.advice is None or step.approvals.waits(now):
             return
@@ -152,7 +154,7 @@
         cost = queue.advice.cost_ms(len(named))
         step.approvals.asked(now + cost + ANSWER_SLACK_MS)
         self.asking += 1
-        self.board.commands.append(AskAdvice(step.key, tuple(named), cost))
+        self.board.commands.append(RequestAdvice(step.key, tuple(named), cost))
 
 
 def _whom_to_renew(step: StepState, ids: list[str], terms: AdviceTerms, now: float) -> list[str]:
--- a/baobabhoist/cell/progress_rows.py
+++ b/baobabhoist/cell/progress_rows.py
@@ -32,17 +32,17 @@
 
 
 @attrs.frozen
-class Progress:
+class JobProgress:
     """Hold what lasts of one job."""
 
     phase: JobPhase
     steps: tuple[StepProgress, ...] = ()
 
 
-def progress_of(job: JobState) -> Progress:
+def progress_of(job: JobState) -> JobProgress:
     """Return what must last of a job; of a finished one only its state."""
     if job.final:
-        return Progress(job.phase)
+        return JobProgress(job.phase)
     found = []
     for (occurrence, number), step in job.steps.items():
         done = tuple(task.index for task in step.tasks if task.done)
@@ -55,10 +55,10 @@
         }
         if done or failed or saved or runs:
             found.append(StepProgress(occurrence, number, done, failed, saved, runs))
-    return Progress(job.phase, tuple(found))
+    return JobProgress(job.phase, tuple(found))
 
 
-def encode(progress: Progress) -> bytes:
+def encode(progress: JobProgress) -> bytes:
     """Return a progress as the value of a row."""
     steps = [
         [
@@ -74,7 +74,7 @@
     return orjson.dumps({"phase": progress.phase.value, "steps": steps})
 
 
-def decode(value: bytes) -> Progress:
+def decode(value: bytes) -> JobProgress:
     """Return the progress in a row; raises ValueError for a row of another writer."""
     try:
         body = orjson.loads(value)
@@ -89,12 +89,12 @@
             )
             for occurrence, step, done, failed, saved, runs in body["steps"]
         )
-        return Progress(JobPhase(body["phase"]), steps)
+        return JobProgress(JobPhase(body["phase"]), steps)
     except (KeyError, TypeError, AttributeError, orjson.JSONDecodeError) as exc:
         raise ValueError(f"not a progress row: {exc}") from exc
 
 
-def apply(job: JobState, progress: Progress) -> None:
+def apply(job: JobState, progress: JobProgress) -> None:
     """Put a stored progress into a job whose occurrences are open."""
     job.phase = progress.phase
     for saved in progress.steps:
--- a/baobabhoist/cell/ranking.py
+++ b/baobabhoist/cell/ranking.py
@@ -9,29 +9,29 @@
 from baobabhoist.cell.model import Queue
 
 
-class Band(enum.IntEnum):
+class Timeliness(enum.IntEnum):
     """Name how much of a job's worth can still be had."""
 
-    IN_TIME = 0
+    ON_TIME = 0
     LATE = 1
-    HOPELESS = 2
+    EXPIRED = 2
 
 
 class Rank(NamedTuple):
     """Order waiting steps; the lowest comes first."""
 
-    band: Band
+    band: Timeliness
     priority: int
     slack_ms: float
     accepted_ms: float
 
 
-def band_of(job: JobState, now: float) -> Band:
+def band_of(job: JobState, now: float) -> Timeliness:
     """Return what can still be had of a job if it started now."""
     done_at = now + job.remaining_ms()
     if done_at <= job.objective_ms:
-        return Band.IN_TIME
-    return Band.LATE if done_at <= job.late_limit_ms else Band.HOPELESS
+        return Timeliness.ON_TIME
+    return Timeliness.LATE if done_at <= job.late_limit_ms else Timeliness.EXPIRED
 
 
 def rank_of(step: StepState, queue: Queue | None, now: float) -> Rank:
--- a/baobabhoist/cell/reservations.py
+++ b/baobabhoist/cell/reservations.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define
-class Holds:
+class Reservations:
     """Hold workers for the first waiting gangs during one round of decisions."""
 
     by_worker: dict[str, StepState] = attrs.Factory(dict)
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -5,27 +5,27 @@
 import logging
 
 from baobabhoist.cell.jobs import Run, RunPhase, StepState, TaskState
-from baobabhoist.cell.model import EndKind, JobPhase
-from baobabhoist.cell.state import Board
+from baobabhoist.cell.model import JobPhase, RunOutcome
+from baobabhoist.cell.state import CellState
 from baobabhoist.observability.events import Event, emit
 
 log = logging.getLogger(__name__)
 
 
-class Ends:
+class RunEndHandler:
     """Decide what the end of a run means for its task and its job."""
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, board: CellState) -> None:
         self._board = board
 
     def ended(
-        self, task: TaskState, number: int, kind: EndKind, checkpoint: str, now: float
+        self, task: TaskState, number: int, kind: RunOutcome, checkpoint: str, now: float
     ) -> None:
         """Take note of an end that a worker listed; the run itself is closed by the caller."""
         job = task.step.job
         if checkpoint and not task.done and task.step.spec.checkpoints:
             self._keep_checkpoint(task, checkpoint)
-        if kind is EndKind.DONE:
+        if kind is RunOutcome.DONE:
             self._done(task, now)
             return
         emit(
@@ -36,7 +36,7 @@
             kind=kind.value,
             checkpoint=checkpoint,
         )
-        if kind is EndKind.FAILED and number not in task.failed_runs and not task.done:
+        if kind is RunOutcome.FAILED and number not in task.failed_runs and not task.done:
             task.failed_runs.add(number)
             if task.run is not None and task.run.number == number:
                 task.step.failed_on.add(task.run.worker_id)
@@ -98,7 +98,7 @@
         self._board.dirty.add(task.step.job.job_id)
 
 
-def lost(board: Board, ends: Ends, run: Run, now: float, reason: str) -> None:
+def lost(board: CellState, ends: RunEndHandler, run: Run, now: float, reason: str) -> None:
     """Close a run that is certain to be gone without an end in any list."""
     emit(
         log,
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -11,24 +11,24 @@
 from baobabhoist.cell import progress_rows
 from baobabhoist.cell.jobs import JobState, StepState, chain_ms
 from baobabhoist.cell.model import (
-    NO_ROOM,
+    NO_RESOURCES,
     AcceptedJob,
     CellRules,
     Command,
+    CommandOutcome,
     JobPhase,
-    OrderOutcome,
     StartTask,
     StepKey,
     StopTask,
     WorkerInfo,
     WorkerReport,
 )
-from baobabhoist.cell.periodic_checks import Upkeep
-from baobabhoist.cell.placer import Decisions
-from baobabhoist.cell.progress_rows import Progress
-from baobabhoist.cell.run_ends import Ends
-from baobabhoist.cell.state import Board
-from baobabhoist.cell.worker_reports import Reports
+from baobabhoist.cell.periodic_checks import PeriodicChecks
+from baobabhoist.cell.placer import TaskPlacer
+from baobabhoist.cell.progress_rows import JobProgress
+from baobabhoist.cell.run_ends import RunEndHandler
+from baobabhoist.cell.state import CellState
+from baobabhoist.cell.worker_reports import WorkerReportHandler
 from baobabhoist.cell.workers import Lease, WorkerState
 from baobabhoist.observability.events import Event, emit
 
@@ -48,18 +48,18 @@
     lapsed_ms: float = 0.0
 
 
-class Cell:
+class CellScheduler:
     """Own the jobs and workers of one cell; all times are on the owner's clock, in ms."""
 
     def __init__(self, rules: CellRules, takeover: Takeover, lease_ms: float) -> None:
-        self.board = Board(rules, takeover.generation)
+        self.board = CellState(rules, takeover.generation)
         self.fenced_off = False
-        self.decisions = Decisions(self.board)
+        self.decisions = TaskPlacer(self.board)
         self._takeover = takeover
         self._lease_ms = lease_ms
-        self._ends = Ends(self.board)
-        self._reports = Reports(self.board, self._ends)
-        self._upkeep = Upkeep(self.board, self._ends)
+        self._ends = RunEndHandler(self.board)
+        self._reports = WorkerReportHandler(self.board, self._ends)
+        self._upkeep = PeriodicChecks(self.board, self._ends)
 
     # Jobs.
 
@@ -79,7 +79,7 @@
             self._announce(job, now)
         return True
 
-    def _adopt_stored_runs(self, job: JobState, progress: Progress, now: float) -> None:
+    def _adopt_stored_runs(self, job: JobState, progress: JobProgress, now: float) -> None:
         """Count the runs that an earlier owner ordered, before any worker has reported."""
         for saved in progress.steps:
             step = job.steps.get((saved.occurrence, saved.step))
@@ -96,7 +96,7 @@
         """Return a worker, or a placeholder for one that the directory does not list."""
         worker = self.board.workers.get(worker_id)
         if worker is None:
-            info = WorkerInfo(worker_id, "", "", "", NO_ROOM, ())
+            info = WorkerInfo(worker_id, "", "", "", NO_RESOURCES, ())
             worker = WorkerState(info, Lease(self._lease_ms), listed=False, unlisted_ms=now)
             self.board.workers[worker_id] = worker
         worker.unheard_lapse_ms = self._takeover.lapsed_ms
@@ -124,7 +124,7 @@
             inherited=job.inherited,
         )
 
-    def progress_loaded(self, job_id: str, progress: Progress, now: float) -> None:
+    def progress_loaded(self, job_id: str, progress: JobProgress, now: float) -> None:
         """Apply the durable progress of a job that an earlier owner worked on."""
         job = self.board.jobs.get(job_id)
         if job is None:
@@ -213,7 +213,7 @@
             return
         self._reports.reported(worker, report, sent_ms, now)
 
-    def start_answered(self, order: StartTask, outcome: OrderOutcome, now: float) -> None:
+    def start_answered(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a start."""
         self._note_fence(outcome)
         self._reports.start_answered(order, outcome, now)
@@ -224,7 +224,7 @@
         run = worker.runs.get(order.task) if worker is not None else None
         return run is not None and run.number == order.run and not run.stop_sent_ms
 
-    def stop_answered(self, order: StopTask, outcome: OrderOutcome, now: float) -> None:
+    def stop_answered(self, order: StopTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a stop."""
         self._note_fence(outcome)
         self._reports.stop_answered(order, outcome, now)
@@ -279,7 +279,7 @@
         commands, self.board.commands = self.board.commands, []
         return commands
 
-    def take_dirty(self) -> dict[str, Progress]:
+    def take_dirty(self) -> dict[str, JobProgress]:
         """Return the progress that must be stored, and count it as handed over."""
         dirty, self.board.dirty = self.board.dirty, set()
         jobs = self.board.jobs
@@ -299,6 +299,6 @@
         job = self.board.jobs.get(key.job_id)
         return job.step_of(key) if job is not None else None
 
-    def _note_fence(self, outcome: OrderOutcome) -> None:
-        if outcome is OrderOutcome.FENCED:
+    def _note_fence(self, outcome: CommandOutcome) -> None:
+        if outcome is CommandOutcome.FENCED:
             self.was_fenced()
--- a/baobabhoist/cell/speed_estimates.py
+++ b/baobabhoist/cell/speed_estimates.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Slowness:
+class WorkerEstimate:
     """Hold the logarithm of a worker's slowness and how much is known of it."""
 
     mean: float = 0.0
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class QueueTimes:
+class QueueEstimate:
     """Hold how far declared times of a queue are off: their mean error and their noise."""
 
     bias: float = 0.0
@@ -46,11 +46,11 @@
 
 
 @attrs.define
-class Speeds:
+class SpeedEstimates:
     """Hold what is known of workers and queues."""
 
-    workers: dict[str, Slowness] = attrs.Factory(dict)
-    queues: dict[str, QueueTimes] = attrs.Factory(dict)
+    workers: dict[str, WorkerEstimate] = attrs.Factory(dict)
+    queues: dict[str, QueueEstimate] = attrs.Factory(dict)
 
     def factor(self, worker_id: str) -> float:
         """Return how many times longer than on the mean worker a task takes."""
@@ -67,12 +67,12 @@
         if took_ms <= 0 or declared_ms <= 0:
             return
         ratio = max(-FARTHEST, min(FARTHEST, math.log(took_ms / declared_ms)))
-        worker = self.workers.setdefault(worker_id, Slowness())
-        times = self.queues.setdefault(queue, QueueTimes())
+        worker = self.workers.setdefault(worker_id, WorkerEstimate())
+        times = self.queues.setdefault(queue, QueueEstimate())
         self._learn_queue(times, ratio - worker.mean)
         self._learn_worker(worker, ratio - times.bias, times.noise)
 
-    def _learn_queue(self, times: QueueTimes, seen: float) -> None:
+    def _learn_queue(self, times: QueueEstimate, seen: float) -> None:
         times.seen = min(QUEUE_MEMORY, times.seen + 1.0)
         rate = 1.0 / times.seen
         error = seen - times.bias
@@ -83,7 +83,7 @@
             times.noise += rate * (squared - times.noise)
             times.noise = max(LEAST_NOISE**2, times.noise)
 
-    def _learn_worker(self, worker: Slowness, seen: float, noise: float) -> None:
+    def _learn_worker(self, worker: WorkerEstimate, seen: float, noise: float) -> None:
         precision = 1.0 / noise
         error = seen - worker.mean
         if abs(error) < SURPRISE * math.sqrt(noise):
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -9,40 +9,40 @@
 
 from baobabhoist.cell.jobs import JobState, Run, RunPhase, StepState, TaskState
 from baobabhoist.cell.model import (
-    NO_ROOM,
+    NO_RESOURCES,
     CellRules,
     Command,
     JobPhase,
     Queue,
-    Room,
+    Resources,
     StartTask,
     StepKey,
     StopTask,
     TaskKey,
     Team,
 )
-from baobabhoist.cell.speed_estimates import Speeds
+from baobabhoist.cell.speed_estimates import SpeedEstimates
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
 log = logging.getLogger(__name__)
 
 # Runs of one owner have numbers below the first number of the next owner.
-RUNS_PER_OWNER = 1000
+RUN_NUMBERS_PER_OWNER = 1000
 
 
 @attrs.define
-class Board:
+class CellState:
     """Own the state of a cell; all times are on the owner's clock, in ms."""
 
     rules: CellRules
     generation: int = 0
     jobs: dict[str, JobState] = attrs.Factory(dict)
     workers: dict[str, WorkerState] = attrs.Factory(dict)
-    usage: dict[str, Room] = attrs.Factory(lambda: defaultdict(lambda: NO_ROOM))
+    usage: dict[str, Resources] = attrs.Factory(lambda: defaultdict(lambda: NO_RESOURCES))
     # Steps whose turn has come and that are not done.
     ready: dict[StepKey, StepState] = attrs.Factory(dict)
-    speeds: Speeds = attrs.Factory(Speeds)
+    speeds: SpeedEstimates = attrs.Factory(SpeedEstimates)
     commands: list[Command] = attrs.Factory(list)
     # Jobs whose durable progress has changed.
     dirty: set[str] = attrs.Factory(set)
@@ -65,7 +65,7 @@
         queue = self.queue_of(job)
         return queue is not None and queue.advice is not None
 
-    def within_limit(self, job: JobState, need: Room) -> bool:
+    def within_limit(self, job: JobState, need: Resources) -> bool:
         """Tell whether the team of a job may have this much more running."""
         team = self.team_of(job)
         if team is None:
@@ -119,7 +119,7 @@
 
     def next_number(self, tasks: list[TaskState]) -> int:
         """Return a run number above all that these tasks had under any owner."""
-        return max(self.generation * RUNS_PER_OWNER, *(task.last_run for task in tasks)) + 1
+        return max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run for task in tasks)) + 1
 
     def stop(self, run: Run, now: float) -> None:
         """Order the end of a run."""
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -7,27 +7,27 @@
 import attrs
 
 from baobabhoist.cell.jobs import StepState
-from baobabhoist.cell.model import Room
+from baobabhoist.cell.model import Resources
 from baobabhoist.cell.workers import WorkerState
 
 
 @attrs.define
-class Group:
+class WorkerGroup:
     """Hold the listed workers of one service with equal capacity and labels."""
 
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     workers: list[WorkerState] = attrs.Factory(list)
 
 
-class Pools:
+class WorkerIndex:
     """Hold the workers of one round by service; made anew for each round."""
 
     def __init__(self, workers: Iterable[WorkerState], now: float) -> None:
         self._now = now
         self._all = list(workers)
         self._usable: dict[str, dict[str, WorkerState]] = {}
-        self._groups: dict[str, list[Group]] | None = None
+        self._groups: dict[str, list[WorkerGroup]] | None = None
         self._ids: dict[tuple[int, ...], list[str]] = {}
         self._widest: dict[str, int] = {}
         for worker in self._all:
@@ -62,7 +62,7 @@
         found = [usable[worker_id] for worker_id in ids if worker_id in usable]
         return [worker for worker in found if not label or label in worker.info.labels]
 
-    def able_ids(self, service: str, label: str, need: Room) -> list[str]:
+    def able_ids(self, service: str, label: str, need: Resources) -> list[str]:
         """Return the ids of the listed workers that could run a task once they are free."""
         groups = self._able_groups(service, label, need)
         key = tuple(map(id, groups))
@@ -70,7 +70,7 @@
             self._ids[key] = [worker.worker_id for group in groups for worker in group.workers]
         return self._ids[key]
 
-    def _able_groups(self, service: str, label: str, need: Room) -> list[Group]:
+    def _able_groups(self, service: str, label: str, need: Resources) -> list[WorkerGroup]:
         if self._groups is None:
             self._groups = self._group()
         return [
@@ -79,16 +79,16 @@
             if need.fits(group.capacity) and (not label or label in group.labels)
         ]
 
-    def _group(self) -> dict[str, list[Group]]:
-        groups: dict[tuple[str, Room, tuple[str, ...]], Group] = {}
+    def _group(self) -> dict[str, list[WorkerGroup]]:
+        groups: dict[tuple[str, Resources, tuple[str, ...]], WorkerGroup] = {}
         for worker in self._all:
             info = worker.info
             if worker.listed and not info.draining:
                 key = (info.service, info.capacity, info.labels)
                 if key not in groups:
-                    groups[key] = Group(info.capacity, info.labels)
+                    groups[key] = WorkerGroup(info.capacity, info.labels)
                 groups[key].workers.append(worker)
-        by_service: dict[str, list[Group]] = {}
+        by_service: dict[str, list[WorkerGroup]] = {}
         for (service, _, _), group in groups.items():
             by_service.setdefault(service, []).append(group)
         return by_service
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -6,17 +6,17 @@
 
 from baobabhoist.cell.jobs import Run, RunPhase
 from baobabhoist.cell.model import (
-    NOT_STARTED,
-    EndKind,
-    EndRow,
-    OrderOutcome,
-    RunningRow,
+    REJECTED_OUTCOMES,
+    ActiveRun,
+    CommandOutcome,
+    EndedRun,
+    RunOutcome,
     StartTask,
     StopTask,
     WorkerReport,
 )
-from baobabhoist.cell.run_ends import Ends, lost
-from baobabhoist.cell.state import Board
+from baobabhoist.cell.run_ends import RunEndHandler, lost
+from baobabhoist.cell.state import CellState
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
@@ -26,10 +26,10 @@
 PAUSE_AFTER_REFUSAL_MS = 150.0
 
 
-class Reports:
+class WorkerReportHandler:
     """Take reports and answers to orders; all times are on the owner's clock, in ms."""
 
-    def __init__(self, board: Board, ends: Ends) -> None:
+    def __init__(self, board: CellState, ends: RunEndHandler) -> None:
         self._board = board
         self._ends = ends
 
@@ -59,18 +59,18 @@
             self._take_running(worker, row, now)
         self._compare(worker, report, sent_ms, now)
 
-    def start_answered(self, order: StartTask, outcome: OrderOutcome, now: float) -> None:
+    def start_answered(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a start."""
         run = self._find(order)
         worker = self._board.workers.get(order.worker_id)
         if run is None or worker is None:
             return
-        if outcome is OrderOutcome.OK:
+        if outcome is CommandOutcome.OK:
             run.confirmed_ms = run.confirmed_ms or now
             if run.phase in (RunPhase.STARTING, RunPhase.UNSURE) and not run.stop_sent_ms:
                 run.phase = RunPhase.RUNNING
             return
-        if outcome is OrderOutcome.UNKNOWN:
+        if outcome is CommandOutcome.UNKNOWN:
             if run.phase is RunPhase.STARTING:
                 run.phase = RunPhase.UNSURE
                 worker.paused_until_ms = now + PAUSE_AFTER_REFUSAL_MS
@@ -85,15 +85,15 @@
                 if run.task.step.spec.gang:
                     self._ends.break_gang(run.task.step, run.number, now)
             return
-        if outcome in NOT_STARTED:
+        if outcome in REJECTED_OUTCOMES:
             self._refused(run, worker, order, outcome, now)
 
-    def stop_answered(self, order: StopTask, outcome: OrderOutcome, now: float) -> None:
+    def stop_answered(self, order: StopTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a stop."""
         run = self._find(order)
         if run is None:
             return
-        if outcome is OrderOutcome.OK:
+        if outcome is CommandOutcome.OK:
             run.stop_answered_ms = run.stop_answered_ms or now
             run.phase = RunPhase.STOPPING
 
@@ -102,7 +102,7 @@
         run: Run,
         worker: WorkerState,
         order: StartTask,
-        outcome: OrderOutcome,
+        outcome: CommandOutcome,
         now: float,
     ) -> None:
         emit(
@@ -114,17 +114,17 @@
             reason=outcome.value,
         )
         step = run.task.step
-        if outcome is OrderOutcome.NO_TICKET:
+        if outcome is CommandOutcome.NO_TICKET:
             step.approvals.drop(worker.worker_id)
         else:
             worker.paused_until_ms = now + PAUSE_AFTER_REFUSAL_MS
-        if outcome is OrderOutcome.UNHEALTHY:
+        if outcome is CommandOutcome.UNHEALTHY:
             worker.health.failed(step.job.job_id, now)
         self._board.close(run)
         if step.spec.gang and not step.done:
             self._ends.break_gang(step, run.number, now)
 
-    def _take_end(self, worker: WorkerState, end: EndRow, now: float) -> None:
+    def _take_end(self, worker: WorkerState, end: EndedRun, now: float) -> None:
         worker.orphans.pop(end.task, None)
         job = self._board.jobs.get(end.task.job_id)
         task = job.task_of(end.task) if job is not None else None
@@ -135,7 +135,7 @@
         if mine and run is not None:
             # Keep the run while its end is applied, so that its time is learned.
             self._ends.ended(task, end.run, end.kind, end.checkpoint, now)
-            if end.kind is EndKind.FAILED and worker.health.failed(job.job_id, now):
+            if end.kind is RunOutcome.FAILED and worker.health.failed(job.job_id, now):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="failures")
             self._board.close(run)
             return
@@ -145,7 +145,7 @@
             if task.done and other is not None and other.phase is not RunPhase.STOPPING:
                 self._board.stop(other, now)
 
-    def _take_running(self, worker: WorkerState, row: RunningRow, now: float) -> None:
+    def _take_running(self, worker: WorkerState, row: ActiveRun, now: float) -> None:
         run = worker.runs.get(row.task)
         if run is not None and run.number == row.run:
             self._progressed(run, row, now)
@@ -161,7 +161,7 @@
         adopted = self._board.adopt(task, worker, row.run, now)
         self._progressed(adopted, row, now)
 
-    def _progressed(self, run: Run, row: RunningRow, now: float) -> None:
+    def _progressed(self, run: Run, row: ActiveRun, now: float) -> None:
         run.confirmed_ms = run.confirmed_ms or now
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from baobabhoist.cell.model import Room, Step
+from baobabhoist.cell.model import Resources, Step
 from baobabhoist.cell.workers import WorkerState
 
 
 @attrs.define(eq=False)
-class Slots:
+class WorkerSlots:
     """Hold a worker that may take tasks of a step, and how many of them."""
 
     worker: WorkerState
@@ -20,7 +20,7 @@
     cost: float
 
 
-def room_for(free: Room, need: Room, most: int) -> int:
+def room_for(free: Resources, need: Resources, most: int) -> int:
     """Return how many tasks of a size fit into a room, at most `most`."""
     for have, want in (
         (free.cpu, need.cpu),
@@ -38,7 +38,7 @@
     wanted: int,
     running: Counter[str],
     cost: Callable[[WorkerState], float],
-) -> list[Slots]:
+) -> list[WorkerSlots]:
     """Return the workers with room for at least one task, the cheapest first."""
     found = []
     for worker in workers:
@@ -49,12 +49,12 @@
             most = min(most, step.most_per_worker - running[worker.worker_id])
         count = room_for(worker.free, step.charged, most)
         if count > 0:
-            found.append(Slots(worker, count, cost(worker)))
+            found.append(WorkerSlots(worker, count, cost(worker)))
     found.sort(key=lambda slot: slot.cost)
     return found
 
 
-def spread_singles(slots: list[Slots], wanted: int) -> list[WorkerState]:
+def spread_singles(slots: list[WorkerSlots], wanted: int) -> list[WorkerState]:
     """Return a worker for each of as many tasks as fit, the cheapest first."""
     chosen: list[WorkerState] = []
     for slot in slots:
@@ -64,7 +64,7 @@
     return chosen
 
 
-def gather_gang(slots: list[Slots], wanted: int, same_rack: bool) -> list[WorkerState]:
+def gather_gang(slots: list[WorkerSlots], wanted: int, same_rack: bool) -> list[WorkerState]:
     """Return a worker for each member, or nothing unless all fit at once.
 
     With `same_rack` one rack is taken if it has the room, else several.
--- a/baobabhoist/cell/workers.py
+++ b/baobabhoist/cell/workers.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from baobabhoist.cell.health import Health
+from baobabhoist.cell.health import WorkerHealth
 from baobabhoist.cell.jobs import Run
-from baobabhoist.cell.model import NO_ROOM, Room, TaskKey, WorkerInfo
+from baobabhoist.cell.model import NO_RESOURCES, Resources, TaskKey, WorkerInfo
 
 # A worker's steady clock may run this much slower than real time.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 # Extra wait before the tasks of an unreachable worker count as gone.
 LEASE_MARGIN_MS = 150.0
 # A worker that answered nothing for this long gets no new tasks.
@@ -44,7 +44,7 @@
 
     def clock_at(self, now: float) -> float:
         """Return the reading that the worker's clock has reached at least, but for drift."""
-        return self.clock_ms + (now - self.read_ms) * (1.0 - CLOCK_DRIFT)
+        return self.clock_ms + (now - self.read_ms) * (1.0 - MAX_CLOCK_DRIFT)
 
     def next_deadline(self, now: float, lease_ms: float) -> int | None:
         """Return the deadline to send with an order, or None while the clock is unknown."""
@@ -56,7 +56,7 @@
     def lapsed_ms(self) -> float:
         """Return from when on nothing runs under this lease for certain."""
         left = self.deadline_ms - self.clock_ms
-        return self.read_ms + left / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
+        return self.read_ms + left / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
 
 
 @attrs.define(eq=False)
@@ -65,8 +65,8 @@
 
     info: WorkerInfo
     lease: Lease
-    health: Health = attrs.Factory(Health)
-    used: Room = NO_ROOM
+    health: WorkerHealth = attrs.Factory(WorkerHealth)
+    used: Resources = NO_RESOURCES
     runs: dict[TaskKey, Run] = attrs.Factory(dict)
     # Runs that this owner does not want, by the number of the run.
     orphans: dict[TaskKey, int] = attrs.Factory(dict)
@@ -89,7 +89,7 @@
         return self.info.worker_id
 
     @property
-    def free(self) -> Room:
+    def free(self) -> Resources:
         """Return the room that no run takes."""
         return self.info.capacity.minus(self.used)
 
--- a/baobabhoist/control/advice.py
+++ b/baobabhoist/control/advice.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from baobabhoist.cell.model import AskAdvice
+from baobabhoist.cell.model import RequestAdvice
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.interfaces import Advice, Adviser
 from baobabhoist.control.messages import AdviceQuery, AdviceReply
@@ -45,7 +45,7 @@
         """Return how many questions may be in hand at once."""
         return len(self.links()) + 1 + QUEUED_QUESTIONS
 
-    async def ask(self, question: AskAdvice) -> Advice | None:
+    async def ask(self, question: RequestAdvice) -> Advice | None:
         """Return the adviser's answer through the least busy instance, or None."""
         links = dict(self.links())
         node = self._choose(sorted([LOCAL, *links]), question.cost_ms)
@@ -62,7 +62,7 @@
         return min(nodes, key=lambda n: max(now, self.busy_until.get(n, 0.0)))
 
     async def _ask_through(
-        self, link: Link, node: str, question: AskAdvice, done_ms: float
+        self, link: Link, node: str, question: RequestAdvice, done_ms: float
     ) -> Advice | None:
         step = question.step
         query = AdviceQuery(
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -8,8 +8,8 @@
 import attrs
 
 from baobabhoist.cell.model import (
+    CommandOutcome,
     JobSpec,
-    OrderOutcome,
     StartTask,
     StepKey,
     StopTask,
@@ -24,7 +24,7 @@
 class OrderAnswer:
     """Hold a worker's answer to an order and a reading of its clock, if it gave one."""
 
-    outcome: OrderOutcome
+    outcome: CommandOutcome
     clock_ms: int | None = None
 
 
@@ -50,7 +50,7 @@
 
     async def renew(
         self, worker: WorkerInfo, token: int, acked_end: int, deadline_ms: int | None, wait_ms: int
-    ) -> WorkerReport | OrderOutcome:
+    ) -> WorkerReport | CommandOutcome:
         """Renew the lease and return what runs and what ended, waiting for an end."""
 
     async def start(
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -12,9 +12,9 @@
 import attrs
 
 from baobabhoist.cell import progress_rows
-from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
-from baobabhoist.cell.scheduler import Cell, Takeover
-from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
+from baobabhoist.cell.model import CellRules, Command, RequestAdvice, StartTask, StopTask
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
+from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
 from baobabhoist.control.advice import AdviceDesk
 from baobabhoist.control.clock import SharedClock, boot_ms, unix_ms
 from baobabhoist.control.follow import TableFollower
@@ -86,7 +86,7 @@
 
     def __init__(self, parts: OwnerParts, ownership: Ownership, rules: CellRules) -> None:
         self.loaded = False
-        self._cell: Cell | None = None
+        self._cell: CellScheduler | None = None
         self.ownership = ownership
         self.progress = ProgressWriter(parts.store, ownership.token, self._deposed)
         self.progress.on_acked = self._acked
@@ -120,7 +120,7 @@
             task.cancel()
 
     @property
-    def cell(self) -> Cell | None:
+    def cell(self) -> CellScheduler | None:
         """Return the cell once it is loaded: before, its jobs look as if nothing had run."""
         return self._cell if self.loaded else None
 
@@ -185,7 +185,7 @@
         )
         known = (*tables.progress, *tables.own, *tables.learned)
         self.progress.loaded({row.key: row.version for row in known})
-        cell = Cell(self._rules, takeover, self._parts.lease_ms)
+        cell = CellScheduler(self._rules, takeover, self._parts.lease_ms)
         cell.decisions.advisers = self._parts.advice.capacity
         self._use_learned(cell, tables.learned)
         self._cell = cell
@@ -213,7 +213,7 @@
     def _leases_lapsed_ms(self) -> float:
         """Return when every lease that earlier owners gave has lapsed for certain."""
         last_ms = max(self.ownership.began_ms, self.ownership.earlier_until_ms)
-        return last_ms + self._parts.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
+        return last_ms + self._parts.lease_ms / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
 
     async def _load_jobs(self, rows: Sequence[StoredRow]) -> None:
         # Cancellations come last, because they need their jobs.
@@ -222,7 +222,7 @@
             self._jobs_changed(ordered[first : first + ROWS_A_TURN], False)
             await asyncio.sleep(0)
 
-    def _use_learned(self, cell: Cell, rows: Sequence[StoredRow]) -> None:
+    def _use_learned(self, cell: CellScheduler, rows: Sequence[StoredRow]) -> None:
         for row in rows:
             try:
                 if row.value is not None:
@@ -230,7 +230,7 @@
             except ValueError as exc:
                 emit(log, Event.ROW_UNREADABLE, table=row.key.table, row=row.key.key, detail=exc)
 
-    def _apply_progress(self, cell: Cell, row: StoredRow, now: float) -> None:
+    def _apply_progress(self, cell: CellScheduler, row: StoredRow, now: float) -> None:
         try:
             if row.value is not None:
                 cell.progress_loaded(row.key.key, progress_rows.decode(row.value), now)
@@ -371,7 +371,7 @@
             self._require_cell().stop_answered(order, outcome, boot_ms())
             self.kick()
 
-    async def _ask(self, question: AskAdvice) -> None:
+    async def _ask(self, question: RequestAdvice) -> None:
         advice = await self._parts.advice.ask(question)
         cell, now = self._require_cell(), boot_ms()
         if advice is None:
@@ -385,7 +385,7 @@
     _ORDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
         StartTask: _start,
         StopTask: _stop,
-        AskAdvice: _ask,
+        RequestAdvice: _ask,
     }
 
     async def _tick_forever(self) -> None:
@@ -401,7 +401,7 @@
             self.kick()
             await asyncio.sleep(TICK_S)
 
-    def _forget_old(self, cell: Cell) -> None:
+    def _forget_old(self, cell: CellScheduler) -> None:
         """Remove jobs that finished long enough ago."""
         limit = boot_ms() - 2 * self._parts.job_kept_ms
         old = [j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < limit]
@@ -426,7 +426,7 @@
             self._deposed_told = True
             self._parts.on_deposed(reason)
 
-    def _require_cell(self) -> Cell:
+    def _require_cell(self) -> CellScheduler:
         if self._cell is None:
             raise RuntimeError("the cell is not loaded")
         return self._cell
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from baobabhoist.cell import progress_rows
-from baobabhoist.cell.scheduler import Cell
+from baobabhoist.cell.scheduler import CellScheduler
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.rowmap import (
     BEAT_ROW,
@@ -72,7 +72,7 @@
         self._unsent.append(send)
         self._wake.set()
 
-    async def run(self, cell: Cell) -> None:
+    async def run(self, cell: CellScheduler) -> None:
         """Write what changed until cancelled."""
         while True:
             await self._wake.wait()
@@ -88,7 +88,7 @@
         value = str(self._beats).encode()
         return await self._commit({BEAT_ROW: value}, {}) is not None
 
-    async def release(self, claim: bytes, cell: Cell | None) -> bool:
+    async def release(self, claim: bytes, cell: CellScheduler | None) -> bool:
         """Give the claim up after storing all progress; tell whether that is stored."""
         if cell is not None:
             await self._flush_all(cell)
@@ -103,14 +103,14 @@
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
-    async def _flush_all(self, cell: Cell) -> bool:
+    async def _flush_all(self, cell: CellScheduler) -> bool:
         """Store all progress; a try may fail because an earlier write was cut short."""
         for _ in range(FLUSH_TRIES):
             if await self._flush(cell):
                 return True
         return False
 
-    async def _flush(self, cell: Cell) -> bool:
+    async def _flush(self, cell: CellScheduler) -> bool:
         seen = cell.seen_ends()
         lifetimes = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
         dirty = cell.take_dirty()
@@ -145,7 +145,9 @@
             self._versions.update(dict.fromkeys(chunk, committed.version))
         return True
 
-    def _acknowledge(self, cell: Cell, seen: dict[str, int], lifetimes: dict[str, int]) -> None:
+    def _acknowledge(
+        self, cell: CellScheduler, seen: dict[str, int], lifetimes: dict[str, int]
+    ) -> None:
         for worker_id, number in seen.items():
             worker = cell.board.workers.get(worker_id)
             if worker is None or worker.born_ms != lifetimes[worker_id]:
--- a/baobabhoist/control/rowmap.py
+++ b/baobabhoist/control/rowmap.py
@@ -9,7 +9,7 @@
 import orjson
 
 from baobabhoist.cell.model import AcceptedJob, JobSpec
-from baobabhoist.cell.speed_estimates import Speeds
+from baobabhoist.cell.speed_estimates import SpeedEstimates
 from baobabhoist.store.rows import RowKey
 
 CELL_TABLE = "cell"
@@ -72,15 +72,15 @@
     )
 
 
-def encode_speeds(speeds: Speeds) -> bytes:
+def encode_speeds(speeds: SpeedEstimates) -> bytes:
     """Return what was learned of workers and queues as the value of a row."""
     return orjson.dumps(_converter.unstructure(speeds))
 
 
-def decode_speeds(value: bytes) -> Speeds:
+def decode_speeds(value: bytes) -> SpeedEstimates:
     """Return what an earlier owner learned; raises ValueError if it cannot be read."""
     try:
-        return _converter.structure(orjson.loads(value), Speeds)
+        return _converter.structure(orjson.loads(value), SpeedEstimates)
     except Exception as exc:
         raise ValueError(f"learned speeds: {exc}") from exc
 
--- a/baobabhoist/control/workers.py
+++ b/baobabhoist/control/workers.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from baobabhoist.cell.model import OrderOutcome, StartTask, StopTask, WorkerReport
+from baobabhoist.cell.model import CommandOutcome, StartTask, StopTask, WorkerReport
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.interfaces import WorkerDriver
@@ -48,18 +48,18 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def start_task(self, order: StartTask) -> OrderOutcome:
+    async def start_task(self, order: StartTask) -> CommandOutcome:
         """Give an order to start."""
         deadline = self._deadline()
         if deadline is None:
-            return OrderOutcome.LATE
+            return CommandOutcome.LATE
         token = self._owner.ownership.token
         answer = await self._driver.start(self._state.info, token, order, deadline)
         if answer.clock_ms is not None:
             self._state.lease.heard(answer.clock_ms, boot_ms())
         return answer.outcome
 
-    async def stop_task(self, order: StopTask) -> OrderOutcome:
+    async def stop_task(self, order: StopTask) -> CommandOutcome:
         """Give an order to stop."""
         token = self._owner.ownership.token
         answer = await self._driver.stop(self._state.info, token, order)
@@ -112,8 +112,8 @@
         except TimeoutError:
             log.debug("the ends of %s are not stored yet", self._state.worker_id)
 
-    def _failed(self, outcome: OrderOutcome) -> None:
-        if outcome is OrderOutcome.FENCED and self._owner.cell is not None:
+    def _failed(self, outcome: CommandOutcome) -> None:
+        if outcome is CommandOutcome.FENCED and self._owner.cell is not None:
             self._owner.cell.was_fenced()
             self._owner.kick()
         self._note_answering(False, outcome.value)
--- a/baobabhoist/platform/decode.py
+++ b/baobabhoist/platform/decode.py
@@ -12,7 +12,7 @@
     CellRules,
     JobSpec,
     Queue,
-    Room,
+    Resources,
     Step,
     Team,
     WorkerInfo,
@@ -139,8 +139,8 @@
     return value
 
 
-def _room(body: dict[str, Any]) -> Room:
-    return Room(_whole(body, "cpu"), _whole(body, "memMb"), _whole(body, "gpu"))
+def _room(body: dict[str, Any]) -> Resources:
+    return Resources(_whole(body, "cpu"), _whole(body, "memMb"), _whole(body, "gpu"))
 
 
 def _config(body: dict[str, Any]) -> CellConfig:
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from baobabhoist.cell.model import (
-    EndKind,
-    EndRow,
-    OrderOutcome,
-    RunningRow,
+    ActiveRun,
+    CommandOutcome,
+    EndedRun,
+    RunOutcome,
     StartTask,
     StopTask,
     TaskKey,
@@ -26,19 +26,19 @@
 LIFETIME_HEADER = "X-Target-Instance"
 
 _BY_STATUS = {
-    0: OrderOutcome.UNKNOWN,
-    200: OrderOutcome.OK,
-    400: OrderOutcome.BAD,
-    421: OrderOutcome.WRONG_LIFETIME,
-    429: OrderOutcome.UNHEALTHY,
-    503: OrderOutcome.UNHEALTHY,
+    0: CommandOutcome.UNKNOWN,
+    200: CommandOutcome.OK,
+    400: CommandOutcome.BAD,
+    421: CommandOutcome.WRONG_LIFETIME,
+    429: CommandOutcome.UNHEALTHY,
+    503: CommandOutcome.UNHEALTHY,
 }
 _BY_REASON = {
-    "fence": OrderOutcome.FENCED,
-    "old": OrderOutcome.OLD,
-    "late": OrderOutcome.LATE,
-    "room": OrderOutcome.NO_ROOM,
-    "ticket": OrderOutcome.NO_TICKET,
+    "fence": CommandOutcome.FENCED,
+    "old": CommandOutcome.OLD,
+    "late": CommandOutcome.LATE,
+    "room": CommandOutcome.NO_ROOM,
+    "ticket": CommandOutcome.NO_TICKET,
 }
 REFUSED_STATUS = 409
 
@@ -51,7 +51,7 @@
 
     async def renew(
         self, worker: WorkerInfo, token: int, acked_end: int, deadline_ms: int | None, wait_ms: int
-    ) -> WorkerReport | OrderOutcome:
+    ) -> WorkerReport | CommandOutcome:
         """Renew the lease and return what runs and what ended."""
         body: dict[str, Any] = {"fencingToken": token, "ackCursor": acked_end}
         if deadline_ms is not None:
@@ -62,7 +62,7 @@
         if answer.status != 200:
             return _outcome(answer)
         report = _report(answer)
-        return report if report is not None else OrderOutcome.UNKNOWN
+        return report if report is not None else CommandOutcome.UNKNOWN
 
     async def start(
         self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
@@ -100,10 +100,10 @@
     return OrderAnswer(_outcome(answer), clock if isinstance(clock, int) else None)
 
 
-def _outcome(answer: Answer) -> OrderOutcome:
+def _outcome(answer: Answer) -> CommandOutcome:
     if answer.status == REFUSED_STATUS:
-        return _BY_REASON.get(answer.field("reason", ""), OrderOutcome.BAD)
-    return _BY_STATUS.get(answer.status, OrderOutcome.BAD)
+        return _BY_REASON.get(answer.field("reason", ""), CommandOutcome.BAD)
+    return _BY_STATUS.get(answer.status, CommandOutcome.BAD)
 
 
 def _report(answer: Answer) -> WorkerReport | None:
@@ -120,17 +120,17 @@
         return None
 
 
-def _running(row: list[Any]) -> RunningRow | None:
+def _running(row: list[Any]) -> ActiveRun | None:
     # Task, run, newest checkpoint, percent done, rough load of the last half second.
     task = TaskKey.parse(str(row[0]))
     if task is None:
         return None
     usage = float(row[4]) if len(row) > 4 else 0.0
-    return RunningRow(task, int(row[1]), str(row[2]), float(row[3]), usage)
+    return ActiveRun(task, int(row[1]), str(row[2]), float(row[3]), usage)
 
 
-def _end(row: list[Any]) -> EndRow | None:
+def _end(row: list[Any]) -> EndedRun | None:
     task = TaskKey.parse(str(row[1]))
     if task is None:
         return None
-    return EndRow(int(row[0]), task, int(row[2]), EndKind(row[3]), str(row[4]))
+    return EndedRun(int(row[0]), task, int(row[2]), RunOutcome(row[3]), str(row[4]))
--- a/baobabhoist/testing/cell_worker.py
+++ b/baobabhoist/testing/cell_worker.py
@@ -8,11 +8,11 @@
 import attrs
 
 from baobabhoist.cell.model import (
-    EndKind,
-    EndRow,
-    OrderOutcome,
-    Room,
-    RunningRow,
+    ActiveRun,
+    CommandOutcome,
+    EndedRun,
+    Resources,
+    RunOutcome,
     StartTask,
     StopTask,
     TaskKey,
@@ -36,7 +36,7 @@
     """Own a worker's state; `now` in ms is its own steady clock."""
 
     worker_id: str
-    capacity: Room = attrs.field(factory=lambda: Room(4000, 4096, 0))
+    capacity: Resources = attrs.field(factory=lambda: Resources(4000, 4096, 0))
     labels: tuple[str, ...] = ("a", "r1-1")
     service: str = "svc"
     now: float = 1_000.0
@@ -44,7 +44,7 @@
     token: int = 0
     lease_until: float = 0.0
     runs: dict[TaskKey, StandInRun] = attrs.Factory(dict)
-    ends: list[EndRow] = attrs.Factory(list)
+    ends: list[EndedRun] = attrs.Factory(list)
     ended_runs: dict[TaskKey, int] = attrs.Factory(dict)
     count: int = 0
     # Every start that took effect, for checks.
@@ -65,10 +65,10 @@
 
     def renew(
         self, token: int, acked_end: int, deadline_ms: int | None
-    ) -> WorkerReport | OrderOutcome:
+    ) -> WorkerReport | CommandOutcome:
         """Answer a renewal."""
         if token < self.token:
-            return OrderOutcome.FENCED
+            return CommandOutcome.FENCED
         self.token = token
         if deadline_ms is not None:
             self.lease_until = max(self.lease_until, deadline_ms)
@@ -78,44 +78,44 @@
     def report(self) -> WorkerReport:
         """Return the lists as they are now."""
         running = [
-            RunningRow(r.task, r.number, r.checkpoint, r.percent) for r in self.runs.values()
+            ActiveRun(r.task, r.number, r.checkpoint, r.percent) for r in self.runs.values()
         ]
         return WorkerReport(int(self.now), self.born_ms, tuple(running), tuple(self.ends))
 
-    def start(self, token: int, order: StartTask, deadline_ms: int) -> OrderOutcome:
+    def start(self, token: int, order: StartTask, deadline_ms: int) -> CommandOutcome:
         """Carry out a start."""
         if token < self.token:
-            return OrderOutcome.FENCED
+            return CommandOutcome.FENCED
         self.token = token
         if deadline_ms <= self.now:
-            return OrderOutcome.LATE
+            return CommandOutcome.LATE
         self.lease_until = max(self.lease_until, deadline_ms)
         run = self.runs.get(order.task)
         if run is not None and run.number == order.run:
-            return OrderOutcome.OK
+            return CommandOutcome.OK
         if run is not None or order.run <= self.ended_runs.get(order.task, 0):
-            return OrderOutcome.OLD
+            return CommandOutcome.OLD
         self.runs[order.task] = StandInRun(order.task, order.run, checkpoint=order.checkpoint)
         self.started.append((order.task, order.run))
-        return OrderOutcome.OK
+        return CommandOutcome.OK
 
-    def stop(self, token: int, order: StopTask) -> OrderOutcome:
+    def stop(self, token: int, order: StopTask) -> CommandOutcome:
         """Carry out a stop; a run that never came is remembered as ended."""
         if token < self.token:
-            return OrderOutcome.FENCED
+            return CommandOutcome.FENCED
         self.token = token
         run = self.runs.get(order.task)
         if run is not None and run.number <= order.run:
-            self.end(order.task, EndKind.STOPPED)
+            self.end(order.task, RunOutcome.STOPPED)
         self.ended_runs[order.task] = max(self.ended_runs.get(order.task, 0), order.run)
-        return OrderOutcome.OK
+        return CommandOutcome.OK
 
-    def end(self, task: TaskKey, kind: EndKind, checkpoint: str = "") -> None:
+    def end(self, task: TaskKey, kind: RunOutcome, checkpoint: str = "") -> None:
         """End a run."""
         run = self.runs.pop(task)
         self.count += 1
         saved = checkpoint or run.checkpoint
-        self.ends.append(EndRow(self.count, task, run.number, kind, saved))
+        self.ends.append(EndedRun(self.count, task, run.number, kind, saved))
         self.ended_runs[task] = max(self.ended_runs.get(task, 0), run.number)
 
     def advance(self, ms: float) -> None:
@@ -123,7 +123,7 @@
         self.now += ms
         if self.now >= self.lease_until:
             for task in list(self.runs):
-                self.end(task, EndKind.LAPSED)
+                self.end(task, RunOutcome.LAPSED)
 
     def restart(self) -> None:
         """Begin a new lifetime under the same id."""
@@ -135,7 +135,7 @@
 
 
 def end_gang(
-    workers: Mapping[str, StandInWorker], task: TaskKey, number: int, kind: EndKind
+    workers: Mapping[str, StandInWorker], task: TaskKey, number: int, kind: RunOutcome
 ) -> list[str]:
     """End what is left of a gang's run; return the worker of each member that ended."""
     ended = []
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -3,29 +3,29 @@
 import attrs
 
 from baobabhoist.cell.model import (
-    NO_ROOM,
+    NO_RESOURCES,
     AcceptedJob,
-    AskAdvice,
     CellRules,
-    EndKind,
+    CommandOutcome,
     JobSpec,
-    OrderOutcome,
     Queue,
-    Room,
+    RequestAdvice,
+    Resources,
+    RunOutcome,
     StartTask,
     Step,
     StopTask,
     TaskKey,
     Team,
 )
-from baobabhoist.cell.scheduler import Cell, Takeover
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.testing.cell_worker import StandInWorker
 
 LEASE_MS = 5_000.0
-SMALL = Room(1000, 512, 0)
+SMALL = Resources(1000, 512, 0)
 
 
-def rules(limit=NO_ROOM, max_attempts=3, advice=None, **queue):
+def rules(limit=NO_RESOURCES, max_attempts=3, advice=None, **queue):
     queues = {"q": Queue("q", "svc", 0, max_attempts, 2.0, 1000, advice=advice, **queue)}
     return CellRules(1, queues, {"team": Team("team", 1.0, limit)})
 
@@ -48,7 +48,7 @@
     now: float = 10_000.0
     token: int = 50
     generation: int = 0
-    cell: Cell = None
+    cell: CellScheduler = None
     deliver: bool = True
     # Orders that were sent but not delivered, oldest first.
     held: list = attrs.Factory(list)
@@ -68,7 +68,7 @@
     def own(self, lapsed_ms=0.0):
         """Begin a new ownership."""
         takeover = Takeover(self.generation, self.token, lapsed_ms)
-        self.cell = Cell(self.cell_rules, takeover, LEASE_MS)
+        self.cell = CellScheduler(self.cell_rules, takeover, LEASE_MS)
         self.cell.workers_listed([w.info() for w in self.workers.values()], self.now)
 
     def take_over(self, jobs=(), progress=None, lapse_ms=LEASE_MS * 1.1):
@@ -89,7 +89,7 @@
         worker, state = self.workers[worker_id], self.cell.board.workers[worker_id]
         deadline = state.lease.next_deadline(self.now, LEASE_MS)
         answer = worker.renew(self.token, state.acked_end, deadline)
-        if answer is OrderOutcome.FENCED:
+        if answer is CommandOutcome.FENCED:
             self.cell.was_fenced()
         elif deliver:
             self.cell.reported(worker_id, answer, self.now, self.now + 0.5)
@@ -103,7 +103,7 @@
         """Decide and carry the orders out, unless they are held back."""
         commands = self.cell.decide(self.now, may_start)
         for command in commands:
-            if isinstance(command, AskAdvice):
+            if isinstance(command, RequestAdvice):
                 self.asked.append(command)
             elif self.deliver:
                 self.carry_out(command)
@@ -118,10 +118,12 @@
             state = self.cell.board.workers[order.worker_id]
             deadline = state.lease.next_deadline(self.now, LEASE_MS)
             outcome = worker.start(self.token, order, deadline or 0)
-            self.cell.start_answered(order, outcome if answer else OrderOutcome.UNKNOWN, self.now)
+            self.cell.start_answered(
+                order, outcome if answer else CommandOutcome.UNKNOWN, self.now
+            )
         elif isinstance(order, StopTask):
             outcome = worker.stop(self.token, order)
-            self.cell.stop_answered(order, outcome if answer else OrderOutcome.UNKNOWN, self.now)
+            self.cell.stop_answered(order, outcome if answer else CommandOutcome.UNKNOWN, self.now)
         return outcome
 
     def lose(self, order):
@@ -129,7 +131,7 @@
         answered = (
             self.cell.start_answered if isinstance(order, StartTask) else self.cell.stop_answered
         )
-        answered(order, OrderOutcome.UNKNOWN, self.now)
+        answered(order, CommandOutcome.UNKNOWN, self.now)
 
     def advance(self, ms, renew=True):
         """Let time pass in steps of a tick."""
@@ -151,7 +153,7 @@
             self.renew_all()
             self.decide()
 
-    def end(self, key, kind=EndKind.DONE, checkpoint=""):
+    def end(self, key, kind=RunOutcome.DONE, checkpoint=""):
         worker = self.where(key)
         worker.end(key, kind, checkpoint)
         self.settle()
--- a/baobabhoist/tests/test_cell_ranking.py
+++ b/baobabhoist/tests/test_cell_ranking.py
@@ -1,10 +1,10 @@
 """Test the load of more work than room: what can still be served in time comes first."""
 
-from baobabhoist.cell.model import CellRules, Queue, Room, Step, Team
-from baobabhoist.cell.ranking import Band, band_of
+from baobabhoist.cell.model import CellRules, Queue, Resources, Step, Team
+from baobabhoist.cell.ranking import Timeliness, band_of
 from baobabhoist.tests.cell_harness import Rig, job, task
 
-WIDE = Room(4000, 512, 0)
+WIDE = Resources(4000, 512, 0)
 
 
 def full_rig():
@@ -28,7 +28,7 @@
     rig.now += 2_500.0
     rig.workers["w0"].advance(2_500.0)
     rig.accept(job("1" * 16, Step(1, WIDE, 1000)))
-    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Band.LATE
+    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Timeliness.LATE
     assert next_started(rig) == "1" * 16
 
 
@@ -38,7 +38,7 @@
     rig.accept(job("0" * 16, Step(1, WIDE, 1000)))
     rig.cell.job_state("0" * 16).accepted_at_ms -= 100_000.0
     rig.cell.job_state("0" * 16).objective_ms -= 100_000.0
-    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Band.HOPELESS
+    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Timeliness.EXPIRED
     rig.accept(job("1" * 16, Step(1, WIDE, 1000)))
     assert next_started(rig) == "1" * 16
 
--- a/baobabhoist/tests/test_cell_reservations.py
+++ b/baobabhoist/tests/test_cell_reservations.py
@@ -1,6 +1,6 @@
 """Test the load of a gang among small work: it gets its room although small tasks keep coming."""
 
-from baobabhoist.cell.model import EndKind, Step
+from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.tests.cell_harness import SMALL, Rig, job, rules, task
 
 
@@ -21,7 +21,7 @@
     for number in range(8):
         if any(key.job_id == gang for key, _ in rig.running()):
             break
-        rig.end(task(f"{number:016x}"), EndKind.DONE)
+        rig.end(task(f"{number:016x}"), RunOutcome.DONE)
     assert sum(key.job_id == gang for key, _ in rig.running()) == 4
 
 
@@ -41,7 +41,7 @@
     rig.accept(job(gang, Step(4, SMALL, 100, gang=True)))
     fill(rig, 100, 20)
     for number in range(4):
-        rig.end(task(f"{number:016x}"), EndKind.DONE)
+        rig.end(task(f"{number:016x}"), RunOutcome.DONE)
     assert sum(key.job_id == gang for key, _ in rig.running()) == 4
 
 
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -5,10 +5,10 @@
 
 from baobabhoist.cell.model import (
     AdviceTerms,
-    EndKind,
+    CommandOutcome,
     JobPhase,
-    OrderOutcome,
-    Room,
+    Resources,
+    RunOutcome,
     StartTask,
     Step,
     StopTask,
@@ -72,7 +72,7 @@
     (again,) = [c for c in rig.decide() if isinstance(c, StartTask)]
     assert again.run == 2
     # The late order is carried out now and must find its number used up.
-    assert rig.workers[start.worker_id].start(rig.token, start, 10**9) is OrderOutcome.OLD
+    assert rig.workers[start.worker_id].start(rig.token, start, 10**9) is CommandOutcome.OLD
 
 
 def test_tasks_of_an_unreachable_worker_wait_for_the_end_of_its_lease():
@@ -103,7 +103,7 @@
     rig.accept(job("1" * 16, Step(4, SMALL, 100, gang=True)))
     rig.settle()
     assert len(rig.running()) == 6
-    rig.end(task(index=2), EndKind.FAILED)
+    rig.end(task(index=2), RunOutcome.FAILED)
     rig.settle()
     numbers = {run.number for w in rig.workers.values() for run in w.runs.values()}
     assert len(rig.running()) == 6
@@ -126,13 +126,13 @@
     accepted = job("0" * 16, Step(2, SMALL, 100, gang=gang), version=1)
     rig.accept(accepted)
     rig.settle()
-    rig.end(task(index=0), EndKind.FAILED)
+    rig.end(task(index=0), RunOutcome.FAILED)
     saved = rig.store_progress()
     rig.take_over([accepted], saved)
     rig.settle()
     rig.settle()
     assert rig.phase() is JobPhase.RUNNING
-    rig.end(task(index=0), EndKind.FAILED)
+    rig.end(task(index=0), RunOutcome.FAILED)
     assert rig.phase() is JobPhase.FAILED
     rig.advance(1000)
     assert rig.running() == []
@@ -144,7 +144,7 @@
     accepted = job(version=1)
     rig.accept(accepted)
     rig.settle()
-    rig.end(task(), EndKind.FAILED)
+    rig.end(task(), RunOutcome.FAILED)
     saved = rig.cell.take_dirty()
     rig.take_over([accepted], saved)
     rig.settle()
@@ -160,7 +160,7 @@
     rig.settle()
     (ended, _) = next(item for item in rig.running() if item[1] == "w0")
     saved = rig.store_progress()
-    rig.workers["w0"].end(ended, EndKind.DONE)
+    rig.workers["w0"].end(ended, RunOutcome.DONE)
     rig.take_over([accepted], saved)
     rig.renew("w0")
     starts = [c for c in rig.decide() if isinstance(c, StartTask)]
@@ -238,12 +238,12 @@
     rig.settle()
     assert rig.running() == []
     assert rig.phase() is JobPhase.CANCELLED
-    assert rig.cell.board.usage["team"] == Room()
+    assert rig.cell.board.usage["team"] == Resources()
 
 
 def test_a_team_stays_within_its_limit_on_all_workers_together():
     """Guard against a limit that each worker or each step keeps only for itself."""
-    rig = Rig.with_workers(3, rules(limit=Room(cpu=2000)))
+    rig = Rig.with_workers(3, rules(limit=Resources(cpu=2000)))
     rig.accept(job("0" * 16, Step(4, SMALL, 100)))
     rig.accept(job("1" * 16, Step(4, SMALL, 100, gang=True)))
     rig.settle()
@@ -302,7 +302,7 @@
     for index, run in enumerate(r for w in rig.workers.values() for r in w.runs.values()):
         run.checkpoint = f"c{index}"
     rig.renew_all()
-    rig.end(task(index=1), EndKind.FAILED, "c9")
+    rig.end(task(index=1), RunOutcome.FAILED, "c9")
     rig.settle()
     saved = {run.checkpoint for w in rig.workers.values() for run in w.runs.values()}
     assert len(saved) == 1
@@ -330,7 +330,7 @@
 def test_a_job_that_does_not_fit_anywhere_stays_queued():
     """Guard against a job that is shown as failed although none of its tasks failed."""
     rig = Rig.with_workers(1)
-    rig.accept(job("0" * 16, Step(1, Room(cpu=99_000), 100)))
+    rig.accept(job("0" * 16, Step(1, Resources(cpu=99_000), 100)))
     rig.advance(500)
     assert rig.phase() is JobPhase.QUEUED
 
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -3,7 +3,7 @@
 import random
 
 from baobabhoist.cell.model import Step
-from baobabhoist.cell.speed_estimates import Speeds
+from baobabhoist.cell.speed_estimates import SpeedEstimates
 from baobabhoist.control.rowmap import decode_speeds, encode_speeds
 from baobabhoist.tests.cell_harness import SMALL, Rig, job
 
@@ -12,7 +12,7 @@
 
 def learn(off, tasks, seed=1):
     rng = random.Random(seed)
-    speeds = Speeds()
+    speeds = SpeedEstimates()
     for number in range(tasks):
         worker = sorted(SPEEDS)[number % 3]
         declared = 1000.0 * rng.lognormvariate(0.0, 0.5)
--- a/baobabhoist/tests/test_cell_speed_matching.py
+++ b/baobabhoist/tests/test_cell_speed_matching.py
@@ -1,11 +1,11 @@
 """Test the load of patient and urgent work on workers of unlike speed."""
 
-from baobabhoist.cell.model import CellRules, Queue, Room, Step, Team
+from baobabhoist.cell.model import CellRules, Queue, Resources, Step, Team
 from baobabhoist.cell.speed_matching import speed_cost
 from baobabhoist.tests.cell_harness import Rig, job
 
 SPEEDS = {"w0": 0.7, "w1": 0.7, "w2": 1.7}
-HALF = Room(2000, 512, 0)
+HALF = Resources(2000, 512, 0)
 
 
 def best(tolerated):
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -10,20 +10,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from baobabhoist.cell.model import (
-    EndKind,
+    CommandOutcome,
     JobPhase,
-    OrderOutcome,
-    Room,
+    Resources,
+    RunOutcome,
     StartTask,
     Step,
 )
-from baobabhoist.cell.scheduler import Cell, Takeover
-from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
+from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
 from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, job, rules
 
 MAX_ATTEMPTS = 2
-ENDS = st.sampled_from([EndKind.DONE, EndKind.FAILED])
+ENDS = st.sampled_from([RunOutcome.DONE, RunOutcome.FAILED])
 WORKERS = st.sampled_from(["w0", "w1", "w2"])
 STEPS = st.sampled_from(
     [
@@ -47,7 +47,9 @@
 class CellMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.workers = {f"w{n}": StandInWorker(f"w{n}", Room(2000, 4096, 0)) for n in range(3)}
+        self.workers = {
+            f"w{n}": StandInWorker(f"w{n}", Resources(2000, 4096, 0)) for n in range(3)
+        }
         self.now = 10_000.0
         self.token = 10
         self.generation = 0
@@ -66,7 +68,7 @@
 
     def _own(self, lapsed_ms):
         takeover = Takeover(self.generation, self.token, lapsed_ms)
-        self.cell = Cell(self.rules, takeover, LEASE_MS)
+        self.cell = CellScheduler(self.rules, takeover, LEASE_MS)
         self.cell.workers_listed([w.info() for w in self.workers.values()], self.now)
         for accepted in self.jobs.values():
             self.cell.job_accepted(accepted, self.now, self.now, self.now)
@@ -104,7 +106,7 @@
         step = self.jobs[key.job_id].spec.steps[key.step]
         if not step.gang:
             return
-        other_kind = EndKind.DONE if kind is EndKind.DONE else EndKind.BROKEN
+        other_kind = RunOutcome.DONE if kind is RunOutcome.DONE else RunOutcome.BROKEN
         end_gang(self.workers, key, number, other_kind)
 
     @rule(worker=WORKERS)
@@ -137,7 +139,7 @@
     def deliver(self, data, answer):
         sent = self.sent.pop(data.draw(st.integers(0, len(self.sent) - 1)))
         if sent.order.worker_id in self.cut:
-            self._answer(sent, OrderOutcome.UNKNOWN)
+            self._answer(sent, CommandOutcome.UNKNOWN)
             return
         worker = self.workers[sent.order.worker_id]
         if isinstance(sent.order, StartTask):
@@ -145,13 +147,13 @@
             outcome = worker.start(sent.token, sent.order, sent.deadline_ms)
         else:
             outcome = worker.stop(sent.token, sent.order)
-        self._answer(sent, outcome if answer else OrderOutcome.UNKNOWN)
+        self._answer(sent, outcome if answer else CommandOutcome.UNKNOWN)
 
     @precondition(lambda self: self.sent)
     @rule(data=st.data())
     def time_out(self, data):
         """Give an order up that is carried out later all the same."""
-        self._answer(data.draw(st.sampled_from(self.sent)), OrderOutcome.UNKNOWN)
+        self._answer(data.draw(st.sampled_from(self.sent)), CommandOutcome.UNKNOWN)
 
     def _answer(self, sent, outcome):
         if sent.token != self.token:
@@ -206,9 +208,9 @@
                 self._note(end)
 
     def _note(self, end):
-        if end.kind is EndKind.DONE:
+        if end.kind is RunOutcome.DONE:
             self.noted.add(end.task)
-        elif end.kind is EndKind.FAILED:
+        elif end.kind is RunOutcome.FAILED:
             self.noted_failures.setdefault(end.task, set()).add(end.run)
 
     @rule(hands_over=st.booleans())
@@ -218,7 +220,7 @@
         self.unstored.clear()
         self.token += 1000
         self.generation += 1
-        self._own(self.now + LEASE_MS / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS)
+        self._own(self.now + LEASE_MS / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS)
 
     # What must always hold.
 
--- a/baobabhoist/tests/test_cell_worker_index.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from baobabhoist.cell.model import AdviceTerms, EndKind, Room, Step
-from baobabhoist.cell.placer import Decisions
-from baobabhoist.cell.worker_index import Pools
+from baobabhoist.cell.model import AdviceTerms, Resources, RunOutcome, Step
+from baobabhoist.cell.placer import TaskPlacer
+from baobabhoist.cell.worker_index import WorkerIndex
 from baobabhoist.tests.cell_harness import SMALL, Rig, job, rules, task
 
-LARGE = Room(4000, 4096, 0)
+LARGE = Resources(4000, 4096, 0)
 
 
 def ready_step(rig, job_id="0" * 16):
@@ -15,7 +15,7 @@
 
 
 def pools(rig):
-    return Pools(rig.cell.board.workers.values(), rig.now)
+    return WorkerIndex(rig.cell.board.workers.values(), rig.now)
 
 
 def test_only_usable_workers_with_the_label_are_offered():
@@ -60,11 +60,11 @@
     for number in range(100, 150):
         rig.accept(job(f"{number:016x}", Step(1, SMALL, 4000)))
     looks = []
-    place = Decisions._place
-    monkeypatch.setattr(Decisions, "_place", lambda *args: looks.append(1) or place(*args))
+    place = TaskPlacer._place
+    monkeypatch.setattr(TaskPlacer, "_place", lambda *args: looks.append(1) or place(*args))
     rig.settle()
     assert not looks
-    rig.end(task("0" * 16), EndKind.DONE)
+    rig.end(task("0" * 16), RunOutcome.DONE)
     assert looks
 
 
@@ -75,5 +75,5 @@
     state = rig.cell.job_state("0" * 16)
     assert state.remaining_ms() == 1300
     rig.settle()
-    rig.end(task("0" * 16), EndKind.DONE)
+    rig.end(task("0" * 16), RunOutcome.DONE)
     assert state.remaining_ms() == 300
--- a/baobabhoist/tests/test_control_advice.py
+++ b/baobabhoist/tests/test_control_advice.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from baobabhoist.cell.model import AskAdvice, StepKey
+from baobabhoist.cell.model import RequestAdvice, StepKey
 from baobabhoist.control import advice as advice_module
 from baobabhoist.control.advice import LOCAL, AdviceDesk
 from baobabhoist.control.interfaces import Advice
@@ -35,7 +35,7 @@
 
 
 def question(cost_ms):
-    return AskAdvice(StepKey("0" * 16, 0, 0), ("w",), cost_ms)
+    return RequestAdvice(StepKey("0" * 16, 0, 0), ("w",), cost_ms)
 
 
 def test_a_short_question_never_stands_behind_a_long_one(monkeypatch):
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
-from baobabhoist.cell.progress_rows import Progress, encode
+from baobabhoist.cell.progress_rows import JobProgress, encode
 from baobabhoist.control import frontdesk as frontdesk_module
 from baobabhoist.control.accept import Acceptor
 from baobabhoist.control.clock import SharedClock
@@ -134,7 +134,7 @@
     desk.submit()
     admitted = desk.admit()
     assert asyncio.run(desk.front.state(admitted)) == "queued"
-    done = encode(Progress(JobPhase.COMPLETED))
+    done = encode(JobProgress(JobPhase.COMPLETED))
     desk.rows.apply(RowsTxn({}, {progress_row(ID): done}))
     assert asyncio.run(desk.front.state(admitted)) == "completed"
 
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from baobabhoist.cell import progress_rows
-from baobabhoist.cell.model import EndKind, Step
+from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.control.progress import ProgressWriter
 from baobabhoist.control.rowmap import OWNER_ROW, progress_row
 from baobabhoist.store.rows import RowsTxn
@@ -93,7 +93,7 @@
     async def run():
         rows, writer, _ = claimed()
         rig = working_rig()
-        rig.end(task(index=0), EndKind.DONE)
+        rig.end(task(index=0), RunOutcome.DONE)
         rows.hangs = True
         flushing = asyncio.create_task(writer._flush(rig.cell))
         await asyncio.sleep(0)
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_workers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from baobabhoist.cell.model import OrderOutcome
+from baobabhoist.cell.model import CommandOutcome
 from baobabhoist.control import workers
 from baobabhoist.control.workers import WorkerLoop
 from baobabhoist.tests.cell_harness import LEASE_MS, Rig, job
@@ -25,7 +25,7 @@
         self.deadlines.append(deadline_ms)
         self.waits.append(wait_ms)
         if self.silent:
-            return OrderOutcome.UNKNOWN
+            return CommandOutcome.UNKNOWN
         return self.worker.renew(token, acked_end, deadline_ms)
 
 
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabhoist.cell.model import JobSpec, Room, WorkerInfo
+from baobabhoist.cell.model import JobSpec, Resources, WorkerInfo
 from baobabhoist.control.config import CellConfig
 from baobabhoist.control.rowmap import JobRow, decode_job, encode_job
 from baobabhoist.errors import ErrorKind, Refusal
@@ -90,7 +90,7 @@
 def test_a_worker_is_read_and_a_foreign_entry_set_aside():
     """Guard against work sent to an entry of another writer."""
     worker = DECODER.worker("w", orjson.dumps(WORKER))
-    assert worker.capacity == Room(16000, 32768, 0)
+    assert worker.capacity == Resources(16000, 32768, 0)
     assert (worker.rack, worker.kind, worker.born_ms) == ("r1-3", "a", 17)
     for change in ({"state": "odd"}, {"address": 7}, {"capacity": []}, {"labels": "a"}):
         assert DECODER.worker("w", orjson.dumps({**WORKER, **change})) is None
@@ -100,7 +100,7 @@
     """Guard against a key, limit or route that is lost on the way."""
     cfg = DECODER.config(orjson.dumps(CONFIG))
     assert cfg.keys == {"k1": "t"}
-    assert cfg.rules.teams["t"].limit == Room(cpu=9)
+    assert cfg.rules.teams["t"].limit == Resources(cpu=9)
     assert cfg.route_for("h.example", "/a/b/0").queue.name == "deep"
     assert cfg.route_for("h.example", "/a/c").queue.advice.valid_ms == 2500
     assert cfg.route_for("other", "/a/c") is None
