--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -104,13 +104,13 @@
     def __attrs_post_init__(self) -> None:
         """Make the cell and its workers."""
         self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
-        self.cell.decisions = self.policy(self.cell.board, advisers=ADVISERS)
+        self.cell.placer = self.policy(self.cell.state, advisers=ADVISERS)
         self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
         self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
         for number, name in enumerate(self.workers):
             rack = f"r{number // WORKERS_A_RACK}"
             info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), born_ms=1)
-            self.cell.worker_listed(info, 0.0)
+            self.cell.update_worker(info, 0.0)
 
     def run(self, seconds: float) -> None:
         """Play the stream and let what it left drain."""
@@ -135,7 +135,7 @@
     def _decide(self) -> None:
         self._kicked = False
         began_s = time.perf_counter()
-        commands = self.cell.decide(self.now, True)
+        commands = self.cell.schedule(self.now, True)
         self.call_s.append(time.perf_counter() - began_s)
         for command in commands:
             _ORDERS[type(command)](self, command)
@@ -148,13 +148,13 @@
     # Callers and advice.
 
     def _arrive(self, arrival: Arrival) -> None:
-        self.cell.job_accepted(arrival.job, self.now, self.now, self.now)
+        self.cell.add_job(arrival.job, self.now, self.now, self.now)
         if arrival.cancel_ms is not None:
             self._at(arrival.cancel_ms, lambda: self._cancel(arrival.job.job_id))
         self._kick()
 
     def _cancel(self, job_id: str) -> None:
-        self.cell.job_cancelled(job_id, self.now)
+        self.cell.cancel_job(job_id, self.now)
         self._kick()
 
     def _ask(self, question: RequestAdvice) -> None:
@@ -166,7 +166,7 @@
                 if zlib.crc32(f"{key}{name}".encode()) % 100 < APPROVED_OF_100
             }
             valid = self.now + VALID_MS
-            self.cell.advice_answered(key, question.workers, tickets, valid)
+            self.cell.handle_advice(key, question.workers, tickets, valid)
             self._kick()
 
         self._at(self.now + question.cost_ms, answer)
@@ -176,10 +176,10 @@
     def _start(self, order: StartTask) -> None:
         def start() -> None:
             worker = self._worker(order.worker_id)
-            if not self.cell.still_wanted(order):
+            if not self.cell.should_send_start(order):
                 return
             outcome = worker.start(1, order, self._deadline(order.worker_id) or 0)
-            self.cell.start_answered(order, outcome, self.now)
+            self.cell.handle_start_result(order, outcome, self.now)
             if outcome is CommandOutcome.OK:
                 ends_ms = self.now + self._run_ms(order)
                 self.spans[order.task] = (self.now, ends_ms)
@@ -197,7 +197,7 @@
         return declared * arrival.actual * slowness
 
     def _gang_slowness(self, task: TaskKey, number: int) -> float:
-        step = self.cell.board.jobs[task.job_id].step_of(task)
+        step = self.cell.state.jobs[task.job_id].step_of(task)
         members = step.tasks if step is not None else []
         used = [m.run.worker_id for m in members if m.run is not None and m.run.number == number]
         return max((self.stream.slowness(name, self.now) for name in used), default=1.0)
@@ -219,7 +219,7 @@
     def _stop(self, order: StopTask) -> None:
         def stop() -> None:
             worker = self._worker(order.worker_id)
-            self.cell.stop_answered(order, worker.stop(1, order), self.now)
+            self.cell.handle_stop_result(order, worker.stop(1, order), self.now)
             self._report_soon(order.worker_id)
 
         self._at(self.now + STOP_MS, stop)
@@ -230,20 +230,20 @@
         return worker
 
     def _deadline(self, name: str) -> int | None:
-        return self.cell.board.workers[name].lease.next_deadline(self.now, LEASE_MS)
+        return self.cell.state.workers[name].lease.next_deadline(self.now, LEASE_MS)
 
     def _report_soon(self, name: str) -> None:
         self._at(self.now + REPORT_MS, lambda: self._renew(name))
 
     def _renew(self, name: str, again: bool = False) -> None:
-        worker, state = self._worker(name), self.cell.board.workers[name]
+        worker, state = self._worker(name), self.cell.state.workers[name]
         state.acked_end = state.seen_end
         for key, held in worker.runs.items():
             began, ends = self.spans[key]
             held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
         report = worker.renew(1, state.acked_end, self._deadline(name))
         if not isinstance(report, CommandOutcome):
-            self.cell.reported(name, report, self.now - REPORT_MS, self.now)
+            self.cell.handle_report(name, report, self.now - REPORT_MS, self.now)
         self._kick()
         if again:
             self._at(self.now + RENEW_MS, lambda: self._renew(name, again=True))
@@ -255,7 +255,7 @@
         owed: dict[str, float] = defaultdict(float)
         earned: dict[str, float] = defaultdict(float)
         for job_id, arrival in self.arrivals.items():
-            job = self.cell.board.jobs[job_id]
+            job = self.cell.state.jobs[job_id]
             if arrival.cancel_ms is not None:
                 continue
             for name in (arrival.kind.queue.name, "all"):
@@ -268,7 +268,7 @@
         wanted = JobPhase.FAILED if hopeless else JobPhase.COMPLETED
         if phase is not wanted:
             return 0.0
-        job = self.cell.board.jobs[arrival.job.job_id]
+        job = self.cell.state.jobs[arrival.job.job_id]
         patience = job.objective_ms - job.accepted_at_ms
         took = ended_ms - job.accepted_at_ms
         if took <= patience:
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -22,13 +22,13 @@
 class PeriodicChecks:
     """Look over the board every now and then; all times are on the owner's clock, in ms."""
 
-    def __init__(self, board: CellState, ends: RunEndHandler) -> None:
-        self._board = board
+    def __init__(self, state: CellState, ends: RunEndHandler) -> None:
+        self._state = state
         self._ends = ends
 
     def tick(self, now: float, unix_ms: float) -> None:
         """Do what is due."""
-        for worker in list(self._board.workers.values()):
+        for worker in list(self._state.workers.values()):
             self._check_lease(worker, now)
             for run in list(worker.runs.values()):
                 self._check_run(worker, run, now)
@@ -39,16 +39,16 @@
         lapsed_ms = worker.lease.lapsed_ms() if worker.lease.known else worker.unheard_lapse_ms
         if now > lapsed_ms:
             for run in list(worker.runs.values()):
-                lost(self._board, self._ends, run, now, "the lease of its worker has lapsed")
+                lost(self._state, self._ends, run, now, "the lease of its worker has lapsed")
         gone = not worker.listed and now > worker.unlisted_ms + ENTRY_RETURN_MS
         if gone and not worker.runs:
             emit(log, Event.WORKER_GONE, worker=worker.worker_id)
-            del self._board.workers[worker.worker_id]
+            del self._state.workers[worker.worker_id]
 
     def _check_run(self, worker: WorkerState, run: Run, now: float) -> None:
         stopping = run.phase in (RunPhase.STOPPING, RunPhase.UNSURE)
         if stopping and not run.stop_answered_ms and now - run.stop_sent_ms > STOP_AGAIN_MS:
-            self._board.stop(run, now)
+            self._state.stop(run, now)
         stalled = (
             run.phase is RunPhase.RUNNING
             and not run.task.step.spec.lasting
@@ -67,11 +67,11 @@
                 worker=run.worker_id,
                 percent=run.percent,
             )
-            self._board.stop(run, now)
+            self._state.stop(run, now)
 
     def _repair_gangs(self, now: float) -> None:
         """Stop the rest of a gang that lost members under an earlier owner."""
-        for step in list(self._board.ready.values()):
+        for step in list(self._state.ready.values()):
             if step.spec.gang and 0 < step.idle < step.pending:
                 self._stop_members(step, now)
 
@@ -79,9 +79,9 @@
         for task in step.tasks:
             run = task.run
             if run is not None and run.phase in (RunPhase.RUNNING, RunPhase.STARTING):
-                self._board.stop(run, now)
+                self._state.stop(run, now)
 
     def _open_occurrences(self, now: float, unix_ms: float) -> None:
-        for job in list(self._board.jobs.values()):
+        for job in list(self._state.jobs.values()):
             if not job.final and job.open_due(unix_ms):
-                self._board.refresh_ready(job, now)
+                self._state.refresh_ready(job, now)
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -33,7 +33,7 @@
 class TaskPlacer:
     """Decide for one cell; call `decide` after any change."""
 
-    board: CellState
+    state: CellState
     # How many questions the advisers can work on at once.
     advisers: int = 1
     asking: int = 0
@@ -41,14 +41,14 @@
 
     def decide(self, now: float, may_start: bool) -> None:
         """Start what fits, and ask for advice on what waits."""
-        waiting = [step for step in self.board.ready.values() if step.idle]
+        waiting = [step for step in self.state.ready.values() if step.idle]
         if not waiting:
             return
         ranked = sorted(waiting, key=lambda step: self._rank(step, now))
-        pools = WorkerIndex(self.board.workers.values(), now)
+        pools = WorkerIndex(self.state.workers.values(), now)
         self.holds.begin()
         for position, step in enumerate(ranked):
-            service = self.board.service_of(step.job)
+            service = self.state.service_of(step.job)
             if may_start and step.spec.charged.cpu <= pools.widest(service):
                 self._place(step, pools, now)
             if step.idle:
@@ -58,7 +58,7 @@
         return rank_of(step, self._queue(step), now)
 
     def _queue(self, step: StepState) -> Queue | None:
-        return self.board.queue_of(step.job)
+        return self.state.queue_of(step.job)
 
     def _place(self, step: StepState, pools: WorkerIndex, now: float) -> None:
         spec = step.spec
@@ -68,14 +68,14 @@
         if not self.holds.limit_open_to(team, step):
             return
         need = spec.need.times(step.idle if spec.gang else 1)
-        if not self.board.within_limit(step.job, need):
+        if not self.state.within_limit(step.job, need):
             if spec.gang and self._may_wait_for_limit(step, need, now):
                 self.holds.wait_for_limit(team, step)
             return
         open_to = [w for w in self._open_to(step, pools) if self.holds.open_to(w, step)]
         if not open_to and not spec.gang:
             return
-        tolerated = tolerance(step.job, self.board.speeds.stretch(step.job.accepted.queue), now)
+        tolerated = tolerance(step.job, self.state.speeds.stretch(step.job.accepted.queue), now)
         slots = slots_on(
             open_to, spec, step.idle, _runs_on(step), lambda w: self._cost(w, step, tolerated)
         )
@@ -84,13 +84,13 @@
             return
         chosen = spread_singles(slots, step.idle)
         for task, worker in zip(list(step.idle_tasks()), chosen, strict=False):
-            if not self.board.within_limit(step.job, spec.need):
+            if not self.state.within_limit(step.job, spec.need):
                 return
-            self.board.start(task, worker, self.board.next_number([task]), now)
+            self.state.start(task, worker, self.state.next_number([task]), now)
 
     def _may_wait_for_limit(self, step: StepState, need: Resources, now: float) -> bool:
         """Tell whether a gang may keep its team's limit: it fits, and is worth something."""
-        team = self.board.team_of(step.job)
+        team = self.state.team_of(step.job)
         fits = team is not None and team.allows(need)
         return fits and band_of(step.job, now) is not Timeliness.EXPIRED
 
@@ -103,15 +103,15 @@
             if not self.holds.full:
                 self.holds.gather(step, self._approved(step, pools))
             return
-        number = self.board.next_number(members)
+        number = self.state.next_number(members)
         checkpoint = next((m.checkpoint for m in members if m.checkpoint), "")
         for task, worker in zip(members, chosen, strict=True):
             task.checkpoint = checkpoint
-            self.board.start(task, worker, number, now)
+            self.state.start(task, worker, number, now)
 
     def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         """Return how little a worker suits a step: unfit and remote ones come last."""
-        cost = speed_cost(self.board.speeds.factor(worker.worker_id), tolerated)
+        cost = speed_cost(self.state.speeds.factor(worker.worker_id), tolerated)
         if step.spec.data_rack and worker.info.rack != step.spec.data_rack:
             cost += REMOTE_RACK_COST
         if worker.worker_id in step.failed_on:
@@ -124,15 +124,15 @@
 
     def _open_to(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
         """Return the workers on which a task of the step may start now, if there is room."""
-        service, label = self.board.service_of(step.job), step.spec.label
-        if self.board.queue_needs_advice(step.job):
+        service, label = self.state.service_of(step.job), step.spec.label
+        if self.state.queue_needs_advice(step.job):
             return pools.ticketed(step, service, label)
         return pools.usable(service, label)
 
     def _approved(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
         """Return the usable workers that may run the step, also without a valid ticket."""
-        service, label = self.board.service_of(step.job), step.spec.label
-        if self.board.queue_needs_advice(step.job):
+        service, label = self.state.service_of(step.job), step.spec.label
+        if self.state.queue_needs_advice(step.job):
             return pools.approved(step, service, label)
         return pools.usable(service, label)
 
@@ -144,7 +144,7 @@
             return
         if self.asking >= self.advisers or (step.spec.gang and step.idle < step.pending):
             return
-        service = self.board.service_of(step.job)
+        service = self.state.service_of(step.job)
         ids = pools.able_ids(service, step.spec.label, step.spec.charged)
         named = step.approvals.unasked(ids)[:NAMED_MAX]
         if not named and position < RENEWED_STEPS:
@@ -154,7 +154,7 @@
         cost = queue.advice.cost_ms(len(named))
         step.approvals.asked(now + cost + ANSWER_SLACK_MS)
         self.asking += 1
-        self.board.commands.append(RequestAdvice(step.key, tuple(named), cost))
+        self.state.commands.append(RequestAdvice(step.key, tuple(named), cost))
 
 
 def _whom_to_renew(step: StepState, ids: list[str], terms: AdviceTerms, now: float) -> list[str]:
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -15,8 +15,8 @@
 class RunEndHandler:
     """Decide what the end of a run means for its task and its job."""
 
-    def __init__(self, board: CellState) -> None:
-        self._board = board
+    def __init__(self, state: CellState) -> None:
+        self._state = state
 
     def ended(
         self, task: TaskState, number: int, kind: RunOutcome, checkpoint: str, now: float
@@ -40,7 +40,7 @@
             task.failed_runs.add(number)
             if task.run is not None and task.run.number == number:
                 task.step.failed_on.add(task.run.worker_id)
-            self._board.dirty.add(job.job_id)
+            self._state.dirty.add(job.job_id)
             self._check_attempts(task, now)
         if task.step.spec.gang and not task.step.done:
             self.break_gang(task.step, number, now)
@@ -50,7 +50,7 @@
         for member in step.tasks:
             run = member.run
             if run is not None and run.number == number and run.phase is not RunPhase.STOPPING:
-                self._board.stop(run, now)
+                self._state.stop(run, now)
 
     def _done(self, task: TaskState, now: float) -> None:
         step, job = task.step, task.step.job
@@ -60,17 +60,17 @@
         changed = [member for member in members if step.mark_done(member)]
         if not changed:
             return
-        self._board.dirty.add(job.job_id)
+        self._state.dirty.add(job.job_id)
         for member in members:
             self._time(member, now)
         if step.done:
-            self._board.refresh_ready(job, now)
+            self._state.refresh_ready(job, now)
         if not job.final and job.all_done():
-            self._board.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
+            self._state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
 
     def _time(self, task: TaskState, now: float) -> None:
         run = task.run
-        worker = self._board.workers.get(run.worker_id) if run is not None else None
+        worker = self._state.workers.get(run.worker_id) if run is not None else None
         if run is None or worker is None:
             return
         worker.health.succeeded()
@@ -79,15 +79,15 @@
         if run.whole and not spec.gang and run.confirmed_ms:
             queue = task.step.job.accepted.queue
             took_ms = now - run.confirmed_ms
-            self._board.speeds.observe(run.worker_id, queue, took_ms, spec.expected_ms)
+            self._state.speeds.observe(run.worker_id, queue, took_ms, spec.expected_ms)
 
     def _check_attempts(self, task: TaskState, now: float) -> None:
         job = task.step.job
-        queue = self._board.queue_of(job)
+        queue = self._state.queue_of(job)
         attempts = task.step.failures(task)
         if queue is None or task.step.spec.lasting or attempts < queue.max_attempts:
             return
-        self._board.finish(
+        self._state.finish(
             job, JobPhase.FAILED, now, f"task {task.key.text()} failed {attempts} times"
         )
 
@@ -95,10 +95,10 @@
         members = task.step.tasks if task.step.spec.gang else [task]
         for member in members:
             member.checkpoint = checkpoint
-        self._board.dirty.add(task.step.job.job_id)
+        self._state.dirty.add(task.step.job.job_id)
 
 
-def lost(board: CellState, ends: RunEndHandler, run: Run, now: float, reason: str) -> None:
+def lost(state: CellState, ends: RunEndHandler, run: Run, now: float, reason: str) -> None:
     """Close a run that is certain to be gone without an end in any list."""
     emit(
         log,
@@ -108,6 +108,6 @@
         worker=run.worker_id,
         reason=reason,
     )
-    board.close(run)
+    state.close(run)
     if run.task.step.spec.gang and not run.task.step.done:
         ends.break_gang(run.task.step, run.number, now)
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -52,29 +52,29 @@
     """Own the jobs and workers of one cell; all times are on the owner's clock, in ms."""
 
     def __init__(self, rules: CellRules, takeover: Takeover, lease_ms: float) -> None:
-        self.board = CellState(rules, takeover.generation)
-        self.fenced_off = False
-        self.decisions = TaskPlacer(self.board)
+        self.state = CellState(rules, takeover.generation)
+        self.is_fenced = False
+        self.placer = TaskPlacer(self.state)
         self._takeover = takeover
         self._lease_ms = lease_ms
-        self._ends = RunEndHandler(self.board)
-        self._reports = WorkerReportHandler(self.board, self._ends)
-        self._upkeep = PeriodicChecks(self.board, self._ends)
+        self._ends = RunEndHandler(self.state)
+        self._reports = WorkerReportHandler(self.state, self._ends)
+        self._upkeep = PeriodicChecks(self.state, self._ends)
 
     # Jobs.
 
-    def job_accepted(
+    def add_job(
         self, accepted: AcceptedJob, accepted_at_ms: float, now: float, unix_ms: float
     ) -> bool:
         """Take a job over; tell whether it is new."""
-        if accepted.job_id in self.board.jobs:
+        if accepted.job_id in self.state.jobs:
             return False
         job = JobState(accepted, accepted_at_ms)
         job.inherited = accepted.version < self._takeover.claim_version
         self._set_objective(job)
-        self.board.jobs[accepted.job_id] = job
+        self.state.jobs[accepted.job_id] = job
         job.open_due(unix_ms)
-        self.board.refresh_ready(job, now)
+        self.state.refresh_ready(job, now)
         if not job.inherited:
             self._announce(job, now)
         return True
@@ -88,23 +88,23 @@
                 if task is None or task.run is not None:
                     continue
                 worker = self._worker_for(stored.worker_id, now)
-                run = self.board.adopt(task, worker, stored.number, now)
+                run = self.state.adopt(task, worker, stored.number, now)
                 if job.final:
-                    self.board.stop(run, now)
+                    self.state.stop(run, now)
 
     def _worker_for(self, worker_id: str, now: float) -> WorkerState:
         """Return a worker, or a placeholder for one that the directory does not list."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is None:
             info = WorkerInfo(worker_id, "", "", "", NO_RESOURCES, ())
             worker = WorkerState(info, Lease(self._lease_ms), listed=False, unlisted_ms=now)
-            self.board.workers[worker_id] = worker
+            self.state.workers[worker_id] = worker
         worker.unheard_lapse_ms = self._takeover.lapsed_ms
         return worker
 
-    def announce_inherited(self, now: float) -> None:
+    def log_inherited_jobs(self, now: float) -> None:
         """Log the unfinished jobs that were taken over, once their progress is known."""
-        for job in self.board.jobs.values():
+        for job in self.state.jobs.values():
             if job.inherited and not job.final:
                 self._announce(job, now)
 
@@ -124,9 +124,9 @@
             inherited=job.inherited,
         )
 
-    def progress_loaded(self, job_id: str, progress: JobProgress, now: float) -> None:
+    def restore_job(self, job_id: str, progress: JobProgress, now: float) -> None:
         """Apply the durable progress of a job that an earlier owner worked on."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         if job is None:
             return
         cancelled = job.phase is JobPhase.CANCELLED
@@ -138,56 +138,56 @@
             job.ended_ms = now
             job.drop_payload()
         self._adopt_stored_runs(job, progress, now)
-        self.board.refresh_ready(job, now)
+        self.state.refresh_ready(job, now)
         if not job.final and job.all_done():
-            self.board.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
+            self.state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
 
-    def job_cancelled(self, job_id: str, now: float) -> bool:
+    def cancel_job(self, job_id: str, now: float) -> bool:
         """Cancel a job; tell whether it is known."""
-        job = self.board.jobs.get(job_id)
+        job = self.state.jobs.get(job_id)
         if job is None:
             return False
-        self.board.finish(job, JobPhase.CANCELLED, now, "its team cancelled it")
+        self.state.finish(job, JobPhase.CANCELLED, now, "its team cancelled it")
         return True
 
-    def job_state(self, job_id: str) -> JobState | None:
+    def find_job(self, job_id: str) -> JobState | None:
         """Return a job, or None if it is not known."""
-        return self.board.jobs.get(job_id)
+        return self.state.jobs.get(job_id)
 
-    def pending(self, queue: str) -> int:
+    def count_queued_jobs(self, queue: str) -> int:
         """Return how many jobs of a queue have not begun."""
         return sum(
             1
-            for job in self.board.jobs.values()
+            for job in self.state.jobs.values()
             if job.accepted.queue == queue and job.phase is JobPhase.QUEUED
         )
 
-    def forget_job(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Drop a finished job."""
-        job = self.board.jobs.pop(job_id, None)
+        job = self.state.jobs.pop(job_id, None)
         if job is not None:
             for step in job.steps.values():
-                self.board.ready.pop(step.key, None)
+                self.state.ready.pop(step.key, None)
 
     # Configuration and workers.
 
-    def use_rules(self, rules: CellRules) -> None:
+    def set_rules(self, rules: CellRules) -> None:
         """Use these queues and teams from now on."""
-        self.board.rules = rules
+        self.state.rules = rules
 
-    def workers_listed(self, listed: Iterable[WorkerInfo], now: float) -> None:
+    def sync_directory(self, listed: Iterable[WorkerInfo], now: float) -> None:
         """Take over the whole directory."""
         found = {info.worker_id: info for info in listed}
         for info in found.values():
-            self.worker_listed(info, now)
-        for worker_id in set(self.board.workers) - set(found):
-            self.worker_unlisted(worker_id, now)
+            self.update_worker(info, now)
+        for worker_id in set(self.state.workers) - set(found):
+            self.unlist_worker(worker_id, now)
 
-    def worker_listed(self, info: WorkerInfo, now: float) -> None:
+    def update_worker(self, info: WorkerInfo, now: float) -> None:
         """Take over one entry of the directory."""
-        worker = self.board.workers.get(info.worker_id)
+        worker = self.state.workers.get(info.worker_id)
         if worker is None:
-            worker = self.board.workers[info.worker_id] = WorkerState(info, Lease(self._lease_ms))
+            worker = self.state.workers[info.worker_id] = WorkerState(info, Lease(self._lease_ms))
             emit(
                 log,
                 Event.WORKER_LISTED,
@@ -199,41 +199,43 @@
             emit(log, Event.WORKER_DRAINS, worker=info.worker_id, leaves_in_ms=info.leaves_in_ms)
         worker.info, worker.listed = info, True
 
-    def worker_unlisted(self, worker_id: str, now: float) -> None:
+    def unlist_worker(self, worker_id: str, now: float) -> None:
         """Note that the directory dropped a worker; what runs there is still followed."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is not None and worker.listed:
             worker.listed, worker.unlisted_ms = False, now
             emit(log, Event.WORKER_UNLISTED, worker=worker_id, runs=len(worker.runs))
 
-    def reported(self, worker_id: str, report: WorkerReport, sent_ms: float, now: float) -> None:
+    def handle_report(
+        self, worker_id: str, report: WorkerReport, sent_ms: float, now: float
+    ) -> None:
         """Take a worker's answer to a renewal of its lease."""
-        worker = self.board.workers.get(worker_id)
+        worker = self.state.workers.get(worker_id)
         if worker is None:
             return
         self._reports.reported(worker, report, sent_ms, now)
 
-    def start_answered(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
+    def handle_start_result(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a start."""
         self._note_fence(outcome)
         self._reports.start_answered(order, outcome, now)
 
-    def still_wanted(self, order: StartTask) -> bool:
+    def should_send_start(self, order: StartTask) -> bool:
         """Tell whether a start that waited to be stored should still be sent."""
-        worker = self.board.workers.get(order.worker_id)
+        worker = self.state.workers.get(order.worker_id)
         run = worker.runs.get(order.task) if worker is not None else None
         return run is not None and run.number == order.run and not run.stop_sent_ms
 
-    def stop_answered(self, order: StopTask, outcome: CommandOutcome, now: float) -> None:
+    def handle_stop_result(self, order: StopTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a stop."""
         self._note_fence(outcome)
         self._reports.stop_answered(order, outcome, now)
 
-    def was_fenced(self) -> None:
+    def mark_fenced(self) -> None:
         """Note that a worker obeys a later owner."""
-        self.fenced_off = True
+        self.is_fenced = True
 
-    def advice_answered(
+    def handle_advice(
         self,
         key: StepKey,
         named: Iterable[str],
@@ -241,30 +243,30 @@
         valid_until_ms: float,
     ) -> None:
         """Take the adviser's answer."""
-        self.decisions.asking -= 1
+        self.placer.asking -= 1
         step = self._step(key)
         if step is not None:
             step.approvals.answered(named, approved, valid_until_ms)
 
-    def advice_failed(self, key: StepKey, retry_ms: float) -> None:
+    def handle_advice_failure(self, key: StepKey, retry_ms: float) -> None:
         """Note that a question got no answer."""
-        self.decisions.asking -= 1
+        self.placer.asking -= 1
         step = self._step(key)
         if step is not None:
             step.approvals.failed(retry_ms)
 
     # What the metrics show.
 
-    def queued_tasks(self) -> dict[str, int]:
+    def count_queued_tasks(self) -> dict[str, int]:
         """Return how many tasks wait for a start, by queue."""
         counts: Counter[str] = Counter()
-        for step in self.board.ready.values():
+        for step in self.state.ready.values():
             counts[step.job.accepted.queue] += step.idle
         return dict(counts)
 
-    def lease_margin_ms(self, now: float) -> float:
+    def min_lease_margin_ms(self, now: float) -> float:
         """Return the time until the first known lease of a busy worker would lapse."""
-        busy = [w for w in self.board.workers.values() if w.runs and w.lease.known]
+        busy = [w for w in self.state.workers.values() if w.runs and w.lease.known]
         return min((w.lease.lapsed_ms() - now for w in busy), default=0.0)
 
     # Time and decisions.
@@ -273,32 +275,32 @@
         """Do what time alone brings."""
         self._upkeep.tick(now, unix_ms)
 
-    def decide(self, now: float, may_start: bool) -> list[Command]:
+    def schedule(self, now: float, may_start: bool) -> list[Command]:
         """Decide, and return all commands since the last call."""
-        self.decisions.decide(now, may_start and not self.fenced_off)
-        commands, self.board.commands = self.board.commands, []
+        self.placer.decide(now, may_start and not self.is_fenced)
+        commands, self.state.commands = self.state.commands, []
         return commands
 
-    def take_dirty(self) -> dict[str, JobProgress]:
+    def take_unsaved_progress(self) -> dict[str, JobProgress]:
         """Return the progress that must be stored, and count it as handed over."""
-        dirty, self.board.dirty = self.board.dirty, set()
-        jobs = self.board.jobs
+        dirty, self.state.dirty = self.state.dirty, set()
+        jobs = self.state.jobs
         return {i: progress_rows.progress_of(jobs[i]) for i in dirty if i in jobs}
 
-    def seen_ends(self) -> dict[str, int]:
+    def last_seen_ends(self) -> dict[str, int]:
         """Return the number of the last end that was taken from each worker."""
-        return {w.worker_id: w.seen_end for w in self.board.workers.values()}
+        return {w.worker_id: w.seen_end for w in self.state.workers.values()}
 
     def _set_objective(self, job: JobState) -> None:
-        queue = self.board.queue_of(job)
+        queue = self.state.queue_of(job)
         slack = queue.slack_factor if queue is not None else 1.0
         target = queue.target_latency_ms if queue is not None else 0
         job.objective_ms = job.accepted_at_ms + slack * chain_ms(job.accepted) + target
 
     def _step(self, key: StepKey) -> StepState | None:
-        job = self.board.jobs.get(key.job_id)
+        job = self.state.jobs.get(key.job_id)
         return job.step_of(key) if job is not None else None
 
     def _note_fence(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED:
-            self.was_fenced()
+            self.mark_fenced()
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -29,8 +29,8 @@
 class WorkerReportHandler:
     """Take reports and answers to orders; all times are on the owner's clock, in ms."""
 
-    def __init__(self, board: CellState, ends: RunEndHandler) -> None:
-        self._board = board
+    def __init__(self, state: CellState, ends: RunEndHandler) -> None:
+        self._state = state
         self._ends = ends
 
     def reported(
@@ -62,7 +62,7 @@
     def start_answered(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a start."""
         run = self._find(order)
-        worker = self._board.workers.get(order.worker_id)
+        worker = self._state.workers.get(order.worker_id)
         if run is None or worker is None:
             return
         if outcome is CommandOutcome.OK:
@@ -81,7 +81,7 @@
                     run=order.run,
                     worker=order.worker_id,
                 )
-                self._board.stop(run, now)
+                self._state.stop(run, now)
                 if run.task.step.spec.gang:
                     self._ends.break_gang(run.task.step, run.number, now)
             return
@@ -120,13 +120,13 @@
             worker.paused_until_ms = now + PAUSE_AFTER_REFUSAL_MS
         if outcome is CommandOutcome.UNHEALTHY:
             worker.health.failed(step.job.job_id, now)
-        self._board.close(run)
+        self._state.close(run)
         if step.spec.gang and not step.done:
             self._ends.break_gang(step, run.number, now)
 
     def _take_end(self, worker: WorkerState, end: EndedRun, now: float) -> None:
         worker.orphans.pop(end.task, None)
-        job = self._board.jobs.get(end.task.job_id)
+        job = self._state.jobs.get(end.task.job_id)
         task = job.task_of(end.task) if job is not None else None
         if job is None or task is None:
             return
@@ -137,13 +137,13 @@
             self._ends.ended(task, end.run, end.kind, end.checkpoint, now)
             if end.kind is RunOutcome.FAILED and worker.health.failed(job.job_id, now):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="failures")
-            self._board.close(run)
+            self._state.close(run)
             return
         if not job.final:
             self._ends.ended(task, end.run, end.kind, end.checkpoint, now)
             other = task.run
             if task.done and other is not None and other.phase is not RunPhase.STOPPING:
-                self._board.stop(other, now)
+                self._state.stop(other, now)
 
     def _take_running(self, worker: WorkerState, row: ActiveRun, now: float) -> None:
         run = worker.runs.get(row.task)
@@ -153,12 +153,12 @@
         if run is not None and run.number > row.run:
             # The list was made before a later run replaced this one.
             return
-        job = self._board.jobs.get(row.task.job_id)
+        job = self._state.jobs.get(row.task.job_id)
         task = job.task_of(row.task) if job is not None else None
         if job is None or task is None or job.final or task.done or task.run is not None:
-            self._board.stop_orphan(worker, row.task, row.run)
+            self._state.stop_orphan(worker, row.task, row.run)
             return
-        adopted = self._board.adopt(task, worker, row.run, now)
+        adopted = self._state.adopt(task, worker, row.run, now)
         self._progressed(adopted, row, now)
 
     def _progressed(self, run: Run, row: ActiveRun, now: float) -> None:
@@ -182,22 +182,22 @@
             if (run.task.key, run.number) in listed:
                 continue
             if run.phase is RunPhase.STOPPING and 0 < run.stop_answered_ms < sent_ms:
-                self._board.close(run)
+                self._state.close(run)
             elif run.phase is RunPhase.RUNNING and 0 < run.confirmed_ms < sent_ms:
-                lost(self._board, self._ends, run, now, "its worker does not list it")
+                lost(self._state, self._ends, run, now, "its worker does not list it")
 
     def _new_lifetime(self, worker: WorkerState, sent_ms: float, now: float) -> None:
         emit(log, Event.WORKER_RESTARTED, worker=worker.worker_id, runs=len(worker.runs))
         worker.seen_end = worker.acked_end = 0
         worker.orphans.clear()
         worker.lease.restarted()
-        for step in self._board.ready.values():
+        for step in self._state.ready.values():
             step.approvals.forget(worker.worker_id)
         for run in list(worker.runs.values()):
             if run.phase in (RunPhase.RUNNING, RunPhase.STOPPING) and run.confirmed_ms < sent_ms:
-                lost(self._board, self._ends, run, now, "its worker started again")
+                lost(self._state, self._ends, run, now, "its worker started again")
 
     def _find(self, order: StartTask | StopTask) -> Run | None:
-        worker = self._board.workers.get(order.worker_id)
+        worker = self._state.workers.get(order.worker_id)
         run = worker.runs.get(order.task) if worker is not None else None
         return run if run is not None and run.number == order.run else None
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -160,8 +160,8 @@
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
         owner = self.calls.local
         cell = owner.cell if owner is not None else None
-        queued = cell.queued_tasks() if cell is not None else {}
-        margin = cell.lease_margin_ms(now) if cell is not None else 0.0
+        queued = cell.count_queued_tasks() if cell is not None else {}
+        margin = cell.min_lease_margin_ms(now) if cell is not None else 0.0
         self.metrics.set_owner(owner is not None, queued, margin / 1000)
 
     async def drain(self) -> None:
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -128,7 +128,7 @@
         """Use these queues and teams from now on."""
         self._rules = rules
         if self._cell is not None:
-            self._cell.use_rules(rules)
+            self._cell.set_rules(rules)
             self.kick()
 
     def may_renew(self) -> bool:
@@ -148,25 +148,25 @@
             emit(log, Event.ROW_UNREADABLE, table=JOBS_TABLE, row=job_id, detail=exc)
             return
         accepted_at = self._parts.clock.local_ms(accepted.accepted_ms)
-        if cell.job_accepted(accepted, accepted_at, boot_ms(), unix_ms()):
+        if cell.add_job(accepted, accepted_at, boot_ms(), unix_ms()):
             self.kick()
 
     def job_cancelled(self, job_id: str) -> None:
         """Cancel a job whose cancellation was just stored."""
-        if self._cell is not None and self._cell.job_cancelled(job_id, boot_ms()):
+        if self._cell is not None and self._cell.cancel_job(job_id, boot_ms()):
             self.kick()
             self.progress.wake()
 
     def state_of(self, job_id: str) -> StateReply:
         """Return the state of a job."""
-        job = self.cell.job_state(job_id) if self.cell is not None else None
+        job = self.cell.find_job(job_id) if self.cell is not None else None
         if job is None:
             return StateReply()
         return StateReply(job.phase.value, job.accepted.queue, job.accepted.team)
 
     def pending_in(self, queue: str) -> PendingReply | None:
         """Return how many jobs of a queue have not begun, or None while loading."""
-        return PendingReply(self.cell.pending(queue)) if self.cell is not None else None
+        return PendingReply(self.cell.count_queued_jobs(queue)) if self.cell is not None else None
 
     # Loading.
 
@@ -186,7 +186,7 @@
         known = (*tables.progress, *tables.own, *tables.learned)
         self.progress.loaded({row.key: row.version for row in known})
         cell = CellScheduler(self._rules, takeover, self._parts.lease_ms)
-        cell.decisions.advisers = self._parts.advice.capacity
+        cell.placer.advisers = self._parts.advice.capacity
         self._use_learned(cell, tables.learned)
         self._cell = cell
         self._directory_changed(tables.directory, True)
@@ -198,13 +198,13 @@
                 await asyncio.sleep(0)
         self.loaded = True
         self._sync_workers()
-        cell.announce_inherited(now)
+        cell.log_inherited_jobs(now)
         emit(
             log,
             Event.CELL_LOADED,
-            jobs=len(cell.board.jobs),
-            workers=len(cell.board.workers),
-            runs=sum(len(worker.runs) for worker in cell.board.workers.values()),
+            jobs=len(cell.state.jobs),
+            workers=len(cell.state.workers),
+            runs=sum(len(worker.runs) for worker in cell.state.workers.values()),
             token=self.ownership.token,
             took_ms=round(now - self.ownership.began_ms),
         )
@@ -226,14 +226,14 @@
         for row in rows:
             try:
                 if row.value is not None:
-                    cell.board.speeds = decode_speeds(row.value)
+                    cell.state.speeds = decode_speeds(row.value)
             except ValueError as exc:
                 emit(log, Event.ROW_UNREADABLE, table=row.key.table, row=row.key.key, detail=exc)
 
     def _apply_progress(self, cell: CellScheduler, row: StoredRow, now: float) -> None:
         try:
             if row.value is not None:
-                cell.progress_loaded(row.key.key, progress_rows.decode(row.value), now)
+                cell.restore_job(row.key.key, progress_rows.decode(row.value), now)
         except (ValueError, IndexError) as exc:
             emit(log, Event.ROW_UNREADABLE, table=PROGRESS_TABLE, row=row.key.key, detail=exc)
 
@@ -274,22 +274,22 @@
         found = []
         for row in rows:
             if row.value is None:
-                cell.worker_unlisted(row.key.key, now)
+                cell.unlist_worker(row.key.key, now)
                 continue
             info = self._parts.decoder.worker(row.key.key, row.value)
             if info is not None:
                 found.append(info)
         if whole:
-            cell.workers_listed(found, now)
+            cell.sync_directory(found, now)
         for info in found:
-            cell.worker_listed(info, now)
+            cell.update_worker(info, now)
         self._sync_workers()
 
     def _sync_workers(self) -> None:
         """Keep a loop for each worker."""
         if not self.loaded:
             return
-        workers = self._require_cell().board.workers
+        workers = self._require_cell().state.workers
         for worker_id in list(self._loops):
             if worker_id not in workers:
                 self._loops.pop(worker_id).cancel()
@@ -301,7 +301,7 @@
     def _open_loop(self, worker_id: str) -> None:
         if worker_id in self._loops:
             return
-        state = self._require_cell().board.workers[worker_id]
+        state = self._require_cell().state.workers[worker_id]
         loop = WorkerLoop(self, self._parts.driver, state, self._parts.lease_ms)
         self._loops[worker_id] = loop
         loop.start()
@@ -325,11 +325,11 @@
         cell = self.cell
         if cell is None:
             return
-        if cell.fenced_off:
+        if cell.is_fenced:
             self._deposed("a worker obeys a higher fencing token")
             return
         began_s = time.perf_counter()
-        commands = cell.decide(boot_ms(), self._parts.may_start())
+        commands = cell.schedule(boot_ms(), self._parts.may_start())
         took_s = time.perf_counter() - began_s
         # Under a flood of events decisions take at most a part of the processor.
         self._decide_from_ms = boot_ms() + took_s * 1000 * DECISION_PAUSE_FACTOR
@@ -339,7 +339,7 @@
                 self.progress.when_stored(functools.partial(self._send, command))
             else:
                 self._send(command)
-        if cell.board.dirty:
+        if cell.state.dirty:
             self.progress.wake()
 
     def _send(self, command: Command) -> None:
@@ -348,17 +348,17 @@
     async def _start(self, order: StartTask) -> None:
         loop = self._loops.get(order.worker_id)
         cell = self._require_cell()
-        if loop is not None and cell.still_wanted(order):
+        if loop is not None and cell.should_send_start(order):
             self._observe_start(order)
             sent_ms = boot_ms()
             outcome = await loop.start_task(order)
             seconds = (boot_ms() - sent_ms) / 1000
             self._parts.metrics.worker_called("start", outcome.value, seconds)
-            cell.start_answered(order, outcome, boot_ms())
+            cell.handle_start_result(order, outcome, boot_ms())
             self.kick()
 
     def _observe_start(self, order: StartTask) -> None:
-        job = self._require_cell().job_state(order.task.job_id)
+        job = self._require_cell().find_job(order.task.job_id)
         step = job.step_of(order.task) if job is not None else None
         if job is not None and step is not None:
             waited_s = (boot_ms() - step.ready_ms) / 1000
@@ -368,16 +368,16 @@
         loop = self._loops.get(order.worker_id)
         if loop is not None:
             outcome = await loop.stop_task(order)
-            self._require_cell().stop_answered(order, outcome, boot_ms())
+            self._require_cell().handle_stop_result(order, outcome, boot_ms())
             self.kick()
 
     async def _ask(self, question: RequestAdvice) -> None:
         advice = await self._parts.advice.ask(question)
         cell, now = self._require_cell(), boot_ms()
         if advice is None:
-            cell.advice_failed(question.step, now + LOAD_RETRY_S * 1000)
+            cell.handle_advice_failure(question.step, now + LOAD_RETRY_S * 1000)
         else:
-            cell.advice_answered(
+            cell.handle_advice(
                 question.step, question.workers, advice.tickets, now + advice.valid_ms
             )
         self.kick()
@@ -391,12 +391,12 @@
     async def _tick_forever(self) -> None:
         while True:
             cell = self._require_cell()
-            cell.decisions.advisers = self._parts.advice.capacity
+            cell.placer.advisers = self._parts.advice.capacity
             cell.tick(boot_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % FORGET_EVERY_TICKS == 0:
                 self._forget_old(cell)
-            if set(self._loops) - set(cell.board.workers):
+            if set(self._loops) - set(cell.state.workers):
                 self._sync_workers()
             self.kick()
             await asyncio.sleep(TICK_S)
@@ -404,9 +404,9 @@
     def _forget_old(self, cell: CellScheduler) -> None:
         """Remove jobs that finished long enough ago."""
         limit = boot_ms() - 2 * self._parts.job_kept_ms
-        old = [j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < limit]
+        old = [j.job_id for j in cell.state.jobs.values() if j.final and j.ended_ms < limit]
         for job_id in old:
-            cell.forget_job(job_id)
+            cell.remove_job(job_id)
             self.spawn(self.progress.remove_job(job_id))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -111,21 +111,21 @@
         return False
 
     async def _flush(self, cell: CellScheduler) -> bool:
-        seen = cell.seen_ends()
-        lifetimes = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
-        dirty = cell.take_dirty()
+        seen = cell.last_seen_ends()
+        lifetimes = {w.worker_id: w.born_ms for w in cell.state.workers.values()}
+        dirty = cell.take_unsaved_progress()
         unsent, self._unsent = self._unsent, []
         puts = {progress_row(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if boot_ms() > self._learned_due_ms and cell.board.speeds.workers:
+        if boot_ms() > self._learned_due_ms and cell.state.speeds.workers:
             self._learned_due_ms = boot_ms() + LEARNED_INTERVAL_MS
-            puts[LEARNED_ROW] = encode_speeds(cell.board.speeds)
+            puts[LEARNED_ROW] = encode_speeds(cell.state.speeds)
         written = False
         try:
             written = await self._write(puts)
         finally:
             # Also when this task is cancelled, because another one then writes the rest.
             if not written:
-                cell.board.dirty.update(dirty)
+                cell.state.dirty.update(dirty)
                 self._unsent = unsent + self._unsent
         if not written:
             return False
@@ -149,7 +149,7 @@
         self, cell: CellScheduler, seen: dict[str, int], lifetimes: dict[str, int]
     ) -> None:
         for worker_id, number in seen.items():
-            worker = cell.board.workers.get(worker_id)
+            worker = cell.state.workers.get(worker_id)
             if worker is None or worker.born_ms != lifetimes[worker_id]:
                 continue
             if number > worker.acked_end:
--- a/baobabhoist/control/workers.py
+++ b/baobabhoist/control/workers.py
@@ -97,7 +97,7 @@
             self._failed(answer)
             return False
         self._note_answering(True, "")
-        cell.reported(state.worker_id, answer, sent_ms, boot_ms())
+        cell.handle_report(state.worker_id, answer, sent_ms, boot_ms())
         self._owner.kick()
         if state.seen_end > state.acked_end:
             await self._wait_for_ack()
@@ -114,7 +114,7 @@
 
     def _failed(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED and self._owner.cell is not None:
-            self._owner.cell.was_fenced()
+            self._owner.cell.mark_fenced()
             self._owner.kick()
         self._note_answering(False, outcome.value)
 
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -69,7 +69,7 @@
         """Begin a new ownership."""
         takeover = Takeover(self.generation, self.token, lapsed_ms)
         self.cell = CellScheduler(self.cell_rules, takeover, LEASE_MS)
-        self.cell.workers_listed([w.info() for w in self.workers.values()], self.now)
+        self.cell.sync_directory([w.info() for w in self.workers.values()], self.now)
 
     def take_over(self, jobs=(), progress=None, lapse_ms=LEASE_MS * 1.1):
         """Let another owner take the cell with what the store holds."""
@@ -80,28 +80,28 @@
         for accepted in jobs:
             self.accept(accepted)
         for job_id, saved in (progress or {}).items():
-            self.cell.progress_loaded(job_id, saved, self.now)
+            self.cell.restore_job(job_id, saved, self.now)
 
     def accept(self, accepted):
-        self.cell.job_accepted(accepted, self.now, self.now, self.now)
+        self.cell.add_job(accepted, self.now, self.now, self.now)
 
     def renew(self, worker_id, deliver=True):
-        worker, state = self.workers[worker_id], self.cell.board.workers[worker_id]
+        worker, state = self.workers[worker_id], self.cell.state.workers[worker_id]
         deadline = state.lease.next_deadline(self.now, LEASE_MS)
         answer = worker.renew(self.token, state.acked_end, deadline)
         if answer is CommandOutcome.FENCED:
-            self.cell.was_fenced()
+            self.cell.mark_fenced()
         elif deliver:
-            self.cell.reported(worker_id, answer, self.now, self.now + 0.5)
+            self.cell.handle_report(worker_id, answer, self.now, self.now + 0.5)
 
     def renew_all(self):
         for worker_id in self.workers:
-            if worker_id in self.cell.board.workers:
+            if worker_id in self.cell.state.workers:
                 self.renew(worker_id)
 
     def decide(self, may_start=True):
         """Decide and carry the orders out, unless they are held back."""
-        commands = self.cell.decide(self.now, may_start)
+        commands = self.cell.schedule(self.now, may_start)
         for command in commands:
             if isinstance(command, RequestAdvice):
                 self.asked.append(command)
@@ -115,21 +115,25 @@
         """Deliver an order, and its answer unless that is lost."""
         worker = self.workers[order.worker_id]
         if isinstance(order, StartTask):
-            state = self.cell.board.workers[order.worker_id]
+            state = self.cell.state.workers[order.worker_id]
             deadline = state.lease.next_deadline(self.now, LEASE_MS)
             outcome = worker.start(self.token, order, deadline or 0)
-            self.cell.start_answered(
+            self.cell.handle_start_result(
                 order, outcome if answer else CommandOutcome.UNKNOWN, self.now
             )
         elif isinstance(order, StopTask):
             outcome = worker.stop(self.token, order)
-            self.cell.stop_answered(order, outcome if answer else CommandOutcome.UNKNOWN, self.now)
+            self.cell.handle_stop_result(
+                order, outcome if answer else CommandOutcome.UNKNOWN, self.now
+            )
         return outcome
 
     def lose(self, order):
         """Tell the owner that an order got no answer, without delivering it."""
         answered = (
-            self.cell.start_answered if isinstance(order, StartTask) else self.cell.stop_answered
+            self.cell.handle_start_result
+            if isinstance(order, StartTask)
+            else self.cell.handle_stop_result
         )
         answered(order, CommandOutcome.UNKNOWN, self.now)
 
@@ -166,10 +170,10 @@
 
     def store_progress(self):
         """Return what the store gets, and let the workers forget the ends in it."""
-        saved = self.cell.take_dirty()
-        for worker in self.cell.board.workers.values():
+        saved = self.cell.take_unsaved_progress()
+        for worker in self.cell.state.workers.values():
             worker.acked_end = worker.seen_end
         return saved
 
     def phase(self, job_id="0" * 16):
-        return self.cell.job_state(job_id).phase
+        return self.cell.find_job(job_id).phase
--- a/baobabhoist/tests/test_cell_ranking.py
+++ b/baobabhoist/tests/test_cell_ranking.py
@@ -28,7 +28,7 @@
     rig.now += 2_500.0
     rig.workers["w0"].advance(2_500.0)
     rig.accept(job("1" * 16, Step(1, WIDE, 1000)))
-    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Timeliness.LATE
+    assert band_of(rig.cell.find_job("0" * 16), rig.now) is Timeliness.LATE
     assert next_started(rig) == "1" * 16
 
 
@@ -36,9 +36,9 @@
     """Guard against room given to work that is worth nothing any more."""
     rig = full_rig()
     rig.accept(job("0" * 16, Step(1, WIDE, 1000)))
-    rig.cell.job_state("0" * 16).accepted_at_ms -= 100_000.0
-    rig.cell.job_state("0" * 16).objective_ms -= 100_000.0
-    assert band_of(rig.cell.job_state("0" * 16), rig.now) is Timeliness.EXPIRED
+    rig.cell.find_job("0" * 16).accepted_at_ms -= 100_000.0
+    rig.cell.find_job("0" * 16).objective_ms -= 100_000.0
+    assert band_of(rig.cell.find_job("0" * 16), rig.now) is Timeliness.EXPIRED
     rig.accept(job("1" * 16, Step(1, WIDE, 1000)))
     assert next_started(rig) == "1" * 16
 
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -55,7 +55,7 @@
         rig.renew_all()
         rig.cell.tick(rig.now, rig.now)
         assert not [c for c in rig.decide() if isinstance(c, StartTask)]
-    assert rig.cell.board.usage["team"] == SMALL
+    assert rig.cell.state.usage["team"] == SMALL
 
 
 def test_an_answered_stop_frees_a_run_that_never_came():
@@ -145,11 +145,11 @@
     rig.accept(accepted)
     rig.settle()
     rig.end(task(), RunOutcome.FAILED)
-    saved = rig.cell.take_dirty()
+    saved = rig.cell.take_unsaved_progress()
     rig.take_over([accepted], saved)
     rig.settle()
     assert rig.phase() is JobPhase.RUNNING
-    assert rig.cell.job_state("0" * 16).steps[(0, 0)].tasks[0].failed_runs == {1}
+    assert rig.cell.find_job("0" * 16).steps[(0, 0)].tasks[0].failed_runs == {1}
 
 
 def test_a_new_owner_keeps_what_runs_on_a_worker_that_it_does_not_reach():
@@ -167,7 +167,7 @@
     assert [(s.worker_id, s.task.index) for s in starts] == [("w0", 8)]
     rig.now += LEASE_MS * 1.2
     rig.cell.tick(rig.now, rig.now)
-    assert not rig.cell.board.workers["w1"].runs
+    assert not rig.cell.state.workers["w1"].runs
 
 
 def test_a_run_on_a_worker_that_is_not_listed_waits_for_its_lease():
@@ -179,7 +179,7 @@
     (_, away) = rig.running()[0]
     saved = rig.store_progress()
     rig.take_over([accepted], saved)
-    rig.cell.worker_unlisted(away, rig.now)
+    rig.cell.unlist_worker(away, rig.now)
     near = next(w for w in rig.workers if w != away)
     for _ in range(40):
         rig.now += 100
@@ -198,8 +198,8 @@
     rig.settle()
     saved = rig.store_progress()
     rig.take_over([accepted])
-    rig.cell.job_cancelled("0" * 16, rig.now)
-    rig.cell.progress_loaded("0" * 16, saved["0" * 16], rig.now)
+    rig.cell.cancel_job("0" * 16, rig.now)
+    rig.cell.restore_job("0" * 16, saved["0" * 16], rig.now)
     rig.settle()
     assert rig.phase() is JobPhase.CANCELLED
     assert rig.running() == []
@@ -224,7 +224,7 @@
     rig.accept(job())
     rig.workers["w0"].token = rig.token + 1
     rig.decide()
-    assert rig.cell.fenced_off
+    assert rig.cell.is_fenced
     rig.accept(job("1" * 16))
     assert rig.decide() == []
 
@@ -234,11 +234,11 @@
     rig = Rig.with_workers(1)
     rig.accept(job("0" * 16, Step(6, SMALL, 100)))
     rig.settle()
-    rig.cell.job_cancelled("0" * 16, rig.now)
+    rig.cell.cancel_job("0" * 16, rig.now)
     rig.settle()
     assert rig.running() == []
     assert rig.phase() is JobPhase.CANCELLED
-    assert rig.cell.board.usage["team"] == Resources()
+    assert rig.cell.state.usage["team"] == Resources()
 
 
 def test_a_team_stays_within_its_limit_on_all_workers_together():
@@ -282,12 +282,12 @@
     rig.accept(job())
     (question,) = rig.decide()
     assert set(question.workers) == {"w0", "w1", "w2"}
-    rig.cell.advice_answered(question.step, question.workers, {"w1": "t1"}, rig.now + 2000)
-    rig.cell.board.workers["w1"].paused_until_ms = rig.now + 2500
+    rig.cell.handle_advice(question.step, question.workers, {"w1": "t1"}, rig.now + 2000)
+    rig.cell.state.workers["w1"].paused_until_ms = rig.now + 2500
     rig.now += 1950
     (again,) = rig.decide()
     assert again.workers == ("w1",)
-    rig.cell.advice_answered(again.step, again.workers, {"w1": "t2"}, rig.now + 2000)
+    rig.cell.handle_advice(again.step, again.workers, {"w1": "t2"}, rig.now + 2000)
     rig.now += 600
     rig.renew_all()
     (start,) = rig.decide()
@@ -312,7 +312,7 @@
 def test_a_draining_worker_gets_nothing_new():
     """Guard against work on a worker that is about to leave."""
     rig = Rig.with_workers(1)
-    rig.cell.worker_listed(attrs.evolve(rig.workers["w0"].info(), draining=True), rig.now)
+    rig.cell.update_worker(attrs.evolve(rig.workers["w0"].info(), draining=True), rig.now)
     rig.accept(job())
     assert rig.decide() == []
 
@@ -355,9 +355,9 @@
     rig.accept(job())
     rig.settle()
     question = rig.asked[-1]
-    rig.cell.advice_answered(question.step, question.workers, {"w0": "t"}, rig.now + 2_000)
+    rig.cell.handle_advice(question.step, question.workers, {"w0": "t"}, rig.now + 2_000)
     rig.settle()
-    state = rig.cell.job_state("0" * 16)
+    state = rig.cell.find_job("0" * 16)
     assert state.accepted.spec.payload
     rig.end(task())
     assert state.phase is JobPhase.COMPLETED
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -52,7 +52,7 @@
     rig = Rig.with_workers(3)
     for _ in range(10):
         for worker, took in (("w0", 1700.0), ("w1", 700.0), ("w2", 1000.0)):
-            rig.cell.board.speeds.observe(worker, "q", took, 1000.0)
+            rig.cell.state.speeds.observe(worker, "q", took, 1000.0)
     rig.accept(job("0" * 16, Step(1, SMALL, 2000)))
     rig.settle()
     assert rig.running()[0][1] == "w1"
--- a/baobabhoist/tests/test_cell_speed_matching.py
+++ b/baobabhoist/tests/test_cell_speed_matching.py
@@ -26,8 +26,8 @@
     rig = Rig.with_workers(3, CellRules(1, queues, {"team": Team("team")}))
     for _ in range(12):
         for worker, factor in SPEEDS.items():
-            rig.cell.board.speeds.observe(worker, "q", 1000.0 * factor, 1000.0)
-            rig.cell.board.speeds.observe(worker, "fast", 1000.0 * factor, 1000.0)
+            rig.cell.state.speeds.observe(worker, "q", 1000.0 * factor, 1000.0)
+            rig.cell.state.speeds.observe(worker, "fast", 1000.0 * factor, 1000.0)
     rig.accept(job("0" * 16, Step(2, HALF, 1000)))
     rig.settle()
     assert {worker for _, worker in rig.running()} == {"w2"}
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -69,13 +69,13 @@
     def _own(self, lapsed_ms):
         takeover = Takeover(self.generation, self.token, lapsed_ms)
         self.cell = CellScheduler(self.rules, takeover, LEASE_MS)
-        self.cell.workers_listed([w.info() for w in self.workers.values()], self.now)
+        self.cell.sync_directory([w.info() for w in self.workers.values()], self.now)
         for accepted in self.jobs.values():
-            self.cell.job_accepted(accepted, self.now, self.now, self.now)
+            self.cell.add_job(accepted, self.now, self.now, self.now)
         for job_id in self.cancelled:
-            self.cell.job_cancelled(job_id, self.now)
+            self.cell.cancel_job(job_id, self.now)
         for job_id, saved in self.stored.items():
-            self.cell.progress_loaded(job_id, saved, self.now)
+            self.cell.restore_job(job_id, saved, self.now)
 
     # What happens outside the owner.
 
@@ -84,14 +84,14 @@
         job_id = f"{len(self.jobs):016x}"
         accepted = job(job_id, *steps, version=self.token + 1 + len(self.jobs))
         self.jobs[job_id] = accepted
-        self.cell.job_accepted(accepted, self.now, self.now, self.now)
+        self.cell.add_job(accepted, self.now, self.now, self.now)
 
     @precondition(lambda self: self.jobs)
     @rule(data=st.data())
     def cancel(self, data):
         job_id = data.draw(st.sampled_from(sorted(self.jobs)))
         self.cancelled.add(job_id)
-        self.cell.job_cancelled(job_id, self.now)
+        self.cell.cancel_job(job_id, self.now)
 
     @rule(kind=ENDS, worker=WORKERS, data=st.data())
     def end_run(self, kind, worker, data):
@@ -128,8 +128,8 @@
 
     @rule()
     def decide(self):
-        for order in self.cell.decide(self.now, True):
-            state = self.cell.board.workers[order.worker_id]
+        for order in self.cell.schedule(self.now, True):
+            state = self.cell.state.workers[order.worker_id]
             deadline = state.lease.next_deadline(self.now, LEASE_MS) or 0
             waiting = self.unstored if isinstance(order, StartTask) else self.sent
             waiting.append(Sent(self.token, deadline, order))
@@ -159,9 +159,9 @@
         if sent.token != self.token:
             return
         if isinstance(sent.order, StartTask):
-            self.cell.start_answered(sent.order, outcome, self.now)
+            self.cell.handle_start_result(sent.order, outcome, self.now)
         else:
-            self.cell.stop_answered(sent.order, outcome, self.now)
+            self.cell.handle_stop_result(sent.order, outcome, self.now)
 
     def _check_start(self, sent):
         """A start that would take effect must not be one of a task that is settled."""
@@ -179,28 +179,28 @@
     def renew(self, worker):
         if worker in self.cut:
             return
-        state = self.cell.board.workers[worker]
+        state = self.cell.state.workers[worker]
         deadline = state.lease.next_deadline(self.now, LEASE_MS)
         stand_in = self.workers[worker]
         # A cursor of an ended lifetime never reaches the next one: its id is in the call.
         acked = state.acked_end if state.born_ms in (0, stand_in.born_ms) else 0
         answer = stand_in.renew(self.token, acked, deadline)
-        self.cell.reported(worker, answer, self.now, self.now + 0.1)
+        self.cell.handle_report(worker, answer, self.now, self.now + 0.1)
         self.now += 0.2
 
     @rule()
     def store_progress(self):
-        seen = {w: s.seen_end for w, s in self.cell.board.workers.items()}
-        for job_id, saved in self.cell.take_dirty().items():
+        seen = {w: s.seen_end for w, s in self.cell.state.workers.items()}
+        for job_id, saved in self.cell.take_unsaved_progress().items():
             self.stored[job_id] = saved
-        self.sent += [s for s in self.unstored if self.cell.still_wanted(s.order)]
+        self.sent += [s for s in self.unstored if self.cell.should_send_start(s.order)]
         self.unstored.clear()
         for worker, number in seen.items():
             self._note_ends(worker, number)
-            self.cell.board.workers[worker].acked_end = number
+            self.cell.state.workers[worker].acked_end = number
 
     def _note_ends(self, worker, number):
-        state, stand_in = self.cell.board.workers[worker], self.workers[worker]
+        state, stand_in = self.cell.state.workers[worker], self.workers[worker]
         if state.born_ms != stand_in.born_ms:
             return
         for end in stand_in.ends:
@@ -216,7 +216,7 @@
     @rule(hands_over=st.booleans())
     def take_over(self, hands_over):
         if hands_over:
-            self.stored.update(self.cell.take_dirty())
+            self.stored.update(self.cell.take_unsaved_progress())
         self.unstored.clear()
         self.token += 1000
         self.generation += 1
@@ -236,16 +236,16 @@
 
     @invariant()
     def counts_match(self):
-        board = self.cell.board
-        for worker in board.workers.values():
+        state = self.cell.state
+        for worker in state.workers.values():
             expected = SMALL.times(len(worker.runs))
             assert worker.used == expected
-        total = sum(len(worker.runs) for worker in board.workers.values())
-        assert board.usage["team"] == SMALL.times(total)
+        total = sum(len(worker.runs) for worker in state.workers.values())
+        assert state.usage["team"] == SMALL.times(total)
 
     @invariant()
     def completed_jobs_are_done(self):
-        for found in self.cell.board.jobs.values():
+        for found in self.cell.state.jobs.values():
             if found.phase is JobPhase.COMPLETED:
                 assert all(step.done for step in found.steps.values())
 
--- a/baobabhoist/tests/test_cell_worker_index.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -11,20 +11,20 @@
 
 
 def ready_step(rig, job_id="0" * 16):
-    return next(step for step in rig.cell.board.ready.values() if step.job.job_id == job_id)
+    return next(step for step in rig.cell.state.ready.values() if step.job.job_id == job_id)
 
 
 def pools(rig):
-    return WorkerIndex(rig.cell.board.workers.values(), rig.now)
+    return WorkerIndex(rig.cell.state.workers.values(), rig.now)
 
 
 def test_only_usable_workers_with_the_label_are_offered():
     """Guard against starts on workers that drain, are silent or lack the label."""
     rig = Rig.with_workers(4)
     rig.workers["w1"].labels = ("b", "r1-1")
-    rig.cell.worker_listed(rig.workers["w1"].info(), rig.now)
-    rig.cell.worker_listed(rig.workers["w2"].info(draining=True), rig.now)
-    rig.cell.worker_unlisted("w3", rig.now)
+    rig.cell.update_worker(rig.workers["w1"].info(), rig.now)
+    rig.cell.update_worker(rig.workers["w2"].info(draining=True), rig.now)
+    rig.cell.unlist_worker("w3", rig.now)
     assert [w.worker_id for w in pools(rig).usable("svc", "")] == ["w0", "w1"]
     assert [w.worker_id for w in pools(rig).usable("svc", "b")] == ["w1"]
     assert pools(rig).usable("other", "") == []
@@ -46,7 +46,7 @@
 def test_the_adviser_is_asked_of_workers_that_could_hold_a_task():
     """Guard against questions about workers that are too small for the step."""
     rig = Rig.with_workers(3)
-    rig.cell.worker_listed(rig.workers["w0"].info(capacity=SMALL), rig.now)
+    rig.cell.update_worker(rig.workers["w0"].info(capacity=SMALL), rig.now)
     assert pools(rig).able_ids("svc", "", LARGE) == ["w1", "w2"]
     assert sorted(pools(rig).able_ids("svc", "", SMALL)) == ["w0", "w1", "w2"]
 
@@ -72,7 +72,7 @@
     """Guard against a rank that still counts the time of steps that are done."""
     rig = Rig.with_workers(1)
     rig.accept(job("0" * 16, Step(1, SMALL, 1000), Step(1, SMALL, 300, after=(0,))))
-    state = rig.cell.job_state("0" * 16)
+    state = rig.cell.find_job("0" * 16)
     assert state.remaining_ms() == 1300
     rig.settle()
     rig.end(task("0" * 16), RunOutcome.DONE)
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -41,7 +41,7 @@
     rows, writer, _ = claimed()
     rig = working_rig()
     rig.end(task(index=0))
-    worker = rig.cell.board.workers["w0"]
+    worker = rig.cell.state.workers["w0"]
     rows.down = True
     assert not flush(writer, rig.cell)
     assert worker.acked_end == 0
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_workers.py
@@ -41,7 +41,7 @@
         kick=lambda: None,
         progress=SimpleNamespace(wake=lambda: None),
     )
-    loop = WorkerLoop(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
+    loop = WorkerLoop(owner, driver, rig.cell.state.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
@@ -62,7 +62,7 @@
     rig, driver = drive(6, silent_from=2)
     assert driver.deadlines[2] is not None
     assert driver.deadlines[3:] == [None, None, None]
-    assert rig.cell.board.workers["w0"].lease.deadline_ms == driver.deadlines[2]
+    assert rig.cell.state.workers["w0"].lease.deadline_ms == driver.deadlines[2]
 
 
 def test_a_worker_that_answers_again_gets_its_lease_renewed():
