--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -64,16 +64,16 @@
     """Take steps in the order of their arrival and the first workers with room."""
 
     def _rank(self, step: StepState, now: float) -> Rank:
-        return Rank(Timeliness.ON_TIME, 0, step.job.accepted_at_ms, step.job.accepted_at_ms)
+        return Rank(Timeliness.ON_TIME, 0, step.job.accepted_local_ms, step.job.accepted_local_ms)
 
-    def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return 0.0
 
 
 class BestFit(FirstFit):
     """Take steps in the order of their arrival and the fullest workers with room."""
 
-    def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return float(worker.free_cpu)
 
 
@@ -104,12 +104,12 @@
     def __attrs_post_init__(self) -> None:
         """Make the cell and its workers."""
         self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
-        self.cell.placer = self.policy(self.cell.state, advisers=ADVISERS)
+        self.cell.placer = self.policy(self.cell.state, max_advice_requests=ADVISERS)
         self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
         self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
         for number, name in enumerate(self.workers):
             rack = f"r{number // WORKERS_A_RACK}"
-            info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), born_ms=1)
+            info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), started_unix_ms=1)
             self.cell.update_worker(info, 0.0)
 
     def run(self, seconds: float) -> None:
@@ -197,7 +197,7 @@
         return declared * arrival.actual * slowness
 
     def _gang_slowness(self, task: TaskKey, number: int) -> float:
-        step = self.cell.state.jobs[task.job_id].step_of(task)
+        step = self.cell.state.jobs[task.job_id].find_step(task)
         members = step.tasks if step is not None else []
         used = [m.run.worker_id for m in members if m.run is not None and m.run.number == number]
         return max((self.stream.slowness(name, self.now) for name in used), default=1.0)
@@ -230,18 +230,18 @@
         return worker
 
     def _deadline(self, name: str) -> int | None:
-        return self.cell.state.workers[name].lease.next_deadline(self.now, LEASE_MS)
+        return self.cell.state.workers[name].lease.extend_deadline(self.now, LEASE_MS)
 
     def _report_soon(self, name: str) -> None:
         self._at(self.now + REPORT_MS, lambda: self._renew(name))
 
     def _renew(self, name: str, again: bool = False) -> None:
         worker, state = self._worker(name), self.cell.state.workers[name]
-        state.acked_end = state.seen_end
+        state.last_acked_end = state.last_seen_end
         for key, held in worker.runs.items():
             began, ends = self.spans[key]
             held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
-        report = worker.renew(1, state.acked_end, self._deadline(name))
+        report = worker.renew(1, state.last_acked_end, self._deadline(name))
         if not isinstance(report, CommandOutcome):
             self.cell.handle_report(name, report, self.now - REPORT_MS, self.now)
         self._kick()
@@ -269,8 +269,8 @@
         if phase is not wanted:
             return 0.0
         job = self.cell.state.jobs[arrival.job.job_id]
-        patience = job.objective_ms - job.accepted_at_ms
-        took = ended_ms - job.accepted_at_ms
+        patience = job.objective_ms - job.accepted_local_ms
+        took = ended_ms - job.accepted_local_ms
         if took <= patience:
             return 1.0
         return LATE_WORTH if took <= LATE_LIMIT_FACTOR * patience else 0.0
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -40,7 +40,7 @@
     task: TaskState
     number: int
     worker_id: str
-    charged: Resources
+    allocation: Resources
     phase: RunPhase
     # When the order to start was answered or the run was first listed.
     confirmed_ms: float = 0.0
@@ -86,7 +86,7 @@
     # Workers on which a task of the step failed.
     failed_on: set[str] = attrs.Factory(set)
     # When the step could first run, on the owner's clock in ms.
-    ready_ms: float = 0.0
+    ready_since_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         """Make the tasks."""
@@ -144,7 +144,7 @@
     """Hold one job; `objective_ms` is on the owner's clock."""
 
     accepted: AcceptedJob
-    accepted_at_ms: float
+    accepted_local_ms: float
     objective_ms: float = 0.0
     phase: JobPhase = JobPhase.QUEUED
     steps: dict[tuple[int, int], StepState] = attrs.Factory(dict)
@@ -161,14 +161,16 @@
         return self.accepted.job_id
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Tell whether nothing of the job will run any more."""
         return self.phase in FINAL_PHASES
 
     @property
     def late_limit_ms(self) -> float:
         """Return when the job stops being worth anything."""
-        return self.accepted_at_ms + LATE_LIMIT_FACTOR * (self.objective_ms - self.accepted_at_ms)
+        return self.accepted_local_ms + LATE_LIMIT_FACTOR * (
+            self.objective_ms - self.accepted_local_ms
+        )
 
     def drop_payload(self) -> None:
         """Forget what the tasks are given, once none will start any more; it may be large."""
@@ -190,17 +192,17 @@
     def open_due(self, unix_ms: float) -> bool:
         """Open the occurrences whose time has come; tell whether there was one."""
         spec, before = self.accepted.spec, self.opened
-        while self.opened < spec.occurrences and unix_ms >= spec.due_ms(self.opened):
+        while self.opened < spec.occurrence_count and unix_ms >= spec.due_ms(self.opened):
             self.open_occurrence()
         return self.opened > before
 
-    def step_of(self, key: StepKey | TaskKey) -> StepState | None:
+    def find_step(self, key: StepKey | TaskKey) -> StepState | None:
         """Return the state of a step, or None if it is not open."""
         return self.steps.get((key.occurrence, key.step))
 
-    def task_of(self, key: TaskKey) -> TaskState | None:
+    def find_task(self, key: TaskKey) -> TaskState | None:
         """Return the state of a task, or None if it is not open."""
-        step = self.step_of(key)
+        step = self.find_step(key)
         if step is None or not 0 <= key.index < len(step.tasks):
             return None
         return step.tasks[key.index]
@@ -212,7 +214,7 @@
 
     def all_done(self) -> bool:
         """Tell whether every task of every occurrence is done."""
-        if self.opened < self.accepted.spec.occurrences:
+        if self.opened < self.accepted.spec.occurrence_count:
             return False
         return all(step.done for step in self.steps.values())
 
@@ -237,6 +239,6 @@
         return max(longest, default=0.0)
 
 
-def chain_ms(accepted: AcceptedJob) -> float:
+def critical_path_ms(accepted: AcceptedJob) -> float:
     """Return the longest chain of declared work of one occurrence, in ms."""
     return JobState(accepted, 0.0).remaining_ms()
--- a/baobabhoist/cell/model.py
+++ b/baobabhoist/cell/model.py
@@ -15,7 +15,7 @@
     memory_mb: int = 0
     gpu: int = 0
 
-    def fits(self, other: Resources) -> bool:
+    def fits_into(self, other: Resources) -> bool:
         """Tell whether this amount fits into another."""
         return (
             self.cpu <= other.cpu and self.memory_mb <= other.memory_mb and self.gpu <= other.gpu
@@ -67,7 +67,7 @@
     may_miss: int = 0
 
     @property
-    def charged(self) -> Resources:
+    def allocation(self) -> Resources:
         """Return what one task takes of a worker's capacity; fill-in tasks use spare cores."""
         return attrs.evolve(self.need, cpu=0) if self.fills else self.need
 
@@ -86,7 +86,7 @@
     interval_ms: int = 0
 
     @property
-    def occurrences(self) -> int:
+    def occurrence_count(self) -> int:
         """Return how often the steps run."""
         return max(1, self.repeats)
 
@@ -153,7 +153,7 @@
     max_attempts: int = 1
     slack_factor: float = 1.0
     target_latency_ms: int = 0
-    open_to_all: bool = False
+    is_public: bool = False
     advice: AdviceTerms | None = None
 
 
@@ -193,8 +193,8 @@
     data_centre: str
     capacity: Resources
     labels: tuple[str, ...]
-    draining: bool = False
-    born_ms: int = 0
+    is_draining: bool = False
+    started_unix_ms: int = 0
     leaves_in_ms: int = 0
 
     @property
@@ -203,7 +203,7 @@
         return self.labels[-1] if self.labels else ""
 
     @property
-    def kind(self) -> str:
+    def hardware_kind(self) -> str:
         """Return the hardware kind, which is the first label."""
         return self.labels[0] if self.labels else ""
 
@@ -231,7 +231,7 @@
         """Return the step of the task."""
         return StepKey(self.job_id, self.occurrence, self.step)
 
-    def text(self) -> str:
+    def to_text(self) -> str:
         """Return the name that workers use."""
         return f"{self.job_id}.{self.occurrence}.{self.step}.{self.index}"
 
@@ -270,10 +270,10 @@
 class EndedRun:
     """Report one end on a worker; `number` rises by one with each end of its lifetime."""
 
-    number: int
+    sequence: int
     task: TaskKey
     run: int
-    kind: RunOutcome
+    outcome: RunOutcome
     checkpoint: str
 
 
@@ -285,7 +285,7 @@
     """
 
     clock_ms: int
-    born_ms: int
+    started_unix_ms: int
     running: tuple[ActiveRun, ...]
     ended: tuple[EndedRun, ...]
 
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -40,7 +40,7 @@
         if now > lapsed_ms:
             for run in list(worker.runs.values()):
                 lost(self._state, self._ends, run, now, "the lease of its worker has lapsed")
-        gone = not worker.listed and now > worker.unlisted_ms + ENTRY_RETURN_MS
+        gone = not worker.is_listed and now > worker.unlisted_ms + ENTRY_RETURN_MS
         if gone and not worker.runs:
             emit(log, Event.WORKER_GONE, worker=worker.worker_id)
             del self._state.workers[worker.worker_id]
@@ -62,7 +62,7 @@
             emit(
                 log,
                 Event.RUN_STALLED,
-                task=run.task.key.text(),
+                task=run.task.key.to_text(),
                 run=run.number,
                 worker=run.worker_id,
                 percent=run.percent,
@@ -83,5 +83,5 @@
 
     def _open_occurrences(self, now: float, unix_ms: float) -> None:
         for job in list(self._state.jobs.values()):
-            if not job.final and job.open_due(unix_ms):
+            if not job.is_final and job.open_due(unix_ms):
                 self._state.refresh_ready(job, now)
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.cell.jobs import StepState
 from baobabhoist.cell.model import AdviceTerms, Queue, RequestAdvice, Resources
-from baobabhoist.cell.ranking import Rank, Timeliness, band_of, rank_of
+from baobabhoist.cell.ranking import Rank, Timeliness, rank_step, timeliness_of
 from baobabhoist.cell.reservations import Reservations
 from baobabhoist.cell.speed_matching import speed_cost, tolerance
 from baobabhoist.cell.state import CellState
@@ -35,11 +35,11 @@
 
     state: CellState
     # How many questions the advisers can work on at once.
-    advisers: int = 1
+    max_advice_requests: int = 1
     asking: int = 0
     holds: Reservations = attrs.Factory(Reservations)
 
-    def decide(self, now: float, may_start: bool) -> None:
+    def place_waiting_steps(self, now: float, may_start: bool) -> None:
         """Start what fits, and ask for advice on what waits."""
         waiting = [step for step in self.state.ready.values() if step.idle]
         if not waiting:
@@ -49,13 +49,13 @@
         self.holds.begin()
         for position, step in enumerate(ranked):
             service = self.state.service_of(step.job)
-            if may_start and step.spec.charged.cpu <= pools.widest(service):
+            if may_start and step.spec.allocation.cpu <= pools.widest(service):
                 self._place(step, pools, now)
             if step.idle:
                 self._ask(step, position, pools, now)
 
     def _rank(self, step: StepState, now: float) -> Rank:
-        return rank_of(step, self._queue(step), now)
+        return rank_step(step, self._queue(step), now)
 
     def _queue(self, step: StepState) -> Queue | None:
         return self.state.queue_of(step.job)
@@ -77,7 +77,11 @@
             return
         tolerated = tolerance(step.job, self.state.speeds.stretch(step.job.accepted.queue), now)
         slots = slots_on(
-            open_to, spec, step.idle, _runs_on(step), lambda w: self._cost(w, step, tolerated)
+            open_to,
+            spec,
+            step.idle,
+            _runs_on(step),
+            lambda w: self._placement_cost(w, step, tolerated),
         )
         if spec.gang:
             self._place_gang(step, slots, pools, now)
@@ -92,7 +96,7 @@
         """Tell whether a gang may keep its team's limit: it fits, and is worth something."""
         team = self.state.team_of(step.job)
         fits = team is not None and team.allows(need)
-        return fits and band_of(step.job, now) is not Timeliness.EXPIRED
+        return fits and timeliness_of(step.job, now) is not Timeliness.EXPIRED
 
     def _place_gang(
         self, step: StepState, slots: list[WorkerSlots], pools: WorkerIndex, now: float
@@ -109,7 +113,7 @@
             task.checkpoint = checkpoint
             self.state.start(task, worker, number, now)
 
-    def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         """Return how little a worker suits a step: unfit and remote ones come last."""
         cost = speed_cost(self.state.speeds.factor(worker.worker_id), tolerated)
         if step.spec.data_rack and worker.info.rack != step.spec.data_rack:
@@ -142,10 +146,12 @@
         queue = self._queue(step)
         if queue is None or queue.advice is None or step.approvals.waits(now):
             return
-        if self.asking >= self.advisers or (step.spec.gang and step.idle < step.pending):
+        if self.asking >= self.max_advice_requests or (
+            step.spec.gang and step.idle < step.pending
+        ):
             return
         service = self.state.service_of(step.job)
-        ids = pools.able_ids(service, step.spec.label, step.spec.charged)
+        ids = pools.able_ids(service, step.spec.label, step.spec.allocation)
         named = step.approvals.unasked(ids)[:NAMED_MAX]
         if not named and position < RENEWED_STEPS:
             named = _whom_to_renew(step, ids, queue.advice, now)
--- a/baobabhoist/cell/progress_rows.py
+++ b/baobabhoist/cell/progress_rows.py
@@ -39,9 +39,9 @@
     steps: tuple[StepProgress, ...] = ()
 
 
-def progress_of(job: JobState) -> JobProgress:
+def capture_progress(job: JobState) -> JobProgress:
     """Return what must last of a job; of a finished one only its state."""
-    if job.final:
+    if job.is_final:
         return JobProgress(job.phase)
     found = []
     for (occurrence, number), step in job.steps.items():
@@ -94,7 +94,7 @@
         raise ValueError(f"not a progress row: {exc}") from exc
 
 
-def apply(job: JobState, progress: JobProgress) -> None:
+def restore_progress(job: JobState, progress: JobProgress) -> None:
     """Put a stored progress into a job whose occurrences are open."""
     job.phase = progress.phase
     for saved in progress.steps:
--- a/baobabhoist/cell/ranking.py
+++ b/baobabhoist/cell/ranking.py
@@ -20,13 +20,13 @@
 class Rank(NamedTuple):
     """Order waiting steps; the lowest comes first."""
 
-    band: Timeliness
+    timeliness: Timeliness
     priority: int
     slack_ms: float
     accepted_ms: float
 
 
-def band_of(job: JobState, now: float) -> Timeliness:
+def timeliness_of(job: JobState, now: float) -> Timeliness:
     """Return what can still be had of a job if it started now."""
     done_at = now + job.remaining_ms()
     if done_at <= job.objective_ms:
@@ -34,10 +34,10 @@
     return Timeliness.LATE if done_at <= job.late_limit_ms else Timeliness.EXPIRED
 
 
-def rank_of(step: StepState, queue: Queue | None, now: float) -> Rank:
+def rank_step(step: StepState, queue: Queue | None, now: float) -> Rank:
     """Return the rank of a waiting step."""
     job = step.job
     priority = queue.priority if queue is not None else 0
     # How long the job can still wait and meet its objective.
     slack_ms = job.objective_ms - now - job.remaining_ms()
-    return Rank(band_of(job, now), priority, slack_ms, job.accepted_at_ms)
+    return Rank(timeliness_of(job, now), priority, slack_ms, job.accepted_local_ms)
--- a/baobabhoist/cell/reservations.py
+++ b/baobabhoist/cell/reservations.py
@@ -56,7 +56,7 @@
         chosen, places = [], 0
         for worker in live:
             chosen.append(worker)
-            places += room_for(worker.info.capacity, step.spec.charged, step.idle)
+            places += room_for(worker.info.capacity, step.spec.allocation, step.idle)
             if places >= step.idle:
                 break
         if places < step.idle:
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -31,7 +31,7 @@
         emit(
             log,
             Event.RUN_ENDED_EARLY,
-            task=task.key.text(),
+            task=task.key.to_text(),
             run=number,
             kind=kind.value,
             checkpoint=checkpoint,
@@ -65,7 +65,7 @@
             self._time(member, now)
         if step.done:
             self._state.refresh_ready(job, now)
-        if not job.final and job.all_done():
+        if not job.is_final and job.all_done():
             self._state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
 
     def _time(self, task: TaskState, now: float) -> None:
@@ -88,7 +88,7 @@
         if queue is None or task.step.spec.lasting or attempts < queue.max_attempts:
             return
         self._state.finish(
-            job, JobPhase.FAILED, now, f"task {task.key.text()} failed {attempts} times"
+            job, JobPhase.FAILED, now, f"task {task.key.to_text()} failed {attempts} times"
         )
 
     def _keep_checkpoint(self, task: TaskState, checkpoint: str) -> None:
@@ -103,7 +103,7 @@
     emit(
         log,
         Event.RUN_LOST,
-        task=run.task.key.text(),
+        task=run.task.key.to_text(),
         run=run.number,
         worker=run.worker_id,
         reason=reason,
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -9,7 +9,7 @@
 import attrs
 
 from baobabhoist.cell import progress_rows
-from baobabhoist.cell.jobs import JobState, StepState, chain_ms
+from baobabhoist.cell.jobs import JobState, StepState, critical_path_ms
 from baobabhoist.cell.model import (
     NO_RESOURCES,
     AcceptedJob,
@@ -64,12 +64,12 @@
     # Jobs.
 
     def add_job(
-        self, accepted: AcceptedJob, accepted_at_ms: float, now: float, unix_ms: float
+        self, accepted: AcceptedJob, accepted_local_ms: float, now: float, unix_ms: float
     ) -> bool:
         """Take a job over; tell whether it is new."""
         if accepted.job_id in self.state.jobs:
             return False
-        job = JobState(accepted, accepted_at_ms)
+        job = JobState(accepted, accepted_local_ms)
         job.inherited = accepted.version < self._takeover.claim_version
         self._set_objective(job)
         self.state.jobs[accepted.job_id] = job
@@ -89,7 +89,7 @@
                     continue
                 worker = self._worker_for(stored.worker_id, now)
                 run = self.state.adopt(task, worker, stored.number, now)
-                if job.final:
+                if job.is_final:
                     self.state.stop(run, now)
 
     def _worker_for(self, worker_id: str, now: float) -> WorkerState:
@@ -97,7 +97,7 @@
         worker = self.state.workers.get(worker_id)
         if worker is None:
             info = WorkerInfo(worker_id, "", "", "", NO_RESOURCES, ())
-            worker = WorkerState(info, Lease(self._lease_ms), listed=False, unlisted_ms=now)
+            worker = WorkerState(info, Lease(self._lease_ms), is_listed=False, unlisted_ms=now)
             self.state.workers[worker_id] = worker
         worker.unheard_lapse_ms = self._takeover.lapsed_ms
         return worker
@@ -105,7 +105,7 @@
     def log_inherited_jobs(self, now: float) -> None:
         """Log the unfinished jobs that were taken over, once their progress is known."""
         for job in self.state.jobs.values():
-            if job.inherited and not job.final:
+            if job.inherited and not job.is_final:
                 self._announce(job, now)
 
     def _announce(self, job: JobState, now: float) -> None:
@@ -119,8 +119,8 @@
             version=job.accepted.version,
             steps=len(steps),
             tasks=sum(step.count for step in steps),
-            accepted_ms_ago=round(now - job.accepted_at_ms),
-            objective_ms=round(job.objective_ms - job.accepted_at_ms),
+            accepted_ms_ago=round(now - job.accepted_local_ms),
+            objective_ms=round(job.objective_ms - job.accepted_local_ms),
             inherited=job.inherited,
         )
 
@@ -130,16 +130,16 @@
         if job is None:
             return
         cancelled = job.phase is JobPhase.CANCELLED
-        progress_rows.apply(job, progress)
+        progress_rows.restore_progress(job, progress)
         if cancelled:
             # The cancellation has a row of its own, which may be newer than the progress.
             job.phase = JobPhase.CANCELLED
-        if job.final:
+        if job.is_final:
             job.ended_ms = now
             job.drop_payload()
         self._adopt_stored_runs(job, progress, now)
         self.state.refresh_ready(job, now)
-        if not job.final and job.all_done():
+        if not job.is_final and job.all_done():
             self.state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
 
     def cancel_job(self, job_id: str, now: float) -> bool:
@@ -195,15 +195,15 @@
                 service=info.service,
                 data_centre=info.data_centre,
             )
-        if info.draining and not worker.info.draining:
+        if info.is_draining and not worker.info.is_draining:
             emit(log, Event.WORKER_DRAINS, worker=info.worker_id, leaves_in_ms=info.leaves_in_ms)
-        worker.info, worker.listed = info, True
+        worker.info, worker.is_listed = info, True
 
     def unlist_worker(self, worker_id: str, now: float) -> None:
         """Note that the directory dropped a worker; what runs there is still followed."""
         worker = self.state.workers.get(worker_id)
-        if worker is not None and worker.listed:
-            worker.listed, worker.unlisted_ms = False, now
+        if worker is not None and worker.is_listed:
+            worker.is_listed, worker.unlisted_ms = False, now
             emit(log, Event.WORKER_UNLISTED, worker=worker_id, runs=len(worker.runs))
 
     def handle_report(
@@ -277,7 +277,7 @@
 
     def schedule(self, now: float, may_start: bool) -> list[Command]:
         """Decide, and return all commands since the last call."""
-        self.placer.decide(now, may_start and not self.is_fenced)
+        self.placer.place_waiting_steps(now, may_start and not self.is_fenced)
         commands, self.state.commands = self.state.commands, []
         return commands
 
@@ -285,21 +285,21 @@
         """Return the progress that must be stored, and count it as handed over."""
         dirty, self.state.dirty = self.state.dirty, set()
         jobs = self.state.jobs
-        return {i: progress_rows.progress_of(jobs[i]) for i in dirty if i in jobs}
+        return {i: progress_rows.capture_progress(jobs[i]) for i in dirty if i in jobs}
 
     def last_seen_ends(self) -> dict[str, int]:
         """Return the number of the last end that was taken from each worker."""
-        return {w.worker_id: w.seen_end for w in self.state.workers.values()}
+        return {w.worker_id: w.last_seen_end for w in self.state.workers.values()}
 
     def _set_objective(self, job: JobState) -> None:
         queue = self.state.queue_of(job)
         slack = queue.slack_factor if queue is not None else 1.0
         target = queue.target_latency_ms if queue is not None else 0
-        job.objective_ms = job.accepted_at_ms + slack * chain_ms(job.accepted) + target
+        job.objective_ms = job.accepted_local_ms + slack * critical_path_ms(job.accepted) + target
 
     def _step(self, key: StepKey) -> StepState | None:
         job = self.state.jobs.get(key.job_id)
-        return job.step_of(key) if job is not None else None
+        return job.find_step(key) if job is not None else None
 
     def _note_fence(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED:
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -75,11 +75,11 @@
     def refresh_ready(self, job: JobState, now: float) -> None:
         """List the steps of a job whose turn has come, and drop the others."""
         for step in job.steps.values():
-            if job.final or step.done:
+            if job.is_final or step.done:
                 self.ready.pop(step.key, None)
                 step.drop_advice()
             elif step.key not in self.ready and job.is_ready(step):
-                step.ready_ms = now
+                step.ready_since_ms = now
                 self.ready[step.key] = step
 
     # Runs.
@@ -100,10 +100,10 @@
         emit(
             log,
             Event.RUN_STARTED,
-            task=task.key.text(),
+            task=task.key.to_text(),
             run=number,
             worker=worker.worker_id,
-            waited_ms=round(now - task.step.ready_ms),
+            waited_ms=round(now - task.step.ready_since_ms),
             free_cpu=worker.free_cpu,
             ticket=bool(ticket),
             checkpoint=task.checkpoint,
@@ -131,7 +131,9 @@
     def stop_orphan(self, worker: WorkerState, task: TaskKey, number: int) -> None:
         """Order the end of a run that this owner does not want."""
         if worker.orphans.get(task) != number:
-            emit(log, Event.ORPHAN_STOPPED, task=task.text(), run=number, worker=worker.worker_id)
+            emit(
+                log, Event.ORPHAN_STOPPED, task=task.to_text(), run=number, worker=worker.worker_id
+            )
         worker.orphans[task] = number
         self.commands.append(StopTask(worker.worker_id, task, number))
 
@@ -146,7 +148,7 @@
 
     def finish(self, job: JobState, phase: JobPhase, now: float, reason: str) -> None:
         """Bring a job to its final state and stop what still runs of it."""
-        if job.final:
+        if job.is_final:
             return
         job.phase, job.ended_ms = phase, now
         self.dirty.add(job.job_id)
@@ -157,8 +159,8 @@
             queue=job.accepted.queue,
             state=phase.value,
             reason=reason,
-            after_ms=round(now - job.accepted_at_ms),
-            objective_ms=round(job.objective_ms - job.accepted_at_ms),
+            after_ms=round(now - job.accepted_local_ms),
+            objective_ms=round(job.objective_ms - job.accepted_local_ms),
         )
         self.refresh_ready(job, now)
         job.drop_payload()
@@ -170,7 +172,7 @@
     def _count(
         self, task: TaskState, worker: WorkerState, number: int, phase: RunPhase, now: float
     ) -> Run:
-        run = Run(task, number, worker.worker_id, task.step.spec.charged, phase)
+        run = Run(task, number, worker.worker_id, task.step.spec.allocation, phase)
         run.moved_ms = now
         task.step.attach(run)
         worker.take(run)
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -76,14 +76,14 @@
         return [
             group
             for group in self._groups.get(service, ())
-            if need.fits(group.capacity) and (not label or label in group.labels)
+            if need.fits_into(group.capacity) and (not label or label in group.labels)
         ]
 
     def _group(self) -> dict[str, list[WorkerGroup]]:
         groups: dict[tuple[str, Resources, tuple[str, ...]], WorkerGroup] = {}
         for worker in self._all:
             info = worker.info
-            if worker.listed and not info.draining:
+            if worker.is_listed and not info.is_draining:
                 key = (info.service, info.capacity, info.labels)
                 if key not in groups:
                     groups[key] = WorkerGroup(info.capacity, info.labels)
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -37,13 +37,17 @@
         self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
     ) -> None:
         """Merge a report; `sent_ms` is when it was asked for."""
-        if worker.born_ms and report.born_ms and report.born_ms != worker.born_ms:
+        if (
+            worker.started_unix_ms
+            and report.started_unix_ms
+            and report.started_unix_ms != worker.started_unix_ms
+        ):
             self._new_lifetime(worker, sent_ms, now)
-        worker.born_ms = report.born_ms or worker.born_ms
-        worker.lease.heard(report.clock_ms, now)
+        worker.started_unix_ms = report.started_unix_ms or worker.started_unix_ms
+        worker.lease.update_clock(report.clock_ms, now)
         worker.heard_ms = now
-        if not worker.fenced:
-            worker.fenced = True
+        if not worker.is_fenced:
+            worker.is_fenced = True
             emit(
                 log,
                 Event.WORKER_FENCED,
@@ -52,8 +56,8 @@
                 ended=len(report.ended),
             )
         for end in report.ended:
-            if end.number > worker.seen_end:
-                worker.seen_end = end.number
+            if end.sequence > worker.last_seen_end:
+                worker.last_seen_end = end.sequence
                 self._take_end(worker, end, now)
         for row in report.running:
             self._take_running(worker, row, now)
@@ -77,7 +81,7 @@
                 emit(
                     log,
                     Event.START_UNANSWERED,
-                    task=order.task.text(),
+                    task=order.task.to_text(),
                     run=order.run,
                     worker=order.worker_id,
                 )
@@ -108,7 +112,7 @@
         emit(
             log,
             Event.START_REFUSED,
-            task=order.task.text(),
+            task=order.task.to_text(),
             run=order.run,
             worker=order.worker_id,
             reason=outcome.value,
@@ -127,20 +131,20 @@
     def _take_end(self, worker: WorkerState, end: EndedRun, now: float) -> None:
         worker.orphans.pop(end.task, None)
         job = self._state.jobs.get(end.task.job_id)
-        task = job.task_of(end.task) if job is not None else None
+        task = job.find_task(end.task) if job is not None else None
         if job is None or task is None:
             return
         run = worker.runs.get(end.task)
         mine = run is not None and run.number <= end.run
         if mine and run is not None:
             # Keep the run while its end is applied, so that its time is learned.
-            self._ends.ended(task, end.run, end.kind, end.checkpoint, now)
-            if end.kind is RunOutcome.FAILED and worker.health.failed(job.job_id, now):
+            self._ends.ended(task, end.run, end.outcome, end.checkpoint, now)
+            if end.outcome is RunOutcome.FAILED and worker.health.failed(job.job_id, now):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="failures")
             self._state.close(run)
             return
-        if not job.final:
-            self._ends.ended(task, end.run, end.kind, end.checkpoint, now)
+        if not job.is_final:
+            self._ends.ended(task, end.run, end.outcome, end.checkpoint, now)
             other = task.run
             if task.done and other is not None and other.phase is not RunPhase.STOPPING:
                 self._state.stop(other, now)
@@ -154,8 +158,8 @@
             # The list was made before a later run replaced this one.
             return
         job = self._state.jobs.get(row.task.job_id)
-        task = job.task_of(row.task) if job is not None else None
-        if job is None or task is None or job.final or task.done or task.run is not None:
+        task = job.find_task(row.task) if job is not None else None
+        if job is None or task is None or job.is_final or task.done or task.run is not None:
             self._state.stop_orphan(worker, row.task, row.run)
             return
         adopted = self._state.adopt(task, worker, row.run, now)
@@ -188,9 +192,9 @@
 
     def _new_lifetime(self, worker: WorkerState, sent_ms: float, now: float) -> None:
         emit(log, Event.WORKER_RESTARTED, worker=worker.worker_id, runs=len(worker.runs))
-        worker.seen_end = worker.acked_end = 0
+        worker.last_seen_end = worker.last_acked_end = 0
         worker.orphans.clear()
-        worker.lease.restarted()
+        worker.lease.reset()
         for step in self._state.ready.values():
             step.approvals.forget(worker.worker_id)
         for run in list(worker.runs.values()):
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -42,12 +42,12 @@
     """Return the workers with room for at least one task, the cheapest first."""
     found = []
     for worker in workers:
-        if worker.free_cpu < step.charged.cpu:
+        if worker.free_cpu < step.allocation.cpu:
             continue
         most = wanted
         if step.most_per_worker:
             most = min(most, step.most_per_worker - running[worker.worker_id])
-        count = room_for(worker.free, step.charged, most)
+        count = room_for(worker.free, step.allocation, most)
         if count > 0:
             found.append(WorkerSlots(worker, count, cost(worker)))
     found.sort(key=lambda slot: slot.cost)
--- a/baobabhoist/cell/workers.py
+++ b/baobabhoist/cell/workers.py
@@ -30,14 +30,14 @@
     deadline_ms: int = 0
     known: bool = False
 
-    def heard(self, clock_ms: float, now: float) -> None:
+    def update_clock(self, clock_ms: float, now: float) -> None:
         """Take over a reading of the worker's clock."""
         if not self.known or clock_ms >= self.clock_at(now):
             if not self.known:
                 self.deadline_ms = max(self.deadline_ms, int(clock_ms + self.granted_ms))
             self.clock_ms, self.read_ms, self.known = clock_ms, now, True
 
-    def restarted(self) -> None:
+    def reset(self) -> None:
         """Forget the clock of an ended lifetime."""
         self.clock_ms = self.read_ms = 0.0
         self.deadline_ms, self.known = 0, False
@@ -46,7 +46,7 @@
         """Return the reading that the worker's clock has reached at least, but for drift."""
         return self.clock_ms + (now - self.read_ms) * (1.0 - MAX_CLOCK_DRIFT)
 
-    def next_deadline(self, now: float, lease_ms: float) -> int | None:
+    def extend_deadline(self, now: float, lease_ms: float) -> int | None:
         """Return the deadline to send with an order, or None while the clock is unknown."""
         if not self.known:
             return None
@@ -71,17 +71,17 @@
     # Runs that this owner does not want, by the number of the run.
     orphans: dict[TaskKey, int] = attrs.Factory(dict)
     # The worker obeys this owner's fencing token.
-    fenced: bool = False
-    listed: bool = True
+    is_fenced: bool = False
+    is_listed: bool = True
     # When the directory dropped the worker, on the owner's clock in ms.
     unlisted_ms: float = 0.0
     heard_ms: float = -1e12
     # When runs taken over from an earlier owner have lapsed, if the worker is never heard.
     unheard_lapse_ms: float = float("inf")
     paused_until_ms: float = 0.0
-    born_ms: int = 0
-    seen_end: int = 0
-    acked_end: int = 0
+    started_unix_ms: int = 0
+    last_seen_end: int = 0
+    last_acked_end: int = 0
 
     @property
     def worker_id(self) -> str:
@@ -101,9 +101,9 @@
     def usable(self, now: float) -> bool:
         """Tell whether new tasks may start here."""
         return (
-            self.fenced
-            and self.listed
-            and not self.info.draining
+            self.is_fenced
+            and self.is_listed
+            and not self.info.is_draining
             and not self.orphans
             and now - self.heard_ms < SILENT_MS
             and now >= self.paused_until_ms
@@ -113,9 +113,9 @@
     def take(self, run: Run) -> None:
         """Count a run."""
         self.runs[run.task.key] = run
-        self.used = self.used.plus(run.charged)
+        self.used = self.used.plus(run.allocation)
 
     def release(self, run: Run) -> None:
         """Stop counting a run."""
         if self.runs.pop(run.task.key, None) is not None:
-            self.used = self.used.minus(run.charged)
+            self.used = self.used.minus(run.allocation)
--- a/baobabhoist/control/frontdesk.py
+++ b/baobabhoist/control/frontdesk.py
@@ -118,7 +118,7 @@
                 ErrorKind.NOT_FOUND, f"no queue at {call.path}", remedy="check host and path"
             )
         team = ""
-        if not route.queue.open_to_all:
+        if not route.queue.is_public:
             if self.config.age_ms(boot_ms()) > KEY_AGE_PART * self.revoke_ms:
                 return not_ready("the keys in force are not known to be current", ELSEWHERE_S)
             if call.key not in cfg.keys:
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -186,7 +186,7 @@
         known = (*tables.progress, *tables.own, *tables.learned)
         self.progress.loaded({row.key: row.version for row in known})
         cell = CellScheduler(self._rules, takeover, self._parts.lease_ms)
-        cell.placer.advisers = self._parts.advice.capacity
+        cell.placer.max_advice_requests = self._parts.advice.capacity
         self._use_learned(cell, tables.learned)
         self._cell = cell
         self._directory_changed(tables.directory, True)
@@ -359,9 +359,9 @@
 
     def _observe_start(self, order: StartTask) -> None:
         job = self._require_cell().find_job(order.task.job_id)
-        step = job.step_of(order.task) if job is not None else None
+        step = job.find_step(order.task) if job is not None else None
         if job is not None and step is not None:
-            waited_s = (boot_ms() - step.ready_ms) / 1000
+            waited_s = (boot_ms() - step.ready_since_ms) / 1000
             self._parts.metrics.started(job.accepted.team, job.accepted.queue, waited_s)
 
     async def _stop(self, order: StopTask) -> None:
@@ -391,7 +391,7 @@
     async def _tick_forever(self) -> None:
         while True:
             cell = self._require_cell()
-            cell.placer.advisers = self._parts.advice.capacity
+            cell.placer.max_advice_requests = self._parts.advice.capacity
             cell.tick(boot_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % FORGET_EVERY_TICKS == 0:
@@ -404,7 +404,7 @@
     def _forget_old(self, cell: CellScheduler) -> None:
         """Remove jobs that finished long enough ago."""
         limit = boot_ms() - 2 * self._parts.job_kept_ms
-        old = [j.job_id for j in cell.state.jobs.values() if j.final and j.ended_ms < limit]
+        old = [j.job_id for j in cell.state.jobs.values() if j.is_final and j.ended_ms < limit]
         for job_id in old:
             cell.remove_job(job_id)
             self.spawn(self.progress.remove_job(job_id))
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -112,7 +112,7 @@
 
     async def _flush(self, cell: CellScheduler) -> bool:
         seen = cell.last_seen_ends()
-        lifetimes = {w.worker_id: w.born_ms for w in cell.state.workers.values()}
+        lifetimes = {w.worker_id: w.started_unix_ms for w in cell.state.workers.values()}
         dirty = cell.take_unsaved_progress()
         unsent, self._unsent = self._unsent, []
         puts = {progress_row(i): progress_rows.encode(p) for i, p in dirty.items()}
@@ -150,10 +150,10 @@
     ) -> None:
         for worker_id, number in seen.items():
             worker = cell.state.workers.get(worker_id)
-            if worker is None or worker.born_ms != lifetimes[worker_id]:
+            if worker is None or worker.started_unix_ms != lifetimes[worker_id]:
                 continue
-            if number > worker.acked_end:
-                worker.acked_end = number
+            if number > worker.last_acked_end:
+                worker.last_acked_end = number
                 self.on_acked(worker_id)
 
     async def _commit(
--- a/baobabhoist/control/workers.py
+++ b/baobabhoist/control/workers.py
@@ -56,7 +56,7 @@
         token = self._owner.ownership.token
         answer = await self._driver.start(self._state.info, token, order, deadline)
         if answer.clock_ms is not None:
-            self._state.lease.heard(answer.clock_ms, boot_ms())
+            self._state.lease.update_clock(answer.clock_ms, boot_ms())
         return answer.outcome
 
     async def stop_task(self, order: StopTask) -> CommandOutcome:
@@ -66,7 +66,7 @@
         return answer.outcome
 
     def _deadline(self) -> int | None:
-        return self._state.lease.next_deadline(boot_ms(), self._lease_ms)
+        return self._state.lease.extend_deadline(boot_ms(), self._lease_ms)
 
     async def _run(self) -> None:
         delay_s = RETRY_S
@@ -85,21 +85,23 @@
         state, cell = self._state, self._owner.cell
         if cell is None:
             return False
-        behind = state.seen_end > state.acked_end
-        wait_ms = WAIT_MS if state.fenced and self._answering and not behind else 0
+        behind = state.last_seen_end > state.last_acked_end
+        wait_ms = WAIT_MS if state.is_fenced and self._answering and not behind else 0
         # A silent worker is offered no longer lease: its tasks wait for the end of the last one.
         may_extend = self._answering and self._owner.may_renew()
         deadline = self._deadline() if may_extend else None
         sent_ms = boot_ms()
         token = self._owner.ownership.token
-        answer = await self._driver.renew(state.info, token, state.acked_end, deadline, wait_ms)
+        answer = await self._driver.renew(
+            state.info, token, state.last_acked_end, deadline, wait_ms
+        )
         if not isinstance(answer, WorkerReport):
             self._failed(answer)
             return False
         self._note_answering(True, "")
         cell.handle_report(state.worker_id, answer, sent_ms, boot_ms())
         self._owner.kick()
-        if state.seen_end > state.acked_end:
+        if state.last_seen_end > state.last_acked_end:
             await self._wait_for_ack()
         return True
 
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -69,7 +69,7 @@
     ) -> OrderAnswer:
         """Start a run."""
         body: dict[str, Any] = {
-            "task": order.task.text(),
+            "task": order.task.to_text(),
             "runId": order.run,
             "taskSpec": order.payload,
             "deadlineMs": deadline_ms,
@@ -83,7 +83,7 @@
 
     async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderAnswer:
         """Stop a run."""
-        body = {"task": order.task.text(), "runId": order.run, "fencingToken": token}
+        body = {"task": order.task.to_text(), "runId": order.run, "fencingToken": token}
         return _order_answer(await self._call(worker, "/-/run-stop", body, ORDER_TIMEOUT_S))
 
     async def _call(
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -25,47 +25,47 @@
 SMALL = Resources(1000, 512, 0)
 
 
-def rules(limit=NO_RESOURCES, max_attempts=3, advice=None, **queue):
+def make_rules(limit=NO_RESOURCES, max_attempts=3, advice=None, **queue):
     queues = {"q": Queue("q", "svc", 0, max_attempts, 2.0, 1000, advice=advice, **queue)}
     return CellRules(1, queues, {"team": Team("team", 1.0, limit)})
 
 
-def job(job_id="0" * 16, *steps, version=100, team="team", **spec):
+def make_job(job_id="0" * 16, *steps, version=100, team="team", **spec):
     steps = steps or (Step(1, SMALL, 1000),)
     return AcceptedJob(job_id, "q", "svc", team, 0, JobSpec("(payload)", steps, **spec), version)
 
 
-def task(job_id="0" * 16, index=0, step=0, occurrence=0):
+def make_task_key(job_id="0" * 16, index=0, step=0, occurrence=0):
     return TaskKey(job_id, occurrence, step, index)
 
 
 @attrs.define
-class Rig:
+class CellHarness:
     """Hold a cell, its workers and the orders that are on their way."""
 
     workers: dict = attrs.Factory(dict)
-    cell_rules: CellRules = attrs.Factory(rules)
+    cell_rules: CellRules = attrs.Factory(make_rules)
     now: float = 10_000.0
     token: int = 50
     generation: int = 0
     cell: CellScheduler = None
-    deliver: bool = True
+    delivers_commands: bool = True
     # Orders that were sent but not delivered, oldest first.
-    held: list = attrs.Factory(list)
-    asked: list = attrs.Factory(list)
+    undelivered: list = attrs.Factory(list)
+    advice_requests: list = attrs.Factory(list)
     seen_cancelled: set = attrs.Factory(set)
 
     def __attrs_post_init__(self):
-        self.own()
+        self.start_ownership()
 
     @classmethod
     def with_workers(cls, count=2, cell_rules=None, **options):
         workers = {f"w{n}": StandInWorker(f"w{n}", **options) for n in range(count)}
-        rig = cls(workers, cell_rules or rules())
+        rig = cls(workers, cell_rules or make_rules())
         rig.renew_all()
         return rig
 
-    def own(self, lapsed_ms=0.0):
+    def start_ownership(self, lapsed_ms=0.0):
         """Begin a new ownership."""
         takeover = Takeover(self.generation, self.token, lapsed_ms)
         self.cell = CellScheduler(self.cell_rules, takeover, LEASE_MS)
@@ -75,20 +75,20 @@
         """Let another owner take the cell with what the store holds."""
         self.token += 10
         self.generation += 1
-        self.held.clear()
-        self.own(self.now + lapse_ms)
+        self.undelivered.clear()
+        self.start_ownership(self.now + lapse_ms)
         for accepted in jobs:
-            self.accept(accepted)
+            self.submit(accepted)
         for job_id, saved in (progress or {}).items():
             self.cell.restore_job(job_id, saved, self.now)
 
-    def accept(self, accepted):
+    def submit(self, accepted):
         self.cell.add_job(accepted, self.now, self.now, self.now)
 
     def renew(self, worker_id, deliver=True):
         worker, state = self.workers[worker_id], self.cell.state.workers[worker_id]
-        deadline = state.lease.next_deadline(self.now, LEASE_MS)
-        answer = worker.renew(self.token, state.acked_end, deadline)
+        deadline = state.lease.extend_deadline(self.now, LEASE_MS)
+        answer = worker.renew(self.token, state.last_acked_end, deadline)
         if answer is CommandOutcome.FENCED:
             self.cell.mark_fenced()
         elif deliver:
@@ -99,24 +99,24 @@
             if worker_id in self.cell.state.workers:
                 self.renew(worker_id)
 
-    def decide(self, may_start=True):
+    def schedule(self, may_start=True):
         """Decide and carry the orders out, unless they are held back."""
         commands = self.cell.schedule(self.now, may_start)
         for command in commands:
             if isinstance(command, RequestAdvice):
-                self.asked.append(command)
-            elif self.deliver:
-                self.carry_out(command)
+                self.advice_requests.append(command)
+            elif self.delivers_commands:
+                self.deliver_command(command)
             else:
-                self.held.append(command)
+                self.undelivered.append(command)
         return commands
 
-    def carry_out(self, order, answer=True):
+    def deliver_command(self, order, answer=True):
         """Deliver an order, and its answer unless that is lost."""
         worker = self.workers[order.worker_id]
         if isinstance(order, StartTask):
             state = self.cell.state.workers[order.worker_id]
-            deadline = state.lease.next_deadline(self.now, LEASE_MS)
+            deadline = state.lease.extend_deadline(self.now, LEASE_MS)
             outcome = worker.start(self.token, order, deadline or 0)
             self.cell.handle_start_result(
                 order, outcome if answer else CommandOutcome.UNKNOWN, self.now
@@ -128,7 +128,7 @@
             )
         return outcome
 
-    def lose(self, order):
+    def lose_answer(self, order):
         """Tell the owner that an order got no answer, without delivering it."""
         answered = (
             self.cell.handle_start_result
@@ -148,32 +148,32 @@
             if renew:
                 self.renew_all()
             self.cell.tick(self.now, self.now)
-            self.decide()
+            self.schedule()
 
     def settle(self, rounds=4):
         """Exchange reports and decisions until nothing changes."""
         for _ in range(rounds):
             self.now += 1.0
             self.renew_all()
-            self.decide()
+            self.schedule()
 
-    def end(self, key, kind=RunOutcome.DONE, checkpoint=""):
-        worker = self.where(key)
+    def end_run(self, key, kind=RunOutcome.DONE, checkpoint=""):
+        worker = self.worker_running(key)
         worker.end(key, kind, checkpoint)
         self.settle()
 
-    def where(self, key):
+    def worker_running(self, key):
         return next(w for w in self.workers.values() if key in w.runs)
 
-    def running(self):
+    def running_tasks(self):
         return sorted((key, w.worker_id) for w in self.workers.values() for key in w.runs)
 
-    def store_progress(self):
+    def save_progress(self):
         """Return what the store gets, and let the workers forget the ends in it."""
         saved = self.cell.take_unsaved_progress()
         for worker in self.cell.state.workers.values():
-            worker.acked_end = worker.seen_end
+            worker.last_acked_end = worker.last_seen_end
         return saved
 
-    def phase(self, job_id="0" * 16):
+    def job_phase(self, job_id="0" * 16):
         return self.cell.find_job(job_id).phase
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -5,7 +5,7 @@
 from baobabhoist.cell.model import Step
 from baobabhoist.cell.speed_estimates import SpeedEstimates
 from baobabhoist.control.rowmap import decode_speeds, encode_speeds
-from baobabhoist.tests.cell_harness import SMALL, Rig, job
+from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job
 
 SPEEDS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
 
@@ -49,13 +49,13 @@
 
 def test_the_fastest_free_worker_comes_first():
     """Guard against speeds that are learned and not used."""
-    rig = Rig.with_workers(3)
+    rig = CellHarness.with_workers(3)
     for _ in range(10):
         for worker, took in (("w0", 1700.0), ("w1", 700.0), ("w2", 1000.0)):
             rig.cell.state.speeds.observe(worker, "q", took, 1000.0)
-    rig.accept(job("0" * 16, Step(1, SMALL, 2000)))
+    rig.submit(make_job("0" * 16, Step(1, SMALL, 2000)))
     rig.settle()
-    assert rig.running()[0][1] == "w1"
+    assert rig.running_tasks()[0][1] == "w1"
 
 
 def test_what_was_learned_outlasts_its_owner():
--- a/baobabhoist/tests/test_cell_speed_matching.py
+++ b/baobabhoist/tests/test_cell_speed_matching.py
@@ -2,7 +2,7 @@
 
 from baobabhoist.cell.model import CellRules, Queue, Resources, Step, Team
 from baobabhoist.cell.speed_matching import speed_cost
-from baobabhoist.tests.cell_harness import Rig, job
+from baobabhoist.tests.cell_harness import CellHarness, make_job
 
 SPEEDS = {"w0": 0.7, "w1": 0.7, "w2": 1.7}
 HALF = Resources(2000, 512, 0)
@@ -23,11 +23,11 @@
 def test_patient_work_leaves_the_fast_workers_free():
     """Guard against a quiet day on which whistle entries run on slow workers (wm quiet-1)."""
     queues = {"q": Queue("q", "svc", 1, 3, 6.0, 1000), "fast": Queue("fast", "svc", 0, 3, 1.2, 0)}
-    rig = Rig.with_workers(3, CellRules(1, queues, {"team": Team("team")}))
+    rig = CellHarness.with_workers(3, CellRules(1, queues, {"team": Team("team")}))
     for _ in range(12):
         for worker, factor in SPEEDS.items():
             rig.cell.state.speeds.observe(worker, "q", 1000.0 * factor, 1000.0)
             rig.cell.state.speeds.observe(worker, "fast", 1000.0 * factor, 1000.0)
-    rig.accept(job("0" * 16, Step(2, HALF, 1000)))
+    rig.submit(make_job("0" * 16, Step(2, HALF, 1000)))
     rig.settle()
-    assert {worker for _, worker in rig.running()} == {"w2"}
+    assert {worker for _, worker in rig.running_tasks()} == {"w2"}
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -20,7 +20,7 @@
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
-from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, job, rules
+from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, make_job, make_rules
 
 MAX_ATTEMPTS = 2
 ENDS = st.sampled_from([RunOutcome.DONE, RunOutcome.FAILED])
@@ -53,7 +53,7 @@
         self.now = 10_000.0
         self.token = 10
         self.generation = 0
-        self.rules = rules(max_attempts=MAX_ATTEMPTS)
+        self.rules = make_rules(max_attempts=MAX_ATTEMPTS)
         self.jobs = {}
         self.cancelled = set()
         self.stored = {}
@@ -82,7 +82,7 @@
     @rule(steps=STEPS)
     def submit(self, steps):
         job_id = f"{len(self.jobs):016x}"
-        accepted = job(job_id, *steps, version=self.token + 1 + len(self.jobs))
+        accepted = make_job(job_id, *steps, version=self.token + 1 + len(self.jobs))
         self.jobs[job_id] = accepted
         self.cell.add_job(accepted, self.now, self.now, self.now)
 
@@ -130,7 +130,7 @@
     def decide(self):
         for order in self.cell.schedule(self.now, True):
             state = self.cell.state.workers[order.worker_id]
-            deadline = state.lease.next_deadline(self.now, LEASE_MS) or 0
+            deadline = state.lease.extend_deadline(self.now, LEASE_MS) or 0
             waiting = self.unstored if isinstance(order, StartTask) else self.sent
             waiting.append(Sent(self.token, deadline, order))
 
@@ -180,37 +180,37 @@
         if worker in self.cut:
             return
         state = self.cell.state.workers[worker]
-        deadline = state.lease.next_deadline(self.now, LEASE_MS)
+        deadline = state.lease.extend_deadline(self.now, LEASE_MS)
         stand_in = self.workers[worker]
         # A cursor of an ended lifetime never reaches the next one: its id is in the call.
-        acked = state.acked_end if state.born_ms in (0, stand_in.born_ms) else 0
+        acked = state.last_acked_end if state.started_unix_ms in (0, stand_in.born_ms) else 0
         answer = stand_in.renew(self.token, acked, deadline)
         self.cell.handle_report(worker, answer, self.now, self.now + 0.1)
         self.now += 0.2
 
     @rule()
     def store_progress(self):
-        seen = {w: s.seen_end for w, s in self.cell.state.workers.items()}
+        seen = {w: s.last_seen_end for w, s in self.cell.state.workers.items()}
         for job_id, saved in self.cell.take_unsaved_progress().items():
             self.stored[job_id] = saved
         self.sent += [s for s in self.unstored if self.cell.should_send_start(s.order)]
         self.unstored.clear()
         for worker, number in seen.items():
             self._note_ends(worker, number)
-            self.cell.state.workers[worker].acked_end = number
+            self.cell.state.workers[worker].last_acked_end = number
 
     def _note_ends(self, worker, number):
         state, stand_in = self.cell.state.workers[worker], self.workers[worker]
-        if state.born_ms != stand_in.born_ms:
+        if state.started_unix_ms != stand_in.born_ms:
             return
         for end in stand_in.ends:
-            if end.number <= number:
+            if end.sequence <= number:
                 self._note(end)
 
     def _note(self, end):
-        if end.kind is RunOutcome.DONE:
+        if end.outcome is RunOutcome.DONE:
             self.noted.add(end.task)
-        elif end.kind is RunOutcome.FAILED:
+        elif end.outcome is RunOutcome.FAILED:
             self.noted_failures.setdefault(end.task, set()).add(end.run)
 
     @rule(hands_over=st.booleans())
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -66,7 +66,7 @@
         queue = Queue("q", "svc")
         routes = (
             Route("h", "/q/", queue),
-            Route("h", "/open/", Queue("o", "svc", open_to_all=True)),
+            Route("h", "/open/", Queue("o", "svc", is_public=True)),
         )
         rules = CellRules(version, {"q": queue}, {})
         keys = {"k": "team"} if keys is None else keys
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -8,7 +8,7 @@
 from baobabhoist.control.rowmap import OWNER_ROW, progress_row
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
-from baobabhoist.tests.cell_harness import SMALL, Rig, job, task
+from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
 ID = "0" * 16
 
@@ -21,8 +21,8 @@
 
 
 def working_rig():
-    rig = Rig.with_workers(2)
-    rig.accept(job(ID, Step(3, SMALL, 100)))
+    rig = CellHarness.with_workers(2)
+    rig.submit(make_job(ID, Step(3, SMALL, 100)))
     rig.settle()
     return rig
 
@@ -40,14 +40,14 @@
     """Guard against a done task that both the worker and the store have forgotten."""
     rows, writer, _ = claimed()
     rig = working_rig()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     worker = rig.cell.state.workers["w0"]
     rows.down = True
     assert not flush(writer, rig.cell)
-    assert worker.acked_end == 0
+    assert worker.last_acked_end == 0
     rows.down = False
     assert flush(writer, rig.cell)
-    assert worker.acked_end == 1
+    assert worker.last_acked_end == 1
     assert stored_done(rows) == (0,)
 
 
@@ -56,9 +56,9 @@
     ways = ["late"]
     rows, writer, _ = claimed(fail=lambda txn: ways.pop() if ways else "")
     rig = working_rig()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     assert not flush(writer, rig.cell)
-    rig.end(task(index=1))
+    rig.end_run(make_task_key(index=1))
     assert flush(writer, rig.cell)
     rows.deliver_late()
     assert stored_done(rows) == (0, 1)
@@ -69,7 +69,7 @@
     ways = ["lost"]
     rows, writer, deposed = claimed(fail=lambda txn: ways.pop() if ways else "")
     rig = working_rig()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     tries = [flush(writer, rig.cell) for _ in range(3)]
     assert tries == [False, False, True]
     assert deposed == []
@@ -80,7 +80,7 @@
     """Guard against progress of an earlier owner over that of the present one."""
     rows, writer, deposed = claimed()
     rig = working_rig()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
@@ -93,7 +93,7 @@
     async def run():
         rows, writer, _ = claimed()
         rig = working_rig()
-        rig.end(task(index=0), RunOutcome.DONE)
+        rig.end_run(make_task_key(index=0), RunOutcome.DONE)
         rows.hangs = True
         flushing = asyncio.create_task(writer._flush(rig.cell))
         await asyncio.sleep(0)
@@ -112,10 +112,10 @@
 def test_a_start_is_sent_only_after_the_run_is_stored():
     """Guard against a run that the next owner does not know of and starts again."""
     rows, writer, _ = claimed()
-    rig = Rig.with_workers(1)
-    rig.deliver = False
-    rig.accept(job(ID))
-    (order,) = rig.decide()
+    rig = CellHarness.with_workers(1)
+    rig.delivers_commands = False
+    rig.submit(make_job(ID))
+    (order,) = rig.schedule()
     sent = []
     writer.when_stored(lambda: sent.append(order))
     rows.down = True
@@ -131,10 +131,10 @@
 def test_a_start_of_a_deposed_owner_is_never_sent():
     """Guard against two owners that both order runs while only one holds the claim."""
     rows, writer, deposed = claimed()
-    rig = Rig.with_workers(1)
-    rig.deliver = False
-    rig.accept(job(ID))
-    rig.decide()
+    rig = CellHarness.with_workers(1)
+    rig.delivers_commands = False
+    rig.submit(make_job(ID))
+    rig.schedule()
     sent = []
     writer.when_stored(lambda: sent.append(1))
     rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_workers.py
@@ -8,7 +8,7 @@
 from baobabhoist.cell.model import CommandOutcome
 from baobabhoist.control import workers
 from baobabhoist.control.workers import WorkerLoop
-from baobabhoist.tests.cell_harness import LEASE_MS, Rig, job
+from baobabhoist.tests.cell_harness import LEASE_MS, CellHarness, make_job
 
 
 class Driver:
@@ -30,8 +30,8 @@
 
 
 def drive(rounds, silent_from):
-    rig = Rig.with_workers(1)
-    rig.accept(job())
+    rig = CellHarness.with_workers(1)
+    rig.submit(make_job())
     rig.settle()
     driver = Driver(rig.workers["w0"])
     owner = SimpleNamespace(
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -91,7 +91,7 @@
     """Guard against work sent to an entry of another writer."""
     worker = DECODER.worker("w", orjson.dumps(WORKER))
     assert worker.capacity == Resources(16000, 32768, 0)
-    assert (worker.rack, worker.kind, worker.born_ms) == ("r1-3", "a", 17)
+    assert (worker.rack, worker.hardware_kind, worker.started_unix_ms) == ("r1-3", "a", 17)
     for change in ({"state": "odd"}, {"address": 7}, {"capacity": []}, {"labels": "a"}):
         assert DECODER.worker("w", orjson.dumps({**WORKER, **change})) is None
 
