--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -5,9 +5,9 @@
 import attrs
 
 # Failures in a row, of different jobs, that set a worker aside.
-STRIKES = 3
-FIRST_REST_MS = 2_000.0
-LONGEST_REST_MS = 8_000.0
+FAILURE_THRESHOLD = 3
+INITIAL_QUARANTINE_MS = 2_000.0
+MAX_QUARANTINE_MS = 8_000.0
 
 
 @attrs.define
@@ -15,35 +15,39 @@
     """Judge one worker by the ends of its runs."""
 
     failed_jobs: list[str] = attrs.Factory(list)
-    rests: int = 0
-    resting_until_ms: float = 0.0
-    on_trial: bool = False
+    quarantine_count: int = 0
+    quarantined_until_ms: float = 0.0
+    is_on_probation: bool = False
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a run that ended as done."""
         self.failed_jobs.clear()
-        self.on_trial = False
-        self.rests = 0
+        self.is_on_probation = False
+        self.quarantine_count = 0
 
-    def failed(self, job_id: str, now: float) -> bool:
+    def record_failure(self, job_id: str, now: float) -> bool:
         """Note a run that failed; tell whether the worker is set aside now."""
         if job_id not in self.failed_jobs:
             self.failed_jobs.append(job_id)
-        return (len(self.failed_jobs) >= STRIKES or self.on_trial) and self._rest(now)
+        return (
+            len(self.failed_jobs) >= FAILURE_THRESHOLD or self.is_on_probation
+        ) and self._quarantine(now)
 
-    def stalled(self, now: float) -> bool:
+    def record_stall(self, now: float) -> bool:
         """Note a run that made no progress; the worker is set aside at once."""
-        return self._rest(now)
+        return self._quarantine(now)
 
-    def open(self, now: float, running: int) -> bool:
+    def accepts_task(self, now: float, running: int) -> bool:
         """Tell whether the worker takes a task now; on trial it takes one at a time."""
-        return now >= self.resting_until_ms and not (self.on_trial and running > 0)
+        return now >= self.quarantined_until_ms and not (self.is_on_probation and running > 0)
 
-    def _rest(self, now: float) -> bool:
-        if now < self.resting_until_ms:
+    def _quarantine(self, now: float) -> bool:
+        if now < self.quarantined_until_ms:
             return False
-        self.resting_until_ms = now + min(LONGEST_REST_MS, FIRST_REST_MS * 2**self.rests)
-        self.rests += 1
-        self.on_trial = True
+        self.quarantined_until_ms = now + min(
+            MAX_QUARANTINE_MS, INITIAL_QUARANTINE_MS * 2**self.quarantine_count
+        )
+        self.quarantine_count += 1
+        self.is_on_probation = True
         self.failed_jobs.clear()
         return True
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -48,9 +48,9 @@
     # When the worker answered the order to stop.
     stop_answered_ms: float = 0.0
     percent: float = 0.0
-    moved_ms: float = 0.0
+    last_progress_ms: float = 0.0
     # It began at the start of the task under this owner, not from a checkpoint.
-    whole: bool = False
+    is_from_start: bool = False
 
 
 @attrs.define(eq=False)
@@ -60,7 +60,7 @@
     step: StepState
     index: int
     run: Run | None = None
-    done: bool = False
+    is_done: bool = False
     last_run: int = 0
     failed_runs: set[int] = attrs.Factory(set)
     checkpoint: str = ""
@@ -80,59 +80,59 @@
     key: StepKey
     spec: Step
     tasks: list[TaskState] = attrs.Factory(list)
-    idle: int = 0
-    pending: int = 0
+    idle_count: int = 0
+    pending_count: int = 0
     approvals: Approvals = attrs.Factory(Approvals)
     # Workers on which a task of the step failed.
-    failed_on: set[str] = attrs.Factory(set)
+    failed_worker_ids: set[str] = attrs.Factory(set)
     # When the step could first run, on the owner's clock in ms.
     ready_since_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         """Make the tasks."""
         self.tasks = [TaskState(self, index) for index in range(self.spec.count)]
-        self.idle = self.pending = self.spec.count
+        self.idle_count = self.pending_count = self.spec.count
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Tell whether all tasks have ended as done."""
-        return self.pending == 0
+        return self.pending_count == 0
 
-    def drop_advice(self) -> None:
+    def discard_approvals(self) -> None:
         """Forget the tickets, once no task will start any more."""
         self.approvals = Approvals()
 
     def idle_tasks(self) -> Iterator[TaskState]:
         """Yield the tasks that are neither done nor running."""
-        return (task for task in self.tasks if task.run is None and not task.done)
+        return (task for task in self.tasks if task.run is None and not task.is_done)
 
     def mark_done(self, task: TaskState) -> bool:
         """Note that a task is done; tell whether that is new."""
-        if task.done:
+        if task.is_done:
             return False
-        task.done = True
-        self.pending -= 1
-        if self.done:
-            self.job.progressed()
+        task.is_done = True
+        self.pending_count -= 1
+        if self.is_done:
+            self.job.invalidate_critical_path()
         if task.run is None:
-            self.idle -= 1
+            self.idle_count -= 1
         return True
 
-    def attach(self, run: Run) -> None:
+    def attach_run(self, run: Run) -> None:
         """Give a task its run."""
-        if run.task.run is None and not run.task.done:
-            self.idle -= 1
+        if run.task.run is None and not run.task.is_done:
+            self.idle_count -= 1
         run.task.run = run
         run.task.last_run = max(run.task.last_run, run.number)
 
-    def detach(self, run: Run) -> None:
+    def detach_run(self, run: Run) -> None:
         """Take the ended run from its task."""
         if run.task.run is run:
             run.task.run = None
-            if not run.task.done:
-                self.idle += 1
+            if not run.task.is_done:
+                self.idle_count += 1
 
-    def failures(self, task: TaskState) -> int:
+    def failed_attempts(self, task: TaskState) -> int:
         """Return the failed attempts that count against a task: those of a gang are shared."""
         if not self.spec.gang:
             return len(task.failed_runs)
@@ -149,11 +149,11 @@
     phase: JobPhase = JobPhase.QUEUED
     steps: dict[tuple[int, int], StepState] = attrs.Factory(dict)
     # An earlier owner may have started tasks of this job.
-    inherited: bool = False
+    is_inherited: bool = False
     ended_ms: float = 0.0
-    opened: int = 0
+    opened_count: int = 0
     # What `remaining_ms` found, until a step is done or opened.
-    _remaining_ms: float | None = None
+    _remaining_critical_path_ms: float | None = None
 
     @property
     def job_id(self) -> str:
@@ -179,9 +179,9 @@
 
     def open_occurrence(self) -> list[StepState]:
         """Make the steps of the next occurrence and return them."""
-        occurrence = self.opened
-        self.opened += 1
-        self.progressed()
+        occurrence = self.opened_count
+        self.opened_count += 1
+        self.invalidate_critical_path()
         made = []
         for number, spec in enumerate(self.accepted.spec.steps):
             step = StepState(self, StepKey(self.job_id, occurrence, number), spec)
@@ -189,12 +189,14 @@
             made.append(step)
         return made
 
-    def open_due(self, unix_ms: float) -> bool:
+    def open_due_occurrences(self, unix_ms: float) -> bool:
         """Open the occurrences whose time has come; tell whether there was one."""
-        spec, before = self.accepted.spec, self.opened
-        while self.opened < spec.occurrence_count and unix_ms >= spec.due_ms(self.opened):
+        spec, before = self.accepted.spec, self.opened_count
+        while self.opened_count < spec.occurrence_count and unix_ms >= spec.due_ms(
+            self.opened_count
+        ):
             self.open_occurrence()
-        return self.opened > before
+        return self.opened_count > before
 
     def find_step(self, key: StepKey | TaskKey) -> StepState | None:
         """Return the state of a step, or None if it is not open."""
@@ -207,33 +209,33 @@
             return None
         return step.tasks[key.index]
 
-    def is_ready(self, step: StepState) -> bool:
+    def is_step_ready(self, step: StepState) -> bool:
         """Tell whether all steps before a step are done."""
         occurrence = step.key.occurrence
-        return all(self.steps[(occurrence, number)].done for number in step.spec.after)
+        return all(self.steps[(occurrence, number)].is_done for number in step.spec.after)
 
-    def all_done(self) -> bool:
+    def are_all_tasks_done(self) -> bool:
         """Tell whether every task of every occurrence is done."""
-        if self.opened < self.accepted.spec.occurrence_count:
+        if self.opened_count < self.accepted.spec.occurrence_count:
             return False
-        return all(step.done for step in self.steps.values())
+        return all(step.is_done for step in self.steps.values())
 
-    def progressed(self) -> None:
+    def invalidate_critical_path(self) -> None:
         """Note that a step was opened or done."""
-        self._remaining_ms = None
+        self._remaining_critical_path_ms = None
 
-    def remaining_ms(self) -> float:
+    def remaining_critical_path_ms(self) -> float:
         """Return the longest chain of declared work that is left, in ms."""
-        if self._remaining_ms is None:
-            self._remaining_ms = self._longest_chain_ms()
-        return self._remaining_ms
+        if self._remaining_critical_path_ms is None:
+            self._remaining_critical_path_ms = self._compute_critical_path_ms()
+        return self._remaining_critical_path_ms
 
-    def _longest_chain_ms(self) -> float:
+    def _compute_critical_path_ms(self) -> float:
         steps = self.accepted.spec.steps
         longest = [0.0] * len(steps)
         for number, spec in enumerate(steps):
-            state = self.steps.get((max(0, self.opened - 1), number))
-            own = 0.0 if state is not None and state.done else float(spec.expected_ms)
+            state = self.steps.get((max(0, self.opened_count - 1), number))
+            own = 0.0 if state is not None and state.is_done else float(spec.expected_ms)
             before = max((longest[other] for other in spec.after), default=0.0)
             longest[number] = before + own
         return max(longest, default=0.0)
@@ -241,4 +243,4 @@
 
 def critical_path_ms(accepted: AcceptedJob) -> float:
     """Return the longest chain of declared work of one occurrence, in ms."""
-    return JobState(accepted, 0.0).remaining_ms()
+    return JobState(accepted, 0.0).remaining_critical_path_ms()
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -5,26 +5,26 @@
 import logging
 
 from baobabhoist.cell.jobs import Run, RunPhase, StepState
-from baobabhoist.cell.run_ends import RunEndHandler, lost
+from baobabhoist.cell.run_ends import RunEndHandler, close_lost_run
 from baobabhoist.cell.state import CellState
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.observability.events import Event, emit
 
 log = logging.getLogger(__name__)
 
-STOP_AGAIN_MS = 400.0
+STOP_RETRY_INTERVAL_MS = 400.0
 # A run whose progress stands still for this long is started elsewhere.
-STALLED_MS = 3_000.0
+STALL_TIMEOUT_MS = 3_000.0
 # Entries of live workers are back this long after the store's return.
-ENTRY_RETURN_MS = 2_500.0
+DIRECTORY_RECOVERY_MS = 2_500.0
 
 
 class PeriodicChecks:
     """Look over the board every now and then; all times are on the owner's clock, in ms."""
 
-    def __init__(self, state: CellState, ends: RunEndHandler) -> None:
+    def __init__(self, state: CellState, run_ends: RunEndHandler) -> None:
         self._state = state
-        self._ends = ends
+        self._run_ends = run_ends
 
     def tick(self, now: float, unix_ms: float) -> None:
         """Do what is due."""
@@ -36,28 +36,36 @@
         self._open_occurrences(now, unix_ms)
 
     def _check_lease(self, worker: WorkerState, now: float) -> None:
-        lapsed_ms = worker.lease.lapsed_ms() if worker.lease.known else worker.unheard_lapse_ms
+        lapsed_ms = (
+            worker.lease.expiry_ms() if worker.lease.is_known else worker.inherited_lease_expiry_ms
+        )
         if now > lapsed_ms:
             for run in list(worker.runs.values()):
-                lost(self._state, self._ends, run, now, "the lease of its worker has lapsed")
-        gone = not worker.is_listed and now > worker.unlisted_ms + ENTRY_RETURN_MS
+                close_lost_run(
+                    self._state, self._run_ends, run, now, "the lease of its worker has lapsed"
+                )
+        gone = not worker.is_listed and now > worker.unlisted_since_ms + DIRECTORY_RECOVERY_MS
         if gone and not worker.runs:
             emit(log, Event.WORKER_GONE, worker=worker.worker_id)
             del self._state.workers[worker.worker_id]
 
     def _check_run(self, worker: WorkerState, run: Run, now: float) -> None:
         stopping = run.phase in (RunPhase.STOPPING, RunPhase.UNSURE)
-        if stopping and not run.stop_answered_ms and now - run.stop_sent_ms > STOP_AGAIN_MS:
-            self._state.stop(run, now)
+        if (
+            stopping
+            and not run.stop_answered_ms
+            and now - run.stop_sent_ms > STOP_RETRY_INTERVAL_MS
+        ):
+            self._state.stop_run(run, now)
         stalled = (
             run.phase is RunPhase.RUNNING
             and not run.task.step.spec.lasting
-            and now - run.moved_ms > STALLED_MS
-            and worker.heard_ms > run.moved_ms + STALLED_MS
+            and now - run.last_progress_ms > STALL_TIMEOUT_MS
+            and worker.last_report_ms > run.last_progress_ms + STALL_TIMEOUT_MS
             and run.percent < 100
         )
         if stalled:
-            if worker.health.stalled(now):
+            if worker.health.record_stall(now):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="stalled")
             emit(
                 log,
@@ -67,21 +75,21 @@
                 worker=run.worker_id,
                 percent=run.percent,
             )
-            self._state.stop(run, now)
+            self._state.stop_run(run, now)
 
     def _repair_gangs(self, now: float) -> None:
         """Stop the rest of a gang that lost members under an earlier owner."""
-        for step in list(self._state.ready.values()):
-            if step.spec.gang and 0 < step.idle < step.pending:
+        for step in list(self._state.ready_steps.values()):
+            if step.spec.gang and 0 < step.idle_count < step.pending_count:
                 self._stop_members(step, now)
 
     def _stop_members(self, step: StepState, now: float) -> None:
         for task in step.tasks:
             run = task.run
             if run is not None and run.phase in (RunPhase.RUNNING, RunPhase.STARTING):
-                self._state.stop(run, now)
+                self._state.stop_run(run, now)
 
     def _open_occurrences(self, now: float, unix_ms: float) -> None:
         for job in list(self._state.jobs.values()):
-            if not job.is_final and job.open_due(unix_ms):
-                self._state.refresh_ready(job, now)
+            if not job.is_final and job.open_due_occurrences(unix_ms):
+                self._state.update_ready_steps(job, now)
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -10,23 +10,23 @@
 from baobabhoist.cell.model import AdviceTerms, Queue, RequestAdvice, Resources
 from baobabhoist.cell.ranking import Rank, Timeliness, rank_step, timeliness_of
 from baobabhoist.cell.reservations import Reservations
-from baobabhoist.cell.speed_matching import speed_cost, tolerance
+from baobabhoist.cell.speed_matching import slowdown_tolerance, speed_cost
 from baobabhoist.cell.state import CellState
 from baobabhoist.cell.worker_index import WorkerIndex
-from baobabhoist.cell.worker_selection import WorkerSlots, gather_gang, slots_on, spread_singles
+from baobabhoist.cell.worker_selection import WorkerSlots, assign_gang, assign_tasks, find_slots
 from baobabhoist.cell.workers import WorkerState
 
 # Most workers that one question to the adviser may name.
-NAMED_MAX = 100
+MAX_WORKERS_PER_REQUEST = 100
 # Tickets are renewed only for this many of the first waiting steps.
-RENEWED_STEPS = 16
+MAX_RENEWING_STEPS = 16
 # A question without an answer is given up after its cost and this.
-ANSWER_SLACK_MS = 4_000.0
+ANSWER_TIMEOUT_MARGIN_MS = 4_000.0
 # Tickets are renewed when they are valid for less than the cost of a question and this.
-RENEW_MARGIN_MS = 100.0
+TICKET_RENEWAL_MARGIN_MS = 100.0
 REMOTE_RACK_COST = 0.5
 # A task that failed on a worker is tried elsewhere, where there is a choice.
-FAILED_HERE_COST = 2.0
+PREVIOUS_FAILURE_COST = 2.0
 
 
 @attrs.define
@@ -36,142 +36,154 @@
     state: CellState
     # How many questions the advisers can work on at once.
     max_advice_requests: int = 1
-    asking: int = 0
-    holds: Reservations = attrs.Factory(Reservations)
+    open_advice_requests: int = 0
+    reservations: Reservations = attrs.Factory(Reservations)
 
     def place_waiting_steps(self, now: float, may_start: bool) -> None:
         """Start what fits, and ask for advice on what waits."""
-        waiting = [step for step in self.state.ready.values() if step.idle]
+        waiting = [step for step in self.state.ready_steps.values() if step.idle_count]
         if not waiting:
             return
         ranked = sorted(waiting, key=lambda step: self._rank(step, now))
-        pools = WorkerIndex(self.state.workers.values(), now)
-        self.holds.begin()
+        worker_index = WorkerIndex(self.state.workers.values(), now)
+        self.reservations.clear()
         for position, step in enumerate(ranked):
             service = self.state.service_of(step.job)
-            if may_start and step.spec.allocation.cpu <= pools.widest(service):
-                self._place(step, pools, now)
-            if step.idle:
-                self._ask(step, position, pools, now)
+            if may_start and step.spec.allocation.cpu <= worker_index.max_free_cpu(service):
+                self._place_step(step, worker_index, now)
+            if step.idle_count:
+                self._request_advice(step, position, worker_index, now)
 
     def _rank(self, step: StepState, now: float) -> Rank:
-        return rank_step(step, self._queue(step), now)
+        return rank_step(step, self._queue_of(step), now)
 
-    def _queue(self, step: StepState) -> Queue | None:
+    def _queue_of(self, step: StepState) -> Queue | None:
         return self.state.queue_of(step.job)
 
-    def _place(self, step: StepState, pools: WorkerIndex, now: float) -> None:
+    def _place_step(self, step: StepState, worker_index: WorkerIndex, now: float) -> None:
         spec = step.spec
-        if spec.gang and step.idle < step.pending:
+        if spec.gang and step.idle_count < step.pending_count:
             return
         team = step.job.accepted.team
-        if not self.holds.limit_open_to(team, step):
+        if not self.reservations.is_team_limit_available(team, step):
             return
-        need = spec.need.times(step.idle if spec.gang else 1)
-        if not self.state.within_limit(step.job, need):
-            if spec.gang and self._may_wait_for_limit(step, need, now):
-                self.holds.wait_for_limit(team, step)
+        need = spec.need.times(step.idle_count if spec.gang else 1)
+        if not self.state.is_within_team_limit(step.job, need):
+            if spec.gang and self._may_reserve_team_limit(step, need, now):
+                self.reservations.reserve_team_limit(team, step)
             return
-        open_to = [w for w in self._open_to(step, pools) if self.holds.open_to(w, step)]
+        open_to = [
+            w
+            for w in self._startable_workers(step, worker_index)
+            if self.reservations.is_worker_available(w, step)
+        ]
         if not open_to and not spec.gang:
             return
-        tolerated = tolerance(step.job, self.state.speeds.stretch(step.job.accepted.queue), now)
-        slots = slots_on(
+        tolerance = slowdown_tolerance(
+            step.job, self.state.speeds.duration_ratio(step.job.accepted.queue), now
+        )
+        slots = find_slots(
             open_to,
             spec,
-            step.idle,
-            _runs_on(step),
-            lambda w: self._placement_cost(w, step, tolerated),
+            step.idle_count,
+            _tasks_by_worker(step),
+            lambda w: self._placement_cost(w, step, tolerance),
         )
         if spec.gang:
-            self._place_gang(step, slots, pools, now)
+            self._place_gang(step, slots, worker_index, now)
             return
-        chosen = spread_singles(slots, step.idle)
+        chosen = assign_tasks(slots, step.idle_count)
         for task, worker in zip(list(step.idle_tasks()), chosen, strict=False):
-            if not self.state.within_limit(step.job, spec.need):
+            if not self.state.is_within_team_limit(step.job, spec.need):
                 return
-            self.state.start(task, worker, self.state.next_number([task]), now)
+            self.state.start_run(task, worker, self.state.next_run_number([task]), now)
 
-    def _may_wait_for_limit(self, step: StepState, need: Resources, now: float) -> bool:
+    def _may_reserve_team_limit(self, step: StepState, need: Resources, now: float) -> bool:
         """Tell whether a gang may keep its team's limit: it fits, and is worth something."""
         team = self.state.team_of(step.job)
         fits = team is not None and team.allows(need)
         return fits and timeliness_of(step.job, now) is not Timeliness.EXPIRED
 
     def _place_gang(
-        self, step: StepState, slots: list[WorkerSlots], pools: WorkerIndex, now: float
+        self, step: StepState, slots: list[WorkerSlots], worker_index: WorkerIndex, now: float
     ) -> None:
         members = list(step.idle_tasks())
-        chosen = gather_gang(slots, len(members), step.spec.same_rack)
+        chosen = assign_gang(slots, len(members), step.spec.same_rack)
         if not chosen:
-            if not self.holds.full:
-                self.holds.gather(step, self._approved(step, pools))
+            if not self.reservations.is_full:
+                self.reservations.reserve_workers(step, self._approved_workers(step, worker_index))
             return
-        number = self.state.next_number(members)
+        number = self.state.next_run_number(members)
         checkpoint = next((m.checkpoint for m in members if m.checkpoint), "")
         for task, worker in zip(members, chosen, strict=True):
             task.checkpoint = checkpoint
-            self.state.start(task, worker, number, now)
+            self.state.start_run(task, worker, number, now)
 
-    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerance: float) -> float:
         """Return how little a worker suits a step: unfit and remote ones come last."""
-        cost = speed_cost(self.state.speeds.factor(worker.worker_id), tolerated)
+        cost = speed_cost(self.state.speeds.worker_slowdown(worker.worker_id), tolerance)
         if step.spec.data_rack and worker.info.rack != step.spec.data_rack:
             cost += REMOTE_RACK_COST
-        if worker.worker_id in step.failed_on:
-            cost += FAILED_HERE_COST
+        if worker.worker_id in step.failed_worker_ids:
+            cost += PREVIOUS_FAILURE_COST
         # Among equals the fuller worker comes first, so that wide room stays whole.
         capacity = max(1, worker.info.capacity.cpu)
         return cost + 0.1 * worker.free_cpu / capacity
 
     # Who may run a step.
 
-    def _open_to(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
+    def _startable_workers(self, step: StepState, worker_index: WorkerIndex) -> list[WorkerState]:
         """Return the workers on which a task of the step may start now, if there is room."""
         service, label = self.state.service_of(step.job), step.spec.label
-        if self.state.queue_needs_advice(step.job):
-            return pools.ticketed(step, service, label)
-        return pools.usable(service, label)
+        if self.state.requires_advice(step.job):
+            return worker_index.workers_with_ticket(step, service, label)
+        return worker_index.usable_workers(service, label)
 
-    def _approved(self, step: StepState, pools: WorkerIndex) -> list[WorkerState]:
+    def _approved_workers(self, step: StepState, worker_index: WorkerIndex) -> list[WorkerState]:
         """Return the usable workers that may run the step, also without a valid ticket."""
         service, label = self.state.service_of(step.job), step.spec.label
-        if self.state.queue_needs_advice(step.job):
-            return pools.approved(step, service, label)
-        return pools.usable(service, label)
+        if self.state.requires_advice(step.job):
+            return worker_index.approved_workers(step, service, label)
+        return worker_index.usable_workers(service, label)
 
     # Advice.
 
-    def _ask(self, step: StepState, position: int, pools: WorkerIndex, now: float) -> None:
-        queue = self._queue(step)
-        if queue is None or queue.advice is None or step.approvals.waits(now):
+    def _request_advice(
+        self, step: StepState, position: int, worker_index: WorkerIndex, now: float
+    ) -> None:
+        queue = self._queue_of(step)
+        if queue is None or queue.advice is None or step.approvals.is_awaiting_answer(now):
             return
-        if self.asking >= self.max_advice_requests or (
-            step.spec.gang and step.idle < step.pending
+        if self.open_advice_requests >= self.max_advice_requests or (
+            step.spec.gang and step.idle_count < step.pending_count
         ):
             return
         service = self.state.service_of(step.job)
-        ids = pools.able_ids(service, step.spec.label, step.spec.allocation)
-        named = step.approvals.unasked(ids)[:NAMED_MAX]
-        if not named and position < RENEWED_STEPS:
-            named = _whom_to_renew(step, ids, queue.advice, now)
+        ids = worker_index.capable_worker_ids(service, step.spec.label, step.spec.allocation)
+        named = step.approvals.unassessed_workers(ids)[:MAX_WORKERS_PER_REQUEST]
+        if not named and position < MAX_RENEWING_STEPS:
+            named = _workers_to_renew(step, ids, queue.advice, now)
         if not named:
             return
         cost = queue.advice.cost_ms(len(named))
-        step.approvals.asked(now + cost + ANSWER_SLACK_MS)
-        self.asking += 1
+        step.approvals.mark_requested(now + cost + ANSWER_TIMEOUT_MARGIN_MS)
+        self.open_advice_requests += 1
         self.state.commands.append(RequestAdvice(step.key, tuple(named), cost))
 
 
-def _whom_to_renew(step: StepState, ids: list[str], terms: AdviceTerms, now: float) -> list[str]:
+def _workers_to_renew(
+    step: StepState, ids: list[str], terms: AdviceTerms, now: float
+) -> list[str]:
     """Return the approved workers if all of their tickets are about to run out."""
     approved = [worker_id for worker_id in ids if worker_id in step.approvals.tickets]
-    if step.approvals.valid(now, now + terms.cost_ms(len(approved)) + RENEW_MARGIN_MS):
+    if step.approvals.count_valid_tickets(
+        now, now + terms.cost_ms(len(approved)) + TICKET_RENEWAL_MARGIN_MS
+    ):
         return []
-    return approved[:NAMED_MAX]
+    return approved[:MAX_WORKERS_PER_REQUEST]
 
 
-def _runs_on(step: StepState) -> Counter[str]:
+def _tasks_by_worker(step: StepState) -> Counter[str]:
     """Return how many tasks of a step each worker runs, if the step bounds it."""
     if not step.spec.most_per_worker:
         return Counter()
--- a/baobabhoist/cell/progress_rows.py
+++ b/baobabhoist/cell/progress_rows.py
@@ -45,9 +45,9 @@
         return JobProgress(job.phase)
     found = []
     for (occurrence, number), step in job.steps.items():
-        done = tuple(task.index for task in step.tasks if task.done)
+        done = tuple(task.index for task in step.tasks if task.is_done)
         failed = {t.index: tuple(sorted(t.failed_runs)) for t in step.tasks if t.failed_runs}
-        saved = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.done}
+        saved = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.is_done}
         runs = {
             task.index: StoredRun(task.run.number, task.run.worker_id)
             for task in step.tasks
--- a/baobabhoist/cell/ranking.py
+++ b/baobabhoist/cell/ranking.py
@@ -28,7 +28,7 @@
 
 def timeliness_of(job: JobState, now: float) -> Timeliness:
     """Return what can still be had of a job if it started now."""
-    done_at = now + job.remaining_ms()
+    done_at = now + job.remaining_critical_path_ms()
     if done_at <= job.objective_ms:
         return Timeliness.ON_TIME
     return Timeliness.LATE if done_at <= job.late_limit_ms else Timeliness.EXPIRED
@@ -39,5 +39,5 @@
     job = step.job
     priority = queue.priority if queue is not None else 0
     # How long the job can still wait and meet its objective.
-    slack_ms = job.objective_ms - now - job.remaining_ms()
+    slack_ms = job.objective_ms - now - job.remaining_critical_path_ms()
     return Rank(timeliness_of(job, now), priority, slack_ms, job.accepted_local_ms)
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -18,15 +18,15 @@
     def __init__(self, state: CellState) -> None:
         self._state = state
 
-    def ended(
+    def record_end(
         self, task: TaskState, number: int, kind: RunOutcome, checkpoint: str, now: float
     ) -> None:
         """Take note of an end that a worker listed; the run itself is closed by the caller."""
         job = task.step.job
-        if checkpoint and not task.done and task.step.spec.checkpoints:
-            self._keep_checkpoint(task, checkpoint)
+        if checkpoint and not task.is_done and task.step.spec.checkpoints:
+            self._save_checkpoint(task, checkpoint)
         if kind is RunOutcome.DONE:
-            self._done(task, now)
+            self._mark_done(task, now)
             return
         emit(
             log,
@@ -36,23 +36,23 @@
             kind=kind.value,
             checkpoint=checkpoint,
         )
-        if kind is RunOutcome.FAILED and number not in task.failed_runs and not task.done:
+        if kind is RunOutcome.FAILED and number not in task.failed_runs and not task.is_done:
             task.failed_runs.add(number)
             if task.run is not None and task.run.number == number:
-                task.step.failed_on.add(task.run.worker_id)
+                task.step.failed_worker_ids.add(task.run.worker_id)
             self._state.dirty.add(job.job_id)
-            self._check_attempts(task, now)
-        if task.step.spec.gang and not task.step.done:
-            self.break_gang(task.step, number, now)
+            self._fail_job_after_max_attempts(task, now)
+        if task.step.spec.gang and not task.step.is_done:
+            self.stop_gang_run(task.step, number, now)
 
-    def break_gang(self, step: StepState, number: int, now: float) -> None:
+    def stop_gang_run(self, step: StepState, number: int, now: float) -> None:
         """Stop what still runs of a gang's run, so that the gang can start again whole."""
         for member in step.tasks:
             run = member.run
             if run is not None and run.number == number and run.phase is not RunPhase.STOPPING:
-                self._state.stop(run, now)
+                self._state.stop_run(run, now)
 
-    def _done(self, task: TaskState, now: float) -> None:
+    def _mark_done(self, task: TaskState, now: float) -> None:
         step, job = task.step, task.step.job
         if step.spec.lasting:
             return
@@ -62,43 +62,45 @@
             return
         self._state.dirty.add(job.job_id)
         for member in members:
-            self._time(member, now)
-        if step.done:
-            self._state.refresh_ready(job, now)
-        if not job.is_final and job.all_done():
-            self._state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
+            self._record_success(member, now)
+        if step.is_done:
+            self._state.update_ready_steps(job, now)
+        if not job.is_final and job.are_all_tasks_done():
+            self._state.finish_job(job, JobPhase.COMPLETED, now, "all tasks are done")
 
-    def _time(self, task: TaskState, now: float) -> None:
+    def _record_success(self, task: TaskState, now: float) -> None:
         run = task.run
         worker = self._state.workers.get(run.worker_id) if run is not None else None
         if run is None or worker is None:
             return
-        worker.health.succeeded()
+        worker.health.record_success()
         spec = task.step.spec
         # A gang runs at the pace of its slowest member, and a resumed run not from the start.
-        if run.whole and not spec.gang and run.confirmed_ms:
+        if run.is_from_start and not spec.gang and run.confirmed_ms:
             queue = task.step.job.accepted.queue
             took_ms = now - run.confirmed_ms
             self._state.speeds.observe(run.worker_id, queue, took_ms, spec.expected_ms)
 
-    def _check_attempts(self, task: TaskState, now: float) -> None:
+    def _fail_job_after_max_attempts(self, task: TaskState, now: float) -> None:
         job = task.step.job
         queue = self._state.queue_of(job)
-        attempts = task.step.failures(task)
+        attempts = task.step.failed_attempts(task)
         if queue is None or task.step.spec.lasting or attempts < queue.max_attempts:
             return
-        self._state.finish(
+        self._state.finish_job(
             job, JobPhase.FAILED, now, f"task {task.key.to_text()} failed {attempts} times"
         )
 
-    def _keep_checkpoint(self, task: TaskState, checkpoint: str) -> None:
+    def _save_checkpoint(self, task: TaskState, checkpoint: str) -> None:
         members = task.step.tasks if task.step.spec.gang else [task]
         for member in members:
             member.checkpoint = checkpoint
         self._state.dirty.add(task.step.job.job_id)
 
 
-def lost(state: CellState, ends: RunEndHandler, run: Run, now: float, reason: str) -> None:
+def close_lost_run(
+    state: CellState, run_ends: RunEndHandler, run: Run, now: float, reason: str
+) -> None:
     """Close a run that is certain to be gone without an end in any list."""
     emit(
         log,
@@ -108,6 +110,6 @@
         worker=run.worker_id,
         reason=reason,
     )
-    state.close(run)
-    if run.task.step.spec.gang and not run.task.step.done:
-        ends.break_gang(run.task.step, run.number, now)
+    state.close_run(run)
+    if run.task.step.spec.gang and not run.task.step.is_done:
+        run_ends.stop_gang_run(run.task.step, run.number, now)
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -45,7 +45,7 @@
 
     generation: int
     claim_version: int
-    lapsed_ms: float = 0.0
+    inherited_leases_expire_ms: float = 0.0
 
 
 class CellScheduler:
@@ -57,9 +57,9 @@
         self.placer = TaskPlacer(self.state)
         self._takeover = takeover
         self._lease_ms = lease_ms
-        self._ends = RunEndHandler(self.state)
-        self._reports = WorkerReportHandler(self.state, self._ends)
-        self._upkeep = PeriodicChecks(self.state, self._ends)
+        self._run_ends = RunEndHandler(self.state)
+        self._reports = WorkerReportHandler(self.state, self._run_ends)
+        self._periodic_checks = PeriodicChecks(self.state, self._run_ends)
 
     # Jobs.
 
@@ -70,13 +70,13 @@
         if accepted.job_id in self.state.jobs:
             return False
         job = JobState(accepted, accepted_local_ms)
-        job.inherited = accepted.version < self._takeover.claim_version
+        job.is_inherited = accepted.version < self._takeover.claim_version
         self._set_objective(job)
         self.state.jobs[accepted.job_id] = job
-        job.open_due(unix_ms)
-        self.state.refresh_ready(job, now)
-        if not job.inherited:
-            self._announce(job, now)
+        job.open_due_occurrences(unix_ms)
+        self.state.update_ready_steps(job, now)
+        if not job.is_inherited:
+            self._log_ownership(job, now)
         return True
 
     def _adopt_stored_runs(self, job: JobState, progress: JobProgress, now: float) -> None:
@@ -87,28 +87,30 @@
                 task = step.tasks[index] if step is not None else None
                 if task is None or task.run is not None:
                     continue
-                worker = self._worker_for(stored.worker_id, now)
-                run = self.state.adopt(task, worker, stored.number, now)
+                worker = self._worker_or_placeholder(stored.worker_id, now)
+                run = self.state.adopt_run(task, worker, stored.number, now)
                 if job.is_final:
-                    self.state.stop(run, now)
+                    self.state.stop_run(run, now)
 
-    def _worker_for(self, worker_id: str, now: float) -> WorkerState:
+    def _worker_or_placeholder(self, worker_id: str, now: float) -> WorkerState:
         """Return a worker, or a placeholder for one that the directory does not list."""
         worker = self.state.workers.get(worker_id)
         if worker is None:
             info = WorkerInfo(worker_id, "", "", "", NO_RESOURCES, ())
-            worker = WorkerState(info, Lease(self._lease_ms), is_listed=False, unlisted_ms=now)
+            worker = WorkerState(
+                info, Lease(self._lease_ms), is_listed=False, unlisted_since_ms=now
+            )
             self.state.workers[worker_id] = worker
-        worker.unheard_lapse_ms = self._takeover.lapsed_ms
+        worker.inherited_lease_expiry_ms = self._takeover.inherited_leases_expire_ms
         return worker
 
     def log_inherited_jobs(self, now: float) -> None:
         """Log the unfinished jobs that were taken over, once their progress is known."""
         for job in self.state.jobs.values():
-            if job.inherited and not job.is_final:
-                self._announce(job, now)
+            if job.is_inherited and not job.is_final:
+                self._log_ownership(job, now)
 
-    def _announce(self, job: JobState, now: float) -> None:
+    def _log_ownership(self, job: JobState, now: float) -> None:
         steps = job.accepted.spec.steps
         emit(
             log,
@@ -121,7 +123,7 @@
             tasks=sum(step.count for step in steps),
             accepted_ms_ago=round(now - job.accepted_local_ms),
             objective_ms=round(job.objective_ms - job.accepted_local_ms),
-            inherited=job.inherited,
+            inherited=job.is_inherited,
         )
 
     def restore_job(self, job_id: str, progress: JobProgress, now: float) -> None:
@@ -138,16 +140,16 @@
             job.ended_ms = now
             job.drop_payload()
         self._adopt_stored_runs(job, progress, now)
-        self.state.refresh_ready(job, now)
-        if not job.is_final and job.all_done():
-            self.state.finish(job, JobPhase.COMPLETED, now, "all tasks are done")
+        self.state.update_ready_steps(job, now)
+        if not job.is_final and job.are_all_tasks_done():
+            self.state.finish_job(job, JobPhase.COMPLETED, now, "all tasks are done")
 
     def cancel_job(self, job_id: str, now: float) -> bool:
         """Cancel a job; tell whether it is known."""
         job = self.state.jobs.get(job_id)
         if job is None:
             return False
-        self.state.finish(job, JobPhase.CANCELLED, now, "its team cancelled it")
+        self.state.finish_job(job, JobPhase.CANCELLED, now, "its team cancelled it")
         return True
 
     def find_job(self, job_id: str) -> JobState | None:
@@ -167,7 +169,7 @@
         job = self.state.jobs.pop(job_id, None)
         if job is not None:
             for step in job.steps.values():
-                self.state.ready.pop(step.key, None)
+                self.state.ready_steps.pop(step.key, None)
 
     # Configuration and workers.
 
@@ -203,7 +205,7 @@
         """Note that the directory dropped a worker; what runs there is still followed."""
         worker = self.state.workers.get(worker_id)
         if worker is not None and worker.is_listed:
-            worker.is_listed, worker.unlisted_ms = False, now
+            worker.is_listed, worker.unlisted_since_ms = False, now
             emit(log, Event.WORKER_UNLISTED, worker=worker_id, runs=len(worker.runs))
 
     def handle_report(
@@ -213,23 +215,23 @@
         worker = self.state.workers.get(worker_id)
         if worker is None:
             return
-        self._reports.reported(worker, report, sent_ms, now)
+        self._reports.handle_report(worker, report, sent_ms, now)
 
-    def handle_start_result(self, order: StartTask, outcome: CommandOutcome, now: float) -> None:
+    def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a start."""
-        self._note_fence(outcome)
-        self._reports.start_answered(order, outcome, now)
+        self._check_fenced(outcome)
+        self._reports.handle_start_result(command, outcome, now)
 
-    def should_send_start(self, order: StartTask) -> bool:
+    def should_send_start(self, command: StartTask) -> bool:
         """Tell whether a start that waited to be stored should still be sent."""
-        worker = self.state.workers.get(order.worker_id)
-        run = worker.runs.get(order.task) if worker is not None else None
-        return run is not None and run.number == order.run and not run.stop_sent_ms
+        worker = self.state.workers.get(command.worker_id)
+        run = worker.runs.get(command.task) if worker is not None else None
+        return run is not None and run.number == command.run and not run.stop_sent_ms
 
-    def handle_stop_result(self, order: StopTask, outcome: CommandOutcome, now: float) -> None:
+    def handle_stop_result(self, command: StopTask, outcome: CommandOutcome, now: float) -> None:
         """Take the answer to a stop."""
-        self._note_fence(outcome)
-        self._reports.stop_answered(order, outcome, now)
+        self._check_fenced(outcome)
+        self._reports.handle_stop_result(command, outcome, now)
 
     def mark_fenced(self) -> None:
         """Note that a worker obeys a later owner."""
@@ -243,37 +245,37 @@
         valid_until_ms: float,
     ) -> None:
         """Take the adviser's answer."""
-        self.placer.asking -= 1
-        step = self._step(key)
+        self.placer.open_advice_requests -= 1
+        step = self._find_step(key)
         if step is not None:
-            step.approvals.answered(named, approved, valid_until_ms)
+            step.approvals.record_answer(named, approved, valid_until_ms)
 
     def handle_advice_failure(self, key: StepKey, retry_ms: float) -> None:
         """Note that a question got no answer."""
-        self.placer.asking -= 1
-        step = self._step(key)
+        self.placer.open_advice_requests -= 1
+        step = self._find_step(key)
         if step is not None:
-            step.approvals.failed(retry_ms)
+            step.approvals.retry_from(retry_ms)
 
     # What the metrics show.
 
     def count_queued_tasks(self) -> dict[str, int]:
         """Return how many tasks wait for a start, by queue."""
         counts: Counter[str] = Counter()
-        for step in self.state.ready.values():
-            counts[step.job.accepted.queue] += step.idle
+        for step in self.state.ready_steps.values():
+            counts[step.job.accepted.queue] += step.idle_count
         return dict(counts)
 
     def min_lease_margin_ms(self, now: float) -> float:
         """Return the time until the first known lease of a busy worker would lapse."""
-        busy = [w for w in self.state.workers.values() if w.runs and w.lease.known]
-        return min((w.lease.lapsed_ms() - now for w in busy), default=0.0)
+        busy = [w for w in self.state.workers.values() if w.runs and w.lease.is_known]
+        return min((w.lease.expiry_ms() - now for w in busy), default=0.0)
 
     # Time and decisions.
 
     def tick(self, now: float, unix_ms: float) -> None:
         """Do what time alone brings."""
-        self._upkeep.tick(now, unix_ms)
+        self._periodic_checks.tick(now, unix_ms)
 
     def schedule(self, now: float, may_start: bool) -> list[Command]:
         """Decide, and return all commands since the last call."""
@@ -297,10 +299,10 @@
         target = queue.target_latency_ms if queue is not None else 0
         job.objective_ms = job.accepted_local_ms + slack * critical_path_ms(job.accepted) + target
 
-    def _step(self, key: StepKey) -> StepState | None:
+    def _find_step(self, key: StepKey) -> StepState | None:
         job = self.state.jobs.get(key.job_id)
         return job.find_step(key) if job is not None else None
 
-    def _note_fence(self, outcome: CommandOutcome) -> None:
+    def _check_fenced(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED:
             self.mark_fenced()
--- a/baobabhoist/cell/speed_matching.py
+++ b/baobabhoist/cell/speed_matching.py
@@ -9,22 +9,22 @@
 from baobabhoist.cell.jobs import JobState
 
 # Of the time that a job has left, this part may be planned for: declared times are far off.
-PLANNED_PART = 0.5
+USABLE_SLACK_FRACTION = 0.5
 # A job with less than this many times its work left takes the fastest worker.
-PATIENT_FROM = 3.0
+MIN_TOLERANCE_FOR_SLOW_WORKERS = 3.0
 # Keeps every worker that is too slow behind every one that is fast enough.
 TOO_SLOW_COST = 10.0
 
 
-def tolerance(job: JobState, stretch: float, now: float) -> float:
+def slowdown_tolerance(job: JobState, duration_ratio: float, now: float) -> float:
     """Return how many times longer than on a mean worker the rest of a job may take."""
-    work_ms = max(1.0, job.remaining_ms() * stretch)
+    work_ms = max(1.0, job.remaining_critical_path_ms() * duration_ratio)
     return (job.objective_ms - now) / work_ms
 
 
-def speed_cost(factor: float, tolerated: float) -> float:
+def speed_cost(slowdown: float, tolerance: float) -> float:
     """Return how little a worker of this slowness suits; the least comes first."""
-    if tolerated < PATIENT_FROM:
-        return factor
-    limit = tolerated * PLANNED_PART
-    return limit - factor if factor <= limit else TOO_SLOW_COST + factor
+    if tolerance < MIN_TOLERANCE_FOR_SLOW_WORKERS:
+        return slowdown
+    limit = tolerance * USABLE_SLACK_FRACTION
+    return limit - slowdown if slowdown <= limit else TOO_SLOW_COST + slowdown
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -39,9 +39,9 @@
     generation: int = 0
     jobs: dict[str, JobState] = attrs.Factory(dict)
     workers: dict[str, WorkerState] = attrs.Factory(dict)
-    usage: dict[str, Resources] = attrs.Factory(lambda: defaultdict(lambda: NO_RESOURCES))
+    team_usage: dict[str, Resources] = attrs.Factory(lambda: defaultdict(lambda: NO_RESOURCES))
     # Steps whose turn has come and that are not done.
-    ready: dict[StepKey, StepState] = attrs.Factory(dict)
+    ready_steps: dict[StepKey, StepState] = attrs.Factory(dict)
     speeds: SpeedEstimates = attrs.Factory(SpeedEstimates)
     commands: list[Command] = attrs.Factory(list)
     # Jobs whose durable progress has changed.
@@ -60,43 +60,43 @@
         queue = self.queue_of(job)
         return queue.service if queue is not None else job.accepted.service
 
-    def queue_needs_advice(self, job: JobState) -> bool:
+    def requires_advice(self, job: JobState) -> bool:
         """Tell whether the job's tasks start only with a ticket of the placement adviser."""
         queue = self.queue_of(job)
         return queue is not None and queue.advice is not None
 
-    def within_limit(self, job: JobState, need: Resources) -> bool:
+    def is_within_team_limit(self, job: JobState, need: Resources) -> bool:
         """Tell whether the team of a job may have this much more running."""
         team = self.team_of(job)
         if team is None:
             return True
-        return team.allows(self.usage[job.accepted.team].plus(need))
+        return team.allows(self.team_usage[job.accepted.team].plus(need))
 
-    def refresh_ready(self, job: JobState, now: float) -> None:
+    def update_ready_steps(self, job: JobState, now: float) -> None:
         """List the steps of a job whose turn has come, and drop the others."""
         for step in job.steps.values():
-            if job.is_final or step.done:
-                self.ready.pop(step.key, None)
-                step.drop_advice()
-            elif step.key not in self.ready and job.is_ready(step):
+            if job.is_final or step.is_done:
+                self.ready_steps.pop(step.key, None)
+                step.discard_approvals()
+            elif step.key not in self.ready_steps and job.is_step_ready(step):
                 step.ready_since_ms = now
-                self.ready[step.key] = step
+                self.ready_steps[step.key] = step
 
     # Runs.
 
-    def start(self, task: TaskState, worker: WorkerState, number: int, now: float) -> None:
+    def start_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> None:
         """Order a run and count it from now on."""
         job = task.step.job
-        ticket = task.step.approvals.ticket(worker.worker_id, now)
-        run = self._count(task, worker, number, RunPhase.STARTING, now)
-        run.whole = not task.checkpoint
+        ticket = task.step.approvals.valid_ticket(worker.worker_id, now)
+        run = self._add_run(task, worker, number, RunPhase.STARTING, now)
+        run.is_from_start = not task.checkpoint
         # The run must be stored before it is ordered, so that the next owner knows of it.
         self.dirty.add(job.job_id)
         if job.phase is JobPhase.QUEUED:
             job.phase = JobPhase.RUNNING
         payload = job.accepted.spec.payload
-        order = StartTask(worker.worker_id, task.key, number, payload, task.checkpoint, ticket)
-        self.commands.append(order)
+        command = StartTask(worker.worker_id, task.key, number, payload, task.checkpoint, ticket)
+        self.commands.append(command)
         emit(
             log,
             Event.RUN_STARTED,
@@ -109,44 +109,44 @@
             checkpoint=task.checkpoint,
         )
 
-    def adopt(self, task: TaskState, worker: WorkerState, number: int, now: float) -> Run:
+    def adopt_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> Run:
         """Count a run that an earlier owner ordered."""
-        run = self._count(task, worker, number, RunPhase.RUNNING, now)
+        run = self._add_run(task, worker, number, RunPhase.RUNNING, now)
         run.confirmed_ms = now
         if task.step.job.phase is JobPhase.QUEUED:
             task.step.job.phase = JobPhase.RUNNING
         return run
 
-    def next_number(self, tasks: list[TaskState]) -> int:
+    def next_run_number(self, tasks: list[TaskState]) -> int:
         """Return a run number above all that these tasks had under any owner."""
         return max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run for task in tasks)) + 1
 
-    def stop(self, run: Run, now: float) -> None:
+    def stop_run(self, run: Run, now: float) -> None:
         """Order the end of a run."""
         if run.phase is not RunPhase.UNSURE:
             run.phase = RunPhase.STOPPING
         run.stop_sent_ms = now
         self.commands.append(StopTask(run.worker_id, run.task.key, run.number))
 
-    def stop_orphan(self, worker: WorkerState, task: TaskKey, number: int) -> None:
+    def stop_orphan_run(self, worker: WorkerState, task: TaskKey, number: int) -> None:
         """Order the end of a run that this owner does not want."""
-        if worker.orphans.get(task) != number:
+        if worker.orphan_runs.get(task) != number:
             emit(
                 log, Event.ORPHAN_STOPPED, task=task.to_text(), run=number, worker=worker.worker_id
             )
-        worker.orphans[task] = number
+        worker.orphan_runs[task] = number
         self.commands.append(StopTask(worker.worker_id, task, number))
 
-    def close(self, run: Run) -> None:
+    def close_run(self, run: Run) -> None:
         """Stop counting a run that is known to have ended, or never to have begun."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
-            worker.release(run)
+            worker.remove_run(run)
         team = run.task.step.job.accepted.team
-        self.usage[team] = self.usage[team].minus(run.task.step.spec.need)
-        run.task.step.detach(run)
+        self.team_usage[team] = self.team_usage[team].minus(run.task.step.spec.need)
+        run.task.step.detach_run(run)
 
-    def finish(self, job: JobState, phase: JobPhase, now: float, reason: str) -> None:
+    def finish_job(self, job: JobState, phase: JobPhase, now: float, reason: str) -> None:
         """Bring a job to its final state and stop what still runs of it."""
         if job.is_final:
             return
@@ -162,20 +162,20 @@
             after_ms=round(now - job.accepted_local_ms),
             objective_ms=round(job.objective_ms - job.accepted_local_ms),
         )
-        self.refresh_ready(job, now)
+        self.update_ready_steps(job, now)
         job.drop_payload()
         for step in job.steps.values():
             for task in step.tasks:
                 if task.run is not None and task.run.phase is not RunPhase.STOPPING:
-                    self.stop(task.run, now)
+                    self.stop_run(task.run, now)
 
-    def _count(
+    def _add_run(
         self, task: TaskState, worker: WorkerState, number: int, phase: RunPhase, now: float
     ) -> Run:
         run = Run(task, number, worker.worker_id, task.step.spec.allocation, phase)
-        run.moved_ms = now
-        task.step.attach(run)
-        worker.take(run)
+        run.last_progress_ms = now
+        task.step.attach_run(run)
+        worker.add_run(run)
         team = task.step.job.accepted.team
-        self.usage[team] = self.usage[team].plus(task.step.spec.need)
+        self.team_usage[team] = self.team_usage[team].plus(task.step.spec.need)
         return run
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -25,63 +25,65 @@
 
     def __init__(self, workers: Iterable[WorkerState], now: float) -> None:
         self._now = now
-        self._all = list(workers)
+        self._workers = list(workers)
         self._usable: dict[str, dict[str, WorkerState]] = {}
         self._groups: dict[str, list[WorkerGroup]] | None = None
-        self._ids: dict[tuple[int, ...], list[str]] = {}
-        self._widest: dict[str, int] = {}
-        for worker in self._all:
-            if worker.usable(now):
+        self._ids_by_groups: dict[tuple[int, ...], list[str]] = {}
+        self._max_free_cpu: dict[str, int] = {}
+        for worker in self._workers:
+            if worker.can_start_tasks(now):
                 service = worker.info.service
                 self._usable.setdefault(service, {})[worker.info.worker_id] = worker
                 free = worker.free_cpu
-                if free > self._widest.get(service, -1):
-                    self._widest[service] = free
+                if free > self._max_free_cpu.get(service, -1):
+                    self._max_free_cpu[service] = free
 
-    def widest(self, service: str) -> int:
+    def max_free_cpu(self, service: str) -> int:
         """Return the most free processors of a usable worker at the start of the round."""
-        return self._widest.get(service, -1)
+        return self._max_free_cpu.get(service, -1)
 
-    def usable(self, service: str, label: str) -> list[WorkerState]:
+    def usable_workers(self, service: str, label: str) -> list[WorkerState]:
         """Return the workers of a service, with a label, that take tasks now."""
         found = self._usable.get(service, {}).values()
         return [worker for worker in found if not label or label in worker.info.labels]
 
-    def approved(self, step: StepState, service: str, label: str) -> list[WorkerState]:
+    def approved_workers(self, step: StepState, service: str, label: str) -> list[WorkerState]:
         """Return the usable workers that the adviser approved for a step."""
-        return self._among(step.approvals.tickets, service, label)
+        return self._filter_usable(step.approvals.tickets, service, label)
 
-    def ticketed(self, step: StepState, service: str, label: str) -> list[WorkerState]:
+    def workers_with_ticket(self, step: StepState, service: str, label: str) -> list[WorkerState]:
         """Return the usable workers for which a step has a valid ticket."""
         now = self._now
         valid = [w for w, t in step.approvals.tickets.items() if t.expires_ms > now and t.text]
-        return self._among(valid, service, label)
+        return self._filter_usable(valid, service, label)
 
-    def _among(self, ids: Iterable[str], service: str, label: str) -> list[WorkerState]:
+    def _filter_usable(self, ids: Iterable[str], service: str, label: str) -> list[WorkerState]:
         usable = self._usable.get(service, {})
         found = [usable[worker_id] for worker_id in ids if worker_id in usable]
         return [worker for worker in found if not label or label in worker.info.labels]
 
-    def able_ids(self, service: str, label: str, need: Resources) -> list[str]:
+    def capable_worker_ids(self, service: str, label: str, need: Resources) -> list[str]:
         """Return the ids of the listed workers that could run a task once they are free."""
-        groups = self._able_groups(service, label, need)
+        groups = self._capable_groups(service, label, need)
         key = tuple(map(id, groups))
-        if key not in self._ids:
-            self._ids[key] = [worker.worker_id for group in groups for worker in group.workers]
-        return self._ids[key]
+        if key not in self._ids_by_groups:
+            self._ids_by_groups[key] = [
+                worker.worker_id for group in groups for worker in group.workers
+            ]
+        return self._ids_by_groups[key]
 
-    def _able_groups(self, service: str, label: str, need: Resources) -> list[WorkerGroup]:
+    def _capable_groups(self, service: str, label: str, need: Resources) -> list[WorkerGroup]:
         if self._groups is None:
-            self._groups = self._group()
+            self._groups = self._group_workers()
         return [
             group
             for group in self._groups.get(service, ())
             if need.fits_into(group.capacity) and (not label or label in group.labels)
         ]
 
-    def _group(self) -> dict[str, list[WorkerGroup]]:
+    def _group_workers(self) -> dict[str, list[WorkerGroup]]:
         groups: dict[tuple[str, Resources, tuple[str, ...]], WorkerGroup] = {}
-        for worker in self._all:
+        for worker in self._workers:
             info = worker.info
             if worker.is_listed and not info.is_draining:
                 key = (info.service, info.capacity, info.labels)
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -20,7 +20,7 @@
     cost: float
 
 
-def room_for(free: Resources, need: Resources, most: int) -> int:
+def tasks_that_fit(free: Resources, need: Resources, most: int) -> int:
     """Return how many tasks of a size fit into a room, at most `most`."""
     for have, want in (
         (free.cpu, need.cpu),
@@ -32,7 +32,7 @@
     return max(0, most)
 
 
-def slots_on(
+def find_slots(
     workers: Iterable[WorkerState],
     step: Step,
     wanted: int,
@@ -47,14 +47,14 @@
         most = wanted
         if step.most_per_worker:
             most = min(most, step.most_per_worker - running[worker.worker_id])
-        count = room_for(worker.free, step.allocation, most)
+        count = tasks_that_fit(worker.free, step.allocation, most)
         if count > 0:
             found.append(WorkerSlots(worker, count, cost(worker)))
     found.sort(key=lambda slot: slot.cost)
     return found
 
 
-def spread_singles(slots: list[WorkerSlots], wanted: int) -> list[WorkerState]:
+def assign_tasks(slots: list[WorkerSlots], wanted: int) -> list[WorkerState]:
     """Return a worker for each of as many tasks as fit, the cheapest first."""
     chosen: list[WorkerState] = []
     for slot in slots:
@@ -64,7 +64,7 @@
     return chosen
 
 
-def gather_gang(slots: list[WorkerSlots], wanted: int, same_rack: bool) -> list[WorkerState]:
+def assign_gang(slots: list[WorkerSlots], wanted: int, same_rack: bool) -> list[WorkerState]:
     """Return a worker for each member, or nothing unless all fit at once.
 
     With `same_rack` one rack is taken if it has the room, else several.
@@ -72,8 +72,8 @@
     if same_rack:
         for rack in dict.fromkeys(slot.worker.info.rack for slot in slots):
             inside = [slot for slot in slots if slot.worker.info.rack == rack]
-            chosen = spread_singles(inside, wanted)
+            chosen = assign_tasks(inside, wanted)
             if len(chosen) == wanted:
                 return chosen
-    chosen = spread_singles(slots, wanted)
+    chosen = assign_tasks(slots, wanted)
     return chosen if len(chosen) == wanted else []
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -111,31 +111,31 @@
                 self.undelivered.append(command)
         return commands
 
-    def deliver_command(self, order, answer=True):
+    def deliver_command(self, command, answer=True):
         """Deliver an order, and its answer unless that is lost."""
-        worker = self.workers[order.worker_id]
-        if isinstance(order, StartTask):
-            state = self.cell.state.workers[order.worker_id]
+        worker = self.workers[command.worker_id]
+        if isinstance(command, StartTask):
+            state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS)
-            outcome = worker.start(self.token, order, deadline or 0)
+            outcome = worker.start(self.token, command, deadline or 0)
             self.cell.handle_start_result(
-                order, outcome if answer else CommandOutcome.UNKNOWN, self.now
+                command, outcome if answer else CommandOutcome.UNKNOWN, self.now
             )
-        elif isinstance(order, StopTask):
-            outcome = worker.stop(self.token, order)
+        elif isinstance(command, StopTask):
+            outcome = worker.stop(self.token, command)
             self.cell.handle_stop_result(
-                order, outcome if answer else CommandOutcome.UNKNOWN, self.now
+                command, outcome if answer else CommandOutcome.UNKNOWN, self.now
             )
         return outcome
 
-    def lose_answer(self, order):
+    def lose_answer(self, command):
         """Tell the owner that an order got no answer, without delivering it."""
         answered = (
             self.cell.handle_start_result
-            if isinstance(order, StartTask)
+            if isinstance(command, StartTask)
             else self.cell.handle_stop_result
         )
-        answered(order, CommandOutcome.UNKNOWN, self.now)
+        answered(command, CommandOutcome.UNKNOWN, self.now)
 
     def advance(self, ms, renew=True):
         """Let time pass in steps of a tick."""
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -62,7 +62,7 @@
         rig.renew_all()
         rig.cell.tick(rig.now, rig.now)
         assert not [c for c in rig.schedule() if isinstance(c, StartTask)]
-    assert rig.cell.state.usage["team"] == SMALL
+    assert rig.cell.state.team_usage["team"] == SMALL
 
 
 def test_an_answered_stop_frees_a_run_that_never_came():
@@ -245,7 +245,7 @@
     rig.settle()
     assert rig.running_tasks() == []
     assert rig.job_phase() is JobPhase.CANCELLED
-    assert rig.cell.state.usage["team"] == Resources()
+    assert rig.cell.state.team_usage["team"] == Resources()
 
 
 def test_a_team_stays_within_its_limit_on_all_workers_together():
@@ -271,8 +271,8 @@
 def test_an_unwanted_run_is_stopped_and_blocks_its_worker_until_it_is_gone():
     """Guard against room that an unknown run takes without being counted."""
     rig = CellHarness.with_workers(1)
-    order = StartTask("w0", make_task_key("f" * 16), 1, "(payload)")
-    rig.workers["w0"].start(rig.token, order, 10**9)
+    command = StartTask("w0", make_task_key("f" * 16), 1, "(payload)")
+    rig.workers["w0"].start(rig.token, command, 10**9)
     rig.delivers_commands = False
     rig.renew_all()
     rig.submit(make_job())
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -24,19 +24,23 @@
 def test_slow_workers_are_known_after_a_few_tasks():
     """Guard against short jobs that miss their objective on a slow worker for long."""
     speeds = learn(0.3, 18)
-    assert speeds.factor("fast") < speeds.factor("mean") < speeds.factor("slow")
-    assert speeds.factor("slow") / speeds.factor("fast") > 1.7
+    assert (
+        speeds.worker_slowdown("fast")
+        < speeds.worker_slowdown("mean")
+        < speeds.worker_slowdown("slow")
+    )
+    assert speeds.worker_slowdown("slow") / speeds.worker_slowdown("fast") > 1.7
 
 
 def test_times_that_are_far_off_move_the_figures_less():
     """Guard against one misdeclared job that makes a good worker look slow."""
     speeds = learn(0.2, 60)
-    before = speeds.factor("fast")
+    before = speeds.worker_slowdown("fast")
     for _ in range(20):
         speeds.observe("mean", "wild", 30_000.0, 1000.0)
         speeds.observe("mean", "wild", 100.0, 1000.0)
     speeds.observe("fast", "wild", 9_000.0, 1000.0)
-    assert speeds.factor("fast") < 1.15 * before
+    assert speeds.worker_slowdown("fast") < 1.15 * before
 
 
 def test_a_worker_that_turns_slow_is_seen():
@@ -44,7 +48,7 @@
     speeds = learn(0.2, 200)
     for _ in range(12):
         speeds.observe("fast", "q", 1400.0 * 5.0, 1000.0)
-    assert speeds.factor("fast") > speeds.factor("slow")
+    assert speeds.worker_slowdown("fast") > speeds.worker_slowdown("slow")
 
 
 def test_the_fastest_free_worker_comes_first():
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -41,7 +41,7 @@
 
     token: int
     deadline_ms: int
-    order: object
+    command: object
 
 
 class CellMachine(RuleBasedStateMachine):
@@ -128,25 +128,25 @@
 
     @rule()
     def decide(self):
-        for order in self.cell.schedule(self.now, True):
-            state = self.cell.state.workers[order.worker_id]
+        for command in self.cell.schedule(self.now, True):
+            state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS) or 0
-            waiting = self.unstored if isinstance(order, StartTask) else self.sent
-            waiting.append(Sent(self.token, deadline, order))
+            waiting = self.unstored if isinstance(command, StartTask) else self.sent
+            waiting.append(Sent(self.token, deadline, command))
 
     @precondition(lambda self: self.sent)
     @rule(data=st.data(), answer=st.booleans())
     def deliver(self, data, answer):
         sent = self.sent.pop(data.draw(st.integers(0, len(self.sent) - 1)))
-        if sent.order.worker_id in self.cut:
+        if sent.command.worker_id in self.cut:
             self._answer(sent, CommandOutcome.UNKNOWN)
             return
-        worker = self.workers[sent.order.worker_id]
-        if isinstance(sent.order, StartTask):
+        worker = self.workers[sent.command.worker_id]
+        if isinstance(sent.command, StartTask):
             self._check_start(sent)
-            outcome = worker.start(sent.token, sent.order, sent.deadline_ms)
+            outcome = worker.start(sent.token, sent.command, sent.deadline_ms)
         else:
-            outcome = worker.stop(sent.token, sent.order)
+            outcome = worker.stop(sent.token, sent.command)
         self._answer(sent, outcome if answer else CommandOutcome.UNKNOWN)
 
     @precondition(lambda self: self.sent)
@@ -158,18 +158,18 @@
     def _answer(self, sent, outcome):
         if sent.token != self.token:
             return
-        if isinstance(sent.order, StartTask):
-            self.cell.handle_start_result(sent.order, outcome, self.now)
+        if isinstance(sent.command, StartTask):
+            self.cell.handle_start_result(sent.command, outcome, self.now)
         else:
-            self.cell.handle_stop_result(sent.order, outcome, self.now)
+            self.cell.handle_stop_result(sent.command, outcome, self.now)
 
     def _check_start(self, sent):
         """A start that would take effect must not be one of a task that is settled."""
-        key, worker = sent.order.task, self.workers[sent.order.worker_id]
+        key, worker = sent.command.task, self.workers[sent.command.worker_id]
         before = dict(worker.runs)
         if worker.token > sent.token or sent.deadline_ms <= worker.now or key in before:
             return
-        if sent.order.run <= worker.ended_runs.get(key, 0):
+        if sent.command.run <= worker.ended_runs.get(key, 0):
             return
         assert key not in self.noted, f"{key} starts after its end was noted"
         failures = self.noted_failures.get(key, set())
@@ -193,7 +193,7 @@
         seen = {w: s.last_seen_end for w, s in self.cell.state.workers.items()}
         for job_id, saved in self.cell.take_unsaved_progress().items():
             self.stored[job_id] = saved
-        self.sent += [s for s in self.unstored if self.cell.should_send_start(s.order)]
+        self.sent += [s for s in self.unstored if self.cell.should_send_start(s.command)]
         self.unstored.clear()
         for worker, number in seen.items():
             self._note_ends(worker, number)
@@ -241,13 +241,13 @@
             expected = SMALL.times(len(worker.runs))
             assert worker.used == expected
         total = sum(len(worker.runs) for worker in state.workers.values())
-        assert state.usage["team"] == SMALL.times(total)
+        assert state.team_usage["team"] == SMALL.times(total)
 
     @invariant()
     def completed_jobs_are_done(self):
         for found in self.cell.state.jobs.values():
             if found.phase is JobPhase.COMPLETED:
-                assert all(step.done for step in found.steps.values())
+                assert all(step.is_done for step in found.steps.values())
 
 
 TestCellMachine = CellMachine.TestCase
--- a/baobabhoist/tests/test_cell_worker_index.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -11,7 +11,7 @@
 
 
 def ready_step(rig, job_id="0" * 16):
-    return next(step for step in rig.cell.state.ready.values() if step.job.job_id == job_id)
+    return next(step for step in rig.cell.state.ready_steps.values() if step.job.job_id == job_id)
 
 
 def pools(rig):
@@ -25,10 +25,10 @@
     rig.cell.update_worker(rig.workers["w1"].info(), rig.now)
     rig.cell.update_worker(rig.workers["w2"].info(is_draining=True), rig.now)
     rig.cell.unlist_worker("w3", rig.now)
-    assert [w.worker_id for w in pools(rig).usable("svc", "")] == ["w0", "w1"]
-    assert [w.worker_id for w in pools(rig).usable("svc", "b")] == ["w1"]
-    assert pools(rig).usable("other", "") == []
-    assert pools(rig).widest("other") == -1
+    assert [w.worker_id for w in pools(rig).usable_workers("svc", "")] == ["w0", "w1"]
+    assert [w.worker_id for w in pools(rig).usable_workers("svc", "b")] == ["w1"]
+    assert pools(rig).usable_workers("other", "") == []
+    assert pools(rig).max_free_cpu("other") == -1
 
 
 def test_only_workers_with_a_valid_ticket_are_offered():
@@ -36,19 +36,19 @@
     rig = CellHarness.with_workers(3, make_rules(advice=AdviceTerms(10, 1, 2_000)))
     rig.submit(make_job())
     step = ready_step(rig)
-    step.approvals.answered(["w0", "w1", "gone"], {"w0": "a", "gone": "b"}, rig.now + 500)
-    assert [w.worker_id for w in pools(rig).ticketed(step, "svc", "")] == ["w0"]
+    step.approvals.record_answer(["w0", "w1", "gone"], {"w0": "a", "gone": "b"}, rig.now + 500)
+    assert [w.worker_id for w in pools(rig).workers_with_ticket(step, "svc", "")] == ["w0"]
     rig.now += 500
-    assert pools(rig).ticketed(step, "svc", "") == []
-    assert [w.worker_id for w in pools(rig).approved(step, "svc", "")] == ["w0"]
+    assert pools(rig).workers_with_ticket(step, "svc", "") == []
+    assert [w.worker_id for w in pools(rig).approved_workers(step, "svc", "")] == ["w0"]
 
 
 def test_the_adviser_is_asked_of_workers_that_could_hold_a_task():
     """Guard against questions about workers that are too small for the step."""
     rig = CellHarness.with_workers(3)
     rig.cell.update_worker(rig.workers["w0"].info(capacity=SMALL), rig.now)
-    assert pools(rig).able_ids("svc", "", LARGE) == ["w1", "w2"]
-    assert sorted(pools(rig).able_ids("svc", "", SMALL)) == ["w0", "w1", "w2"]
+    assert pools(rig).capable_worker_ids("svc", "", LARGE) == ["w1", "w2"]
+    assert sorted(pools(rig).capable_worker_ids("svc", "", SMALL)) == ["w0", "w1", "w2"]
 
 
 def test_steps_without_room_cost_no_look_at_their_workers(monkeypatch):
@@ -60,8 +60,8 @@
     for number in range(100, 150):
         rig.submit(make_job(f"{number:016x}", Step(1, SMALL, 4000)))
     looks = []
-    place = TaskPlacer._place
-    monkeypatch.setattr(TaskPlacer, "_place", lambda *args: looks.append(1) or place(*args))
+    place = TaskPlacer._place_step
+    monkeypatch.setattr(TaskPlacer, "_place_step", lambda *args: looks.append(1) or place(*args))
     rig.settle()
     assert not looks
     rig.end_run(make_task_key("0" * 16), RunOutcome.DONE)
@@ -73,7 +73,7 @@
     rig = CellHarness.with_workers(1)
     rig.submit(make_job("0" * 16, Step(1, SMALL, 1000), Step(1, SMALL, 300, after=(0,))))
     state = rig.cell.find_job("0" * 16)
-    assert state.remaining_ms() == 1300
+    assert state.remaining_critical_path_ms() == 1300
     rig.settle()
     rig.end_run(make_task_key("0" * 16), RunOutcome.DONE)
-    assert state.remaining_ms() == 300
+    assert state.remaining_critical_path_ms() == 300
