--- a/baobabhoist/cell/__init__.py
+++ b/baobabhoist/cell/__init__.py
@@ -1,1 +1,1 @@
-"""Decide for one cell of workers: jobs, runs, leases and limits, without any I/O."""
+"""Schedule the jobs of one cell of workers: runs, leases and quotas, without any I/O."""
--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -1,10 +1,10 @@
-"""Set aside workers that fail or stall what they are given, and try them again later."""
+"""Quarantine workers whose runs fail or stall, with exponential backoff and a probation."""
 
 from __future__ import annotations
 
 import attrs
 
-# Failures in a row, of different jobs, that set a worker aside.
+# Consecutive failures of different jobs before a worker is quarantined.
 FAILURE_THRESHOLD = 3
 INITIAL_QUARANTINE_MS = 2_000.0
 MAX_QUARANTINE_MS = 8_000.0
@@ -12,7 +12,7 @@
 
 @attrs.define
 class WorkerHealth:
-    """Judge one worker by the ends of its runs."""
+    """Track the health of one worker from the results of its runs."""
 
     failed_jobs: list[str] = attrs.Factory(list)
     quarantine_count: int = 0
@@ -20,13 +20,13 @@
     is_on_probation: bool = False
 
     def record_success(self) -> None:
-        """Note a run that ended as done."""
+        """Record a run that succeeded; ends the probation."""
         self.failed_jobs.clear()
         self.is_on_probation = False
         self.quarantine_count = 0
 
     def record_failure(self, job_id: str, now: float) -> bool:
-        """Note a run that failed; tell whether the worker is set aside now."""
+        """Record a run that failed; return whether this quarantines the worker."""
         if job_id not in self.failed_jobs:
             self.failed_jobs.append(job_id)
         return (
@@ -34,11 +34,11 @@
         ) and self._quarantine(now)
 
     def record_stall(self, now: float) -> bool:
-        """Note a run that made no progress; the worker is set aside at once."""
+        """Quarantine a worker with a stalled run; return whether it was not quarantined before."""
         return self._quarantine(now)
 
     def accepts_task(self, now: float, running: int) -> bool:
-        """Tell whether the worker takes a task now; on trial it takes one at a time."""
+        """Tell whether the worker may get a task; on probation it gets one at a time."""
         return now >= self.quarantined_until_ms and not (self.is_on_probation and running > 0)
 
     def _quarantine(self, now: float) -> bool:
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -1,4 +1,4 @@
-"""Hold the progress of jobs: steps, tasks and the run that each task may have."""
+"""Track the state of jobs: their steps, tasks and current runs."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
     TaskKey,
 )
 
-# A job that is late by up to this factor of its objective is still worth something.
+# A job that ends within this multiple of its objective still earns part of its value.
 LATE_LIMIT_FACTOR = 3.0
 
 
 class RunPhase(enum.Enum):
-    """Name what the owner knows of a run."""
+    """List what the owner may know about a run."""
 
-    # Ordered; no answer has come yet.
+    # The start command has not been answered yet.
     STARTING = "starting"
     RUNNING = "running"
-    # Ordered, but the answer was lost: it may run, now or later.
+    # The answer to the start command was lost: the run may be active or still start.
     UNSURE = "unsure"
     STOPPING = "stopping"
 
 
 @attrs.define(eq=False)
 class Run:
-    """Hold one run of a task on a worker; all times are on the owner's clock, in ms."""
+    """Hold a run of a task on a worker; all times are on the owner's clock, in ms."""
 
     task: TaskState
     number: int
     worker_id: str
     allocation: Resources
     phase: RunPhase
-    # When the order to start was answered or the run was first listed.
+    # When the start command was answered or a report first listed the run.
     confirmed_ms: float = 0.0
     stop_sent_ms: float = 0.0
-    # When the worker answered the order to stop.
+    # When the worker answered the stop command.
     stop_answered_ms: float = 0.0
     percent: float = 0.0
     last_progress_ms: float = 0.0
-    # It began at the start of the task under this owner, not from a checkpoint.
+    # This owner started the run, and not from a checkpoint.
     is_from_start: bool = False
 
 
 @attrs.define(eq=False)
 class TaskState:
-    """Hold one task."""
+    """Hold the state of one task."""
 
     step: StepState
     index: int
@@ -67,39 +67,41 @@
 
     @property
     def key(self) -> TaskKey:
-        """Return the name of the task."""
+        """Return the key of the task."""
         step = self.step.key
         return TaskKey(step.job_id, step.occurrence, step.step, self.index)
 
 
 @attrs.define(eq=False)
 class StepState:
-    """Hold one step of one occurrence."""
+    """Hold the state of one step of one occurrence of a job."""
 
     job: JobState
     key: StepKey
     spec: Step
     tasks: list[TaskState] = attrs.Factory(list)
+    # Tasks that are neither done nor running.
     idle_count: int = 0
+    # Tasks that are not done.
     pending_count: int = 0
     approvals: Approvals = attrs.Factory(Approvals)
     # Workers on which a task of the step failed.
     failed_worker_ids: set[str] = attrs.Factory(set)
-    # When the step could first run, on the owner's clock in ms.
+    # When the dependencies of the step were done, on the owner's clock.
     ready_since_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
-        """Make the tasks."""
+        """Create the tasks."""
         self.tasks = [TaskState(self, index) for index in range(self.spec.count)]
         self.idle_count = self.pending_count = self.spec.count
 
     @property
     def is_done(self) -> bool:
-        """Tell whether all tasks have ended as done."""
+        """Tell whether all tasks are done."""
         return self.pending_count == 0
 
     def discard_approvals(self) -> None:
-        """Forget the tickets, once no task will start any more."""
+        """Free the tickets of a step that will start no more tasks."""
         self.approvals = Approvals()
 
     def idle_tasks(self) -> Iterator[TaskState]:
@@ -107,7 +109,7 @@
         return (task for task in self.tasks if task.run is None and not task.is_done)
 
     def mark_done(self, task: TaskState) -> bool:
-        """Note that a task is done; tell whether that is new."""
+        """Mark a task as done; return whether it was not before."""
         if task.is_done:
             return False
         task.is_done = True
@@ -119,21 +121,21 @@
         return True
 
     def attach_run(self, run: Run) -> None:
-        """Give a task its run."""
+        """Make a run the current run of its task."""
         if run.task.run is None and not run.task.is_done:
             self.idle_count -= 1
         run.task.run = run
         run.task.last_run = max(run.task.last_run, run.number)
 
     def detach_run(self, run: Run) -> None:
-        """Take the ended run from its task."""
+        """Remove an ended run from its task."""
         if run.task.run is run:
             run.task.run = None
             if not run.task.is_done:
                 self.idle_count += 1
 
     def failed_attempts(self, task: TaskState) -> int:
-        """Return the failed attempts that count against a task: those of a gang are shared."""
+        """Return the number of failed attempts of a task; members of a gang share theirs."""
         if not self.spec.gang:
             return len(task.failed_runs)
         return len(set().union(*(member.failed_runs for member in self.tasks)))
@@ -141,7 +143,7 @@
 
 @attrs.define(eq=False)
 class JobState:
-    """Hold one job; `objective_ms` is on the owner's clock."""
+    """Hold the state of one job; all times are on the owner's clock, in ms."""
 
     accepted: AcceptedJob
     accepted_local_ms: float
@@ -152,47 +154,47 @@
     is_inherited: bool = False
     ended_ms: float = 0.0
     opened_count: int = 0
-    # What `remaining_ms` found, until a step is done or opened.
+    # Cached until a step is opened or done.
     _remaining_critical_path_ms: float | None = None
 
     @property
     def job_id(self) -> str:
-        """Return the id that the caller chose."""
+        """Return the id, which the caller chose."""
         return self.accepted.job_id
 
     @property
     def is_final(self) -> bool:
-        """Tell whether nothing of the job will run any more."""
+        """Tell whether the job has ended."""
         return self.phase in FINAL_PHASES
 
     @property
     def late_limit_ms(self) -> float:
-        """Return when the job stops being worth anything."""
+        """Return the time after which the job has no value any more."""
         return self.accepted_local_ms + LATE_LIMIT_FACTOR * (
             self.objective_ms - self.accepted_local_ms
         )
 
     def drop_payload(self) -> None:
-        """Forget what the tasks are given, once none will start any more; it may be large."""
+        """Free the payload of an ended job, which may be large."""
         spec = attrs.evolve(self.accepted.spec, payload="")
         self.accepted = attrs.evolve(self.accepted, spec=spec)
 
     def open_occurrence(self) -> list[StepState]:
-        """Make the steps of the next occurrence and return them."""
+        """Create and return the steps of the next occurrence."""
         occurrence = self.opened_count
         self.opened_count += 1
         self.invalidate_critical_path()
-        made = []
+        opened = []
         for number, spec in enumerate(self.accepted.spec.steps):
             step = StepState(self, StepKey(self.job_id, occurrence, number), spec)
             self.steps[(occurrence, number)] = step
-            made.append(step)
-        return made
+            opened.append(step)
+        return opened
 
     def open_due_occurrences(self, unix_ms: float) -> bool:
-        """Open the occurrences whose time has come; tell whether there was one."""
+        """Open the occurrences that are due; return whether there was any."""
         spec, before = self.accepted.spec, self.opened_count
-        while self.opened_count < spec.occurrence_count and unix_ms >= spec.due_ms(
+        while self.opened_count < spec.occurrence_count and unix_ms >= spec.due_unix_ms(
             self.opened_count
         ):
             self.open_occurrence()
@@ -210,7 +212,7 @@
         return step.tasks[key.index]
 
     def is_step_ready(self, step: StepState) -> bool:
-        """Tell whether all steps before a step are done."""
+        """Tell whether all steps that a step depends on are done."""
         occurrence = step.key.occurrence
         return all(self.steps[(occurrence, number)].is_done for number in step.spec.after)
 
@@ -221,26 +223,26 @@
         return all(step.is_done for step in self.steps.values())
 
     def invalidate_critical_path(self) -> None:
-        """Note that a step was opened or done."""
+        """Discard the cached critical path after a step was opened or done."""
         self._remaining_critical_path_ms = None
 
     def remaining_critical_path_ms(self) -> float:
-        """Return the longest chain of declared work that is left, in ms."""
+        """Return the declared duration of the longest chain of unfinished steps, in ms."""
         if self._remaining_critical_path_ms is None:
             self._remaining_critical_path_ms = self._compute_critical_path_ms()
         return self._remaining_critical_path_ms
 
     def _compute_critical_path_ms(self) -> float:
         steps = self.accepted.spec.steps
-        longest = [0.0] * len(steps)
+        longest_ms = [0.0] * len(steps)
         for number, spec in enumerate(steps):
             state = self.steps.get((max(0, self.opened_count - 1), number))
-            own = 0.0 if state is not None and state.is_done else float(spec.expected_ms)
-            before = max((longest[other] for other in spec.after), default=0.0)
-            longest[number] = before + own
-        return max(longest, default=0.0)
+            own_ms = 0.0 if state is not None and state.is_done else float(spec.expected_ms)
+            before_ms = max((longest_ms[other] for other in spec.after), default=0.0)
+            longest_ms[number] = before_ms + own_ms
+        return max(longest_ms, default=0.0)
 
 
 def critical_path_ms(accepted: AcceptedJob) -> float:
-    """Return the longest chain of declared work of one occurrence, in ms."""
+    """Return the declared duration of the longest chain of steps of one occurrence, in ms."""
     return JobState(accepted, 0.0).remaining_critical_path_ms()
--- a/baobabhoist/cell/model.py
+++ b/baobabhoist/cell/model.py
@@ -1,4 +1,4 @@
-"""Define the jobs, queues, teams and workers of a cell."""
+"""Define the jobs, queues, teams, workers and commands of a cell."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         )
 
     def times(self, count: int) -> Resources:
-        """Return this amount for several tasks."""
+        """Return this amount multiplied by a count."""
         return Resources(self.cpu * count, self.memory_mb * count, self.gpu * count)
 
 
@@ -43,10 +43,11 @@
 
 @attrs.frozen
 class Step:
-    """Describe the equal tasks of one step of a job.
+    """Describe a step of a job, which consists of identical tasks.
 
-    `after` holds the numbers of earlier steps that must be done first. `label` is one that the
-    worker must have, `data_rack` the rack that holds the data, `most_per_worker` 0 for no bound.
+    `after` holds the numbers of the earlier steps that this one depends on. `label` must be among
+    the labels of the worker, `data_rack` is the rack that stores the data, and `most_per_worker`
+    limits the tasks on one worker unless it is 0.
     """
 
     count: int
@@ -68,15 +69,15 @@
 
     @property
     def allocation(self) -> Resources:
-        """Return what one task takes of a worker's capacity; fill-in tasks use spare cores."""
+        """Return what a task reserves on its worker; fill-in tasks reserve no processor time."""
         return attrs.evolve(self.need, cpu=0) if self.fills else self.need
 
 
 @attrs.frozen
 class JobSpec:
-    """Describe a job; `repeats` 0 means that its steps run once, at once.
+    """Describe a job; if `repeats` is 0, its steps run once and immediately.
 
-    Repetition K is due at `first_due_ms` + K * `interval_ms` in Unix milliseconds.
+    Occurrence K is due at `first_due_ms` + K * `interval_ms` in Unix milliseconds.
     """
 
     payload: str
@@ -87,11 +88,11 @@
 
     @property
     def occurrence_count(self) -> int:
-        """Return how often the steps run."""
+        """Return how many times the steps run."""
         return max(1, self.repeats)
 
-    def due_ms(self, occurrence: int) -> float:
-        """Return the Unix time from which an occurrence may run; a plain job runs at once."""
+    def due_unix_ms(self, occurrence: int) -> float:
+        """Return the Unix time from which an occurrence may run, or -inf for immediately."""
         if not self.repeats:
             return float("-inf")
         return self.first_due_ms + occurrence * self.interval_ms
@@ -99,9 +100,10 @@
 
 @attrs.frozen
 class AcceptedJob:
-    """Hold a job as it was stored; `accepted_ms` is on the store's steady clock.
+    """Hold a job as it was stored; `accepted_ms` is on the store's monotonic clock.
 
-    `version` is the store's version of the row, which orders it against claims of the cell.
+    `version` is the store's version of the row. It tells whether the job was stored before or
+    after the cell was claimed.
     """
 
     job_id: str
@@ -114,7 +116,7 @@
 
 
 class JobPhase(enum.StrEnum):
-    """Name the states of a job that callers see."""
+    """List the states of a job that callers see."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -128,22 +130,22 @@
 
 @attrs.frozen
 class AdviceTerms:
-    """State what asking the placement adviser costs and how long a ticket lasts."""
+    """Describe the cost of an advice request and the validity of its tickets."""
 
-    call_ms: float
+    request_ms: float
     per_worker_ms: float
-    valid_ms: int
+    ticket_valid_ms: int
 
     def cost_ms(self, workers: int) -> float:
-        """Return how long the adviser works on a question."""
-        return self.call_ms + self.per_worker_ms * workers
+        """Return how long the adviser takes for a request about this many workers."""
+        return self.request_ms + self.per_worker_ms * workers
 
 
 @attrs.frozen
 class Queue:
-    """Describe a queue; priority 0 comes first.
+    """Describe a queue; priority 0 is the highest.
 
-    The objective of a job is `slack_factor` times its longest chain of work plus
+    The latency objective of a job is `slack_factor` times the length of its critical path plus
     `target_latency_ms`.
     """
 
@@ -159,14 +161,14 @@
 
 @attrs.frozen
 class Team:
-    """Describe a team; a limit of 0 means none for that resource."""
+    """Describe a team; a resource whose limit is 0 is not limited."""
 
     name: str
     weight: float = 1.0
     limit: Resources = NO_RESOURCES
 
     def allows(self, total: Resources) -> bool:
-        """Tell whether the team may have this much running."""
+        """Tell whether a total allocation stays within the limit."""
         return (
             (not self.limit.cpu or total.cpu <= self.limit.cpu)
             and (not self.limit.memory_mb or total.memory_mb <= self.limit.memory_mb)
@@ -176,7 +178,7 @@
 
 @attrs.frozen
 class CellRules:
-    """Hold the part of the configuration that decides where and when work runs."""
+    """Hold the part of the configuration that governs scheduling."""
 
     version: int
     queues: dict[str, Queue]
@@ -185,7 +187,7 @@
 
 @attrs.frozen
 class WorkerInfo:
-    """Describe a worker as the directory shows it."""
+    """Describe a worker by its entry in the directory."""
 
     worker_id: str
     service: str
@@ -210,7 +212,7 @@
 
 @attrs.frozen(order=True)
 class StepKey:
-    """Name one step of one occurrence of a job."""
+    """Identify one step of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -219,7 +221,7 @@
 
 @attrs.frozen(order=True)
 class TaskKey:
-    """Name one task."""
+    """Identify one task."""
 
     job_id: str
     occurrence: int
@@ -228,16 +230,16 @@
 
     @property
     def step_key(self) -> StepKey:
-        """Return the step of the task."""
+        """Return the key of the task's step."""
         return StepKey(self.job_id, self.occurrence, self.step)
 
     def to_text(self) -> str:
-        """Return the name that workers use."""
+        """Return the task name that is sent to workers."""
         return f"{self.job_id}.{self.occurrence}.{self.step}.{self.index}"
 
     @classmethod
     def parse(cls, text: str) -> TaskKey | None:
-        """Return the key in a worker's name of a task, or None if it is none."""
+        """Return the key for a task name, or None if the name is malformed."""
         parts = text.split(".")
         if len(parts) != len(attrs.fields(cls)) or not all(p.isdigit() for p in parts[1:]):
             return None
@@ -245,19 +247,22 @@
 
 
 class RunOutcome(enum.StrEnum):
-    """Name how a run ended, as its worker reports it."""
+    """List how a run may end, as its worker reports it."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
+    # The lease of the worker expired.
     LAPSED = "lapsed"
+    # Another member of the gang ended without success.
     BROKEN = "broken"
+    # The other members of the gang did not start in time.
     ALONE = "alone"
 
 
 @attrs.frozen
 class ActiveRun:
-    """Report one run on a worker; `usage` is its rough load of the last half second."""
+    """Describe a run in progress; `usage` is its approximate load over the last 500 ms."""
 
     task: TaskKey
     run: int
@@ -268,9 +273,12 @@
 
 @attrs.frozen
 class EndedRun:
-    """Report one end on a worker; `number` rises by one with each end of its lifetime."""
+    """Describe an ended run.
 
-    sequence: int
+    `sequence_number` counts the ended runs of one incarnation of the worker.
+    """
+
+    sequence_number: int
     task: TaskKey
     run: int
     outcome: RunOutcome
@@ -279,9 +287,10 @@
 
 @attrs.frozen
 class WorkerReport:
-    """Hold a worker's answer to a renewal of its lease.
+    """Hold the reply of a worker to a lease renewal.
 
-    `clock_ms` is on the worker's own steady clock, `born_ms` the Unix time of its start.
+    `clock_ms` is on the worker's own monotonic clock. `started_unix_ms`, when the worker process
+    started, identifies its incarnation.
     """
 
     clock_ms: int
@@ -291,32 +300,33 @@
 
 
 class CommandOutcome(enum.StrEnum):
-    """Name what became of an order to a worker."""
+    """List the possible outcomes of a command to a worker."""
 
     OK = "ok"
     # The worker has seen a higher fencing token.
     FENCED = "fenced"
-    # A later run of the task was stopped or ended there.
+    # This or a later run of the task has already ended or been stopped on the worker.
     OLD = "old"
-    # The lease that the order carried has passed.
+    # The lease deadline in the command has passed.
     LATE = "late"
     NO_ROOM = "no_room"
     NO_TICKET = "no_ticket"
     BAD = "bad"
-    # The worker has done nothing, because it is not healthy.
+    # The worker is unhealthy and has done nothing.
     UNHEALTHY = "unhealthy"
-    # Another lifetime of the worker answered.
+    # Another incarnation of the worker answered.
     WRONG_LIFETIME = "wrong_lifetime"
-    # No answer came: the order may have been carried out, or may be later.
+    # No answer came: the command may have been executed or may still be.
     UNKNOWN = "unknown"
 
 
+# Outcomes after which it is certain that the command had no effect.
 REJECTED_OUTCOMES = frozenset(CommandOutcome) - {CommandOutcome.OK, CommandOutcome.UNKNOWN}
 
 
 @attrs.frozen
 class StartTask:
-    """Order a worker to start a run."""
+    """Command a worker to start a run."""
 
     worker_id: str
     task: TaskKey
@@ -328,7 +338,7 @@
 
 @attrs.frozen
 class StopTask:
-    """Order a worker to stop a run."""
+    """Command a worker to stop a run."""
 
     worker_id: str
     task: TaskKey
@@ -337,7 +347,7 @@
 
 @attrs.frozen
 class RequestAdvice:
-    """Ask which workers may run a step."""
+    """Request the placement adviser's verdict on the workers for a step."""
 
     step: StepKey
     workers: tuple[str, ...]
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -1,4 +1,4 @@
-"""Place waiting tasks and ask for the advice that they need."""
+"""Place waiting tasks on workers and request the placement advice that they need."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 from baobabhoist.cell.worker_selection import WorkerSlots, assign_gang, assign_tasks, find_slots
 from baobabhoist.cell.workers import WorkerState
 
-# Most workers that one question to the adviser may name.
+# Most workers that one advice request may name.
 MAX_WORKERS_PER_REQUEST = 100
-# Tickets are renewed only for this many of the first waiting steps.
+# Tickets are renewed only for this many steps at the head of the ranking.
 MAX_RENEWING_STEPS = 16
-# A question without an answer is given up after its cost and this.
+# An advice request times out after its expected duration plus this margin.
 ANSWER_TIMEOUT_MARGIN_MS = 4_000.0
-# Tickets are renewed when they are valid for less than the cost of a question and this.
+# Tickets are renewed when they expire within the duration of a request plus this margin.
 TICKET_RENEWAL_MARGIN_MS = 100.0
 REMOTE_RACK_COST = 0.5
-# A task that failed on a worker is tried elsewhere, where there is a choice.
+# Makes tasks avoid a worker on which a task of their step failed, if there is another.
 PREVIOUS_FAILURE_COST = 2.0
 
 
 @attrs.define
 class TaskPlacer:
-    """Decide for one cell; call `decide` after any change."""
+    """Place the waiting tasks of one cell; call `place_waiting_steps` after any change."""
 
     state: CellState
-    # How many questions the advisers can work on at once.
+    # Requests that the advisers can process at the same time.
     max_advice_requests: int = 1
     open_advice_requests: int = 0
     reservations: Reservations = attrs.Factory(Reservations)
 
     def place_waiting_steps(self, now: float, may_start: bool) -> None:
-        """Start what fits, and ask for advice on what waits."""
+        """Start the tasks that fit and request advice for those that still wait."""
         waiting = [step for step in self.state.ready_steps.values() if step.idle_count]
         if not waiting:
             return
@@ -72,18 +72,18 @@
             if spec.gang and self._may_reserve_team_limit(step, need, now):
                 self.reservations.reserve_team_limit(team, step)
             return
-        open_to = [
+        candidates = [
             w
             for w in self._startable_workers(step, worker_index)
             if self.reservations.is_worker_available(w, step)
         ]
-        if not open_to and not spec.gang:
+        if not candidates and not spec.gang:
             return
         tolerance = slowdown_tolerance(
             step.job, self.state.speeds.duration_ratio(step.job.accepted.queue), now
         )
         slots = find_slots(
-            open_to,
+            candidates,
             spec,
             step.idle_count,
             _tasks_by_worker(step),
@@ -99,10 +99,10 @@
             self.state.start_run(task, worker, self.state.next_run_number([task]), now)
 
     def _may_reserve_team_limit(self, step: StepState, need: Resources, now: float) -> bool:
-        """Tell whether a gang may keep its team's limit: it fits, and is worth something."""
+        """Tell whether a gang could fit into its team's limit and still has value."""
         team = self.state.team_of(step.job)
-        fits = team is not None and team.allows(need)
-        return fits and timeliness_of(step.job, now) is not Timeliness.EXPIRED
+        could_fit = team is not None and team.allows(need)
+        return could_fit and timeliness_of(step.job, now) is not Timeliness.EXPIRED
 
     def _place_gang(
         self, step: StepState, slots: list[WorkerSlots], worker_index: WorkerIndex, now: float
@@ -120,27 +120,27 @@
             self.state.start_run(task, worker, number, now)
 
     def _placement_cost(self, worker: WorkerState, step: StepState, tolerance: float) -> float:
-        """Return how little a worker suits a step: unfit and remote ones come last."""
+        """Return the cost of a worker for a step; the worker with the lowest cost is chosen."""
         cost = speed_cost(self.state.speeds.worker_slowdown(worker.worker_id), tolerance)
         if step.spec.data_rack and worker.info.rack != step.spec.data_rack:
             cost += REMOTE_RACK_COST
         if worker.worker_id in step.failed_worker_ids:
             cost += PREVIOUS_FAILURE_COST
-        # Among equals the fuller worker comes first, so that wide room stays whole.
+        # Best fit: prefer the fuller of equal workers, so that large tasks still find space.
         capacity = max(1, worker.info.capacity.cpu)
         return cost + 0.1 * worker.free_cpu / capacity
 
-    # Who may run a step.
+    # Candidate workers.
 
     def _startable_workers(self, step: StepState, worker_index: WorkerIndex) -> list[WorkerState]:
-        """Return the workers on which a task of the step may start now, if there is room."""
+        """Return the workers on which a task of the step may start now, capacity aside."""
         service, label = self.state.service_of(step.job), step.spec.label
         if self.state.requires_advice(step.job):
             return worker_index.workers_with_ticket(step, service, label)
         return worker_index.usable_workers(service, label)
 
     def _approved_workers(self, step: StepState, worker_index: WorkerIndex) -> list[WorkerState]:
-        """Return the usable workers that may run the step, also without a valid ticket."""
+        """Return the usable workers that may run the step, even without a valid ticket."""
         service, label = self.state.service_of(step.job), step.spec.label
         if self.state.requires_advice(step.job):
             return worker_index.approved_workers(step, service, label)
@@ -152,7 +152,7 @@
         self, step: StepState, position: int, worker_index: WorkerIndex, now: float
     ) -> None:
         queue = self._queue_of(step)
-        if queue is None or queue.advice is None or step.approvals.is_awaiting_answer(now):
+        if queue is None or queue.advice is None or step.approvals.must_wait(now):
             return
         if self.open_advice_requests >= self.max_advice_requests or (
             step.spec.gang and step.idle_count < step.pending_count
@@ -160,21 +160,21 @@
             return
         service = self.state.service_of(step.job)
         ids = worker_index.capable_worker_ids(service, step.spec.label, step.spec.allocation)
-        named = step.approvals.unassessed_workers(ids)[:MAX_WORKERS_PER_REQUEST]
-        if not named and position < MAX_RENEWING_STEPS:
-            named = _workers_to_renew(step, ids, queue.advice, now)
-        if not named:
+        requested = step.approvals.unassessed_workers(ids)[:MAX_WORKERS_PER_REQUEST]
+        if not requested and position < MAX_RENEWING_STEPS:
+            requested = _workers_to_renew(step, ids, queue.advice, now)
+        if not requested:
             return
-        cost = queue.advice.cost_ms(len(named))
-        step.approvals.mark_requested(now + cost + ANSWER_TIMEOUT_MARGIN_MS)
+        cost_ms = queue.advice.cost_ms(len(requested))
+        step.approvals.mark_requested(now + cost_ms + ANSWER_TIMEOUT_MARGIN_MS)
         self.open_advice_requests += 1
-        self.state.commands.append(RequestAdvice(step.key, tuple(named), cost))
+        self.state.commands.append(RequestAdvice(step.key, tuple(requested), cost_ms))
 
 
 def _workers_to_renew(
     step: StepState, ids: list[str], terms: AdviceTerms, now: float
 ) -> list[str]:
-    """Return the approved workers if all of their tickets are about to run out."""
+    """Return the approved workers if all of their tickets are about to expire."""
     approved = [worker_id for worker_id in ids if worker_id in step.approvals.tickets]
     if step.approvals.count_valid_tickets(
         now, now + terms.cost_ms(len(approved)) + TICKET_RENEWAL_MARGIN_MS
@@ -184,7 +184,7 @@
 
 
 def _tasks_by_worker(step: StepState) -> Counter[str]:
-    """Return how many tasks of a step each worker runs, if the step bounds it."""
+    """Return how many tasks of a step each worker runs, if the step limits this number."""
     if not step.spec.most_per_worker:
         return Counter()
     return Counter(task.run.worker_id for task in step.tasks if task.run is not None)
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -1,4 +1,4 @@
-"""Own one cell: take events, decide, and hand out commands and changed progress."""
+"""Schedule one cell: handle events, place tasks, return commands and progress to store."""
 
 from __future__ import annotations
 
@@ -37,10 +37,11 @@
 
 @attrs.frozen
 class Takeover:
-    """State what a new owner knows of the earlier ones.
+    """Describe what a new owner knows about the earlier ones.
 
     `generation` counts the owners of the cell and `claim_version` is the store's version of the
-    claim. From `lapsed_ms` on, nothing runs any more on a worker that was never heard.
+    claim. After `inherited_leases_expire_ms` no run of an earlier owner is left on a worker that
+    has never reported to this owner.
     """
 
     generation: int
@@ -49,7 +50,7 @@
 
 
 class CellScheduler:
-    """Own the jobs and workers of one cell; all times are on the owner's clock, in ms."""
+    """Schedule the jobs of one cell on its workers; all times are on the owner's clock, in ms."""
 
     def __init__(self, rules: CellRules, takeover: Takeover, lease_ms: float) -> None:
         self.state = CellState(rules, takeover.generation)
@@ -66,7 +67,7 @@
     def add_job(
         self, accepted: AcceptedJob, accepted_local_ms: float, now: float, unix_ms: float
     ) -> bool:
-        """Take a job over; tell whether it is new."""
+        """Add an accepted job; return whether it is new."""
         if accepted.job_id in self.state.jobs:
             return False
         job = JobState(accepted, accepted_local_ms)
@@ -80,7 +81,7 @@
         return True
 
     def _adopt_stored_runs(self, job: JobState, progress: JobProgress, now: float) -> None:
-        """Count the runs that an earlier owner ordered, before any worker has reported."""
+        """Track the runs that an earlier owner started, before any worker has reported."""
         for saved in progress.steps:
             step = job.steps.get((saved.occurrence, saved.step))
             for index, stored in saved.runs.items():
@@ -105,7 +106,7 @@
         return worker
 
     def log_inherited_jobs(self, now: float) -> None:
-        """Log the unfinished jobs that were taken over, once their progress is known."""
+        """Log the unfinished jobs of earlier owners once their progress has been restored."""
         for job in self.state.jobs.values():
             if job.is_inherited and not job.is_final:
                 self._log_ownership(job, now)
@@ -127,14 +128,14 @@
         )
 
     def restore_job(self, job_id: str, progress: JobProgress, now: float) -> None:
-        """Apply the durable progress of a job that an earlier owner worked on."""
+        """Restore the stored progress of a job that an earlier owner worked on."""
         job = self.state.jobs.get(job_id)
         if job is None:
             return
         cancelled = job.phase is JobPhase.CANCELLED
         progress_rows.restore_progress(job, progress)
         if cancelled:
-            # The cancellation has a row of its own, which may be newer than the progress.
+            # The cancellation is stored in its own row, which may be newer than the progress.
             job.phase = JobPhase.CANCELLED
         if job.is_final:
             job.ended_ms = now
@@ -145,7 +146,7 @@
             self.state.finish_job(job, JobPhase.COMPLETED, now, "all tasks are done")
 
     def cancel_job(self, job_id: str, now: float) -> bool:
-        """Cancel a job; tell whether it is known."""
+        """Cancel a job; return whether it is known."""
         job = self.state.jobs.get(job_id)
         if job is None:
             return False
@@ -157,7 +158,7 @@
         return self.state.jobs.get(job_id)
 
     def count_queued_jobs(self, queue: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many jobs of a queue have not started."""
         return sum(
             1
             for job in self.state.jobs.values()
@@ -165,7 +166,7 @@
         )
 
     def remove_job(self, job_id: str) -> None:
-        """Drop a finished job."""
+        """Remove a finished job."""
         job = self.state.jobs.pop(job_id, None)
         if job is not None:
             for step in job.steps.values():
@@ -174,11 +175,11 @@
     # Configuration and workers.
 
     def set_rules(self, rules: CellRules) -> None:
-        """Use these queues and teams from now on."""
+        """Replace the configured queues and teams."""
         self.state.rules = rules
 
     def sync_directory(self, listed: Iterable[WorkerInfo], now: float) -> None:
-        """Take over the whole directory."""
+        """Apply a full listing of the worker directory."""
         found = {info.worker_id: info for info in listed}
         for info in found.values():
             self.update_worker(info, now)
@@ -186,7 +187,7 @@
             self.unlist_worker(worker_id, now)
 
     def update_worker(self, info: WorkerInfo, now: float) -> None:
-        """Take over one entry of the directory."""
+        """Add or update a worker from its entry in the directory."""
         worker = self.state.workers.get(info.worker_id)
         if worker is None:
             worker = self.state.workers[info.worker_id] = WorkerState(info, Lease(self._lease_ms))
@@ -202,7 +203,7 @@
         worker.info, worker.is_listed = info, True
 
     def unlist_worker(self, worker_id: str, now: float) -> None:
-        """Note that the directory dropped a worker; what runs there is still followed."""
+        """Mark a worker as gone from the directory; its runs are still tracked."""
         worker = self.state.workers.get(worker_id)
         if worker is not None and worker.is_listed:
             worker.is_listed, worker.unlisted_since_ms = False, now
@@ -211,86 +212,86 @@
     def handle_report(
         self, worker_id: str, report: WorkerReport, sent_ms: float, now: float
     ) -> None:
-        """Take a worker's answer to a renewal of its lease."""
+        """Apply the report that a worker sent in reply to a lease renewal."""
         worker = self.state.workers.get(worker_id)
         if worker is None:
             return
         self._reports.handle_report(worker, report, sent_ms, now)
 
     def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
-        """Take the answer to a start."""
+        """Apply the outcome of a start command."""
         self._check_fenced(outcome)
         self._reports.handle_start_result(command, outcome, now)
 
     def should_send_start(self, command: StartTask) -> bool:
-        """Tell whether a start that waited to be stored should still be sent."""
+        """Tell whether a start command is still valid after its run has been stored."""
         worker = self.state.workers.get(command.worker_id)
         run = worker.runs.get(command.task) if worker is not None else None
         return run is not None and run.number == command.run and not run.stop_sent_ms
 
     def handle_stop_result(self, command: StopTask, outcome: CommandOutcome, now: float) -> None:
-        """Take the answer to a stop."""
+        """Apply the outcome of a stop command."""
         self._check_fenced(outcome)
         self._reports.handle_stop_result(command, outcome, now)
 
     def mark_fenced(self) -> None:
-        """Note that a worker obeys a later owner."""
+        """Stop starting tasks, because a worker has seen the fencing token of a later owner."""
         self.is_fenced = True
 
     def handle_advice(
         self,
         key: StepKey,
-        named: Iterable[str],
+        requested: Iterable[str],
         approved: Mapping[str, str],
         valid_until_ms: float,
     ) -> None:
-        """Take the adviser's answer."""
+        """Apply the answer of the placement adviser."""
         self.placer.open_advice_requests -= 1
         step = self._find_step(key)
         if step is not None:
-            step.approvals.record_answer(named, approved, valid_until_ms)
+            step.approvals.record_answer(requested, approved, valid_until_ms)
 
     def handle_advice_failure(self, key: StepKey, retry_ms: float) -> None:
-        """Note that a question got no answer."""
+        """Allow a failed advice request to be repeated from `retry_ms` on."""
         self.placer.open_advice_requests -= 1
         step = self._find_step(key)
         if step is not None:
             step.approvals.retry_from(retry_ms)
 
-    # What the metrics show.
+    # Metrics.
 
     def count_queued_tasks(self) -> dict[str, int]:
-        """Return how many tasks wait for a start, by queue."""
+        """Return the number of tasks that wait to be started, by queue."""
         counts: Counter[str] = Counter()
         for step in self.state.ready_steps.values():
             counts[step.job.accepted.queue] += step.idle_count
         return dict(counts)
 
     def min_lease_margin_ms(self, now: float) -> float:
-        """Return the time until the first known lease of a busy worker would lapse."""
+        """Return the time until the first lease of a worker with runs expires."""
         busy = [w for w in self.state.workers.values() if w.runs and w.lease.is_known]
         return min((w.lease.expiry_ms() - now for w in busy), default=0.0)
 
-    # Time and decisions.
+    # Scheduling.
 
     def tick(self, now: float, unix_ms: float) -> None:
-        """Do what time alone brings."""
+        """Run the checks that depend only on time."""
         self._periodic_checks.tick(now, unix_ms)
 
     def schedule(self, now: float, may_start: bool) -> list[Command]:
-        """Decide, and return all commands since the last call."""
+        """Place waiting tasks and return all commands issued since the last call."""
         self.placer.place_waiting_steps(now, may_start and not self.is_fenced)
         commands, self.state.commands = self.state.commands, []
         return commands
 
     def take_unsaved_progress(self) -> dict[str, JobProgress]:
-        """Return the progress that must be stored, and count it as handed over."""
+        """Return the progress that must be stored and clear the list of changed jobs."""
         dirty, self.state.dirty = self.state.dirty, set()
         jobs = self.state.jobs
         return {i: progress_rows.capture_progress(jobs[i]) for i in dirty if i in jobs}
 
     def last_seen_ends(self) -> dict[str, int]:
-        """Return the number of the last end that was taken from each worker."""
+        """Return the sequence number of the last end applied from each worker."""
         return {w.worker_id: w.last_seen_end for w in self.state.workers.values()}
 
     def _set_objective(self, job: JobState) -> None:
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -1,4 +1,4 @@
-"""Hold the jobs, workers and runs of a cell and keep their counts consistent."""
+"""Hold the jobs, workers and runs of a cell and keep the resource accounting consistent."""
 
 from __future__ import annotations
 
@@ -27,53 +27,53 @@
 
 log = logging.getLogger(__name__)
 
-# Runs of one owner have numbers below the first number of the next owner.
+# Run numbers reserved for each owner, so that a later owner always uses higher ones.
 RUN_NUMBERS_PER_OWNER = 1000
 
 
 @attrs.define
 class CellState:
-    """Own the state of a cell; all times are on the owner's clock, in ms."""
+    """Hold the scheduling state of a cell; all times are on the owner's clock, in ms."""
 
     rules: CellRules
     generation: int = 0
     jobs: dict[str, JobState] = attrs.Factory(dict)
     workers: dict[str, WorkerState] = attrs.Factory(dict)
     team_usage: dict[str, Resources] = attrs.Factory(lambda: defaultdict(lambda: NO_RESOURCES))
-    # Steps whose turn has come and that are not done.
+    # Unfinished steps whose dependencies are done.
     ready_steps: dict[StepKey, StepState] = attrs.Factory(dict)
     speeds: SpeedEstimates = attrs.Factory(SpeedEstimates)
     commands: list[Command] = attrs.Factory(list)
-    # Jobs whose durable progress has changed.
+    # Ids of jobs whose progress must be written to the store.
     dirty: set[str] = attrs.Factory(set)
 
     def queue_of(self, job: JobState) -> Queue | None:
-        """Return the queue of a job, or None after it left the configuration."""
+        """Return the queue of a job, or None if it is no longer configured."""
         return self.rules.queues.get(job.accepted.queue)
 
     def team_of(self, job: JobState) -> Team | None:
-        """Return the team of a job."""
+        """Return the team of a job, or None if it is no longer configured."""
         return self.rules.teams.get(job.accepted.team)
 
     def service_of(self, job: JobState) -> str:
-        """Return the service that runs the job's tasks now."""
+        """Return the service that currently runs the tasks of a job."""
         queue = self.queue_of(job)
         return queue.service if queue is not None else job.accepted.service
 
     def requires_advice(self, job: JobState) -> bool:
-        """Tell whether the job's tasks start only with a ticket of the placement adviser."""
+        """Tell whether the tasks of a job need a ticket from the placement adviser to start."""
         queue = self.queue_of(job)
         return queue is not None and queue.advice is not None
 
     def is_within_team_limit(self, job: JobState, need: Resources) -> bool:
-        """Tell whether the team of a job may have this much more running."""
+        """Tell whether a team stays within its resource limit if a job takes this much more."""
         team = self.team_of(job)
         if team is None:
             return True
         return team.allows(self.team_usage[job.accepted.team].plus(need))
 
     def update_ready_steps(self, job: JobState, now: float) -> None:
-        """List the steps of a job whose turn has come, and drop the others."""
+        """Add the steps whose dependencies are done and remove the finished ones."""
         for step in job.steps.values():
             if job.is_final or step.is_done:
                 self.ready_steps.pop(step.key, None)
@@ -85,12 +85,12 @@
     # Runs.
 
     def start_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> None:
-        """Order a run and count it from now on."""
+        """Issue a start command and allocate the resources of the run."""
         job = task.step.job
         ticket = task.step.approvals.valid_ticket(worker.worker_id, now)
         run = self._add_run(task, worker, number, RunPhase.STARTING, now)
         run.is_from_start = not task.checkpoint
-        # The run must be stored before it is ordered, so that the next owner knows of it.
+        # The run must be stored before the command is sent, so that the next owner knows of it.
         self.dirty.add(job.job_id)
         if job.phase is JobPhase.QUEUED:
             job.phase = JobPhase.RUNNING
@@ -110,7 +110,7 @@
         )
 
     def adopt_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> Run:
-        """Count a run that an earlier owner ordered."""
+        """Track a run that an earlier owner started and allocate its resources."""
         run = self._add_run(task, worker, number, RunPhase.RUNNING, now)
         run.confirmed_ms = now
         if task.step.job.phase is JobPhase.QUEUED:
@@ -118,18 +118,18 @@
         return run
 
     def next_run_number(self, tasks: list[TaskState]) -> int:
-        """Return a run number above all that these tasks had under any owner."""
+        """Return a number higher than any run of these tasks had under any owner."""
         return max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run for task in tasks)) + 1
 
     def stop_run(self, run: Run, now: float) -> None:
-        """Order the end of a run."""
+        """Issue a stop command for a run."""
         if run.phase is not RunPhase.UNSURE:
             run.phase = RunPhase.STOPPING
         run.stop_sent_ms = now
         self.commands.append(StopTask(run.worker_id, run.task.key, run.number))
 
     def stop_orphan_run(self, worker: WorkerState, task: TaskKey, number: int) -> None:
-        """Order the end of a run that this owner does not want."""
+        """Issue a stop command for a run on a worker that this owner does not track."""
         if worker.orphan_runs.get(task) != number:
             emit(
                 log, Event.ORPHAN_STOPPED, task=task.to_text(), run=number, worker=worker.worker_id
@@ -138,7 +138,7 @@
         self.commands.append(StopTask(worker.worker_id, task, number))
 
     def close_run(self, run: Run) -> None:
-        """Stop counting a run that is known to have ended, or never to have begun."""
+        """Release the resources of a run that is known to have ended or never to have started."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.remove_run(run)
@@ -147,7 +147,7 @@
         run.task.step.detach_run(run)
 
     def finish_job(self, job: JobState, phase: JobPhase, now: float, reason: str) -> None:
-        """Bring a job to its final state and stop what still runs of it."""
+        """Move a job to a final phase and stop its remaining runs."""
         if job.is_final:
             return
         job.phase, job.ended_ms = phase, now
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -1,4 +1,4 @@
-"""Index the workers of a cell for one round of decisions, so that a step sees only its own."""
+"""Index the workers of a cell for one scheduling round, so that lookups skip the others."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class WorkerGroup:
-    """Hold the listed workers of one service with equal capacity and labels."""
+    """Hold the schedulable workers of one service with equal capacity and labels."""
 
     capacity: Resources
     labels: tuple[str, ...]
@@ -21,7 +21,7 @@
 
 
 class WorkerIndex:
-    """Hold the workers of one round by service; made anew for each round."""
+    """Index workers by service, capacity and labels; built for each scheduling round."""
 
     def __init__(self, workers: Iterable[WorkerState], now: float) -> None:
         self._now = now
@@ -39,11 +39,11 @@
                     self._max_free_cpu[service] = free
 
     def max_free_cpu(self, service: str) -> int:
-        """Return the most free processors of a usable worker at the start of the round."""
+        """Return the largest `free_cpu` of any usable worker at the start of the round, or -1."""
         return self._max_free_cpu.get(service, -1)
 
     def usable_workers(self, service: str, label: str) -> list[WorkerState]:
-        """Return the workers of a service, with a label, that take tasks now."""
+        """Return the workers of a service that accept tasks now and have a label, unless empty."""
         found = self._usable.get(service, {}).values()
         return [worker for worker in found if not label or label in worker.info.labels]
 
@@ -63,7 +63,7 @@
         return [worker for worker in found if not label or label in worker.info.labels]
 
     def capable_worker_ids(self, service: str, label: str, need: Resources) -> list[str]:
-        """Return the ids of the listed workers that could run a task once they are free."""
+        """Return the ids of the listed workers that are large enough for a task, free or not."""
         groups = self._capable_groups(service, label, need)
         key = tuple(map(id, groups))
         if key not in self._ids_by_groups:
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -56,8 +56,8 @@
                 ended=len(report.ended),
             )
         for end in report.ended:
-            if end.sequence > worker.last_seen_end:
-                worker.last_seen_end = end.sequence
+            if end.sequence_number > worker.last_seen_end:
+                worker.last_seen_end = end.sequence_number
                 self._apply_end(worker, end, now)
         for row in report.running:
             self._apply_active_run(worker, row, now)
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -1,4 +1,4 @@
-"""Choose workers for single tasks and for gangs."""
+"""Select workers for independent tasks and for gangs."""
 
 from __future__ import annotations
 
@@ -13,67 +13,67 @@
 
 @attrs.define(eq=False)
 class WorkerSlots:
-    """Hold a worker that may take tasks of a step, and how many of them."""
+    """Hold a candidate worker, the tasks of a step that fit on it and its placement cost."""
 
     worker: WorkerState
     count: int
     cost: float
 
 
-def tasks_that_fit(free: Resources, need: Resources, most: int) -> int:
-    """Return how many tasks of a size fit into a room, at most `most`."""
-    for have, want in (
+def count_fitting_tasks(free: Resources, need: Resources, max_count: int) -> int:
+    """Return how many tasks fit into free resources, at most `max_count`."""
+    for available, required in (
         (free.cpu, need.cpu),
         (free.memory_mb, need.memory_mb),
         (free.gpu, need.gpu),
     ):
-        if want > 0:
-            most = min(most, have // want)
-    return max(0, most)
+        if required > 0:
+            max_count = min(max_count, available // required)
+    return max(0, max_count)
 
 
 def find_slots(
     workers: Iterable[WorkerState],
     step: Step,
-    wanted: int,
+    task_count: int,
     running: Counter[str],
-    cost: Callable[[WorkerState], float],
+    placement_cost: Callable[[WorkerState], float],
 ) -> list[WorkerSlots]:
-    """Return the workers with room for at least one task, the cheapest first."""
+    """Return the workers on which at least one task fits, by ascending cost."""
     found = []
     for worker in workers:
         if worker.free_cpu < step.allocation.cpu:
             continue
-        most = wanted
+        max_count = task_count
         if step.most_per_worker:
-            most = min(most, step.most_per_worker - running[worker.worker_id])
-        count = tasks_that_fit(worker.free, step.allocation, most)
+            max_count = min(max_count, step.most_per_worker - running[worker.worker_id])
+        count = count_fitting_tasks(worker.free, step.allocation, max_count)
         if count > 0:
-            found.append(WorkerSlots(worker, count, cost(worker)))
+            found.append(WorkerSlots(worker, count, placement_cost(worker)))
     found.sort(key=lambda slot: slot.cost)
     return found
 
 
-def assign_tasks(slots: list[WorkerSlots], wanted: int) -> list[WorkerState]:
-    """Return a worker for each of as many tasks as fit, the cheapest first."""
+def assign_tasks(slots: list[WorkerSlots], task_count: int) -> list[WorkerState]:
+    """Return a worker for each task that fits, by ascending cost."""
     chosen: list[WorkerState] = []
     for slot in slots:
-        chosen += [slot.worker] * min(slot.count, wanted - len(chosen))
-        if len(chosen) == wanted:
+        chosen += [slot.worker] * min(slot.count, task_count - len(chosen))
+        if len(chosen) == task_count:
             break
     return chosen
 
 
-def assign_gang(slots: list[WorkerSlots], wanted: int, same_rack: bool) -> list[WorkerState]:
-    """Return a worker for each member, or nothing unless all fit at once.
+def assign_gang(slots: list[WorkerSlots], task_count: int, same_rack: bool) -> list[WorkerState]:
+    """Return a worker for each member of a gang, or an empty list unless all fit at once.
 
-    With `same_rack` one rack is taken if it has the room, else several.
+    With `same_rack` a single rack is preferred; several are used if none has the capacity.
     """
     if same_rack:
         for rack in dict.fromkeys(slot.worker.info.rack for slot in slots):
-            inside = [slot for slot in slots if slot.worker.info.rack == rack]
-            chosen = assign_tasks(inside, wanted)
-            if len(chosen) == wanted:
+            in_rack = [slot for slot in slots if slot.worker.info.rack == rack]
+            chosen = assign_tasks(in_rack, task_count)
+            if len(chosen) == task_count:
                 return chosen
-    chosen = assign_tasks(slots, wanted)
-    return chosen if len(chosen) == wanted else []
+    chosen = assign_tasks(slots, task_count)
+    return chosen if len(chosen) == task_count else []
--- a/baobabhoist/testing/cell_worker.py
+++ b/baobabhoist/testing/cell_worker.py
@@ -72,7 +72,7 @@
         self.token = token
         if deadline_ms is not None:
             self.lease_until = max(self.lease_until, deadline_ms)
-        self.ends = [end for end in self.ends if end.sequence > acked_end]
+        self.ends = [end for end in self.ends if end.sequence_number > acked_end]
         return self.report()
 
     def report(self) -> WorkerReport:
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -204,7 +204,7 @@
         if state.started_unix_ms != stand_in.born_ms:
             return
         for end in stand_in.ends:
-            if end.sequence <= number:
+            if end.sequence_number <= number:
                 self._note(end)
 
     def _note(self, end):
--- a/baobabhoist/tests/test_platform_decode.py
+++ b/baobabhoist/tests/test_platform_decode.py
@@ -102,7 +102,7 @@
     assert cfg.keys == {"k1": "t"}
     assert cfg.rules.teams["t"].limit == Resources(cpu=9)
     assert cfg.route_for("h.example", "/a/b/0").queue.name == "deep"
-    assert cfg.route_for("h.example", "/a/c").queue.advice.valid_ms == 2500
+    assert cfg.route_for("h.example", "/a/c").queue.advice.ticket_valid_ms == 2500
     assert cfg.route_for("other", "/a/c") is None
 
 
