--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -1,4 +1,4 @@
-"""Find what no message reports: lapsed leases, stalled runs, lost stops, broken gangs."""
+"""Detect expired leases, stalled runs, unanswered stops and broken gangs, and open occurrences."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 log = logging.getLogger(__name__)
 
 STOP_RETRY_INTERVAL_MS = 400.0
-# A run whose progress stands still for this long is started elsewhere.
+# A run without progress for this long is stopped and started on another worker.
 STALL_TIMEOUT_MS = 3_000.0
-# Entries of live workers are back this long after the store's return.
+# Live workers are listed in the directory again within this time after a store outage.
 DIRECTORY_RECOVERY_MS = 2_500.0
 
 
 class PeriodicChecks:
-    """Look over the board every now and then; all times are on the owner's clock, in ms."""
+    """Run the checks that depend on time; all times are on the owner's clock, in ms."""
 
     def __init__(self, state: CellState, run_ends: RunEndHandler) -> None:
         self._state = state
         self._run_ends = run_ends
 
     def tick(self, now: float, unix_ms: float) -> None:
-        """Do what is due."""
+        """Run all checks once."""
         for worker in list(self._state.workers.values()):
             self._check_lease(worker, now)
             for run in list(worker.runs.values()):
@@ -36,35 +36,37 @@
         self._open_occurrences(now, unix_ms)
 
     def _check_lease(self, worker: WorkerState, now: float) -> None:
-        lapsed_ms = (
-            worker.lease.expiry_ms() if worker.lease.is_known else worker.inherited_lease_expiry_ms
+        expiry_ms = (
+            worker.lease.expiry_ms()
+            if worker.lease.is_clock_known
+            else worker.inherited_lease_expiry_ms
         )
-        if now > lapsed_ms:
+        if now > expiry_ms:
             for run in list(worker.runs.values()):
                 close_lost_run(
                     self._state, self._run_ends, run, now, "the lease of its worker has lapsed"
                 )
-        gone = not worker.is_listed and now > worker.unlisted_since_ms + DIRECTORY_RECOVERY_MS
-        if gone and not worker.runs:
+        is_gone = not worker.is_listed and now > worker.unlisted_since_ms + DIRECTORY_RECOVERY_MS
+        if is_gone and not worker.runs:
             emit(log, Event.WORKER_GONE, worker=worker.worker_id)
             del self._state.workers[worker.worker_id]
 
     def _check_run(self, worker: WorkerState, run: Run, now: float) -> None:
-        stopping = run.phase in (RunPhase.STOPPING, RunPhase.UNSURE)
+        is_stopping = run.phase in (RunPhase.STOPPING, RunPhase.UNSURE)
         if (
-            stopping
+            is_stopping
             and not run.stop_answered_ms
             and now - run.stop_sent_ms > STOP_RETRY_INTERVAL_MS
         ):
             self._state.stop_run(run, now)
-        stalled = (
+        is_stalled = (
             run.phase is RunPhase.RUNNING
             and not run.task.step.spec.lasting
             and now - run.last_progress_ms > STALL_TIMEOUT_MS
             and worker.last_report_ms > run.last_progress_ms + STALL_TIMEOUT_MS
             and run.percent < 100
         )
-        if stalled:
+        if is_stalled:
             if worker.health.record_stall(now):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="stalled")
             emit(
@@ -78,7 +80,7 @@
             self._state.stop_run(run, now)
 
     def _repair_gangs(self, now: float) -> None:
-        """Stop the rest of a gang that lost members under an earlier owner."""
+        """Stop the remaining members of gangs that lost some under an earlier owner."""
         for step in list(self._state.ready_steps.values()):
             if step.spec.gang and 0 < step.idle_count < step.pending_count:
                 self._stop_members(step, now)
--- a/baobabhoist/cell/progress_rows.py
+++ b/baobabhoist/cell/progress_rows.py
@@ -1,4 +1,4 @@
-"""Write a job's durable progress as a small row and read it back."""
+"""Encode the durable progress of a job as a row of the store and decode it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class StoredRun:
-    """Name a run that was ordered, or is about to be, and whose end is not known."""
+    """Identify a run that may be active: it is about to be started or its end is not known."""
 
     number: int
     worker_id: str
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class StepProgress:
-    """Hold what lasts of one step: tasks done, failed runs, checkpoints and runs by index."""
+    """Hold the durable state of a step; the dictionaries are keyed by task index."""
 
     occurrence: int
     step: int
@@ -33,40 +33,40 @@
 
 @attrs.frozen
 class JobProgress:
-    """Hold what lasts of one job."""
+    """Hold the durable state of a job."""
 
     phase: JobPhase
     steps: tuple[StepProgress, ...] = ()
 
 
 def capture_progress(job: JobState) -> JobProgress:
-    """Return what must last of a job; of a finished one only its state."""
+    """Return the durable state of a job; for a finished one only its phase."""
     if job.is_final:
         return JobProgress(job.phase)
-    found = []
+    steps = []
     for (occurrence, number), step in job.steps.items():
         done = tuple(task.index for task in step.tasks if task.is_done)
-        failed = {t.index: tuple(sorted(t.failed_runs)) for t in step.tasks if t.failed_runs}
-        saved = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.is_done}
+        failed_runs = {t.index: tuple(sorted(t.failed_runs)) for t in step.tasks if t.failed_runs}
+        checkpoints = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.is_done}
         runs = {
             task.index: StoredRun(task.run.number, task.run.worker_id)
             for task in step.tasks
             if task.run is not None
         }
-        if done or failed or saved or runs:
-            found.append(StepProgress(occurrence, number, done, failed, saved, runs))
-    return JobProgress(job.phase, tuple(found))
+        if done or failed_runs or checkpoints or runs:
+            steps.append(StepProgress(occurrence, number, done, failed_runs, checkpoints, runs))
+    return JobProgress(job.phase, tuple(steps))
 
 
 def encode(progress: JobProgress) -> bytes:
-    """Return a progress as the value of a row."""
+    """Return the row value for a progress."""
     steps = [
         [
             s.occurrence,
             s.step,
             s.done,
-            _by_text(s.failed),
-            _by_text(s.checkpoints),
+            _with_text_keys(s.failed),
+            _with_text_keys(s.checkpoints),
             {str(index): [run.number, run.worker_id] for index, run in s.runs.items()},
         ]
         for s in progress.steps
@@ -75,7 +75,7 @@
 
 
 def decode(value: bytes) -> JobProgress:
-    """Return the progress in a row; raises ValueError for a row of another writer."""
+    """Return the progress in a row value; raises ValueError if it is malformed."""
     try:
         body = orjson.loads(value)
         steps = tuple(
@@ -83,11 +83,11 @@
                 int(occurrence),
                 int(step),
                 tuple(int(index) for index in done),
-                {int(k): tuple(int(run) for run in v) for k, v in failed.items()},
-                {int(k): str(v) for k, v in saved.items()},
+                {int(k): tuple(int(run) for run in v) for k, v in failed_runs.items()},
+                {int(k): str(v) for k, v in checkpoints.items()},
                 {int(k): StoredRun(int(run), str(worker)) for k, (run, worker) in runs.items()},
             )
-            for occurrence, step, done, failed, saved, runs in body["steps"]
+            for occurrence, step, done, failed_runs, checkpoints, runs in body["steps"]
         )
         return JobProgress(JobPhase(body["phase"]), steps)
     except (KeyError, TypeError, AttributeError, orjson.JSONDecodeError) as exc:
@@ -95,7 +95,7 @@
 
 
 def restore_progress(job: JobState, progress: JobProgress) -> None:
-    """Put a stored progress into a job whose occurrences are open."""
+    """Apply stored progress to a job whose due occurrences are open."""
     job.phase = progress.phase
     for saved in progress.steps:
         step = job.steps.get((saved.occurrence, saved.step))
@@ -109,5 +109,5 @@
             step.tasks[index].checkpoint = checkpoint
 
 
-def _by_text(values: dict[int, Any]) -> dict[str, Any]:
+def _with_text_keys(values: dict[int, Any]) -> dict[str, Any]:
     return {str(key): value for key, value in values.items()}
--- a/baobabhoist/cell/ranking.py
+++ b/baobabhoist/cell/ranking.py
@@ -1,4 +1,4 @@
-"""Rank waiting steps when the cell is full: who can still be served in time comes first."""
+"""Rank waiting steps for a full cell: steps that can still meet their objective come first."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Timeliness(enum.IntEnum):
-    """Name how much of a job's worth can still be had."""
+    """List how much of its value a job can still earn: all, part or none."""
 
     ON_TIME = 0
     LATE = 1
@@ -18,7 +18,7 @@
 
 
 class Rank(NamedTuple):
-    """Order waiting steps; the lowest comes first."""
+    """Hold the sort key of a waiting step; the lowest comes first."""
 
     timeliness: Timeliness
     priority: int
@@ -27,17 +27,17 @@
 
 
 def timeliness_of(job: JobState, now: float) -> Timeliness:
-    """Return what can still be had of a job if it started now."""
-    done_at = now + job.remaining_critical_path_ms()
-    if done_at <= job.objective_ms:
+    """Return how timely a job would end if the rest of it started now."""
+    done_ms = now + job.remaining_critical_path_ms()
+    if done_ms <= job.objective_ms:
         return Timeliness.ON_TIME
-    return Timeliness.LATE if done_at <= job.late_limit_ms else Timeliness.EXPIRED
+    return Timeliness.LATE if done_ms <= job.late_limit_ms else Timeliness.EXPIRED
 
 
 def rank_step(step: StepState, queue: Queue | None, now: float) -> Rank:
     """Return the rank of a waiting step."""
     job = step.job
     priority = queue.priority if queue is not None else 0
-    # How long the job can still wait and meet its objective.
+    # How long the job can still wait without missing its objective.
     slack_ms = job.objective_ms - now - job.remaining_critical_path_ms()
     return Rank(timeliness_of(job, now), priority, slack_ms, job.accepted_local_ms)
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -1,4 +1,4 @@
-"""Apply the ends of runs to tasks, gangs and jobs."""
+"""Apply the outcomes of ended runs to tasks, gangs and jobs."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class RunEndHandler:
-    """Decide what the end of a run means for its task and its job."""
+    """Update the tasks and jobs of ended runs; all times are on the owner's clock, in ms."""
 
     def __init__(self, state: CellState) -> None:
         self._state = state
 
     def record_end(
-        self, task: TaskState, number: int, kind: RunOutcome, checkpoint: str, now: float
+        self, task: TaskState, number: int, outcome: RunOutcome, checkpoint: str, now: float
     ) -> None:
-        """Take note of an end that a worker listed; the run itself is closed by the caller."""
+        """Apply the reported outcome of a run to its task; the caller closes the run itself."""
         job = task.step.job
         if checkpoint and not task.is_done and task.step.spec.checkpoints:
             self._save_checkpoint(task, checkpoint)
-        if kind is RunOutcome.DONE:
+        if outcome is RunOutcome.DONE:
             self._mark_done(task, now)
             return
         emit(
@@ -33,10 +33,10 @@
             Event.RUN_ENDED_EARLY,
             task=task.key.to_text(),
             run=number,
-            kind=kind.value,
+            kind=outcome.value,
             checkpoint=checkpoint,
         )
-        if kind is RunOutcome.FAILED and number not in task.failed_runs and not task.is_done:
+        if outcome is RunOutcome.FAILED and number not in task.failed_runs and not task.is_done:
             task.failed_runs.add(number)
             if task.run is not None and task.run.number == number:
                 task.step.failed_worker_ids.add(task.run.worker_id)
@@ -46,7 +46,7 @@
             self.stop_gang_run(task.step, number, now)
 
     def stop_gang_run(self, step: StepState, number: int, now: float) -> None:
-        """Stop what still runs of a gang's run, so that the gang can start again whole."""
+        """Stop the other members of a gang's run, so that the gang can restart as a whole."""
         for member in step.tasks:
             run = member.run
             if run is not None and run.number == number and run.phase is not RunPhase.STOPPING:
@@ -75,7 +75,8 @@
             return
         worker.health.record_success()
         spec = task.step.spec
-        # A gang runs at the pace of its slowest member, and a resumed run not from the start.
+        # Gangs run at the pace of their slowest member and resumed runs skip part of the work,
+        # so neither tells the speed of this worker.
         if run.is_from_start and not spec.gang and run.confirmed_ms:
             queue = task.step.job.accepted.queue
             took_ms = now - run.confirmed_ms
@@ -101,7 +102,7 @@
 def close_lost_run(
     state: CellState, run_ends: RunEndHandler, run: Run, now: float, reason: str
 ) -> None:
-    """Close a run that is certain to be gone without an end in any list."""
+    """Close a run that has certainly ended although no worker reported its end."""
     emit(
         log,
         Event.RUN_LOST,
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -269,7 +269,7 @@
 
     def min_lease_margin_ms(self, now: float) -> float:
         """Return the time until the first lease of a worker with runs expires."""
-        busy = [w for w in self.state.workers.values() if w.runs and w.lease.is_known]
+        busy = [w for w in self.state.workers.values() if w.runs and w.lease.is_clock_known]
         return min((w.lease.expiry_ms() - now for w in busy), default=0.0)
 
     # Scheduling.
--- a/baobabhoist/cell/speed_estimates.py
+++ b/baobabhoist/cell/speed_estimates.py
@@ -1,8 +1,8 @@
-"""Learn how fast workers are from how long tasks take against their declared time.
+"""Estimate the speed of workers from the actual and declared durations of tasks.
 
-Each finished task gives log(time / declared time) = bias of its queue + slowness of its worker +
-noise. Queues differ in how far their declared times are off, so the noise of each queue is learned
-too, and a queue with exact times counts for more.
+Each finished task gives an observation log(actual / declared) = bias of its queue + slowdown of
+its worker + noise. The declared durations of some queues are less accurate than those of others,
+so the noise of each queue is estimated too, and observations from accurate queues weigh more.
 """
 
 from __future__ import annotations
@@ -11,34 +11,36 @@
 
 import attrs
 
-# Before any task has run on it a worker differs from the mean by about this much.
+# Expected deviation of a worker from the mean before any task has run on it.
 PRIOR_STDDEV = 0.45
 INITIAL_NOISE_STDDEV = 0.6
 MIN_NOISE_STDDEV = 0.15
-# A worker's speed may change, so old observations fade: this many count at most.
+# A worker's speed may change, so at most this many observations count and older ones fade.
 MAX_WORKER_OBSERVATIONS = 24.0
 MAX_QUEUE_OBSERVATIONS = 60.0
-# An observation this many deviations away is a surprise; so many in a row show a change.
+# An observation this many standard deviations off is a surprise. This many in a row, all in the
+# same direction, show that the speed of the worker has changed.
 SURPRISE_STDDEVS = 2.0
 SURPRISES_BEFORE_RESET = 2
+# A squared error counts at most as this multiple of the current noise.
 MAX_SQUARED_ERROR_FACTOR = 4.0
-# Bounds of one observation, so that one odd run does not spoil a figure.
+# Observations are clipped to this range, so that a single outlier does not distort an estimate.
 MAX_LOG_RATIO = 2.5
 
 
 @attrs.define
 class WorkerEstimate:
-    """Hold the logarithm of a worker's slowness and how much is known of it."""
+    """Hold the estimated log slowdown of a worker and its precision (inverse variance)."""
 
     mean: float = 0.0
     precision: float = 1.0 / PRIOR_STDDEV**2
-    # Observations in a row that were far from the mean, all on one side.
+    # Consecutive surprises in one direction; negative if the worker was faster than expected.
     surprises: int = 0
 
 
 @attrs.define
 class QueueEstimate:
-    """Hold how far declared times of a queue are off: their mean error and their noise."""
+    """Hold the mean log error of a queue's declared durations and its variance."""
 
     bias: float = 0.0
     noise: float = INITIAL_NOISE_STDDEV**2
@@ -47,52 +49,56 @@
 
 @attrs.define
 class SpeedEstimates:
-    """Hold what is known of workers and queues."""
+    """Hold the estimates of all workers and queues."""
 
     workers: dict[str, WorkerEstimate] = attrs.Factory(dict)
     queues: dict[str, QueueEstimate] = attrs.Factory(dict)
 
     def worker_slowdown(self, worker_id: str) -> float:
-        """Return how many times longer than on the mean worker a task takes."""
-        known = self.workers.get(worker_id)
-        return math.exp(known.mean) if known is not None else 1.0
+        """Return how many times longer a task takes on a worker than on the mean worker."""
+        estimate = self.workers.get(worker_id)
+        return math.exp(estimate.mean) if estimate is not None else 1.0
 
     def duration_ratio(self, queue: str) -> float:
-        """Return how many times longer than declared a queue's tasks take on the mean worker."""
-        known = self.queues.get(queue)
-        return math.exp(known.bias) if known is not None else 1.0
+        """Return the ratio of actual to declared task duration in a queue on the mean worker."""
+        estimate = self.queues.get(queue)
+        return math.exp(estimate.bias) if estimate is not None else 1.0
 
     def observe(self, worker_id: str, queue: str, took_ms: float, declared_ms: float) -> None:
-        """Learn from a task that ran whole on a worker."""
+        """Update the estimates from a task that a worker ran from start to end."""
         if took_ms <= 0 or declared_ms <= 0:
             return
-        ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, math.log(took_ms / declared_ms)))
-        worker = self.workers.setdefault(worker_id, WorkerEstimate())
-        times = self.queues.setdefault(queue, QueueEstimate())
-        self._update_queue(times, ratio - worker.mean)
-        self._update_worker(worker, ratio - times.bias, times.noise)
-
-    def _update_queue(self, times: QueueEstimate, seen: float) -> None:
-        times.seen = min(MAX_QUEUE_OBSERVATIONS, times.seen + 1.0)
-        rate = 1.0 / times.seen
-        error = seen - times.bias
-        times.bias += rate * error
-        if times.seen > 1.0:
-            # A worker that turned slow must not make the queue's times look worthless.
-            squared = min(error * error, MAX_SQUARED_ERROR_FACTOR * times.noise)
-            times.noise += rate * (squared - times.noise)
-            times.noise = max(MIN_NOISE_STDDEV**2, times.noise)
-
-    def _update_worker(self, worker: WorkerEstimate, seen: float, noise: float) -> None:
+        log_ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, math.log(took_ms / declared_ms)))
+        worker_estimate = self.workers.setdefault(worker_id, WorkerEstimate())
+        queue_estimate = self.queues.setdefault(queue, QueueEstimate())
+        self._update_queue(queue_estimate, log_ratio - worker_estimate.mean)
+        self._update_worker(worker_estimate, log_ratio - queue_estimate.bias, queue_estimate.noise)
+
+    def _update_queue(self, estimate: QueueEstimate, observed: float) -> None:
+        estimate.seen = min(MAX_QUEUE_OBSERVATIONS, estimate.seen + 1.0)
+        rate = 1.0 / estimate.seen
+        error = observed - estimate.bias
+        estimate.bias += rate * error
+        if estimate.seen > 1.0:
+            # Clipped, so that a worker that has become slow does not inflate the queue's noise.
+            squared_error = min(error * error, MAX_SQUARED_ERROR_FACTOR * estimate.noise)
+            estimate.noise += rate * (squared_error - estimate.noise)
+            estimate.noise = max(MIN_NOISE_STDDEV**2, estimate.noise)
+
+    def _update_worker(self, estimate: WorkerEstimate, observed: float, noise: float) -> None:
         precision = 1.0 / noise
-        error = seen - worker.mean
+        error = observed - estimate.mean
         if abs(error) < SURPRISE_STDDEVS * math.sqrt(noise):
-            worker.surprises = 0
+            estimate.surprises = 0
         else:
-            same_side = worker.surprises * error > 0
-            worker.surprises = (worker.surprises if same_side else 0) + (1 if error > 0 else -1)
-        if abs(worker.surprises) >= SURPRISES_BEFORE_RESET:
-            # The worker has changed: what was learned before counts no more than a guess.
-            worker.precision, worker.surprises = 1.0 / PRIOR_STDDEV**2, 0
-        worker.precision = min(worker.precision + precision, MAX_WORKER_OBSERVATIONS * precision)
-        worker.mean += precision / worker.precision * error
+            is_same_direction = estimate.surprises * error > 0
+            estimate.surprises = (estimate.surprises if is_same_direction else 0) + (
+                1 if error > 0 else -1
+            )
+        if abs(estimate.surprises) >= SURPRISES_BEFORE_RESET:
+            # The speed has changed: reduce the weight of earlier observations to the prior's.
+            estimate.precision, estimate.surprises = 1.0 / PRIOR_STDDEV**2, 0
+        estimate.precision = min(
+            estimate.precision + precision, MAX_WORKER_OBSERVATIONS * precision
+        )
+        estimate.mean += precision / estimate.precision * error
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -1,4 +1,4 @@
-"""Merge the answers of workers into what the owner knows of its runs."""
+"""Reconcile the tracked runs with the reports and replies of workers."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-# A worker that refused a start gets no other for this long.
-PAUSE_AFTER_REFUSAL_MS = 150.0
+# A worker that refused a start or did not answer it gets no other one for this long.
+FAILED_START_BACKOFF_MS = 150.0
 
 
 class WorkerReportHandler:
-    """Take reports and answers to orders; all times are on the owner's clock, in ms."""
+    """Apply reports and command outcomes; all times are on the owner's clock, in ms."""
 
     def __init__(self, state: CellState, run_ends: RunEndHandler) -> None:
         self._state = state
@@ -36,7 +36,7 @@
     def handle_report(
         self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
     ) -> None:
-        """Merge a report; `sent_ms` is when it was asked for."""
+        """Apply a report; `sent_ms` is when it was requested."""
         if (
             worker.started_unix_ms
             and report.started_unix_ms
@@ -46,8 +46,8 @@
         worker.started_unix_ms = report.started_unix_ms or worker.started_unix_ms
         worker.lease.update_clock(report.clock_ms, now)
         worker.last_report_ms = now
-        if not worker.is_fenced:
-            worker.is_fenced = True
+        if not worker.has_accepted_token:
+            worker.has_accepted_token = True
             emit(
                 log,
                 Event.WORKER_FENCED,
@@ -55,16 +55,16 @@
                 running=len(report.running),
                 ended=len(report.ended),
             )
-        for end in report.ended:
-            if end.sequence_number > worker.last_seen_end:
-                worker.last_seen_end = end.sequence_number
-                self._apply_end(worker, end, now)
-        for row in report.running:
-            self._apply_active_run(worker, row, now)
+        for ended_run in report.ended:
+            if ended_run.sequence_number > worker.last_seen_end:
+                worker.last_seen_end = ended_run.sequence_number
+                self._apply_end(worker, ended_run, now)
+        for active_run in report.running:
+            self._apply_active_run(worker, active_run, now)
         self._close_missing_runs(worker, report, sent_ms, now)
 
     def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
-        """Take the answer to a start."""
+        """Apply the outcome of a start command."""
         run = self._find_run(command)
         worker = self._state.workers.get(command.worker_id)
         if run is None or worker is None:
@@ -77,7 +77,7 @@
         if outcome is CommandOutcome.UNKNOWN:
             if run.phase is RunPhase.STARTING:
                 run.phase = RunPhase.UNSURE
-                worker.paused_until_ms = now + PAUSE_AFTER_REFUSAL_MS
+                worker.backoff_until_ms = now + FAILED_START_BACKOFF_MS
                 emit(
                     log,
                     Event.START_UNANSWERED,
@@ -93,7 +93,7 @@
             self._handle_refusal(run, worker, command, outcome, now)
 
     def handle_stop_result(self, command: StopTask, outcome: CommandOutcome, now: float) -> None:
-        """Take the answer to a stop."""
+        """Apply the outcome of a stop command."""
         run = self._find_run(command)
         if run is None:
             return
@@ -121,64 +121,70 @@
         if outcome is CommandOutcome.NO_TICKET:
             step.approvals.invalidate_ticket(worker.worker_id)
         else:
-            worker.paused_until_ms = now + PAUSE_AFTER_REFUSAL_MS
+            worker.backoff_until_ms = now + FAILED_START_BACKOFF_MS
         if outcome is CommandOutcome.UNHEALTHY:
             worker.health.record_failure(step.job.job_id, now)
         self._state.close_run(run)
         if step.spec.gang and not step.is_done:
             self._run_ends.stop_gang_run(step, run.number, now)
 
-    def _apply_end(self, worker: WorkerState, end: EndedRun, now: float) -> None:
-        worker.orphan_runs.pop(end.task, None)
-        job = self._state.jobs.get(end.task.job_id)
-        task = job.find_task(end.task) if job is not None else None
+    def _apply_end(self, worker: WorkerState, ended_run: EndedRun, now: float) -> None:
+        worker.orphan_runs.pop(ended_run.task, None)
+        job = self._state.jobs.get(ended_run.task.job_id)
+        task = job.find_task(ended_run.task) if job is not None else None
         if job is None or task is None:
             return
-        run = worker.runs.get(end.task)
-        mine = run is not None and run.number <= end.run
-        if mine and run is not None:
-            # Keep the run while its end is applied, so that its time is learned.
-            self._run_ends.record_end(task, end.run, end.outcome, end.checkpoint, now)
-            if end.outcome is RunOutcome.FAILED and worker.health.record_failure(job.job_id, now):
+        run = worker.runs.get(ended_run.task)
+        is_current_run = run is not None and run.number <= ended_run.run
+        if is_current_run and run is not None:
+            # Close the run only afterwards, because its duration updates the speed estimates.
+            self._run_ends.record_end(
+                task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
+            )
+            if ended_run.outcome is RunOutcome.FAILED and worker.health.record_failure(
+                job.job_id, now
+            ):
                 emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="failures")
             self._state.close_run(run)
             return
         if not job.is_final:
-            self._run_ends.record_end(task, end.run, end.outcome, end.checkpoint, now)
+            self._run_ends.record_end(
+                task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
+            )
             other = task.run
             if task.is_done and other is not None and other.phase is not RunPhase.STOPPING:
                 self._state.stop_run(other, now)
 
-    def _apply_active_run(self, worker: WorkerState, row: ActiveRun, now: float) -> None:
-        run = worker.runs.get(row.task)
-        if run is not None and run.number == row.run:
-            self._update_progress(run, row, now)
+    def _apply_active_run(self, worker: WorkerState, active_run: ActiveRun, now: float) -> None:
+        run = worker.runs.get(active_run.task)
+        if run is not None and run.number == active_run.run:
+            self._update_progress(run, active_run, now)
             return
-        if run is not None and run.number > row.run:
-            # The list was made before a later run replaced this one.
+        if run is not None and run.number > active_run.run:
+            # The report was made before a later run replaced this one.
             return
-        job = self._state.jobs.get(row.task.job_id)
-        task = job.find_task(row.task) if job is not None else None
+        job = self._state.jobs.get(active_run.task.job_id)
+        task = job.find_task(active_run.task) if job is not None else None
         if job is None or task is None or job.is_final or task.is_done or task.run is not None:
-            self._state.stop_orphan_run(worker, row.task, row.run)
+            self._state.stop_orphan_run(worker, active_run.task, active_run.run)
             return
-        adopted = self._state.adopt_run(task, worker, row.run, now)
-        self._update_progress(adopted, row, now)
+        adopted = self._state.adopt_run(task, worker, active_run.run, now)
+        self._update_progress(adopted, active_run, now)
 
-    def _update_progress(self, run: Run, row: ActiveRun, now: float) -> None:
+    def _update_progress(self, run: Run, active_run: ActiveRun, now: float) -> None:
         run.confirmed_ms = run.confirmed_ms or now
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
-        if row.percent != run.percent:
-            run.percent, run.last_progress_ms = row.percent, now
-        if row.checkpoint and run.task.step.spec.checkpoints:
-            run.task.checkpoint = row.checkpoint
+        if active_run.percent != run.percent:
+            run.percent, run.last_progress_ms = active_run.percent, now
+        if active_run.checkpoint and run.task.step.spec.checkpoints:
+            run.task.checkpoint = active_run.checkpoint
 
     def _close_missing_runs(
         self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
     ) -> None:
-        """Close the runs and orphans that the report shows to be gone."""
-        listed = {(row.task, row.run) for row in report.running}
+        """Close the runs and orphans that have ended because the report does not list them."""
+        listed = {(active_run.task, active_run.run) for active_run in report.running}
         for key, number in list(worker.orphan_runs.items()):
             if (key, number) not in listed:
                 del worker.orphan_runs[key]
--- a/baobabhoist/control/workers.py
+++ b/baobabhoist/control/workers.py
@@ -86,7 +86,7 @@
         if cell is None:
             return False
         behind = state.last_seen_end > state.last_acked_end
-        wait_ms = WAIT_MS if state.is_fenced and self._answering and not behind else 0
+        wait_ms = WAIT_MS if state.has_accepted_token and self._answering and not behind else 0
         # A silent worker is offered no longer lease: its tasks wait for the end of the last one.
         may_extend = self._answering and self._owner.may_renew()
         deadline = self._deadline() if may_extend else None
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -290,7 +290,7 @@
     (question,) = rig.schedule()
     assert set(question.workers) == {"w0", "w1", "w2"}
     rig.cell.handle_advice(question.step, question.workers, {"w1": "t1"}, rig.now + 2000)
-    rig.cell.state.workers["w1"].paused_until_ms = rig.now + 2500
+    rig.cell.state.workers["w1"].backoff_until_ms = rig.now + 2500
     rig.now += 1950
     (again,) = rig.schedule()
     assert again.workers == ("w1",)
