--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -1,4 +1,4 @@
-"""Drive a cell against stand-in workers, without a network."""
+"""Drive a cell scheduler with simulated workers, without a network."""
 
 import attrs
 
@@ -41,7 +41,7 @@
 
 @attrs.define
 class CellHarness:
-    """Hold a cell, its workers and the orders that are on their way."""
+    """Hold a cell scheduler, its workers and the commands in transit."""
 
     workers: dict = attrs.Factory(dict)
     cell_rules: CellRules = attrs.Factory(make_rules)
@@ -50,7 +50,7 @@
     generation: int = 0
     cell: CellScheduler = None
     delivers_commands: bool = True
-    # Orders that were sent but not delivered, oldest first.
+    # Commands that were issued but not delivered, oldest first.
     undelivered: list = attrs.Factory(list)
     advice_requests: list = attrs.Factory(list)
     seen_cancelled: set = attrs.Factory(set)
@@ -61,22 +61,22 @@
     @classmethod
     def with_workers(cls, count=2, cell_rules=None, **options):
         workers = {f"w{n}": StandInWorker(f"w{n}", **options) for n in range(count)}
-        rig = cls(workers, cell_rules or make_rules())
-        rig.renew_all()
-        return rig
+        harness = cls(workers, cell_rules or make_rules())
+        harness.renew_all()
+        return harness
 
-    def start_ownership(self, lapsed_ms=0.0):
-        """Begin a new ownership."""
-        takeover = Takeover(self.generation, self.token, lapsed_ms)
+    def start_ownership(self, inherited_leases_expire_ms=0.0):
+        """Replace the scheduler by that of a new owner."""
+        takeover = Takeover(self.generation, self.token, inherited_leases_expire_ms)
         self.cell = CellScheduler(self.cell_rules, takeover, LEASE_MS)
         self.cell.sync_directory([w.info() for w in self.workers.values()], self.now)
 
-    def take_over(self, jobs=(), progress=None, lapse_ms=LEASE_MS * 1.1):
-        """Let another owner take the cell with what the store holds."""
+    def take_over(self, jobs=(), progress=None, inherited_lease_ms=LEASE_MS * 1.1):
+        """Let another owner take over the cell with the jobs and progress in the store."""
         self.token += 10
         self.generation += 1
         self.undelivered.clear()
-        self.start_ownership(self.now + lapse_ms)
+        self.start_ownership(self.now + inherited_lease_ms)
         for accepted in jobs:
             self.submit(accepted)
         for job_id, saved in (progress or {}).items():
@@ -88,11 +88,11 @@
     def renew(self, worker_id, deliver=True):
         worker, state = self.workers[worker_id], self.cell.state.workers[worker_id]
         deadline = state.lease.extend_deadline(self.now, LEASE_MS)
-        answer = worker.renew(self.token, state.last_acked_end, deadline)
-        if answer is CommandOutcome.FENCED:
+        reply = worker.renew(self.token, state.last_acked_end, deadline)
+        if reply is CommandOutcome.FENCED:
             self.cell.mark_fenced()
         elif deliver:
-            self.cell.handle_report(worker_id, answer, self.now, self.now + 0.5)
+            self.cell.handle_report(worker_id, reply, self.now, self.now + 0.5)
 
     def renew_all(self):
         for worker_id in self.workers:
@@ -100,7 +100,7 @@
                 self.renew(worker_id)
 
     def schedule(self, may_start=True):
-        """Decide and carry the orders out, unless they are held back."""
+        """Run a scheduling round and deliver its commands if `delivers_commands` is set."""
         commands = self.cell.schedule(self.now, may_start)
         for command in commands:
             if isinstance(command, RequestAdvice):
@@ -111,34 +111,34 @@
                 self.undelivered.append(command)
         return commands
 
-    def deliver_command(self, command, answer=True):
-        """Deliver an order, and its answer unless that is lost."""
+    def deliver_command(self, command, answer_arrives=True):
+        """Deliver a command, and its reply if `answer_arrives`."""
         worker = self.workers[command.worker_id]
         if isinstance(command, StartTask):
             state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS)
             outcome = worker.start(self.token, command, deadline or 0)
             self.cell.handle_start_result(
-                command, outcome if answer else CommandOutcome.UNKNOWN, self.now
+                command, outcome if answer_arrives else CommandOutcome.UNKNOWN, self.now
             )
         elif isinstance(command, StopTask):
             outcome = worker.stop(self.token, command)
             self.cell.handle_stop_result(
-                command, outcome if answer else CommandOutcome.UNKNOWN, self.now
+                command, outcome if answer_arrives else CommandOutcome.UNKNOWN, self.now
             )
         return outcome
 
-    def lose_answer(self, command):
-        """Tell the owner that an order got no answer, without delivering it."""
-        answered = (
+    def lose_command(self, command):
+        """Report an unknown outcome of a command to its owner without delivering it."""
+        handle_result = (
             self.cell.handle_start_result
             if isinstance(command, StartTask)
             else self.cell.handle_stop_result
         )
-        answered(command, CommandOutcome.UNKNOWN, self.now)
+        handle_result(command, CommandOutcome.UNKNOWN, self.now)
 
     def advance(self, ms, renew=True):
-        """Let time pass in steps of a tick."""
+        """Let time pass in ticks of at most 100 ms."""
         while ms > 0:
             step = min(ms, 100.0)
             ms -= step
@@ -151,15 +151,15 @@
             self.schedule()
 
     def settle(self, rounds=4):
-        """Exchange reports and decisions until nothing changes."""
+        """Alternate reports and scheduling rounds until, by default, the state is stable."""
         for _ in range(rounds):
             self.now += 1.0
             self.renew_all()
             self.schedule()
 
-    def end_run(self, key, kind=RunOutcome.DONE, checkpoint=""):
+    def end_run(self, key, outcome=RunOutcome.DONE, checkpoint=""):
         worker = self.worker_running(key)
-        worker.end(key, kind, checkpoint)
+        worker.end(key, outcome, checkpoint)
         self.settle()
 
     def worker_running(self, key):
@@ -169,11 +169,11 @@
         return sorted((key, w.worker_id) for w in self.workers.values() for key in w.runs)
 
     def save_progress(self):
-        """Return what the store gets, and let the workers forget the ends in it."""
-        saved = self.cell.take_unsaved_progress()
+        """Return the progress to store and acknowledge the ends in it to the workers."""
+        progress_by_job = self.cell.take_unsaved_progress()
         for worker in self.cell.state.workers.values():
             worker.last_acked_end = worker.last_seen_end
-        return saved
+        return progress_by_job
 
     def job_phase(self, job_id="0" * 16):
         return self.cell.find_job(job_id).phase
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -1,4 +1,4 @@
-"""Test the load of unlike workers: fast ones are found although declared times are off."""
+"""Test the speed estimates of workers under inaccurate declared durations."""
 
 import random
 
@@ -7,23 +7,23 @@
 from baobabhoist.control.rowmap import decode_speeds, encode_speeds
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job
 
-SPEEDS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
+SLOWDOWNS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
 
 
-def learn(off, tasks, seed=1):
+def simulate_tasks(noise, task_count, seed=1):
     rng = random.Random(seed)
     speeds = SpeedEstimates()
-    for number in range(tasks):
-        worker = sorted(SPEEDS)[number % 3]
-        declared = 1000.0 * rng.lognormvariate(0.0, 0.5)
-        took = declared * 1.4 * SPEEDS[worker] * rng.lognormvariate(0.0, off)
-        speeds.observe(worker, "q", took, declared)
+    for number in range(task_count):
+        worker = sorted(SLOWDOWNS)[number % 3]
+        declared_ms = 1000.0 * rng.lognormvariate(0.0, 0.5)
+        took_ms = declared_ms * 1.4 * SLOWDOWNS[worker] * rng.lognormvariate(0.0, noise)
+        speeds.observe(worker, "q", took_ms, declared_ms)
     return speeds
 
 
-def test_slow_workers_are_known_after_a_few_tasks():
-    """Guard against short jobs that miss their objective on a slow worker for long."""
-    speeds = learn(0.3, 18)
+def test_slow_workers_are_recognised_after_a_few_tasks():
+    """Guard against short jobs that keep missing their objective on a slow worker."""
+    speeds = simulate_tasks(0.3, 18)
     assert (
         speeds.worker_slowdown("fast")
         < speeds.worker_slowdown("mean")
@@ -32,9 +32,9 @@
     assert speeds.worker_slowdown("slow") / speeds.worker_slowdown("fast") > 1.7
 
 
-def test_times_that_are_far_off_move_the_figures_less():
-    """Guard against one misdeclared job that makes a good worker look slow."""
-    speeds = learn(0.2, 60)
+def test_inaccurate_declared_durations_change_the_estimates_less():
+    """Guard against a misdeclared job that makes a fast worker look slow."""
+    speeds = simulate_tasks(0.2, 60)
     before = speeds.worker_slowdown("fast")
     for _ in range(20):
         speeds.observe("mean", "wild", 30_000.0, 1000.0)
@@ -43,26 +43,26 @@
     assert speeds.worker_slowdown("fast") < 1.15 * before
 
 
-def test_a_worker_that_turns_slow_is_seen():
-    """Guard against a figure that never changes again."""
-    speeds = learn(0.2, 200)
+def test_a_worker_that_becomes_slow_is_recognised():
+    """Guard against an estimate that no longer follows new observations."""
+    speeds = simulate_tasks(0.2, 200)
     for _ in range(12):
         speeds.observe("fast", "q", 1400.0 * 5.0, 1000.0)
     assert speeds.worker_slowdown("fast") > speeds.worker_slowdown("slow")
 
 
-def test_the_fastest_free_worker_comes_first():
-    """Guard against speeds that are learned and not used."""
-    rig = CellHarness.with_workers(3)
+def test_the_fastest_free_worker_is_chosen_first():
+    """Guard against speed estimates that placement ignores."""
+    harness = CellHarness.with_workers(3)
     for _ in range(10):
-        for worker, took in (("w0", 1700.0), ("w1", 700.0), ("w2", 1000.0)):
-            rig.cell.state.speeds.observe(worker, "q", took, 1000.0)
-    rig.submit(make_job("0" * 16, Step(1, SMALL, 2000)))
-    rig.settle()
-    assert rig.running_tasks()[0][1] == "w1"
+        for worker, took_ms in (("w0", 1700.0), ("w1", 700.0), ("w2", 1000.0)):
+            harness.cell.state.speeds.observe(worker, "q", took_ms, 1000.0)
+    harness.submit(make_job("0" * 16, Step(1, SMALL, 2000)))
+    harness.settle()
+    assert harness.running_tasks()[0][1] == "w1"
 
 
-def test_what_was_learned_outlasts_its_owner():
-    """Guard against a takeover after which short jobs meet slow workers again."""
-    speeds = learn(0.2, 30)
+def test_estimates_survive_a_takeover():
+    """Guard against a takeover after which short jobs are placed on slow workers again."""
+    speeds = simulate_tasks(0.2, 30)
     assert decode_speeds(encode_speeds(speeds)) == speeds
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -1,7 +1,7 @@
-"""Drive cells through lost answers, late orders, cuts, restarts and takeovers at random.
+"""Test cells under random lost replies, delayed commands, partitions, restarts and takeovers.
 
-Workers keep the promises of the platform; whatever the schedule, no task may run twice at the
-same time or again after its end was noted, and no worker may hold more than it has room for.
+Workers keep the guarantees of the platform. Under any interleaving, no task may run twice at the
+same time or again after its end was stored, and no worker may exceed its capacity.
 """
 
 import attrs
@@ -23,9 +23,9 @@
 from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, make_job, make_rules
 
 MAX_ATTEMPTS = 2
-ENDS = st.sampled_from([RunOutcome.DONE, RunOutcome.FAILED])
+OUTCOMES = st.sampled_from([RunOutcome.DONE, RunOutcome.FAILED])
 WORKERS = st.sampled_from(["w0", "w1", "w2"])
-STEPS = st.sampled_from(
+STEP_LISTS = st.sampled_from(
     [
         (Step(1, SMALL, 100),),
         (Step(3, SMALL, 100),),
@@ -36,8 +36,8 @@
 
 
 @attrs.frozen
-class Sent:
-    """Hold an order with what its owner put into it."""
+class SentCommand:
+    """Hold a command with the token and deadline that its owner sent along."""
 
     token: int
     deadline_ms: int
@@ -57,17 +57,17 @@
         self.jobs = {}
         self.cancelled = set()
         self.stored = {}
-        # Starts wait here until the progress that names them is stored.
-        self.unstored = []
-        self.sent = []
-        self.noted = set()
-        self.noted_failures = {}
-        self.cut = set()
+        # Start commands are held back until the progress that lists their runs is stored.
+        self.unstored_starts = []
+        self.in_transit = []
+        self.stored_done = set()
+        self.stored_failures = {}
+        self.unreachable = set()
         self.cell = None
-        self._own(0.0)
+        self._start_ownership(0.0)
 
-    def _own(self, lapsed_ms):
-        takeover = Takeover(self.generation, self.token, lapsed_ms)
+    def _start_ownership(self, inherited_leases_expire_ms):
+        takeover = Takeover(self.generation, self.token, inherited_leases_expire_ms)
         self.cell = CellScheduler(self.rules, takeover, LEASE_MS)
         self.cell.sync_directory([w.info() for w in self.workers.values()], self.now)
         for accepted in self.jobs.values():
@@ -77,9 +77,9 @@
         for job_id, saved in self.stored.items():
             self.cell.restore_job(job_id, saved, self.now)
 
-    # What happens outside the owner.
+    # Events outside the owner.
 
-    @rule(steps=STEPS)
+    @rule(steps=STEP_LISTS)
     def submit(self, steps):
         job_id = f"{len(self.jobs):016x}"
         accepted = make_job(job_id, *steps, version=self.token + 1 + len(self.jobs))
@@ -93,29 +93,29 @@
         self.cancelled.add(job_id)
         self.cell.cancel_job(job_id, self.now)
 
-    @rule(kind=ENDS, worker=WORKERS, data=st.data())
-    def end_run(self, kind, worker, data):
+    @rule(outcome=OUTCOMES, worker=WORKERS, data=st.data())
+    def end_run(self, outcome, worker, data):
         runs = self.workers[worker].runs
         if runs:
             key = data.draw(st.sampled_from(sorted(runs)))
-            self._end(worker, key, kind)
+            self._end(worker, key, outcome)
 
-    def _end(self, worker, key, kind):
+    def _end(self, worker, key, outcome):
         number = self.workers[worker].runs[key].number
-        self.workers[worker].end(key, kind)
+        self.workers[worker].end(key, outcome)
         step = self.jobs[key.job_id].spec.steps[key.step]
         if not step.gang:
             return
-        other_kind = RunOutcome.DONE if kind is RunOutcome.DONE else RunOutcome.BROKEN
-        end_gang(self.workers, key, number, other_kind)
+        member_outcome = RunOutcome.DONE if outcome is RunOutcome.DONE else RunOutcome.BROKEN
+        end_gang(self.workers, key, number, member_outcome)
 
     @rule(worker=WORKERS)
     def restart_worker(self, worker):
         self.workers[worker].restart()
 
     @rule(worker=WORKERS)
-    def cut_or_heal(self, worker):
-        self.cut ^= {worker}
+    def cut_off_or_reconnect(self, worker):
+        self.unreachable ^= {worker}
 
     @rule(ms=st.sampled_from([10, 120, 900, 2600]))
     def pass_time(self, ms):
@@ -124,22 +124,24 @@
             worker.advance(ms)
         self.cell.tick(self.now, self.now)
 
-    # What the owner does.
+    # Actions of the owner.
 
     @rule()
     def decide(self):
         for command in self.cell.schedule(self.now, True):
             state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS) or 0
-            waiting = self.unstored if isinstance(command, StartTask) else self.sent
-            waiting.append(Sent(self.token, deadline, command))
-
-    @precondition(lambda self: self.sent)
-    @rule(data=st.data(), answer=st.booleans())
-    def deliver(self, data, answer):
-        sent = self.sent.pop(data.draw(st.integers(0, len(self.sent) - 1)))
-        if sent.command.worker_id in self.cut:
-            self._answer(sent, CommandOutcome.UNKNOWN)
+            destination = (
+                self.unstored_starts if isinstance(command, StartTask) else self.in_transit
+            )
+            destination.append(SentCommand(self.token, deadline, command))
+
+    @precondition(lambda self: self.in_transit)
+    @rule(data=st.data(), answer_arrives=st.booleans())
+    def deliver(self, data, answer_arrives):
+        sent = self.in_transit.pop(data.draw(st.integers(0, len(self.in_transit) - 1)))
+        if sent.command.worker_id in self.unreachable:
+            self._return_outcome(sent, CommandOutcome.UNKNOWN)
             return
         worker = self.workers[sent.command.worker_id]
         if isinstance(sent.command, StartTask):
@@ -147,15 +149,15 @@
             outcome = worker.start(sent.token, sent.command, sent.deadline_ms)
         else:
             outcome = worker.stop(sent.token, sent.command)
-        self._answer(sent, outcome if answer else CommandOutcome.UNKNOWN)
+        self._return_outcome(sent, outcome if answer_arrives else CommandOutcome.UNKNOWN)
 
-    @precondition(lambda self: self.sent)
+    @precondition(lambda self: self.in_transit)
     @rule(data=st.data())
     def time_out(self, data):
-        """Give an order up that is carried out later all the same."""
-        self._answer(data.draw(st.sampled_from(self.sent)), CommandOutcome.UNKNOWN)
+        """Let a command time out at its owner that is still delivered later."""
+        self._return_outcome(data.draw(st.sampled_from(self.in_transit)), CommandOutcome.UNKNOWN)
 
-    def _answer(self, sent, outcome):
+    def _return_outcome(self, sent, outcome):
         if sent.token != self.token:
             return
         if isinstance(sent.command, StartTask):
@@ -164,65 +166,67 @@
             self.cell.handle_stop_result(sent.command, outcome, self.now)
 
     def _check_start(self, sent):
-        """A start that would take effect must not be one of a task that is settled."""
+        """Check that a start which takes effect is not for a task that is done or has failed."""
         key, worker = sent.command.task, self.workers[sent.command.worker_id]
-        before = dict(worker.runs)
-        if worker.token > sent.token or sent.deadline_ms <= worker.now or key in before:
+        runs = dict(worker.runs)
+        if worker.token > sent.token or sent.deadline_ms <= worker.now or key in runs:
             return
         if sent.command.run <= worker.ended_runs.get(key, 0):
             return
-        assert key not in self.noted, f"{key} starts after its end was noted"
-        failures = self.noted_failures.get(key, set())
+        assert key not in self.stored_done, f"{key} starts after its end was stored"
+        failures = self.stored_failures.get(key, set())
         assert len(failures) < MAX_ATTEMPTS, f"{key} starts after its last attempt"
 
     @rule(worker=WORKERS)
     def renew(self, worker):
-        if worker in self.cut:
+        if worker in self.unreachable:
             return
         state = self.cell.state.workers[worker]
         deadline = state.lease.extend_deadline(self.now, LEASE_MS)
         stand_in = self.workers[worker]
-        # A cursor of an ended lifetime never reaches the next one: its id is in the call.
+        # A cursor of an earlier incarnation is never applied: calls name the incarnation.
         acked = state.last_acked_end if state.started_unix_ms in (0, stand_in.born_ms) else 0
-        answer = stand_in.renew(self.token, acked, deadline)
-        self.cell.handle_report(worker, answer, self.now, self.now + 0.1)
+        report = stand_in.renew(self.token, acked, deadline)
+        self.cell.handle_report(worker, report, self.now, self.now + 0.1)
         self.now += 0.2
 
     @rule()
     def store_progress(self):
-        seen = {w: s.last_seen_end for w, s in self.cell.state.workers.items()}
+        last_seen_ends = {w: s.last_seen_end for w, s in self.cell.state.workers.items()}
         for job_id, saved in self.cell.take_unsaved_progress().items():
             self.stored[job_id] = saved
-        self.sent += [s for s in self.unstored if self.cell.should_send_start(s.command)]
-        self.unstored.clear()
-        for worker, number in seen.items():
-            self._note_ends(worker, number)
+        self.in_transit += [
+            s for s in self.unstored_starts if self.cell.should_send_start(s.command)
+        ]
+        self.unstored_starts.clear()
+        for worker, number in last_seen_ends.items():
+            self._record_stored_ends(worker, number)
             self.cell.state.workers[worker].last_acked_end = number
 
-    def _note_ends(self, worker, number):
+    def _record_stored_ends(self, worker, number):
         state, stand_in = self.cell.state.workers[worker], self.workers[worker]
         if state.started_unix_ms != stand_in.born_ms:
             return
-        for end in stand_in.ends:
-            if end.sequence_number <= number:
-                self._note(end)
-
-    def _note(self, end):
-        if end.outcome is RunOutcome.DONE:
-            self.noted.add(end.task)
-        elif end.outcome is RunOutcome.FAILED:
-            self.noted_failures.setdefault(end.task, set()).add(end.run)
-
-    @rule(hands_over=st.booleans())
-    def take_over(self, hands_over):
-        if hands_over:
+        for ended_run in stand_in.ends:
+            if ended_run.sequence_number <= number:
+                self._record_stored_end(ended_run)
+
+    def _record_stored_end(self, ended_run):
+        if ended_run.outcome is RunOutcome.DONE:
+            self.stored_done.add(ended_run.task)
+        elif ended_run.outcome is RunOutcome.FAILED:
+            self.stored_failures.setdefault(ended_run.task, set()).add(ended_run.run)
+
+    @rule(saves_progress=st.booleans())
+    def take_over(self, saves_progress):
+        if saves_progress:
             self.stored.update(self.cell.take_unsaved_progress())
-        self.unstored.clear()
+        self.unstored_starts.clear()
         self.token += 1000
         self.generation += 1
-        self._own(self.now + LEASE_MS / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS)
+        self._start_ownership(self.now + LEASE_MS / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS)
 
-    # What must always hold.
+    # Invariants.
 
     @invariant()
     def no_task_runs_twice(self):
@@ -245,9 +249,9 @@
 
     @invariant()
     def completed_jobs_are_done(self):
-        for found in self.cell.state.jobs.values():
-            if found.phase is JobPhase.COMPLETED:
-                assert all(step.is_done for step in found.steps.values())
+        for job in self.cell.state.jobs.values():
+            if job.phase is JobPhase.COMPLETED:
+                assert all(step.is_done for step in job.steps.values())
 
 
 TestCellMachine = CellMachine.TestCase
--- a/baobabhoist/tests/test_cell_worker_index.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -1,4 +1,4 @@
-"""Test the load of many waiting steps on many workers: a step sees only its own workers."""
+"""Test the worker index, which limits the search for each step to the workers it can use."""
 
 from __future__ import annotations
 
@@ -10,70 +10,76 @@
 LARGE = Resources(4000, 4096, 0)
 
 
-def ready_step(rig, job_id="0" * 16):
-    return next(step for step in rig.cell.state.ready_steps.values() if step.job.job_id == job_id)
+def find_ready_step(harness, job_id="0" * 16):
+    return next(
+        step for step in harness.cell.state.ready_steps.values() if step.job.job_id == job_id
+    )
 
 
-def pools(rig):
-    return WorkerIndex(rig.cell.state.workers.values(), rig.now)
+def make_index(harness):
+    return WorkerIndex(harness.cell.state.workers.values(), harness.now)
 
 
 def test_only_usable_workers_with_the_label_are_offered():
-    """Guard against starts on workers that drain, are silent or lack the label."""
-    rig = CellHarness.with_workers(4)
-    rig.workers["w1"].labels = ("b", "r1-1")
-    rig.cell.update_worker(rig.workers["w1"].info(), rig.now)
-    rig.cell.update_worker(rig.workers["w2"].info(is_draining=True), rig.now)
-    rig.cell.unlist_worker("w3", rig.now)
-    assert [w.worker_id for w in pools(rig).usable_workers("svc", "")] == ["w0", "w1"]
-    assert [w.worker_id for w in pools(rig).usable_workers("svc", "b")] == ["w1"]
-    assert pools(rig).usable_workers("other", "") == []
-    assert pools(rig).max_free_cpu("other") == -1
+    """Guard against starts on workers that are draining, unlisted or without the label."""
+    harness = CellHarness.with_workers(4)
+    harness.workers["w1"].labels = ("b", "r1-1")
+    harness.cell.update_worker(harness.workers["w1"].info(), harness.now)
+    harness.cell.update_worker(harness.workers["w2"].info(is_draining=True), harness.now)
+    harness.cell.unlist_worker("w3", harness.now)
+    assert [w.worker_id for w in make_index(harness).usable_workers("svc", "")] == ["w0", "w1"]
+    assert [w.worker_id for w in make_index(harness).usable_workers("svc", "b")] == ["w1"]
+    assert make_index(harness).usable_workers("other", "") == []
+    assert make_index(harness).max_free_cpu("other") == -1
 
 
 def test_only_workers_with_a_valid_ticket_are_offered():
-    """Guard against starts that workers refuse because their ticket has run out."""
-    rig = CellHarness.with_workers(3, make_rules(advice=AdviceTerms(10, 1, 2_000)))
-    rig.submit(make_job())
-    step = ready_step(rig)
-    step.approvals.record_answer(["w0", "w1", "gone"], {"w0": "a", "gone": "b"}, rig.now + 500)
-    assert [w.worker_id for w in pools(rig).workers_with_ticket(step, "svc", "")] == ["w0"]
-    rig.now += 500
-    assert pools(rig).workers_with_ticket(step, "svc", "") == []
-    assert [w.worker_id for w in pools(rig).approved_workers(step, "svc", "")] == ["w0"]
-
-
-def test_the_adviser_is_asked_of_workers_that_could_hold_a_task():
-    """Guard against questions about workers that are too small for the step."""
-    rig = CellHarness.with_workers(3)
-    rig.cell.update_worker(rig.workers["w0"].info(capacity=SMALL), rig.now)
-    assert pools(rig).capable_worker_ids("svc", "", LARGE) == ["w1", "w2"]
-    assert sorted(pools(rig).capable_worker_ids("svc", "", SMALL)) == ["w0", "w1", "w2"]
-
-
-def test_steps_without_room_cost_no_look_at_their_workers(monkeypatch):
-    """Guard against rounds of many milliseconds when much work waits on a full cell."""
-    rig = CellHarness.with_workers(2)
+    """Guard against starts that workers refuse because their ticket has expired."""
+    harness = CellHarness.with_workers(3, make_rules(advice=AdviceTerms(10, 1, 2_000)))
+    harness.submit(make_job())
+    step = find_ready_step(harness)
+    step.approvals.record_answer(["w0", "w1", "gone"], {"w0": "a", "gone": "b"}, harness.now + 500)
+    assert [w.worker_id for w in make_index(harness).workers_with_ticket(step, "svc", "")] == [
+        "w0"
+    ]
+    harness.now += 500
+    assert make_index(harness).workers_with_ticket(step, "svc", "") == []
+    assert [w.worker_id for w in make_index(harness).approved_workers(step, "svc", "")] == ["w0"]
+
+
+def test_advice_is_requested_only_for_workers_that_are_large_enough():
+    """Guard against advice requests about workers that are too small for the step."""
+    harness = CellHarness.with_workers(3)
+    harness.cell.update_worker(harness.workers["w0"].info(capacity=SMALL), harness.now)
+    assert make_index(harness).capable_worker_ids("svc", "", LARGE) == ["w1", "w2"]
+    assert sorted(make_index(harness).capable_worker_ids("svc", "", SMALL)) == ["w0", "w1", "w2"]
+
+
+def test_steps_that_fit_nowhere_skip_the_worker_search(monkeypatch):
+    """Guard against scheduling rounds of many milliseconds when many steps wait in a full cell."""
+    harness = CellHarness.with_workers(2)
     for number in range(8):
-        rig.submit(make_job(f"{number:016x}", Step(1, SMALL, 4000)))
-    rig.settle()
+        harness.submit(make_job(f"{number:016x}", Step(1, SMALL, 4000)))
+    harness.settle()
     for number in range(100, 150):
-        rig.submit(make_job(f"{number:016x}", Step(1, SMALL, 4000)))
-    looks = []
-    place = TaskPlacer._place_step
-    monkeypatch.setattr(TaskPlacer, "_place_step", lambda *args: looks.append(1) or place(*args))
-    rig.settle()
-    assert not looks
-    rig.end_run(make_task_key("0" * 16), RunOutcome.DONE)
-    assert looks
-
-
-def test_remaining_work_follows_the_steps_that_are_done():
-    """Guard against a rank that still counts the time of steps that are done."""
-    rig = CellHarness.with_workers(1)
-    rig.submit(make_job("0" * 16, Step(1, SMALL, 1000), Step(1, SMALL, 300, after=(0,))))
-    state = rig.cell.find_job("0" * 16)
+        harness.submit(make_job(f"{number:016x}", Step(1, SMALL, 4000)))
+    placements = []
+    place_step = TaskPlacer._place_step
+    monkeypatch.setattr(
+        TaskPlacer, "_place_step", lambda *args: placements.append(1) or place_step(*args)
+    )
+    harness.settle()
+    assert not placements
+    harness.end_run(make_task_key("0" * 16), RunOutcome.DONE)
+    assert placements
+
+
+def test_the_remaining_critical_path_omits_finished_steps():
+    """Guard against a rank that still includes the duration of finished steps."""
+    harness = CellHarness.with_workers(1)
+    harness.submit(make_job("0" * 16, Step(1, SMALL, 1000), Step(1, SMALL, 300, after=(0,))))
+    state = harness.cell.find_job("0" * 16)
     assert state.remaining_critical_path_ms() == 1300
-    rig.settle()
-    rig.end_run(make_task_key("0" * 16), RunOutcome.DONE)
+    harness.settle()
+    harness.end_run(make_task_key("0" * 16), RunOutcome.DONE)
     assert state.remaining_critical_path_ms() == 300
