--- a/baobabhoist/cell/approvals.py
+++ b/baobabhoist/cell/approvals.py
@@ -36,8 +36,8 @@
         """Record that a request was sent and when it times out."""
         self.next_request_ms = answer_due_ms
 
-    def must_wait(self, now: float) -> bool:
-        """Tell whether the next request must wait."""
+    def is_request_blocked(self, now: float) -> bool:
+        """Tell whether it is too early for the next request."""
         return now < self.next_request_ms
 
     def record_answer(
@@ -53,7 +53,7 @@
             elif worker_id not in self.tickets:
                 self.refused_workers.add(worker_id)
 
-    def retry_from(self, retry_ms: float) -> None:
+    def schedule_retry(self, retry_ms: float) -> None:
         """Allow the next request at `retry_ms`, because the last one failed."""
         self.next_request_ms = retry_ms
 
--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -14,23 +14,23 @@
 class WorkerHealth:
     """Track the health of one worker from the results of its runs."""
 
-    failed_jobs: list[str] = attrs.Factory(list)
+    failed_job_ids: list[str] = attrs.Factory(list)
     quarantine_count: int = 0
     quarantined_until_ms: float = 0.0
     is_on_probation: bool = False
 
     def record_success(self) -> None:
         """Record a run that succeeded; ends the probation."""
-        self.failed_jobs.clear()
+        self.failed_job_ids.clear()
         self.is_on_probation = False
         self.quarantine_count = 0
 
     def record_failure(self, job_id: str, now: float) -> bool:
         """Record a run that failed; return whether this quarantines the worker."""
-        if job_id not in self.failed_jobs:
-            self.failed_jobs.append(job_id)
+        if job_id not in self.failed_job_ids:
+            self.failed_job_ids.append(job_id)
         return (
-            len(self.failed_jobs) >= FAILURE_THRESHOLD or self.is_on_probation
+            len(self.failed_job_ids) >= FAILURE_THRESHOLD or self.is_on_probation
         ) and self._quarantine(now)
 
     def record_stall(self, now: float) -> bool:
@@ -49,5 +49,5 @@
         )
         self.quarantine_count += 1
         self.is_on_probation = True
-        self.failed_jobs.clear()
+        self.failed_job_ids.clear()
         return True
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -185,9 +185,9 @@
         self.opened_count += 1
         self.invalidate_critical_path()
         opened = []
-        for number, spec in enumerate(self.accepted.spec.steps):
-            step = StepState(self, StepKey(self.job_id, occurrence, number), spec)
-            self.steps[(occurrence, number)] = step
+        for step_number, spec in enumerate(self.accepted.spec.steps):
+            step = StepState(self, StepKey(self.job_id, occurrence, step_number), spec)
+            self.steps[(occurrence, step_number)] = step
             opened.append(step)
         return opened
 
@@ -201,11 +201,11 @@
         return self.opened_count > before
 
     def find_step(self, key: StepKey | TaskKey) -> StepState | None:
-        """Return the state of a step, or None if it is not open."""
+        """Return a step, or None if its occurrence is not open."""
         return self.steps.get((key.occurrence, key.step))
 
     def find_task(self, key: TaskKey) -> TaskState | None:
-        """Return the state of a task, or None if it is not open."""
+        """Return a task, or None if its occurrence is not open."""
         step = self.find_step(key)
         if step is None or not 0 <= key.index < len(step.tasks):
             return None
@@ -214,7 +214,9 @@
     def is_step_ready(self, step: StepState) -> bool:
         """Tell whether all steps that a step depends on are done."""
         occurrence = step.key.occurrence
-        return all(self.steps[(occurrence, number)].is_done for number in step.spec.after)
+        return all(
+            self.steps[(occurrence, step_number)].is_done for step_number in step.spec.after
+        )
 
     def are_all_tasks_done(self) -> bool:
         """Tell whether every task of every occurrence is done."""
@@ -235,11 +237,11 @@
     def _compute_critical_path_ms(self) -> float:
         steps = self.accepted.spec.steps
         longest_ms = [0.0] * len(steps)
-        for number, spec in enumerate(steps):
-            state = self.steps.get((max(0, self.opened_count - 1), number))
+        for step_number, spec in enumerate(steps):
+            state = self.steps.get((max(0, self.opened_count - 1), step_number))
             own_ms = 0.0 if state is not None and state.is_done else float(spec.expected_ms)
             before_ms = max((longest_ms[other] for other in spec.after), default=0.0)
-            longest_ms[number] = before_ms + own_ms
+            longest_ms[step_number] = before_ms + own_ms
         return max(longest_ms, default=0.0)
 
 
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -113,11 +113,11 @@
             if not self.reservations.is_full:
                 self.reservations.reserve_workers(step, self._approved_workers(step, worker_index))
             return
-        number = self.state.next_run_number(members)
+        run_number = self.state.next_run_number(members)
         checkpoint = next((m.checkpoint for m in members if m.checkpoint), "")
         for task, worker in zip(members, chosen, strict=True):
             task.checkpoint = checkpoint
-            self.state.start_run(task, worker, number, now)
+            self.state.start_run(task, worker, run_number, now)
 
     def _placement_cost(self, worker: WorkerState, step: StepState, tolerance: float) -> float:
         """Return the cost of a worker for a step; the worker with the lowest cost is chosen."""
@@ -152,7 +152,7 @@
         self, step: StepState, position: int, worker_index: WorkerIndex, now: float
     ) -> None:
         queue = self._queue_of(step)
-        if queue is None or queue.advice is None or step.approvals.must_wait(now):
+        if queue is None or queue.advice is None or step.approvals.is_request_blocked(now):
             return
         if self.open_advice_requests >= self.max_advice_requests or (
             step.spec.gang and step.idle_count < step.pending_count
--- a/baobabhoist/cell/progress_rows.py
+++ b/baobabhoist/cell/progress_rows.py
@@ -44,7 +44,7 @@
     if job.is_final:
         return JobProgress(job.phase)
     steps = []
-    for (occurrence, number), step in job.steps.items():
+    for (occurrence, step_number), step in job.steps.items():
         done = tuple(task.index for task in step.tasks if task.is_done)
         failed_runs = {t.index: tuple(sorted(t.failed_runs)) for t in step.tasks if t.failed_runs}
         checkpoints = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.is_done}
@@ -54,7 +54,9 @@
             if task.run is not None
         }
         if done or failed_runs or checkpoints or runs:
-            steps.append(StepProgress(occurrence, number, done, failed_runs, checkpoints, runs))
+            steps.append(
+                StepProgress(occurrence, step_number, done, failed_runs, checkpoints, runs)
+            )
     return JobProgress(job.phase, tuple(steps))
 
 
@@ -97,15 +99,15 @@
 def restore_progress(job: JobState, progress: JobProgress) -> None:
     """Apply stored progress to a job whose due occurrences are open."""
     job.phase = progress.phase
-    for saved in progress.steps:
-        step = job.steps.get((saved.occurrence, saved.step))
+    for step_progress in progress.steps:
+        step = job.steps.get((step_progress.occurrence, step_progress.step))
         if step is None:
             continue
-        for index in saved.done:
+        for index in step_progress.done:
             step.mark_done(step.tasks[index])
-        for index, runs in saved.failed.items():
+        for index, runs in step_progress.failed.items():
             step.tasks[index].failed_runs.update(runs)
-        for index, checkpoint in saved.checkpoints.items():
+        for index, checkpoint in step_progress.checkpoints.items():
             step.tasks[index].checkpoint = checkpoint
 
 
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -19,7 +19,7 @@
         self._state = state
 
     def record_end(
-        self, task: TaskState, number: int, outcome: RunOutcome, checkpoint: str, now: float
+        self, task: TaskState, run_number: int, outcome: RunOutcome, checkpoint: str, now: float
     ) -> None:
         """Apply the reported outcome of a run to its task; the caller closes the run itself."""
         job = task.step.job
@@ -32,24 +32,28 @@
             log,
             Event.RUN_ENDED_EARLY,
             task=task.key.to_text(),
-            run=number,
+            run=run_number,
             kind=outcome.value,
             checkpoint=checkpoint,
         )
-        if outcome is RunOutcome.FAILED and number not in task.failed_runs and not task.is_done:
-            task.failed_runs.add(number)
-            if task.run is not None and task.run.number == number:
+        if (
+            outcome is RunOutcome.FAILED
+            and run_number not in task.failed_runs
+            and not task.is_done
+        ):
+            task.failed_runs.add(run_number)
+            if task.run is not None and task.run.number == run_number:
                 task.step.failed_worker_ids.add(task.run.worker_id)
             self._state.dirty.add(job.job_id)
             self._fail_job_after_max_attempts(task, now)
         if task.step.spec.gang and not task.step.is_done:
-            self.stop_gang_run(task.step, number, now)
+            self.stop_gang_run(task.step, run_number, now)
 
-    def stop_gang_run(self, step: StepState, number: int, now: float) -> None:
+    def stop_gang_run(self, step: StepState, run_number: int, now: float) -> None:
         """Stop the other members of a gang's run, so that the gang can restart as a whole."""
         for member in step.tasks:
             run = member.run
-            if run is not None and run.number == number and run.phase is not RunPhase.STOPPING:
+            if run is not None and run.number == run_number and run.phase is not RunPhase.STOPPING:
                 self._state.stop_run(run, now)
 
     def _mark_done(self, task: TaskState, now: float) -> None:
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -82,14 +82,14 @@
 
     def _adopt_stored_runs(self, job: JobState, progress: JobProgress, now: float) -> None:
         """Track the runs that an earlier owner started, before any worker has reported."""
-        for saved in progress.steps:
-            step = job.steps.get((saved.occurrence, saved.step))
-            for index, stored in saved.runs.items():
+        for step_progress in progress.steps:
+            step = job.steps.get((step_progress.occurrence, step_progress.step))
+            for index, stored_run in step_progress.runs.items():
                 task = step.tasks[index] if step is not None else None
                 if task is None or task.run is not None:
                     continue
-                worker = self._worker_or_placeholder(stored.worker_id, now)
-                run = self.state.adopt_run(task, worker, stored.number, now)
+                worker = self._worker_or_placeholder(stored_run.worker_id, now)
+                run = self.state.adopt_run(task, worker, stored_run.number, now)
                 if job.is_final:
                     self.state.stop_run(run, now)
 
@@ -132,9 +132,9 @@
         job = self.state.jobs.get(job_id)
         if job is None:
             return
-        cancelled = job.phase is JobPhase.CANCELLED
+        was_cancelled = job.phase is JobPhase.CANCELLED
         progress_rows.restore_progress(job, progress)
-        if cancelled:
+        if was_cancelled:
             # The cancellation is stored in its own row, which may be newer than the progress.
             job.phase = JobPhase.CANCELLED
         if job.is_final:
@@ -178,12 +178,12 @@
         """Replace the configured queues and teams."""
         self.state.rules = rules
 
-    def sync_directory(self, listed: Iterable[WorkerInfo], now: float) -> None:
+    def sync_directory(self, listing: Iterable[WorkerInfo], now: float) -> None:
         """Apply a full listing of the worker directory."""
-        found = {info.worker_id: info for info in listed}
-        for info in found.values():
+        info_by_id = {info.worker_id: info for info in listing}
+        for info in info_by_id.values():
             self.update_worker(info, now)
-        for worker_id in set(self.state.workers) - set(found):
+        for worker_id in set(self.state.workers) - set(info_by_id):
             self.unlist_worker(worker_id, now)
 
     def update_worker(self, info: WorkerInfo, now: float) -> None:
@@ -256,7 +256,7 @@
         self.placer.open_advice_requests -= 1
         step = self._find_step(key)
         if step is not None:
-            step.approvals.retry_from(retry_ms)
+            step.approvals.schedule_retry(retry_ms)
 
     # Metrics.
 
@@ -269,8 +269,10 @@
 
     def min_lease_margin_ms(self, now: float) -> float:
         """Return the time until the first lease of a worker with runs expires."""
-        busy = [w for w in self.state.workers.values() if w.runs and w.lease.is_clock_known]
-        return min((w.lease.expiry_ms() - now for w in busy), default=0.0)
+        busy_workers = [
+            w for w in self.state.workers.values() if w.runs and w.lease.is_clock_known
+        ]
+        return min((w.lease.expiry_ms() - now for w in busy_workers), default=0.0)
 
     # Scheduling.
 
@@ -296,9 +298,11 @@
 
     def _set_objective(self, job: JobState) -> None:
         queue = self.state.queue_of(job)
-        slack = queue.slack_factor if queue is not None else 1.0
-        target = queue.target_latency_ms if queue is not None else 0
-        job.objective_ms = job.accepted_local_ms + slack * critical_path_ms(job.accepted) + target
+        slack_factor = queue.slack_factor if queue is not None else 1.0
+        target_ms = queue.target_latency_ms if queue is not None else 0
+        job.objective_ms = (
+            job.accepted_local_ms + slack_factor * critical_path_ms(job.accepted) + target_ms
+        )
 
     def _find_step(self, key: StepKey) -> StepState | None:
         job = self.state.jobs.get(key.job_id)
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -84,24 +84,26 @@
 
     # Runs.
 
-    def start_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> None:
+    def start_run(self, task: TaskState, worker: WorkerState, run_number: int, now: float) -> None:
         """Issue a start command and allocate the resources of the run."""
         job = task.step.job
         ticket = task.step.approvals.valid_ticket(worker.worker_id, now)
-        run = self._add_run(task, worker, number, RunPhase.STARTING, now)
+        run = self._add_run(task, worker, run_number, RunPhase.STARTING, now)
         run.is_from_start = not task.checkpoint
         # The run must be stored before the command is sent, so that the next owner knows of it.
         self.dirty.add(job.job_id)
         if job.phase is JobPhase.QUEUED:
             job.phase = JobPhase.RUNNING
         payload = job.accepted.spec.payload
-        command = StartTask(worker.worker_id, task.key, number, payload, task.checkpoint, ticket)
+        command = StartTask(
+            worker.worker_id, task.key, run_number, payload, task.checkpoint, ticket
+        )
         self.commands.append(command)
         emit(
             log,
             Event.RUN_STARTED,
             task=task.key.to_text(),
-            run=number,
+            run=run_number,
             worker=worker.worker_id,
             waited_ms=round(now - task.step.ready_since_ms),
             free_cpu=worker.free_cpu,
@@ -109,9 +111,9 @@
             checkpoint=task.checkpoint,
         )
 
-    def adopt_run(self, task: TaskState, worker: WorkerState, number: int, now: float) -> Run:
+    def adopt_run(self, task: TaskState, worker: WorkerState, run_number: int, now: float) -> Run:
         """Track a run that an earlier owner started and allocate its resources."""
-        run = self._add_run(task, worker, number, RunPhase.RUNNING, now)
+        run = self._add_run(task, worker, run_number, RunPhase.RUNNING, now)
         run.confirmed_ms = now
         if task.step.job.phase is JobPhase.QUEUED:
             task.step.job.phase = JobPhase.RUNNING
@@ -128,14 +130,18 @@
         run.stop_sent_ms = now
         self.commands.append(StopTask(run.worker_id, run.task.key, run.number))
 
-    def stop_orphan_run(self, worker: WorkerState, task: TaskKey, number: int) -> None:
+    def stop_orphan_run(self, worker: WorkerState, task: TaskKey, run_number: int) -> None:
         """Issue a stop command for a run on a worker that this owner does not track."""
-        if worker.orphan_runs.get(task) != number:
+        if worker.orphan_runs.get(task) != run_number:
             emit(
-                log, Event.ORPHAN_STOPPED, task=task.to_text(), run=number, worker=worker.worker_id
+                log,
+                Event.ORPHAN_STOPPED,
+                task=task.to_text(),
+                run=run_number,
+                worker=worker.worker_id,
             )
-        worker.orphan_runs[task] = number
-        self.commands.append(StopTask(worker.worker_id, task, number))
+        worker.orphan_runs[task] = run_number
+        self.commands.append(StopTask(worker.worker_id, task, run_number))
 
     def close_run(self, run: Run) -> None:
         """Release the resources of a run that is known to have ended or never to have started."""
@@ -170,9 +176,9 @@
                     self.stop_run(task.run, now)
 
     def _add_run(
-        self, task: TaskState, worker: WorkerState, number: int, phase: RunPhase, now: float
+        self, task: TaskState, worker: WorkerState, run_number: int, phase: RunPhase, now: float
     ) -> Run:
-        run = Run(task, number, worker.worker_id, task.step.spec.allocation, phase)
+        run = Run(task, run_number, worker.worker_id, task.step.spec.allocation, phase)
         run.last_progress_ms = now
         task.step.attach_run(run)
         worker.add_run(run)
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -135,8 +135,8 @@
         if job is None or task is None:
             return
         run = worker.runs.get(ended_run.task)
-        is_current_run = run is not None and run.number <= ended_run.run
-        if is_current_run and run is not None:
+        ends_tracked_run = run is not None and run.number <= ended_run.run
+        if ends_tracked_run and run is not None:
             # Close the run only afterwards, because its duration updates the speed estimates.
             self._run_ends.record_end(
                 task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
@@ -151,9 +151,9 @@
             self._run_ends.record_end(
                 task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
             )
-            other = task.run
-            if task.is_done and other is not None and other.phase is not RunPhase.STOPPING:
-                self._state.stop_run(other, now)
+            other_run = task.run
+            if task.is_done and other_run is not None and other_run.phase is not RunPhase.STOPPING:
+                self._state.stop_run(other_run, now)
 
     def _apply_active_run(self, worker: WorkerState, active_run: ActiveRun, now: float) -> None:
         run = worker.runs.get(active_run.task)
@@ -168,8 +168,8 @@
         if job is None or task is None or job.is_final or task.is_done or task.run is not None:
             self._state.stop_orphan_run(worker, active_run.task, active_run.run)
             return
-        adopted = self._state.adopt_run(task, worker, active_run.run, now)
-        self._update_progress(adopted, active_run, now)
+        adopted_run = self._state.adopt_run(task, worker, active_run.run, now)
+        self._update_progress(adopted_run, active_run, now)
 
     def _update_progress(self, run: Run, active_run: ActiveRun, now: float) -> None:
         run.confirmed_ms = run.confirmed_ms or now
@@ -185,8 +185,8 @@
     ) -> None:
         """Close the runs and orphans that have ended because the report does not list them."""
         listed = {(active_run.task, active_run.run) for active_run in report.running}
-        for key, number in list(worker.orphan_runs.items()):
-            if (key, number) not in listed:
+        for key, run_number in list(worker.orphan_runs.items()):
+            if (key, run_number) not in listed:
                 del worker.orphan_runs[key]
         for run in list(worker.runs.values()):
             if (run.task.key, run.number) in listed:
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -76,8 +76,8 @@
     harness.deliver_command(stop)
     harness.now += 200
     harness.renew_all()
-    (renewal,) = [c for c in harness.schedule() if isinstance(c, StartTask)]
-    assert renewal.run == 2
+    (restart,) = [c for c in harness.schedule() if isinstance(c, StartTask)]
+    assert restart.run == 2
     # The delayed start arrives now and must be rejected, because its run was stopped.
     assert (
         harness.workers[start.worker_id].start(harness.token, start, 10**9) is CommandOutcome.OLD
