--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -41,13 +41,13 @@
 
     def place_waiting_steps(self, now: float, may_start: bool) -> None:
         """Start the tasks that fit and request advice for those that still wait."""
-        waiting = [step for step in self.state.ready_steps.values() if step.idle_count]
-        if not waiting:
+        waiting_steps = [step for step in self.state.ready_steps.values() if step.idle_count]
+        if not waiting_steps:
             return
-        ranked = sorted(waiting, key=lambda step: self._rank(step, now))
+        ranked_steps = sorted(waiting_steps, key=lambda step: self._rank(step, now))
         worker_index = WorkerIndex(self.state.workers.values(), now)
         self.reservations.clear()
-        for position, step in enumerate(ranked):
+        for position, step in enumerate(ranked_steps):
             service = self.state.service_of(step.job)
             if may_start and step.spec.allocation.cpu <= worker_index.max_free_cpu(service):
                 self._place_step(step, worker_index, now)
@@ -159,10 +159,12 @@
         ):
             return
         service = self.state.service_of(step.job)
-        ids = worker_index.capable_worker_ids(service, step.spec.label, step.spec.allocation)
-        requested = step.approvals.unassessed_workers(ids)[:MAX_WORKERS_PER_REQUEST]
+        capable_ids = worker_index.capable_worker_ids(
+            service, step.spec.label, step.spec.allocation
+        )
+        requested = step.approvals.unassessed_workers(capable_ids)[:MAX_WORKERS_PER_REQUEST]
         if not requested and position < MAX_RENEWING_STEPS:
-            requested = _workers_to_renew(step, ids, queue.advice, now)
+            requested = _workers_to_renew(step, capable_ids, queue.advice, now)
         if not requested:
             return
         cost_ms = queue.advice.cost_ms(len(requested))
@@ -172,10 +174,10 @@
 
 
 def _workers_to_renew(
-    step: StepState, ids: list[str], terms: AdviceTerms, now: float
+    step: StepState, capable_ids: list[str], terms: AdviceTerms, now: float
 ) -> list[str]:
     """Return the approved workers if all of their tickets are about to expire."""
-    approved = [worker_id for worker_id in ids if worker_id in step.approvals.tickets]
+    approved = [worker_id for worker_id in capable_ids if worker_id in step.approvals.tickets]
     if step.approvals.count_valid_tickets(
         now, now + terms.cost_ms(len(approved)) + TICKET_RENEWAL_MARGIN_MS
     ):
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -185,9 +185,9 @@
     ) -> None:
         """Close the runs and orphans that have ended because the report does not list them."""
         listed = {(active_run.task, active_run.run) for active_run in report.running}
-        for key, run_number in list(worker.orphan_runs.items()):
-            if (key, run_number) not in listed:
-                del worker.orphan_runs[key]
+        for task_key, run_number in list(worker.orphan_runs.items()):
+            if (task_key, run_number) not in listed:
+                del worker.orphan_runs[task_key]
         for run in list(worker.runs.values()):
             if (run.task.key, run.number) in listed:
                 continue
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -36,22 +36,22 @@
     workers: Iterable[WorkerState],
     step: Step,
     task_count: int,
-    running: Counter[str],
+    tasks_by_worker: Counter[str],
     placement_cost: Callable[[WorkerState], float],
 ) -> list[WorkerSlots]:
     """Return the workers on which at least one task fits, by ascending cost."""
-    found = []
+    slots = []
     for worker in workers:
         if worker.free_cpu < step.allocation.cpu:
             continue
         max_count = task_count
         if step.most_per_worker:
-            max_count = min(max_count, step.most_per_worker - running[worker.worker_id])
+            max_count = min(max_count, step.most_per_worker - tasks_by_worker[worker.worker_id])
         count = count_fitting_tasks(worker.free, step.allocation, max_count)
         if count > 0:
-            found.append(WorkerSlots(worker, count, placement_cost(worker)))
-    found.sort(key=lambda slot: slot.cost)
-    return found
+            slots.append(WorkerSlots(worker, count, placement_cost(worker)))
+    slots.sort(key=lambda slot: slot.cost)
+    return slots
 
 
 def assign_tasks(slots: list[WorkerSlots], task_count: int) -> list[WorkerState]:
