--- /dev/null
+++ b/baobabhoist/cell/progress_rows.py
@@ -0,0 +1,115 @@
+"""Encode the durable progress of a job as a row of the store and decode it."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import attrs
+import orjson
+
+from baobabhoist.cell.jobs import JobState
+from baobabhoist.cell.model import JobPhase
+
+
+@attrs.frozen
+class StoredRun:
+    """Identify a run that may be active: it is about to be started or its end is not known."""
+
+    number: int
+    worker_id: str
+
+
+@attrs.frozen
+class StepProgress:
+    """Hold the durable state of a step; the dictionaries are keyed by task index."""
+
+    occurrence: int
+    step: int
+    done: tuple[int, ...] = ()
+    failed: dict[int, tuple[int, ...]] = attrs.Factory(dict)
+    checkpoints: dict[int, str] = attrs.Factory(dict)
+    runs: dict[int, StoredRun] = attrs.Factory(dict)
+
+
+@attrs.frozen
+class JobProgress:
+    """Hold the durable state of a job."""
+
+    phase: JobPhase
+    steps: tuple[StepProgress, ...] = ()
+
+
+def capture_progress(job: JobState) -> JobProgress:
+    """Return the durable state of a job; for a finished one only its phase."""
+    if job.is_final:
+        return JobProgress(job.phase)
+    steps = []
+    for (occurrence, step_number), step in job.steps.items():
+        done = tuple(task.index for task in step.tasks if task.is_done)
+        failed_runs = {t.index: tuple(sorted(t.failed_runs)) for t in step.tasks if t.failed_runs}
+        checkpoints = {t.index: t.checkpoint for t in step.tasks if t.checkpoint and not t.is_done}
+        runs = {
+            task.index: StoredRun(task.run.number, task.run.worker_id)
+            for task in step.tasks
+            if task.run is not None
+        }
+        if done or failed_runs or checkpoints or runs:
+            steps.append(
+                StepProgress(occurrence, step_number, done, failed_runs, checkpoints, runs)
+            )
+    return JobProgress(job.phase, tuple(steps))
+
+
+def encode(progress: JobProgress) -> bytes:
+    """Return the row value for a progress."""
+    steps = [
+        [
+            s.occurrence,
+            s.step,
+            s.done,
+            _with_text_keys(s.failed),
+            _with_text_keys(s.checkpoints),
+            {str(index): [run.number, run.worker_id] for index, run in s.runs.items()},
+        ]
+        for s in progress.steps
+    ]
+    return orjson.dumps({"phase": progress.phase.value, "steps": steps})
+
+
+def decode(value: bytes) -> JobProgress:
+    """Return the progress in a row value; raises ValueError if it is malformed."""
+    try:
+        body = orjson.loads(value)
+        steps = tuple(
+            StepProgress(
+                int(occurrence),
+                int(step),
+                tuple(int(index) for index in done),
+                {int(k): tuple(int(run) for run in v) for k, v in failed_runs.items()},
+                {int(k): str(v) for k, v in checkpoints.items()},
+                {int(k): StoredRun(int(run), str(worker)) for k, (run, worker) in runs.items()},
+            )
+            for occurrence, step, done, failed_runs, checkpoints, runs in body["steps"]
+        )
+        return JobProgress(JobPhase(body["phase"]), steps)
+    except (KeyError, TypeError, AttributeError, orjson.JSONDecodeError) as exc:
+        raise ValueError(f"not a progress row: {exc}") from exc
+
+
+def restore_progress(job: JobState, progress: JobProgress) -> None:
+    """Apply stored progress to a job whose due occurrences are open."""
+    job.phase = progress.phase
+    for step_progress in progress.steps:
+        step = job.steps.get((step_progress.occurrence, step_progress.step))
+        if step is None:
+            continue
+        for index in step_progress.done:
+            step.mark_done(step.tasks[index])
+        for index, runs in step_progress.failed.items():
+            step.tasks[index].failed_runs.update(runs)
+        for index, checkpoint in step_progress.checkpoints.items():
+            step.tasks[index].checkpoint = checkpoint
+
+
+def _with_text_keys(values: dict[int, Any]) -> dict[str, Any]:
+    return {str(key): value for key, value in values.items()}
--- /dev/null
+++ b/baobabhoist/cell/scheduler.py
@@ -0,0 +1,313 @@
+"""Schedule one cell: handle events, place tasks, return commands and progress to store."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from collections.abc import Iterable, Mapping
+
+import attrs
+
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.jobs import JobState, StepState, critical_path_ms
+from baobabhoist.cell.model import (
+    NO_RESOURCES,
+    AcceptedJob,
+    CellRules,
+    Command,
+    CommandOutcome,
+    JobPhase,
+    StartTask,
+    StepKey,
+    StopTask,
+    WorkerInfo,
+    WorkerReport,
+)
+from baobabhoist.cell.periodic_checks import PeriodicChecks
+from baobabhoist.cell.placer import TaskPlacer
+from baobabhoist.cell.progress_rows import JobProgress
+from baobabhoist.cell.run_ends import RunEndHandler
+from baobabhoist.cell.state import CellState
+from baobabhoist.cell.worker_reports import WorkerReportHandler
+from baobabhoist.cell.workers import Lease, WorkerState
+from baobabhoist.observability.events import Event, emit
+
+log = logging.getLogger(__name__)
+
+
+@attrs.frozen
+class Takeover:
+    """Describe what a new owner knows about the earlier ones.
+
+    `generation` counts the owners of the cell and `claim_version` is the store's version of the
+    claim. After `inherited_leases_expire_ms` no run of an earlier owner is left on a worker that
+    has never reported to this owner.
+    """
+
+    generation: int
+    claim_version: int
+    inherited_leases_expire_ms: float = 0.0
+
+
+class CellScheduler:
+    """Schedule the jobs of one cell on its workers; all times are on the owner's clock, in ms."""
+
+    def __init__(self, rules: CellRules, takeover: Takeover, lease_ms: float) -> None:
+        self.state = CellState(rules, takeover.generation)
+        self.is_fenced = False
+        self.placer = TaskPlacer(self.state)
+        self._takeover = takeover
+        self._lease_ms = lease_ms
+        self._run_ends = RunEndHandler(self.state)
+        self._reports = WorkerReportHandler(self.state, self._run_ends)
+        self._periodic_checks = PeriodicChecks(self.state, self._run_ends)
+
+    # Jobs.
+
+    def add_job(
+        self, accepted: AcceptedJob, accepted_local_ms: float, now: float, unix_ms: float
+    ) -> bool:
+        """Add an accepted job; return whether it is new."""
+        if accepted.job_id in self.state.jobs:
+            return False
+        job = JobState(accepted, accepted_local_ms)
+        job.is_inherited = accepted.version < self._takeover.claim_version
+        self._set_objective(job)
+        self.state.jobs[accepted.job_id] = job
+        job.open_due_occurrences(unix_ms)
+        self.state.update_ready_steps(job, now)
+        if not job.is_inherited:
+            self._log_ownership(job, now)
+        return True
+
+    def _adopt_stored_runs(self, job: JobState, progress: JobProgress, now: float) -> None:
+        """Track the runs that an earlier owner started, before any worker has reported."""
+        for step_progress in progress.steps:
+            step = job.steps.get((step_progress.occurrence, step_progress.step))
+            for index, stored_run in step_progress.runs.items():
+                task = step.tasks[index] if step is not None else None
+                if task is None or task.run is not None:
+                    continue
+                worker = self._worker_or_placeholder(stored_run.worker_id, now)
+                run = self.state.adopt_run(task, worker, stored_run.number, now)
+                if job.is_final:
+                    self.state.stop_run(run, now)
+
+    def _worker_or_placeholder(self, worker_id: str, now: float) -> WorkerState:
+        """Return a worker, or a placeholder for one that the directory does not list."""
+        worker = self.state.workers.get(worker_id)
+        if worker is None:
+            info = WorkerInfo(worker_id, "", "", "", NO_RESOURCES, ())
+            worker = WorkerState(
+                info, Lease(self._lease_ms), is_listed=False, unlisted_since_ms=now
+            )
+            self.state.workers[worker_id] = worker
+        worker.inherited_lease_expiry_ms = self._takeover.inherited_leases_expire_ms
+        return worker
+
+    def log_inherited_jobs(self, now: float) -> None:
+        """Log the unfinished jobs of earlier owners once their progress has been restored."""
+        for job in self.state.jobs.values():
+            if job.is_inherited and not job.is_final:
+                self._log_ownership(job, now)
+
+    def _log_ownership(self, job: JobState, now: float) -> None:
+        steps = job.accepted.spec.steps
+        emit(
+            log,
+            Event.JOB_OWNED,
+            job=job.job_id,
+            queue=job.accepted.queue,
+            team=job.accepted.team,
+            version=job.accepted.version,
+            steps=len(steps),
+            tasks=sum(step.count for step in steps),
+            accepted_ms_ago=round(now - job.accepted_local_ms),
+            objective_ms=round(job.objective_ms - job.accepted_local_ms),
+            inherited=job.is_inherited,
+        )
+
+    def restore_job(self, job_id: str, progress: JobProgress, now: float) -> None:
+        """Restore the stored progress of a job that an earlier owner worked on."""
+        job = self.state.jobs.get(job_id)
+        if job is None:
+            return
+        was_cancelled = job.phase is JobPhase.CANCELLED
+        progress_rows.restore_progress(job, progress)
+        if was_cancelled:
+            # The cancellation is stored in its own row, which may be newer than the progress.
+            job.phase = JobPhase.CANCELLED
+        if job.is_final:
+            job.ended_ms = now
+            job.drop_payload()
+        self._adopt_stored_runs(job, progress, now)
+        self.state.update_ready_steps(job, now)
+        if not job.is_final and job.are_all_tasks_done():
+            self.state.finish_job(job, JobPhase.COMPLETED, now, "all tasks are done")
+
+    def cancel_job(self, job_id: str, now: float) -> bool:
+        """Cancel a job; return whether it is known."""
+        job = self.state.jobs.get(job_id)
+        if job is None:
+            return False
+        self.state.finish_job(job, JobPhase.CANCELLED, now, "its team cancelled it")
+        return True
+
+    def find_job(self, job_id: str) -> JobState | None:
+        """Return a job, or None if it is not known."""
+        return self.state.jobs.get(job_id)
+
+    def count_queued_jobs(self, queue: str) -> int:
+        """Return how many jobs of a queue have not started."""
+        return sum(
+            1
+            for job in self.state.jobs.values()
+            if job.accepted.queue == queue and job.phase is JobPhase.QUEUED
+        )
+
+    def remove_job(self, job_id: str) -> None:
+        """Remove a finished job."""
+        job = self.state.jobs.pop(job_id, None)
+        if job is not None:
+            for step in job.steps.values():
+                self.state.ready_steps.pop(step.key, None)
+
+    # Configuration and workers.
+
+    def set_rules(self, rules: CellRules) -> None:
+        """Replace the configured queues and teams."""
+        self.state.rules = rules
+
+    def sync_directory(self, listing: Iterable[WorkerInfo], now: float) -> None:
+        """Apply a full listing of the worker directory."""
+        info_by_id = {info.worker_id: info for info in listing}
+        for info in info_by_id.values():
+            self.update_worker(info, now)
+        for worker_id in set(self.state.workers) - set(info_by_id):
+            self.unlist_worker(worker_id, now)
+
+    def update_worker(self, info: WorkerInfo, now: float) -> None:
+        """Add or update a worker from its entry in the directory."""
+        worker = self.state.workers.get(info.worker_id)
+        if worker is None:
+            worker = self.state.workers[info.worker_id] = WorkerState(info, Lease(self._lease_ms))
+            emit(
+                log,
+                Event.WORKER_LISTED,
+                worker=info.worker_id,
+                service=info.service,
+                data_centre=info.data_centre,
+            )
+        if info.is_draining and not worker.info.is_draining:
+            emit(log, Event.WORKER_DRAINS, worker=info.worker_id, leaves_in_ms=info.leaves_in_ms)
+        worker.info, worker.is_listed = info, True
+
+    def unlist_worker(self, worker_id: str, now: float) -> None:
+        """Mark a worker as gone from the directory; its runs are still tracked."""
+        worker = self.state.workers.get(worker_id)
+        if worker is not None and worker.is_listed:
+            worker.is_listed, worker.unlisted_since_ms = False, now
+            emit(log, Event.WORKER_UNLISTED, worker=worker_id, runs=len(worker.runs))
+
+    def handle_report(
+        self, worker_id: str, report: WorkerReport, sent_ms: float, now: float
+    ) -> None:
+        """Apply the report that a worker sent in reply to a lease renewal."""
+        worker = self.state.workers.get(worker_id)
+        if worker is None:
+            return
+        self._reports.handle_report(worker, report, sent_ms, now)
+
+    def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
+        """Apply the outcome of a start command."""
+        self._check_fenced(outcome)
+        self._reports.handle_start_result(command, outcome, now)
+
+    def should_send_start(self, command: StartTask) -> bool:
+        """Tell whether a start command is still valid after its run has been stored."""
+        worker = self.state.workers.get(command.worker_id)
+        run = worker.runs.get(command.task) if worker is not None else None
+        return run is not None and run.number == command.run and not run.stop_sent_ms
+
+    def handle_stop_result(self, command: StopTask, outcome: CommandOutcome, now: float) -> None:
+        """Apply the outcome of a stop command."""
+        self._check_fenced(outcome)
+        self._reports.handle_stop_result(command, outcome, now)
+
+    def mark_fenced(self) -> None:
+        """Stop starting tasks, because a worker has seen the fencing token of a later owner."""
+        self.is_fenced = True
+
+    def handle_advice(
+        self,
+        key: StepKey,
+        requested: Iterable[str],
+        approved: Mapping[str, str],
+        valid_until_ms: float,
+    ) -> None:
+        """Apply the answer of the placement adviser."""
+        self.placer.open_advice_requests -= 1
+        step = self._find_step(key)
+        if step is not None:
+            step.approvals.record_answer(requested, approved, valid_until_ms)
+
+    def handle_advice_failure(self, key: StepKey, retry_ms: float) -> None:
+        """Allow a failed advice request to be repeated from `retry_ms` on."""
+        self.placer.open_advice_requests -= 1
+        step = self._find_step(key)
+        if step is not None:
+            step.approvals.schedule_retry(retry_ms)
+
+    # Metrics.
+
+    def count_queued_tasks(self) -> dict[str, int]:
+        """Return the number of tasks that wait to be started, by queue."""
+        counts: Counter[str] = Counter()
+        for step in self.state.ready_steps.values():
+            counts[step.job.accepted.queue] += step.idle_count
+        return dict(counts)
+
+    def min_lease_margin_ms(self, now: float) -> float:
+        """Return the time until the first lease of a worker with runs expires."""
+        busy_workers = [
+            w for w in self.state.workers.values() if w.runs and w.lease.is_clock_known
+        ]
+        return min((w.lease.expiry_ms() - now for w in busy_workers), default=0.0)
+
+    # Scheduling.
+
+    def tick(self, now: float, unix_ms: float) -> None:
+        """Run the checks that depend only on time."""
+        self._periodic_checks.tick(now, unix_ms)
+
+    def schedule(self, now: float, may_start: bool) -> list[Command]:
+        """Place waiting tasks and return all commands issued since the last call."""
+        self.placer.place_waiting_steps(now, may_start and not self.is_fenced)
+        commands, self.state.commands = self.state.commands, []
+        return commands
+
+    def take_unsaved_progress(self) -> dict[str, JobProgress]:
+        """Return the progress that must be stored and clear the list of changed jobs."""
+        dirty, self.state.dirty = self.state.dirty, set()
+        jobs = self.state.jobs
+        return {i: progress_rows.capture_progress(jobs[i]) for i in dirty if i in jobs}
+
+    def last_seen_ends(self) -> dict[str, int]:
+        """Return the sequence number of the last end applied from each worker."""
+        return {w.worker_id: w.last_seen_end for w in self.state.workers.values()}
+
+    def _set_objective(self, job: JobState) -> None:
+        queue = self.state.queue_of(job)
+        slack_factor = queue.slack_factor if queue is not None else 1.0
+        target_ms = queue.target_latency_ms if queue is not None else 0
+        job.objective_ms = (
+            job.accepted_local_ms + slack_factor * critical_path_ms(job.accepted) + target_ms
+        )
+
+    def _find_step(self, key: StepKey) -> StepState | None:
+        job = self.state.jobs.get(key.job_id)
+        return job.find_step(key) if job is not None else None
+
+    def _check_fenced(self, outcome: CommandOutcome) -> None:
+        if outcome is CommandOutcome.FENCED:
+            self.mark_fenced()
--- a/baobabhoist/control/advice.py
+++ b/baobabhoist/control/advice.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from baobabhoist.cell.model import AskAdvice
+from baobabhoist.cell.model import RequestAdvice
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.interfaces import Advice, Adviser
 from baobabhoist.control.messages import AdviceQuery, AdviceReply
@@ -45,7 +45,7 @@
         """Return the maximum number of queries in flight."""
         return len(self.links()) + 1 + MAX_QUEUED_QUERIES
 
-    async def ask(self, query: AskAdvice) -> Advice | None:
+    async def ask(self, query: RequestAdvice) -> Advice | None:
         """Query the adviser through the least busy instance; return None if there is no answer."""
         links = dict(self.links())
         node = self._choose(sorted([LOCAL_NODE, *links]), query.cost_ms)
@@ -62,7 +62,7 @@
         return min(nodes, key=lambda n: max(now, self.busy_until_ms.get(n, 0.0)))
 
     async def _ask_through(
-        self, link: Link, node: str, query: AskAdvice, done_ms: float
+        self, link: Link, node: str, query: RequestAdvice, done_ms: float
     ) -> Advice | None:
         step = query.step
         message = AdviceQuery(
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -8,8 +8,8 @@
 import attrs
 
 from baobabhoist.cell.model import (
+    CommandOutcome,
     JobSpec,
-    OrderOutcome,
     StartTask,
     StepKey,
     StopTask,
@@ -24,7 +24,7 @@
 class OrderResponse:
     """Hold a worker's response to an order, with a reading of its clock if it sent one."""
 
-    outcome: OrderOutcome
+    outcome: CommandOutcome
     clock_ms: int | None = None
 
 
@@ -50,7 +50,7 @@
 
     async def renew(
         self, worker: WorkerInfo, token: int, acked_end: int, deadline_ms: int | None, wait_ms: int
-    ) -> WorkerReport | OrderOutcome:
+    ) -> WorkerReport | CommandOutcome:
         """Renew the lease and return the running and ended tasks; long-poll until a task ends."""
 
     async def start(
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
 from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.control.config import ActiveConfig, CellConfig, Route
@@ -119,7 +119,7 @@
                 ErrorKind.NOT_FOUND, f"no queue at {call.path}", remedy="check host and path"
             )
         team = ""
-        if not route.queue.open_to_all:
+        if not route.queue.is_public:
             if self.config.age_ms(monotonic_ms()) > MAX_KEY_AGE_FRACTION * self.revoke_ms:
                 return unavailable_refusal("the active keys may be out of date", RETRY_ELSEWHERE_S)
             if call.key not in cfg.team_by_key:
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.cell import Cell, Takeover
-from baobabhoist.cell.model import AskAdvice, CellRules, Command, StartTask, StopTask
-from baobabhoist.cell.workers import CLOCK_DRIFT, LEASE_MARGIN_MS
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.model import CellRules, Command, RequestAdvice, StartTask, StopTask
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
+from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
 from baobabhoist.control.advice import AdviceDispatcher
 from baobabhoist.control.cell_loader import CellLoader, CellTables
 from baobabhoist.control.clock import StoreClock, monotonic_ms, unix_ms
@@ -88,7 +88,7 @@
         self, deps: OwnerDependencies, ownership: OwnershipTerm, rules: CellRules
     ) -> None:
         self.is_loaded = False
-        self._cell: Cell | None = None
+        self._cell: CellScheduler | None = None
         self.ownership = ownership
         self.progress_writer = ProgressWriter(
             deps.store, ownership.token, self._report_ownership_lost
@@ -124,7 +124,7 @@
             task.cancel()
 
     @property
-    def cell(self) -> Cell | None:
+    def cell(self) -> CellScheduler | None:
         """Return the cell, or None while loading, when its jobs look as if they had never run."""
         return self._cell if self.is_loaded else None
 
@@ -132,7 +132,7 @@
         """Apply a new configuration of queues and teams."""
         self._rules = rules
         if self._cell is not None:
-            self._cell.use_rules(rules)
+            self._cell.set_rules(rules)
             self.schedule_decision()
 
     def may_renew(self) -> bool:
@@ -152,25 +152,25 @@
             emit(log, Event.ROW_UNREADABLE, table=JOBS_TABLE, row=job_id, detail=exc)
             return
         accepted_local_ms = self._deps.clock.to_local_ms(accepted.accepted_ms)
-        if cell.job_accepted(accepted, accepted_local_ms, monotonic_ms(), unix_ms()):
+        if cell.add_job(accepted, accepted_local_ms, monotonic_ms(), unix_ms()):
             self.schedule_decision()
 
     def handle_cancelled_job(self, job_id: str) -> None:
         """Cancel a job whose cancellation is stored."""
-        if self._cell is not None and self._cell.job_cancelled(job_id, monotonic_ms()):
+        if self._cell is not None and self._cell.cancel_job(job_id, monotonic_ms()):
             self.schedule_decision()
             self.progress_writer.request_flush()
 
     def job_state(self, job_id: str) -> StateReply:
         """Return the state of a job."""
-        job = self.cell.job_state(job_id) if self.cell is not None else None
+        job = self.cell.find_job(job_id) if self.cell is not None else None
         if job is None:
             return StateReply()
         return StateReply(job.phase.value, job.accepted.queue, job.accepted.team)
 
     def count_pending_jobs(self, queue: str) -> PendingReply | None:
         """Return the number of jobs of a queue that have not started, or None while loading."""
-        return PendingReply(self.cell.pending(queue)) if self.cell is not None else None
+        return PendingReply(self.cell.count_queued_jobs(queue)) if self.cell is not None else None
 
     # Loading.
 
@@ -189,8 +189,8 @@
         )
         loaded_rows = (*tables.progress, *tables.cell, *tables.speeds)
         self.progress_writer.set_versions({row.key: row.version for row in loaded_rows})
-        cell = Cell(self._rules, takeover, self._deps.lease_ms)
-        cell.decisions.advisers = self._deps.advice_dispatcher.capacity
+        cell = CellScheduler(self._rules, takeover, self._deps.lease_ms)
+        cell.placer.max_advice_requests = self._deps.advice_dispatcher.capacity
         self._apply_speeds(cell, tables.speeds)
         self._cell = cell
         self._apply_directory_rows(tables.directory, True)
@@ -202,13 +202,13 @@
                 await asyncio.sleep(0)
         self.is_loaded = True
         self._sync_sessions()
-        cell.announce_inherited(now)
+        cell.log_inherited_jobs(now)
         emit(
             log,
             Event.CELL_LOADED,
-            jobs=len(cell.board.jobs),
-            workers=len(cell.board.workers),
-            runs=sum(len(worker.runs) for worker in cell.board.workers.values()),
+            jobs=len(cell.state.jobs),
+            workers=len(cell.state.workers),
+            runs=sum(len(worker.runs) for worker in cell.state.workers.values()),
             token=self.ownership.token,
             took_ms=round(now - self.ownership.won_ms),
         )
@@ -217,7 +217,7 @@
     def _lease_expiry_ms(self) -> float:
         """Return when every lease granted by previous owners has certainly expired."""
         last_ms = max(self.ownership.won_ms, self.ownership.previous_owner_until_ms)
-        return last_ms + self._deps.lease_ms / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
+        return last_ms + self._deps.lease_ms / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
 
     async def _load_jobs(self, rows: Sequence[StoredRow]) -> None:
         # Cancellations come last, because they refer to jobs that must already be loaded.
@@ -226,18 +226,18 @@
             self._apply_job_rows(sorted_rows[first : first + ROWS_PER_YIELD], False)
             await asyncio.sleep(0)
 
-    def _apply_speeds(self, cell: Cell, rows: Sequence[StoredRow]) -> None:
+    def _apply_speeds(self, cell: CellScheduler, rows: Sequence[StoredRow]) -> None:
         for row in rows:
             try:
                 if row.value is not None:
-                    cell.board.speeds = decode_speeds(row.value)
+                    cell.state.speeds = decode_speeds(row.value)
             except ValueError as exc:
                 emit(log, Event.ROW_UNREADABLE, table=row.key.table, row=row.key.key, detail=exc)
 
-    def _apply_progress(self, cell: Cell, row: StoredRow, now: float) -> None:
+    def _apply_progress(self, cell: CellScheduler, row: StoredRow, now: float) -> None:
         try:
             if row.value is not None:
-                cell.progress_loaded(row.key.key, progress_rows.decode(row.value), now)
+                cell.restore_job(row.key.key, progress_rows.decode(row.value), now)
         except (ValueError, IndexError) as exc:
             emit(log, Event.ROW_UNREADABLE, table=PROGRESS_TABLE, row=row.key.key, detail=exc)
 
@@ -278,22 +278,22 @@
         listed = []
         for row in rows:
             if row.value is None:
-                cell.worker_unlisted(row.key.key, now)
+                cell.unlist_worker(row.key.key, now)
                 continue
             info = self._deps.decoder.decode_worker(row.key.key, row.value)
             if info is not None:
                 listed.append(info)
         if is_snapshot:
-            cell.workers_listed(listed, now)
+            cell.sync_directory(listed, now)
         for info in listed:
-            cell.worker_listed(info, now)
+            cell.update_worker(info, now)
         self._sync_sessions()
 
     def _sync_sessions(self) -> None:
         """Open a session for each worker and close those of removed workers."""
         if not self.is_loaded:
             return
-        workers = self._require_cell().board.workers
+        workers = self._require_cell().state.workers
         for worker_id in list(self._sessions):
             if worker_id not in workers:
                 self._sessions.pop(worker_id).cancel()
@@ -305,7 +305,7 @@
     def _open_session(self, worker_id: str) -> None:
         if worker_id in self._sessions:
             return
-        state = self._require_cell().board.workers[worker_id]
+        state = self._require_cell().state.workers[worker_id]
         session = WorkerSession(self, self._deps.driver, state, self._deps.lease_ms)
         self._sessions[worker_id] = session
         session.start()
@@ -329,11 +329,11 @@
         cell = self.cell
         if cell is None:
             return
-        if cell.fenced_off:
+        if cell.is_fenced:
             self._report_ownership_lost("a worker obeys a higher fencing token")
             return
         start_s = time.perf_counter()
-        commands = cell.decide(monotonic_ms(), self._deps.may_start())
+        commands = cell.schedule(monotonic_ms(), self._deps.may_start())
         duration_s = time.perf_counter() - start_s
         # Limits the share of the processor that decisions take under a flood of events.
         self._next_decision_ms = monotonic_ms() + duration_s * 1000 * DECISION_PAUSE_FACTOR
@@ -343,7 +343,7 @@
                 self.progress_writer.call_when_stored(functools.partial(self._send_order, command))
             else:
                 self._send_order(command)
-        if cell.board.dirty:
+        if cell.state.dirty:
             self.progress_writer.request_flush()
 
     def _send_order(self, command: Command) -> None:
@@ -352,65 +352,65 @@
     async def _send_start(self, order: StartTask) -> None:
         session = self._sessions.get(order.worker_id)
         cell = self._require_cell()
-        if session is not None and cell.still_wanted(order):
+        if session is not None and cell.should_send_start(order):
             self._observe_wait(order)
             sent_ms = monotonic_ms()
             outcome = await session.start_task(order)
             duration_s = (monotonic_ms() - sent_ms) / 1000
             self._deps.metrics.observe_worker_call("start", outcome.value, duration_s)
-            cell.start_answered(order, outcome, monotonic_ms())
+            cell.handle_start_result(order, outcome, monotonic_ms())
             self.schedule_decision()
 
     def _observe_wait(self, order: StartTask) -> None:
-        job = self._require_cell().job_state(order.task.job_id)
-        step = job.step_of(order.task) if job is not None else None
+        job = self._require_cell().find_job(order.task.job_id)
+        step = job.find_step(order.task) if job is not None else None
         if job is not None and step is not None:
-            waited_s = (monotonic_ms() - step.ready_ms) / 1000
+            waited_s = (monotonic_ms() - step.ready_since_ms) / 1000
             self._deps.metrics.observe_wait(job.accepted.team, job.accepted.queue, waited_s)
 
     async def _send_stop(self, order: StopTask) -> None:
         session = self._sessions.get(order.worker_id)
         if session is not None:
             outcome = await session.stop_task(order)
-            self._require_cell().stop_answered(order, outcome, monotonic_ms())
+            self._require_cell().handle_stop_result(order, outcome, monotonic_ms())
             self.schedule_decision()
 
-    async def _ask_adviser(self, query: AskAdvice) -> None:
+    async def _ask_adviser(self, query: RequestAdvice) -> None:
         advice = await self._deps.advice_dispatcher.ask(query)
         cell, now = self._require_cell(), monotonic_ms()
         if advice is None:
-            cell.advice_failed(query.step, now + LOAD_RETRY_INTERVAL_S * 1000)
+            cell.handle_advice_failure(query.step, now + LOAD_RETRY_INTERVAL_S * 1000)
         else:
-            cell.advice_answered(query.step, query.workers, advice.tickets, now + advice.valid_ms)
+            cell.handle_advice(query.step, query.workers, advice.tickets, now + advice.valid_ms)
         self.schedule_decision()
 
     _SENDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
         StartTask: _send_start,
         StopTask: _send_stop,
-        AskAdvice: _ask_adviser,
+        RequestAdvice: _ask_adviser,
     }
 
     async def _run_ticks(self) -> None:
         while True:
             cell = self._require_cell()
-            cell.decisions.advisers = self._deps.advice_dispatcher.capacity
+            cell.placer.max_advice_requests = self._deps.advice_dispatcher.capacity
             cell.tick(monotonic_ms(), unix_ms())
             self._ticks += 1
             if self._ticks % RETENTION_CHECK_TICKS == 0:
                 self._remove_expired_jobs(cell)
-            if set(self._sessions) - set(cell.board.workers):
+            if set(self._sessions) - set(cell.state.workers):
                 self._sync_sessions()
             self.schedule_decision()
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _remove_expired_jobs(self, cell: Cell) -> None:
+    def _remove_expired_jobs(self, cell: CellScheduler) -> None:
         """Remove jobs whose retention period has passed."""
         cutoff_ms = monotonic_ms() - 2 * self._deps.job_kept_ms
         expired = [
-            j.job_id for j in cell.board.jobs.values() if j.final and j.ended_ms < cutoff_ms
+            j.job_id for j in cell.state.jobs.values() if j.is_final and j.ended_ms < cutoff_ms
         ]
         for job_id in expired:
-            cell.forget_job(job_id)
+            cell.remove_job(job_id)
             self.spawn(self.progress_writer.remove_job(job_id))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -430,7 +430,7 @@
             self._ownership_lost_reported = True
             self._deps.on_ownership_lost(reason)
 
-    def _require_cell(self) -> Cell:
+    def _require_cell(self) -> CellScheduler:
         if self._cell is None:
             raise RuntimeError("the cell has not been loaded")
         return self._cell
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.cell import Cell
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.scheduler import CellScheduler
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.row_schema import (
     HEARTBEAT_ROW_KEY,
@@ -74,7 +74,7 @@
         self._deferred_sends.append(send)
         self._flush_requested.set()
 
-    async def run(self, cell: Cell) -> None:
+    async def run(self, cell: CellScheduler) -> None:
         """Write changed progress until cancelled."""
         while True:
             await self._flush_requested.wait()
@@ -90,7 +90,7 @@
         value = str(self._heartbeat_count).encode()
         return await self._commit({HEARTBEAT_ROW_KEY: value}, {}) is not None
 
-    async def release(self, claim: bytes, cell: Cell | None) -> bool:
+    async def release(self, claim: bytes, cell: CellScheduler | None) -> bool:
         """Store all progress and release the claim; return whether the release is stored."""
         if cell is not None:
             await self._flush_all(cell)
@@ -105,29 +105,29 @@
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
-    async def _flush_all(self, cell: Cell) -> bool:
+    async def _flush_all(self, cell: CellScheduler) -> bool:
         """Store all progress; retry, because an earlier write may have been interrupted."""
         for _ in range(RELEASE_FLUSH_ATTEMPTS):
             if await self._flush(cell):
                 return True
         return False
 
-    async def _flush(self, cell: Cell) -> bool:
-        seen_ends = cell.seen_ends()
-        birth_times_ms = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
-        dirty = cell.take_dirty()
+    async def _flush(self, cell: CellScheduler) -> bool:
+        seen_ends = cell.last_seen_ends()
+        birth_times_ms = {w.worker_id: w.started_unix_ms for w in cell.state.workers.values()}
+        dirty = cell.take_unsaved_progress()
         deferred_sends, self._deferred_sends = self._deferred_sends, []
         puts = {progress_row_key(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if monotonic_ms() > self._next_speeds_write_ms and cell.board.speeds.workers:
+        if monotonic_ms() > self._next_speeds_write_ms and cell.state.speeds.workers:
             self._next_speeds_write_ms = monotonic_ms() + SPEEDS_INTERVAL_MS
-            puts[SPEEDS_ROW_KEY] = encode_speeds(cell.board.speeds)
+            puts[SPEEDS_ROW_KEY] = encode_speeds(cell.state.speeds)
         is_written = False
         try:
             is_written = await self._write(puts)
         finally:
             # This also runs on cancellation, because another task then writes the rest.
             if not is_written:
-                cell.board.dirty.update(dirty)
+                cell.state.dirty.update(dirty)
                 self._deferred_sends = deferred_sends + self._deferred_sends
         if not is_written:
             return False
@@ -148,14 +148,14 @@
         return True
 
     def _acknowledge(
-        self, cell: Cell, seen_ends: dict[str, int], birth_times_ms: dict[str, int]
+        self, cell: CellScheduler, seen_ends: dict[str, int], birth_times_ms: dict[str, int]
     ) -> None:
         for worker_id, end_number in seen_ends.items():
-            worker = cell.board.workers.get(worker_id)
-            if worker is None or worker.born_ms != birth_times_ms[worker_id]:
+            worker = cell.state.workers.get(worker_id)
+            if worker is None or worker.started_unix_ms != birth_times_ms[worker_id]:
                 continue
-            if end_number > worker.acked_end:
-                worker.acked_end = end_number
+            if end_number > worker.last_acked_end:
+                worker.last_acked_end = end_number
                 self.on_end_acked(worker_id)
 
     async def _commit(
--- a/baobabhoist/control/row_schema.py
+++ b/baobabhoist/control/row_schema.py
@@ -9,7 +9,7 @@
 import orjson
 
 from baobabhoist.cell.model import AcceptedJob, JobSpec
-from baobabhoist.cell.speeds import Speeds
+from baobabhoist.cell.speed_estimates import SpeedEstimates
 from baobabhoist.store.rows import RowKey
 
 CELL_TABLE = "cell"
@@ -72,15 +72,15 @@
     )
 
 
-def encode_speeds(speeds: Speeds) -> bytes:
+def encode_speeds(speeds: SpeedEstimates) -> bytes:
     """Encode the measured speeds of workers and queues as the value of a row."""
     return orjson.dumps(_converter.unstructure(speeds))
 
 
-def decode_speeds(value: bytes) -> Speeds:
+def decode_speeds(value: bytes) -> SpeedEstimates:
     """Decode the speeds that a previous owner measured; raises ValueError if malformed."""
     try:
-        return _converter.structure(orjson.loads(value), Speeds)
+        return _converter.structure(orjson.loads(value), SpeedEstimates)
     except Exception as exc:
         raise ValueError(f"malformed row of measured speeds: {exc}") from exc
 
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from baobabhoist.cell.model import OrderOutcome, StartTask, StopTask, WorkerReport
+from baobabhoist.cell.model import CommandOutcome, StartTask, StopTask, WorkerReport
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.control.clock import monotonic_ms
 from baobabhoist.control.interfaces import WorkerDriver
@@ -49,25 +49,25 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def start_task(self, order: StartTask) -> OrderOutcome:
+    async def start_task(self, order: StartTask) -> CommandOutcome:
         """Order the worker to start a run."""
         deadline_ms = self._next_deadline()
         if deadline_ms is None:
-            return OrderOutcome.LATE
+            return CommandOutcome.LATE
         token = self._owner.ownership.token
         answer = await self._driver.start(self._state.info, token, order, deadline_ms)
         if answer.clock_ms is not None:
-            self._state.lease.heard(answer.clock_ms, monotonic_ms())
+            self._state.lease.update_clock(answer.clock_ms, monotonic_ms())
         return answer.outcome
 
-    async def stop_task(self, order: StopTask) -> OrderOutcome:
+    async def stop_task(self, order: StopTask) -> CommandOutcome:
         """Order the worker to stop a run."""
         token = self._owner.ownership.token
         answer = await self._driver.stop(self._state.info, token, order)
         return answer.outcome
 
     def _next_deadline(self) -> int | None:
-        return self._state.lease.next_deadline(monotonic_ms(), self._lease_ms)
+        return self._state.lease.extend_deadline(monotonic_ms(), self._lease_ms)
 
     async def _run(self) -> None:
         delay_s = RETRY_INITIAL_S
@@ -86,9 +86,11 @@
         state, cell = self._state, self._owner.cell
         if cell is None:
             return False
-        has_unacked_ends = state.seen_end > state.acked_end
+        has_unacked_ends = state.last_seen_end > state.last_acked_end
         wait_ms = (
-            RENEW_WAIT_MS if state.fenced and self._is_answering and not has_unacked_ends else 0
+            RENEW_WAIT_MS
+            if state.has_accepted_token and self._is_answering and not has_unacked_ends
+            else 0
         )
         # A silent worker is offered no longer lease: its tasks can only restart elsewhere once
         # the last deadline sent to it has passed.
@@ -96,14 +98,16 @@
         deadline_ms = self._next_deadline() if may_extend else None
         sent_ms = monotonic_ms()
         token = self._owner.ownership.token
-        answer = await self._driver.renew(state.info, token, state.acked_end, deadline_ms, wait_ms)
+        answer = await self._driver.renew(
+            state.info, token, state.last_acked_end, deadline_ms, wait_ms
+        )
         if not isinstance(answer, WorkerReport):
             self._handle_failure(answer)
             return False
         self._set_answering(True, "")
-        cell.reported(state.worker_id, answer, sent_ms, monotonic_ms())
+        cell.handle_report(state.worker_id, answer, sent_ms, monotonic_ms())
         self._owner.schedule_decision()
-        if state.seen_end > state.acked_end:
+        if state.last_seen_end > state.last_acked_end:
             await self._wait_for_ack()
         return True
 
@@ -116,9 +120,9 @@
         except TimeoutError:
             log.debug("ended tasks of worker %s are not stored yet", self._state.worker_id)
 
-    def _handle_failure(self, outcome: OrderOutcome) -> None:
-        if outcome is OrderOutcome.FENCED and self._owner.cell is not None:
-            self._owner.cell.was_fenced()
+    def _handle_failure(self, outcome: CommandOutcome) -> None:
+        if outcome is CommandOutcome.FENCED and self._owner.cell is not None:
+            self._owner.cell.mark_fenced()
             self._owner.schedule_decision()
         self._set_answering(False, outcome.value)
 
--- a/baobabhoist/tests/test_control_advice.py
+++ b/baobabhoist/tests/test_control_advice.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from baobabhoist.cell.model import AskAdvice, StepKey
+from baobabhoist.cell.model import RequestAdvice, StepKey
 from baobabhoist.control import advice as advice_module
 from baobabhoist.control.advice import LOCAL_NODE, AdviceDispatcher
 from baobabhoist.control.interfaces import Advice
@@ -35,7 +35,7 @@
 
 
 def query(cost_ms):
-    return AskAdvice(StepKey("0" * 16, 0, 0), ("w",), cost_ms)
+    return RequestAdvice(StepKey("0" * 16, 0, 0), ("w",), cost_ms)
 
 
 def test_short_query_is_never_queued_behind_a_long_one(monkeypatch):
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
-from baobabhoist.cell.progress import Progress, encode
+from baobabhoist.cell.progress_rows import JobProgress, encode
 from baobabhoist.control import job_api as job_api_module
 from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.config import ActiveConfig, CellConfig, Route
@@ -66,7 +66,7 @@
         queue = Queue("q", "svc")
         routes = (
             Route("h", "/q/", queue),
-            Route("h", "/open/", Queue("o", "svc", open_to_all=True)),
+            Route("h", "/open/", Queue("o", "svc", is_public=True)),
         )
         rules = CellRules(version, {"q": queue}, {})
         keys = {"k": "team"} if keys is None else keys
@@ -134,7 +134,7 @@
     rig.submit()
     admitted = rig.admit()
     assert asyncio.run(rig.job_api.job_state(admitted)) == "queued"
-    done = encode(Progress(JobPhase.COMPLETED))
+    done = encode(JobProgress(JobPhase.COMPLETED))
     rig.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
     assert asyncio.run(rig.job_api.job_state(admitted)) == "completed"
 
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.model import EndKind, Step
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.control.progress_writer import ProgressWriter
 from baobabhoist.control.row_schema import OWNER_ROW_KEY, progress_row_key
 from baobabhoist.store.rows import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
-from baobabhoist.tests.cells import SMALL, Rig, job, task
+from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
 ID = "0" * 16
 
@@ -21,8 +21,8 @@
 
 
 def make_rig_with_runs():
-    rig = Rig.with_workers(2)
-    rig.accept(job(ID, Step(3, SMALL, 100)))
+    rig = CellHarness.with_workers(2)
+    rig.submit(make_job(ID, Step(3, SMALL, 100)))
     rig.settle()
     return rig
 
@@ -40,14 +40,14 @@
     """Guard against a finished task that neither the worker nor the store has a record of."""
     rows, writer, _ = make_writer()
     rig = make_rig_with_runs()
-    rig.end(task(index=0))
-    worker = rig.cell.board.workers["w0"]
+    rig.end_run(make_task_key(index=0))
+    worker = rig.cell.state.workers["w0"]
     rows.down = True
     assert not flush(writer, rig.cell)
-    assert worker.acked_end == 0
+    assert worker.last_acked_end == 0
     rows.down = False
     assert flush(writer, rig.cell)
-    assert worker.acked_end == 1
+    assert worker.last_acked_end == 1
     assert stored_done_tasks(rows) == (0,)
 
 
@@ -56,9 +56,9 @@
     failures = ["late"]
     rows, writer, _ = make_writer(fail=lambda txn: failures.pop() if failures else "")
     rig = make_rig_with_runs()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     assert not flush(writer, rig.cell)
-    rig.end(task(index=1))
+    rig.end_run(make_task_key(index=1))
     assert flush(writer, rig.cell)
     rows.deliver_late()
     assert stored_done_tasks(rows) == (0, 1)
@@ -69,7 +69,7 @@
     failures = ["lost"]
     rows, writer, loss_reasons = make_writer(fail=lambda txn: failures.pop() if failures else "")
     rig = make_rig_with_runs()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     outcomes = [flush(writer, rig.cell) for _ in range(3)]
     assert outcomes == [False, False, True]
     assert loss_reasons == []
@@ -80,7 +80,7 @@
     """Guard against a previous owner that overwrites the progress of the current one."""
     rows, writer, loss_reasons = make_writer()
     rig = make_rig_with_runs()
-    rig.end(task(index=0))
+    rig.end_run(make_task_key(index=0))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, rig.cell)
     assert loss_reasons
@@ -93,7 +93,7 @@
     async def run():
         rows, writer, _ = make_writer()
         rig = make_rig_with_runs()
-        rig.end(task(index=0), EndKind.DONE)
+        rig.end_run(make_task_key(index=0), RunOutcome.DONE)
         rows.hangs = True
         flushing = asyncio.create_task(writer._flush(rig.cell))
         await asyncio.sleep(0)
@@ -112,10 +112,10 @@
 def test_start_is_sent_only_after_the_run_is_stored():
     """Guard against a run that the next owner does not know of and so starts again."""
     rows, writer, _ = make_writer()
-    rig = Rig.with_workers(1)
-    rig.deliver = False
-    rig.accept(job(ID))
-    (order,) = rig.decide()
+    rig = CellHarness.with_workers(1)
+    rig.delivers_commands = False
+    rig.submit(make_job(ID))
+    (order,) = rig.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(order))
     rows.down = True
@@ -131,10 +131,10 @@
 def test_start_of_a_replaced_owner_is_never_sent():
     """Guard against two owners that both order runs although only one holds the claim."""
     rows, writer, loss_reasons = make_writer()
-    rig = Rig.with_workers(1)
-    rig.deliver = False
-    rig.accept(job(ID))
-    rig.decide()
+    rig = CellHarness.with_workers(1)
+    rig.delivers_commands = False
+    rig.submit(make_job(ID))
+    rig.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(1))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
