--- a/baobabhoist/control/claim.py
+++ b/baobabhoist/control/claim.py
@@ -25,7 +25,8 @@
 # this window; at most MAX_COUNTED_TAKEOVERS of them count.
 TAKEOVER_WINDOW_MS = 20_000.0
 MAX_COUNTED_TAKEOVERS = 3
-# An owner sends no orders once its last confirmed heartbeat is older than this.
+# Once its last confirmed heartbeat is older than this, an owner starts no runs and extends no
+# leases.
 CONFIRMATION_VALID_MS = 3_000.0
 
 
@@ -83,7 +84,7 @@
     BEAT_STALE = "beat_stale"
 
 
-# With these reasons the previous owner can no longer send orders.
+# With these reasons the previous owner can no longer send commands.
 REASONS_PREVIOUS_OWNER_STOPPED = frozenset(
     {ClaimReason.UNCLAIMED, ClaimReason.RELEASED, ClaimReason.OWNER_ENDED}
 )
@@ -139,7 +140,7 @@
         return ClaimReason.OWNER_REFUSES
     if link_state is OwnerLinkState.SILENT and heartbeat_age_ms > HEARTBEAT_OVERDUE_MS:
         return ClaimReason.OWNER_SILENT
-    # The owner may be alive, but its heartbeats do not reach the store, so it sends no orders.
+    # The owner may be alive, but its heartbeats do not reach the store, so it starts no runs.
     if heartbeat_age_ms > HEARTBEAT_STALE_MS:
         return ClaimReason.BEAT_STALE
     return ClaimReason.NONE
--- a/baobabhoist/control/interfaces.py
+++ b/baobabhoist/control/interfaces.py
@@ -21,8 +21,8 @@
 
 
 @attrs.frozen
-class OrderResponse:
-    """Hold a worker's response to an order, with a reading of its clock if it sent one."""
+class CommandResponse:
+    """Hold a worker's response to a command, with a reading of its clock if it sent one."""
 
     outcome: CommandOutcome
     clock_ms: int | None = None
@@ -46,7 +46,7 @@
 
 
 class WorkerDriver(Protocol):
-    """Send orders to workers under a fencing token."""
+    """Send commands to workers under a fencing token."""
 
     async def renew(
         self, worker: WorkerInfo, token: int, acked_end: int, deadline_ms: int | None, wait_ms: int
@@ -54,11 +54,11 @@
         """Renew the lease and return the running and ended tasks; long-poll until a task ends."""
 
     async def start(
-        self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
-    ) -> OrderResponse:
+        self, worker: WorkerInfo, token: int, command: StartTask, deadline_ms: int
+    ) -> CommandResponse:
         """Start a run under a lease that ends at `deadline_ms` on the worker's clock."""
 
-    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderResponse:
+    async def stop(self, worker: WorkerInfo, token: int, command: StopTask) -> CommandResponse:
         """Stop a run."""
 
 
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -79,7 +79,7 @@
         self._store.observe({"call": call, "outcome": outcome}, seconds)
 
     def observe_worker_call(self, call: str, outcome: str, seconds: float) -> None:
-        """Record an order to a worker."""
+        """Record a command to a worker."""
         self._worker.observe({"call": call, "outcome": outcome}, seconds)
 
     def observe_takeover(self, seconds: float) -> None:
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -74,7 +74,7 @@
     advice_dispatcher: AdviceDispatcher
     lease_ms: float
     job_kept_ms: float
-    # Returns whether the claim was confirmed recently enough to order starts.
+    # Returns whether the claim was confirmed recently enough to send start commands.
     may_start: Callable[[], bool]
     # Called once, with the reason, when another instance owns the cell.
     on_ownership_lost: Callable[[str], None]
@@ -116,7 +116,7 @@
             self.stop()
 
     def stop(self) -> None:
-        """Cancel all tasks, so that no further orders are sent."""
+        """Cancel all tasks, so that no further commands are sent."""
         for session in self._sessions.values():
             session.cancel()
         self._sessions.clear()
@@ -315,7 +315,7 @@
         if session is not None:
             session.ends_acked.set()
 
-    # Scheduling and orders.
+    # Scheduling and commands.
 
     def schedule_decision(self) -> None:
         """Schedule one round of decisions for all events of this turn of the event loop."""
@@ -340,39 +340,41 @@
         self._deps.metrics.observe_decision(duration_s)
         for command in commands:
             if isinstance(command, StartTask):
-                self.progress_writer.call_when_stored(functools.partial(self._send_order, command))
+                self.progress_writer.call_when_stored(
+                    functools.partial(self._send_command, command)
+                )
             else:
-                self._send_order(command)
+                self._send_command(command)
         if cell.state.dirty:
             self.progress_writer.request_flush()
 
-    def _send_order(self, command: Command) -> None:
+    def _send_command(self, command: Command) -> None:
         self.spawn(self._SENDERS[type(command)](self, command))
 
-    async def _send_start(self, order: StartTask) -> None:
-        session = self._sessions.get(order.worker_id)
+    async def _send_start(self, command: StartTask) -> None:
+        session = self._sessions.get(command.worker_id)
         cell = self._require_cell()
-        if session is not None and cell.should_send_start(order):
-            self._observe_wait(order)
+        if session is not None and cell.should_send_start(command):
+            self._observe_wait(command)
             sent_ms = monotonic_ms()
-            outcome = await session.start_task(order)
+            outcome = await session.start_task(command)
             duration_s = (monotonic_ms() - sent_ms) / 1000
             self._deps.metrics.observe_worker_call("start", outcome.value, duration_s)
-            cell.handle_start_result(order, outcome, monotonic_ms())
+            cell.handle_start_result(command, outcome, monotonic_ms())
             self.schedule_decision()
 
-    def _observe_wait(self, order: StartTask) -> None:
-        job = self._require_cell().find_job(order.task.job_id)
-        step = job.find_step(order.task) if job is not None else None
+    def _observe_wait(self, command: StartTask) -> None:
+        job = self._require_cell().find_job(command.task.job_id)
+        step = job.find_step(command.task) if job is not None else None
         if job is not None and step is not None:
             waited_s = (monotonic_ms() - step.ready_since_ms) / 1000
             self._deps.metrics.observe_wait(job.accepted.team, job.accepted.queue, waited_s)
 
-    async def _send_stop(self, order: StopTask) -> None:
-        session = self._sessions.get(order.worker_id)
+    async def _send_stop(self, command: StopTask) -> None:
+        session = self._sessions.get(command.worker_id)
         if session is not None:
-            outcome = await session.stop_task(order)
-            self._require_cell().handle_stop_result(order, outcome, monotonic_ms())
+            outcome = await session.stop_task(command)
+            self._require_cell().handle_stop_result(command, outcome, monotonic_ms())
             self.schedule_decision()
 
     async def _ask_adviser(self, query: RequestAdvice) -> None:
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -1,4 +1,4 @@
-"""Store runs before their start is ordered, and ends before workers may discard them."""
+"""Store runs before they are started, and ends before workers may discard them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         self._token = token
         self._on_ownership_lost = on_ownership_lost
         self._flush_requested = asyncio.Event()
-        # Callbacks that send orders, to be called once the progress they depend on is stored.
+        # Callbacks that send commands, to be called once the progress they depend on is stored.
         self._deferred_sends: list[Callable[[], None]] = []
         self._heartbeat_count = 0
         self._next_speeds_write_ms = monotonic_ms()
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -1,4 +1,4 @@
-"""Drive one worker: renew its lease, process its reports and send it orders."""
+"""Drive one worker: renew its lease, process its reports and send it commands."""
 
 from __future__ import annotations
 
@@ -49,21 +49,21 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def start_task(self, order: StartTask) -> CommandOutcome:
+    async def start_task(self, command: StartTask) -> CommandOutcome:
         """Order the worker to start a run."""
         deadline_ms = self._next_deadline()
         if deadline_ms is None:
             return CommandOutcome.LATE
         token = self._owner.ownership.token
-        answer = await self._driver.start(self._state.info, token, order, deadline_ms)
+        answer = await self._driver.start(self._state.info, token, command, deadline_ms)
         if answer.clock_ms is not None:
             self._state.lease.update_clock(answer.clock_ms, monotonic_ms())
         return answer.outcome
 
-    async def stop_task(self, order: StopTask) -> CommandOutcome:
+    async def stop_task(self, command: StopTask) -> CommandOutcome:
         """Order the worker to stop a run."""
         token = self._owner.ownership.token
-        answer = await self._driver.stop(self._state.info, token, order)
+        answer = await self._driver.stop(self._state.info, token, command)
         return answer.outcome
 
     def _next_deadline(self) -> int | None:
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -16,7 +16,7 @@
     WorkerInfo,
     WorkerReport,
 )
-from baobabhoist.control.interfaces import OrderResponse
+from baobabhoist.control.interfaces import CommandResponse
 from baobabhoist.platform.http import Answer, HttpCaller
 
 log = logging.getLogger(__name__)
@@ -65,25 +65,25 @@
         return report if report is not None else CommandOutcome.UNKNOWN
 
     async def start(
-        self, worker: WorkerInfo, token: int, order: StartTask, deadline_ms: int
-    ) -> OrderResponse:
+        self, worker: WorkerInfo, token: int, command: StartTask, deadline_ms: int
+    ) -> CommandResponse:
         """Start a run."""
         body: dict[str, Any] = {
-            "task": order.task.to_text(),
-            "runId": order.run,
-            "taskSpec": order.payload,
+            "task": command.task.to_text(),
+            "runId": command.run,
+            "taskSpec": command.payload,
             "deadlineMs": deadline_ms,
             "fencingToken": token,
         }
-        if order.checkpoint:
-            body["checkpoint"] = order.checkpoint
-        if order.ticket:
-            body["ticket"] = order.ticket
+        if command.checkpoint:
+            body["checkpoint"] = command.checkpoint
+        if command.ticket:
+            body["ticket"] = command.ticket
         return _order_answer(await self._call(worker, "/-/run-start", body, ORDER_TIMEOUT_S))
 
-    async def stop(self, worker: WorkerInfo, token: int, order: StopTask) -> OrderResponse:
+    async def stop(self, worker: WorkerInfo, token: int, command: StopTask) -> CommandResponse:
         """Stop a run."""
-        body = {"task": order.task.to_text(), "runId": order.run, "fencingToken": token}
+        body = {"task": command.task.to_text(), "runId": command.run, "fencingToken": token}
         return _order_answer(await self._call(worker, "/-/run-stop", body, ORDER_TIMEOUT_S))
 
     async def _call(
@@ -95,9 +95,9 @@
         )
 
 
-def _order_answer(answer: Answer) -> OrderResponse:
+def _order_answer(answer: Answer) -> CommandResponse:
     clock = answer.field("clockMs")
-    return OrderResponse(_outcome(answer), clock if isinstance(clock, int) else None)
+    return CommandResponse(_outcome(answer), clock if isinstance(clock, int) else None)
 
 
 def _outcome(answer: Answer) -> CommandOutcome:
--- a/baobabhoist/tests/test_control_claim.py
+++ b/baobabhoist/tests/test_control_claim.py
@@ -28,7 +28,7 @@
 
 
 def test_connected_owner_with_stale_heartbeat_is_replaced():
-    """Guard against an owner that is alive but, cut off from the store, may send no orders."""
+    """Guard against an owner that is alive but, cut off from the store, may send no commands."""
     reason = find_claim_reason(CLAIM, OwnerLinkState.CONNECTED, HEARTBEAT_STALE_MS + 1, "me")
     assert reason is ClaimReason.BEAT_STALE
 
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -30,7 +30,7 @@
         pass
 
 
-class Rig:
+class ElectionHarness:
     """Run one instance's election with an in-memory store and a clock set by the test."""
 
     def __init__(self, monkeypatch):
@@ -72,82 +72,83 @@
 
 
 @pytest.fixture
-def rig(monkeypatch):
-    return Rig(monkeypatch)
+def harness(monkeypatch):
+    return ElectionHarness(monkeypatch)
 
 
-def test_unclaimed_cell_is_claimed_once(rig):
+def test_unclaimed_cell_is_claimed_once(harness):
     """Guard against a start after which no instance, or more than one, owns the cell."""
 
     async def run():
-        rig.read()
-        await rig.settle()
+        harness.read()
+        await harness.settle()
         assert (
-            rig.owner_router.local_owner.ownership.token == rig.store.rows[OWNER_ROW_KEY].version
+            harness.owner_router.local_owner.ownership.token
+            == harness.store.rows[OWNER_ROW_KEY].version
         )
-        assert decode_claim(rig.store.rows[OWNER_ROW_KEY].value).boot == "boot-me"
+        assert decode_claim(harness.store.rows[OWNER_ROW_KEY].value).boot == "boot-me"
 
     asyncio.run(run())
 
 
-def test_claim_fails_if_a_heartbeat_was_written_meanwhile(rig):
+def test_claim_fails_if_a_heartbeat_was_written_meanwhile(harness):
     """Guard against a takeover from a live owner whose heartbeat was only read late."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
-        rig.read()
-        rig.owner_link.state = OwnerLinkState.SILENT
-        rig.now += 1_500.0
-        rig.write(heartbeat=b"2")
-        await rig.settle()
-        assert rig.owner_router.local_owner is None
-        rig.read()
-        rig.now += 1_500.0
-        rig.read(sent_ms=rig.now - 1_000.0)
-        await rig.settle()
-        assert rig.owner_router.local_owner is not None
+        harness.write(owner=encode_claim(OTHER), heartbeat=b"1")
+        harness.read()
+        harness.owner_link.state = OwnerLinkState.SILENT
+        harness.now += 1_500.0
+        harness.write(heartbeat=b"2")
+        await harness.settle()
+        assert harness.owner_router.local_owner is None
+        harness.read()
+        harness.now += 1_500.0
+        harness.read(sent_ms=harness.now - 1_000.0)
+        await harness.settle()
+        assert harness.owner_router.local_owner is not None
 
     asyncio.run(run())
 
 
-def test_store_outage_does_not_count_as_missing_heartbeats(rig):
+def test_store_outage_does_not_count_as_missing_heartbeats(harness):
     """Guard against a takeover at the end of each store outage."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
-        rig.read()
-        rig.now += 4_000.0
-        rig.read(sent_ms=rig.now - 50.0)
-        await rig.settle()
-        assert rig.owner_router.local_owner is None
+        harness.write(owner=encode_claim(OTHER), heartbeat=b"1")
+        harness.read()
+        harness.now += 4_000.0
+        harness.read(sent_ms=harness.now - 50.0)
+        await harness.settle()
+        assert harness.owner_router.local_owner is None
 
     asyncio.run(run())
 
 
-def test_unchanged_heartbeat_while_the_store_answers_leads_to_a_takeover(rig):
+def test_unchanged_heartbeat_while_the_store_answers_leads_to_a_takeover(harness):
     """Guard against infrequent polls that count as outages and so keep a dead owner for ever."""
 
     async def run():
-        rig.write(owner=encode_claim(OTHER), heartbeat=b"1")
-        rig.read()
+        harness.write(owner=encode_claim(OTHER), heartbeat=b"1")
+        harness.read()
         for _ in range(2):
-            sent_ms = rig.now + MAX_READ_GAP_MS - 200.0
-            rig.now = sent_ms + 1_000.0
-            rig.read(sent_ms=sent_ms)
-        await rig.settle()
-        assert rig.owner_router.local_owner is not None
+            sent_ms = harness.now + MAX_READ_GAP_MS - 200.0
+            harness.now = sent_ms + 1_000.0
+            harness.read(sent_ms=sent_ms)
+        await harness.settle()
+        assert harness.owner_router.local_owner is not None
 
     asyncio.run(run())
 
 
-def test_owner_steps_down_when_another_instance_has_the_claim(rig):
+def test_owner_steps_down_when_another_instance_has_the_claim(harness):
     """Guard against an owner that continues after another instance has won the claim."""
 
     async def run():
-        rig.read()
-        await rig.settle()
-        rig.write(owner=encode_claim(OTHER))
-        rig.read()
-        assert rig.owner_router.local_owner is None
+        harness.read()
+        await harness.settle()
+        harness.write(owner=encode_claim(OTHER))
+        harness.read()
+        assert harness.owner_router.local_owner is None
 
     asyncio.run(run())
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -42,7 +42,7 @@
         self.notices.append(notice)
 
 
-class ApiRig:
+class JobApiHarness:
     """Run a job API with an in-memory store and a clock set by the test."""
 
     def __init__(self, monkeypatch):
@@ -85,95 +85,95 @@
 
 
 @pytest.fixture
-def rig(monkeypatch):
-    rig = ApiRig(monkeypatch)
-    rig.configure()
-    return rig
+def harness(monkeypatch):
+    harness = JobApiHarness(monkeypatch)
+    harness.configure()
+    return harness
 
 
 def test_call_without_a_configuration_is_refused_with_a_retry_time(monkeypatch):
     """Guard against a 404 or 401 from an instance that has just started."""
-    refusal = ApiRig(monkeypatch).admit()
+    refusal = JobApiHarness(monkeypatch).admit()
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
     assert refusal.retry_after_s is not None
 
 
-def test_keys_are_refused_once_the_configuration_is_too_old(rig):
+def test_keys_are_refused_once_the_configuration_is_too_old(harness):
     """Guard against a withdrawn key that still works on an instance cut off from the store."""
-    assert isinstance(rig.admit(), AdmittedCall)
-    rig.now += REVOKE_MS * 0.9
-    assert rig.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
-    assert isinstance(rig.admit(path=f"/open/{ID}", key=""), AdmittedCall)
+    assert isinstance(harness.admit(), AdmittedCall)
+    harness.now += REVOKE_MS * 0.9
+    assert harness.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
+    assert isinstance(harness.admit(path=f"/open/{ID}", key=""), AdmittedCall)
 
 
-def test_older_configuration_never_replaces_a_newer_one(rig):
+def test_older_configuration_never_replaces_a_newer_one(harness):
     """Guard against a withdrawn key that a delayed read makes valid again."""
-    rig.configure(version=3, keys={})
-    rig.configure(version=2, keys={"k": "team"})
-    assert rig.admit().kind is ErrorKind.KEY_REJECTED
+    harness.configure(version=3, keys={})
+    harness.configure(version=2, keys={"k": "team"})
+    assert harness.admit().kind is ErrorKind.KEY_REJECTED
 
 
-def test_accepted_job_is_stored_before_the_answer(rig):
+def test_accepted_job_is_stored_before_the_answer(harness):
     """Guard against an accepted job that the next owner would not find."""
-    assert rig.submit() is None
-    assert job_row_key(ID) in rig.rows.rows
-    assert isinstance(rig.owner_router.notices[0], JobNotice)
-    assert rig.submit() is None
-    assert len(rig.owner_router.notices) == 1
+    assert harness.submit() is None
+    assert job_row_key(ID) in harness.rows.rows
+    assert isinstance(harness.owner_router.notices[0], JobNotice)
+    assert harness.submit() is None
+    assert len(harness.owner_router.notices) == 1
 
 
-def test_job_larger_than_a_row_is_refused(rig):
+def test_job_larger_than_a_row_is_refused(harness):
     """Guard against a job whose oversized row makes every later write fail."""
-    rig.job_api.row_max_bytes = 10
-    assert rig.submit().kind is ErrorKind.BODY_TOO_LARGE
-    assert rig.rows.rows == {}
+    harness.job_api.row_max_bytes = 10
+    assert harness.submit().kind is ErrorKind.BODY_TOO_LARGE
+    assert harness.rows.rows == {}
 
 
-def test_state_is_read_from_the_store_without_an_owner(rig):
+def test_state_is_read_from_the_store_without_an_owner(harness):
     """Guard against an accepted job that is reported as unknown during a takeover."""
-    rig.submit()
-    admitted = rig.admit()
-    assert asyncio.run(rig.job_api.job_state(admitted)) == "queued"
+    harness.submit()
+    admitted = harness.admit()
+    assert asyncio.run(harness.job_api.job_state(admitted)) == "queued"
     done = encode(JobProgress(JobPhase.COMPLETED))
-    rig.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
-    assert asyncio.run(rig.job_api.job_state(admitted)) == "completed"
+    harness.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
+    assert asyncio.run(harness.job_api.job_state(admitted)) == "completed"
 
 
-def test_job_unknown_to_the_owner_is_read_from_the_store(rig):
+def test_job_unknown_to_the_owner_is_read_from_the_store(harness):
     """Guard against a 410 for a job whose notification has not reached the owner yet."""
-    rig.submit()
-    rig.owner_router.answer = StateReply()
-    assert asyncio.run(rig.job_api.job_state(rig.admit())) == "queued"
+    harness.submit()
+    harness.owner_router.answer = StateReply()
+    assert asyncio.run(harness.job_api.job_state(harness.admit())) == "queued"
 
 
-def test_unreadable_state_is_not_reported_as_missing(rig):
+def test_unreadable_state_is_not_reported_as_missing(harness):
     """Guard against a 410 for an accepted job while neither the owner nor the store answers."""
-    rig.submit()
-    rig.rows.down = True
-    refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
+    harness.submit()
+    harness.rows.down = True
+    refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_job_of_another_team_is_forbidden(rig):
+def test_job_of_another_team_is_forbidden(harness):
     """Guard against a key that gives access to the jobs of other teams."""
-    rig.owner_router.answer = StateReply("running", "q", "other")
-    refusal = asyncio.run(rig.job_api.job_state(rig.admit()))
+    harness.owner_router.answer = StateReply("running", "q", "other")
+    refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
     assert refusal.kind is ErrorKind.FORBIDDEN
 
 
-def test_pending_count_comes_from_the_owner_or_is_refused(rig):
+def test_pending_count_comes_from_the_owner_or_is_refused(harness):
     """Guard against a queue that is reported as empty during a change of owner."""
-    rig.owner_router.answer = PendingReply(7)
-    assert asyncio.run(rig.job_api.count_pending_jobs(rig.admit(path="/q/"))) == 7
-    rig.owner_router.answer = NotOwner("n2")
-    refusal = asyncio.run(rig.job_api.count_pending_jobs(rig.admit(path="/q/")))
+    harness.owner_router.answer = PendingReply(7)
+    assert asyncio.run(harness.job_api.count_pending_jobs(harness.admit(path="/q/"))) == 7
+    harness.owner_router.answer = NotOwner("n2")
+    refusal = asyncio.run(harness.job_api.count_pending_jobs(harness.admit(path="/q/")))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def test_cancellation_is_stored_before_the_answer(rig):
+def test_cancellation_is_stored_before_the_answer(harness):
     """Guard against a cancelled job that the next owner still runs."""
-    rig.submit()
-    rig.owner_router.answer = StateReply("running", "q", "team")
-    call = rig.call()
-    assert asyncio.run(rig.job_api.cancel(call, rig.admit())) is None
-    assert any(key.key == f"{ID}/cancel" for key in rig.rows.rows)
+    harness.submit()
+    harness.owner_router.answer = StateReply("running", "q", "team")
+    call = harness.call()
+    assert asyncio.run(harness.job_api.cancel(call, harness.admit())) is None
+    assert any(key.key == f"{ID}/cancel" for key in harness.rows.rows)
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -20,11 +20,11 @@
     return rows, ProgressWriter(rows, token, loss_reasons.append), loss_reasons
 
 
-def make_rig_with_runs():
-    rig = CellHarness.with_workers(2)
-    rig.submit(make_job(ID, Step(3, SMALL, 100)))
-    rig.settle()
-    return rig
+def make_harness_with_runs():
+    harness = CellHarness.with_workers(2)
+    harness.submit(make_job(ID, Step(3, SMALL, 100)))
+    harness.settle()
+    return harness
 
 
 def flush(writer, cell):
@@ -39,14 +39,14 @@
 def test_ends_are_acknowledged_only_after_their_progress_is_stored():
     """Guard against a finished task that neither the worker nor the store has a record of."""
     rows, writer, _ = make_writer()
-    rig = make_rig_with_runs()
-    rig.end_run(make_task_key(index=0))
-    worker = rig.cell.state.workers["w0"]
+    harness = make_harness_with_runs()
+    harness.end_run(make_task_key(index=0))
+    worker = harness.cell.state.workers["w0"]
     rows.down = True
-    assert not flush(writer, rig.cell)
+    assert not flush(writer, harness.cell)
     assert worker.last_acked_end == 0
     rows.down = False
-    assert flush(writer, rig.cell)
+    assert flush(writer, harness.cell)
     assert worker.last_acked_end == 1
     assert stored_done_tasks(rows) == (0,)
 
@@ -55,11 +55,11 @@
     """Guard against older progress that replaces newer, already confirmed progress."""
     failures = ["late"]
     rows, writer, _ = make_writer(fail=lambda txn: failures.pop() if failures else "")
-    rig = make_rig_with_runs()
-    rig.end_run(make_task_key(index=0))
-    assert not flush(writer, rig.cell)
-    rig.end_run(make_task_key(index=1))
-    assert flush(writer, rig.cell)
+    harness = make_harness_with_runs()
+    harness.end_run(make_task_key(index=0))
+    assert not flush(writer, harness.cell)
+    harness.end_run(make_task_key(index=1))
+    assert flush(writer, harness.cell)
     rows.deliver_late()
     assert stored_done_tasks(rows) == (0, 1)
 
@@ -68,9 +68,9 @@
     """Guard against an owner that mistakes its own earlier write for that of another owner."""
     failures = ["lost"]
     rows, writer, loss_reasons = make_writer(fail=lambda txn: failures.pop() if failures else "")
-    rig = make_rig_with_runs()
-    rig.end_run(make_task_key(index=0))
-    outcomes = [flush(writer, rig.cell) for _ in range(3)]
+    harness = make_harness_with_runs()
+    harness.end_run(make_task_key(index=0))
+    outcomes = [flush(writer, harness.cell) for _ in range(3)]
     assert outcomes == [False, False, True]
     assert loss_reasons == []
     assert stored_done_tasks(rows) == (0,)
@@ -79,10 +79,10 @@
 def test_replaced_owner_writes_nothing():
     """Guard against a previous owner that overwrites the progress of the current one."""
     rows, writer, loss_reasons = make_writer()
-    rig = make_rig_with_runs()
-    rig.end_run(make_task_key(index=0))
+    harness = make_harness_with_runs()
+    harness.end_run(make_task_key(index=0))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
-    assert not flush(writer, rig.cell)
+    assert not flush(writer, harness.cell)
     assert loss_reasons
     assert progress_row_key(ID) not in rows.rows
 
@@ -92,16 +92,16 @@
 
     async def run():
         rows, writer, _ = make_writer()
-        rig = make_rig_with_runs()
-        rig.end_run(make_task_key(index=0), RunOutcome.DONE)
+        harness = make_harness_with_runs()
+        harness.end_run(make_task_key(index=0), RunOutcome.DONE)
         rows.hangs = True
-        flushing = asyncio.create_task(writer._flush(rig.cell))
+        flushing = asyncio.create_task(writer._flush(harness.cell))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         flushing.cancel()
         await asyncio.gather(flushing, return_exceptions=True)
         rows.hangs = False
-        assert await writer.release(b"released", rig.cell)
+        assert await writer.release(b"released", harness.cell)
         assert stored_done_tasks(rows) == (0,)
         return rows
 
@@ -112,32 +112,32 @@
 def test_start_is_sent_only_after_the_run_is_stored():
     """Guard against a run that the next owner does not know of and so starts again."""
     rows, writer, _ = make_writer()
-    rig = CellHarness.with_workers(1)
-    rig.delivers_commands = False
-    rig.submit(make_job(ID))
-    (order,) = rig.schedule()
+    harness = CellHarness.with_workers(1)
+    harness.delivers_commands = False
+    harness.submit(make_job(ID))
+    (command,) = harness.schedule()
     sent = []
-    writer.call_when_stored(lambda: sent.append(order))
+    writer.call_when_stored(lambda: sent.append(command))
     rows.down = True
-    assert not flush(writer, rig.cell)
+    assert not flush(writer, harness.cell)
     assert sent == []
     rows.down = False
-    assert flush(writer, rig.cell)
-    assert sent == [order]
+    assert flush(writer, harness.cell)
+    assert sent == [command]
     (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
-    assert step.runs[0].worker_id == order.worker_id
+    assert step.runs[0].worker_id == command.worker_id
 
 
 def test_start_of_a_replaced_owner_is_never_sent():
-    """Guard against two owners that both order runs although only one holds the claim."""
+    """Guard against two owners that both start runs although only one holds the claim."""
     rows, writer, loss_reasons = make_writer()
-    rig = CellHarness.with_workers(1)
-    rig.delivers_commands = False
-    rig.submit(make_job(ID))
-    rig.schedule()
+    harness = CellHarness.with_workers(1)
+    harness.delivers_commands = False
+    harness.submit(make_job(ID))
+    harness.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(1))
     rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
-    assert not flush(writer, rig.cell)
+    assert not flush(writer, harness.cell)
     assert loss_reasons
     assert sent == []
--- a/baobabhoist/tests/test_control_worker_session.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -30,18 +30,18 @@
 
 
 def run_renewals(rounds, silent_from):
-    rig = CellHarness.with_workers(1)
-    rig.submit(make_job())
-    rig.settle()
-    driver = FakeDriver(rig.workers["w0"])
+    harness = CellHarness.with_workers(1)
+    harness.submit(make_job())
+    harness.settle()
+    driver = FakeDriver(harness.workers["w0"])
     owner = SimpleNamespace(
-        cell=rig.cell,
-        ownership=SimpleNamespace(token=rig.token),
+        cell=harness.cell,
+        ownership=SimpleNamespace(token=harness.token),
         may_renew=lambda: True,
         schedule_decision=lambda: None,
         progress_writer=SimpleNamespace(request_flush=lambda: None),
     )
-    session = WorkerSession(owner, driver, rig.cell.state.workers["w0"], LEASE_MS)
+    session = WorkerSession(owner, driver, harness.cell.state.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
@@ -49,7 +49,7 @@
             await session._renew()
 
     asyncio.run(run())
-    return rig, driver
+    return harness, driver
 
 
 @pytest.fixture(autouse=True)
@@ -63,10 +63,10 @@
     Each failed renewal moved the deadline of the lease, so that it never expired. Found by
     hunt 15b2, which reported LOST.
     """
-    rig, driver = run_renewals(6, silent_from=2)
+    harness, driver = run_renewals(6, silent_from=2)
     assert driver.deadlines[2] is not None
     assert driver.deadlines[3:] == [None, None, None]
-    assert rig.cell.state.workers["w0"].lease.deadline_ms == driver.deadlines[2]
+    assert harness.cell.state.workers["w0"].lease.deadline_ms == driver.deadlines[2]
 
 
 def test_answering_worker_gets_its_lease_renewed():
