--- a/baobabhoist/daemon/places.py
+++ b/baobabhoist/daemon/places.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import RunningTask, Task, WorkKind
-from baobabhoist.quota.classes import ClassLedger, class_key
+from baobabhoist.quota.class_limits import ClassLedger, class_key
 from baobabhoist.quota.ledger import QuotaLedger
 
 
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.peer.messages import ShardDigest
 from baobabhoist.quota import escrow
-from baobabhoist.quota.classes import class_key
+from baobabhoist.quota.class_limits import class_key
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
 from baobabhoist.scheduling.policy import PreemptionAction, QueuePolicy, TeamPolicy
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -21,7 +21,7 @@
 from baobabhoist.model import Outcome, Request, Task, WorkKind
 from baobabhoist.ownership.keys import Result
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, RelayRequest, ShardDigest
-from baobabhoist.quota.classes import class_key
+from baobabhoist.quota.class_limits import class_key
 
 # A takeover lasts up to 5 s; a request that no owner has seen waits that long for one.
 PATIENCE_S = 6.0
--- a/baobabhoist/scheduling/holding.py
+++ b/baobabhoist/scheduling/holds.py
@@ -6,8 +6,8 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Task
-from baobabhoist.scheduling.gangs import Reservation
 from baobabhoist.scheduling.queues import Entry, Lane
+from baobabhoist.scheduling.reservations import Reservation
 from baobabhoist.scheduling.results import Hold, Placement
 from baobabhoist.scheduling.state import SchedulerState
 
@@ -19,7 +19,7 @@
 OVER_SHARE_FACTOR = 10.0
 
 
-class Holding(SchedulerState):
+class HoldScheduler(SchedulerState):
     """Keep the holds of one owner, asked for by a job coordinator or by its own queues."""
 
     def hold(
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -7,7 +7,7 @@
 from baobabhoist.errors import Refusal
 from baobabhoist.invariants import Invariant, check
 from baobabhoist.model import Resources, Task, WorkerSpec, WorkKind
-from baobabhoist.scheduling import overload
+from baobabhoist.scheduling import admission
 from baobabhoist.scheduling.capacity import (
     NOTHING,
     Amount,
@@ -20,7 +20,7 @@
 )
 from baobabhoist.scheduling.explain import explain
 from baobabhoist.scheduling.health import MAX_TRACKED
-from baobabhoist.scheduling.holding import HOLD_S, Holding
+from baobabhoist.scheduling.holds import HOLD_S, HoldScheduler
 from baobabhoist.scheduling.placement import choose, observe_speed
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.preemption import Running, action_for, plan_room
@@ -42,7 +42,7 @@
 UNLIMIT_S = 0.5
 
 
-class Scheduler(Holding):
+class Scheduler(HoldScheduler):
     """Queue tasks and place them on the workers of one owner.
 
     Every method takes `now` in Unix seconds and does no I/O. A step that would break an
@@ -88,7 +88,7 @@
             known = task.task_id in self.running or task.task_id in self.lines.entries
             check(not known, Invariant.SCHEDULER, "task %s is queued or placed", task.task_id)
         first = tasks[0]
-        refusal = self._never_fits(tasks) or overload.refuse(
+        refusal = self._never_fits(tasks) or admission.refuse(
             first,
             self.lines.team(first.team),
             self._team(first.team),
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -12,7 +12,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.invariants import Invariant, check
 from baobabhoist.model import Resources, RunningTask, Task, WorkerSpec, WorkKind
-from baobabhoist.scheduling import overload
+from baobabhoist.scheduling import admission
 from baobabhoist.scheduling.capacity import (
     NOTHING,
     Amount,
@@ -25,12 +25,12 @@
 )
 from baobabhoist.scheduling.estimates import RETRY_MARGIN, Estimator
 from baobabhoist.scheduling.fairness import Fairness
-from baobabhoist.scheduling.gangs import HoldBook
 from baobabhoist.scheduling.health import HealthBook
 from baobabhoist.scheduling.placement import RackSpread
 from baobabhoist.scheduling.policy import OBJECTIVES, QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.preemption import Running
 from baobabhoist.scheduling.queues import Entry, Lane, WaitingLines
+from baobabhoist.scheduling.reservations import HoldBook
 from baobabhoist.scheduling.results import Placement, Preemption
 
 URGENT_RANK = -1e9
@@ -62,7 +62,7 @@
         self.book = HoldBook(self.index, self._ends)
         self.running: dict[str, Running] = {}
         self.spread = RackSpread()
-        self.rates = overload.StartRates()
+        self.rates = admission.StartRates()
         self._queues: Mapping[str, QueuePolicy] = {}
         self._teams: Mapping[str, TeamPolicy] = {}
         self._largest = self._largest_worker()
--- a/baobabhoist/tests/test_quota_classes.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -9,7 +9,7 @@
 from baobabhoist.daemon.policies import class_limits
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Answer, Outcome, Resources, RunningTask, WorkKind
-from baobabhoist.quota.classes import class_key
+from baobabhoist.quota.class_limits import class_key
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.shards import Rack, quicken, request, until
