--- a/baobabhoist/benchmarks/baselines.py
+++ b/baobabhoist/benchmarks/baselines.py
@@ -63,7 +63,7 @@
                 del self.waiting[job_id]
         return batch
 
-    def ended(
+    def task_ended(
         self,
         task_id: str,
         succeeded: bool,
@@ -83,11 +83,11 @@
         late = [job for job, tasks in self.waiting.items() if tasks[0].deadline <= now]
         return [task for job in late for task in self.waiting.pop(job)]
 
-    def preemptions(self) -> list[Preemption]:
+    def take_preemptions(self) -> list[Preemption]:
         """Return nothing: the baselines do not preempt."""
         return []
 
-    def given_up(self) -> list[tuple[Task, Refusal]]:
+    def take_refused(self) -> list[tuple[Task, Refusal]]:
         """Return nothing: the baselines refuse only on arrival."""
         return []
 
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -39,7 +39,7 @@
 
 
 def _ours(stream: Stream, places: PlaceBudget) -> Policy:
-    scheduler = Scheduler.over(stream.workers, places)
+    scheduler = Scheduler.for_workers(stream.workers, places)
     policy = QueuePolicy(objective=stream.profile.objective)
     queues = {f"{team}-{kind.value}": policy for team in stream.weights for kind in WorkKind}
     teams = {
@@ -129,7 +129,7 @@
     tracemalloc.start()
     ledger = QuotaLedger("bench")
     before = tracemalloc.get_traced_memory()[0]
-    scheduler = Scheduler.over(workers, ledger)
+    scheduler = Scheduler.for_workers(workers, ledger)
     for spec in workers:
         scheduler.worker_up(spec.name)
     per_worker = (tracemalloc.get_traced_memory()[0] - before) / len(workers)
--- a/baobabhoist/benchmarks/replay.py
+++ b/baobabhoist/benchmarks/replay.py
@@ -32,12 +32,12 @@
     def enqueue(self, task: Task, now: float) -> Refusal | None: ...  # noqa: D102
     def enqueue_gang(self, job_id: str, tasks: list[Task], now: float) -> Refusal | None: ...  # noqa: D102
     def next_batch(self, now: float) -> list[Placement]: ...  # noqa: D102
-    def ended(  # noqa: D102
+    def task_ended(  # noqa: D102
         self, task_id: str, succeeded: bool, now: float, usage: Resources, preempted: bool
     ) -> Verdict: ...
     def expire(self, now: float) -> list[Task]: ...  # noqa: D102
-    def preemptions(self) -> list[Preemption]: ...  # noqa: D102
-    def given_up(self) -> list[tuple[Task, Refusal]]: ...  # noqa: D102
+    def take_preemptions(self) -> list[Preemption]: ...  # noqa: D102
+    def take_refused(self) -> list[tuple[Task, Refusal]]: ...  # noqa: D102
 
 
 @attrs.define(eq=False)
@@ -139,9 +139,9 @@
                 self._start(now, placement)
             if not batch:
                 break
-        for task, refusal in self.policy.given_up():
+        for task, refusal in self.policy.take_refused():
             self._refuse(task, refusal)
-        for preemption in self.policy.preemptions():
+        for preemption in self.policy.take_preemptions():
             attempt = self.running.get(preemption.task_id)
             if attempt and preemption.action is not PreemptionAction.THROTTLE:
                 self._at(now + PREEMPTION_S, "end", (attempt, 0, True))
@@ -193,7 +193,7 @@
         self.preempted += preempted
         usage = Resources(work.cpu_milli, work.memory_mb)
         begin = time.perf_counter()
-        verdict = self.policy.ended(task.task_id, succeeded, now, usage, preempted)
+        verdict = self.policy.task_ended(task.task_id, succeeded, now, usage, preempted)
         again = verdict is Verdict.RETRY and (task.idempotent or preempted)
         refusal = self.policy.enqueue(task, now) if again else None
         self.busy_s += time.perf_counter() - begin
--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -100,5 +100,5 @@
     def _release(self, task_id: str, succeeded: bool) -> None:
         owner = self._owner
         if task_id in owner.scheduler.running:
-            owner.scheduler.ended(task_id, succeeded, owner.now)
+            owner.scheduler.task_ended(task_id, succeeded, owner.now)
         owner.places.ended(task_id)
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -39,14 +39,14 @@
 async def preempt(owner: Owner, wanted: Preemption) -> None:
     """Ask a worker to checkpoint, throttle or stop a task so that another one fits."""
     token, task_id = owner.claim.token, wanted.task_id
-    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task)
+    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task_id)
     if wanted.action is PreemptionAction.THROTTLE:
         placed = owner.scheduler.placed.get(task_id)
         had = placed.task.resources.cpu_milli if placed is not None else 0
         percent = wanted.cpu_milli * PERCENT // had if had else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
         if await owner.tell_worker(wanted.worker, message):
-            owner.scheduler.throttled(task_id, wanted.cpu_milli)
+            owner.scheduler.task_throttled(task_id, wanted.cpu_milli)
     elif wanted.action is not PreemptionAction.NEVER:
         owner.stopping.add(task_id)
         await owner.tell_worker(wanted.worker, stop_message(owner, task_id, wanted.action))
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -87,7 +87,7 @@
         self.quota.begin_takeover()
         self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
         self.places = ShardPlaces(self.quota, self._kind_of)
-        self.scheduler = Scheduler.over(specs, self.places)
+        self.scheduler = Scheduler.for_workers(specs, self.places)
         self.scheduler.lines.is_full = self.places.is_full
         self.leaving: set[str] = set()
         self.barred: dict[str, float] = {}
@@ -248,7 +248,7 @@
     def take_back(self, task_id: str, now: float) -> None:
         """Free what a placed task holds that was not sent."""
         self.places.confirmed.add(task_id)
-        self.scheduler.ended(task_id, False, now, preempted=True)
+        self.scheduler.task_ended(task_id, False, now, preempted=True)
 
     async def _execute(self, placement: Placement) -> None:
         task, worker = placement.task, placement.worker
@@ -272,7 +272,7 @@
             if isinstance(fate, Ended) and fate.confirmed:
                 self.places.confirmed.add(task.task_id)
             stopped = task.task_id in self.stopping and not succeeded
-            self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
+            self.scheduler.task_ended(task.task_id, succeeded, now, preempted=stopped)
         self.stopping.discard(task.task_id)
         if isinstance(fate, Lost) and self.keys.retry(task.task_id, task.deadline, now):
             self._enqueue_again(task, now)
@@ -481,9 +481,9 @@
         for task in self.scheduler.expire(now):
             late = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
             self.finish(task.task_id, late)
-        for task, refusal in self.scheduler.given_up():
+        for task, refusal in self.scheduler.take_refused():
             self.finish(task.task_id, refusal)
-        for preemption in self.scheduler.preemptions():
+        for preemption in self.scheduler.take_preemptions():
             self.spawn(preempt(self, preemption))
         self.refresh_places()
         self.dispatch(now)
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -77,7 +77,7 @@
         The coordinator then sends each task as a request, which joins the one started here.
         """
         owner = self._owner
-        placements = owner.scheduler.commit(job_id, now)
+        placements = owner.scheduler.commit_hold(job_id, now)
         if isinstance(placements, Refusal):
             return False
         for placement in placements:
@@ -92,4 +92,4 @@
 
     def release_hold(self, job_id: str) -> None:
         """Give a hold back."""
-        self._owner.scheduler.release(job_id)
+        self._owner.scheduler.release_hold(job_id)
--- a/baobabhoist/scheduling/holds.py
+++ b/baobabhoist/scheduling/holds.py
@@ -44,7 +44,7 @@
             found.ready = True
         return found.as_hold()
 
-    def commit(self, job_id: str, now: float) -> list[Placement] | Refusal:
+    def commit_hold(self, job_id: str, now: float) -> list[Placement] | Refusal:
         """Start the tasks of a ready hold."""
         found = self.book.reservations.get(job_id)
         if found is None or found.entry is not None:
@@ -60,7 +60,7 @@
             return _no_capacity(f"the hold for job {job_id} is not complete")
         return self._bind_all(found, now)
 
-    def release(self, job_id: str) -> bool:
+    def release_hold(self, job_id: str) -> bool:
         """Drop a hold; tell whether there was one."""
         found = self.book.reservations.get(job_id)
         if found is None or found.entry is not None:
--- a/baobabhoist/scheduling/preemption.py
+++ b/baobabhoist/scheduling/preemption.py
@@ -34,7 +34,7 @@
 
     def projected_end(self, now: float) -> float:
         """Return when the task has probably ended, in Unix seconds."""
-        started = self.placement.at
+        started = self.placement.placed_at
         if now < started + self.long_run_s:
             return started + self.long_run_s
         # A task that outlives its estimate is expected to run half as long again.
@@ -113,7 +113,7 @@
         action = action_for(victim.declared, policy_of(victim.declared.queue))
         if victim.making_room or victim.adopted or action is PreemptionAction.NEVER:
             continue
-        cost = now - victim.placement.at if action is PreemptionAction.STOP else 0.0
+        cost = now - victim.placement.placed_at if action is PreemptionAction.STOP else 0.0
         if victim.declared.kind is WorkKind.SERVICE:
             cost += SERVICE_COST_S
         found.append((cost, victim, action))
--- a/baobabhoist/scheduling/results.py
+++ b/baobabhoist/scheduling/results.py
@@ -19,7 +19,7 @@
 
     task: Task
     worker: str
-    at: float = 0.0
+    placed_at: float = 0.0
 
 
 class Verdict(enum.StrEnum):
@@ -34,14 +34,14 @@
 class Preemption:
     """Ask a worker to make room; the room counts as free once the end is reported.
 
-    For a throttle, `cpu_milli` is what the task may keep, and `Scheduler.throttled` reports
+    For a throttle, `cpu_milli` is what the task may keep, and `Scheduler.task_throttled` reports
     that the worker did so.
     """
 
     task_id: str
     worker: str
     action: PreemptionAction
-    for_task: str
+    for_task_id: str
     cpu_milli: int = 0
 
 
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -50,14 +50,14 @@
     """
 
     @classmethod
-    def over(cls, workers: Iterable[WorkerSpec], places: PlaceBudget) -> Scheduler:
+    def for_workers(cls, workers: Iterable[WorkerSpec], places: PlaceBudget) -> Scheduler:
         """Return a scheduler for these workers, none of which is up yet."""
         return cls(workers, places)
 
     def set_workers(self, workers: Iterable[WorkerSpec]) -> None:
         """Take a changed list of workers; new ones get work after `worker_up`.
 
-        Queued tasks that fit no worker any more are returned by `given_up`.
+        Queued tasks that fit no worker any more are returned by `take_refused`.
         """
         before = set(self.index.workers)
         self.index.set_workers(workers)
@@ -73,7 +73,7 @@
             refusal = self._never_fits(entry.members)
             if refusal is not None:
                 self._drop(entry)
-                self._given_up.extend((task, refusal) for task in entry.members)
+                self._refused.extend((task, refusal) for task in entry.members)
         self.lines.unblock()
 
     # Queueing.
@@ -116,12 +116,12 @@
         """Drop the queued tasks whose deadline has passed and return them."""
         return [task for entry in self.lines.expire(now) for task in entry.members]
 
-    def given_up(self) -> list[tuple[Task, Refusal]]:
+    def take_refused(self) -> list[tuple[Task, Refusal]]:
         """Return the queued tasks that were refused since the last call, with the reason."""
-        found, self._given_up = self._given_up, []
+        found, self._refused = self._refused, []
         return found
 
-    def preemptions(self) -> list[Preemption]:
+    def take_preemptions(self) -> list[Preemption]:
         """Return the requests to make room that arose since the last call."""
         found, self._preemptions = self._preemptions, []
         return found
@@ -243,7 +243,7 @@
 
     # Ends.
 
-    def ended(
+    def task_ended(
         self,
         task_id: str,
         succeeded: bool,
@@ -287,7 +287,7 @@
         task, worker = running.declared, running.worker
         job = task.job_id or f"{task.team}/{task.queue}"
         if succeeded:
-            run_s = now - running.placement.at
+            run_s = now - running.placement.placed_at
             observe_speed(worker, running.run_s, run_s)
             self.estimator.observe(task, run_s, usage)
             self._peaks.pop(task.task_id, None)
@@ -307,7 +307,7 @@
             self.index.changed(worker)
         return verdict
 
-    def throttled(self, task_id: str, cpu_milli: int) -> None:
+    def task_throttled(self, task_id: str, cpu_milli: int) -> None:
         """Note that a worker limits a task to these processors."""
         running = self.running.get(task_id)
         if running is None or cpu_milli >= running.need[0]:
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -69,7 +69,7 @@
         self._peaks: OrderedDict[str, Amount] = OrderedDict()
         self._placed_holds: set[str] = set()
         self._preemptions: list[Preemption] = []
-        self._given_up: list[tuple[Task, Refusal]] = []
+        self._refused: list[tuple[Task, Refusal]] = []
         self._seq = itertools.count(1)
         self._now = 0.0
         self._upkeep_at = 0.0
--- a/baobabhoist/tests/test_daemon_policies.py
+++ b/baobabhoist/tests/test_daemon_policies.py
@@ -30,7 +30,7 @@
         ("queue", "large", {"max_queued_per_team": 5}),
     )
     worker = WorkerSpec("w1", "127.0.0.1", 1, "r", Resources(slots=4))
-    scheduler = Scheduler.over([worker], QuotaLedger("r"))
+    scheduler = Scheduler.for_workers([worker], QuotaLedger("r"))
     scheduler.set_policies(queue_policies(view), team_policies(view))
     assert [scheduler.enqueue(task(f"s{n}"), NOW) for n in range(2)] == [None, None]
     refused = scheduler.enqueue(task("s2"), NOW)
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -30,7 +30,7 @@
 
 
 def scheduler(workers=2, places=1000, **queues):
-    made = Scheduler.over(specs(workers), Places("s", dict.fromkeys("abc", places)))
+    made = Scheduler.for_workers(specs(workers), Places("s", dict.fromkeys("abc", places)))
     for n in range(workers):
         made.worker_up(f"w{n}")
     made.set_policies(queues, {})
@@ -64,9 +64,9 @@
     with pytest.raises(InvariantBreachError):
         made.enqueue(task("t"), 0.0)
     assert list(placed(made)) == ["t"]
-    made.ended("t", True, 1.0)
+    made.task_ended("t", True, 1.0)
     with pytest.raises(InvariantBreachError):
-        made.ended("t", True, 1.0)
+        made.task_ended("t", True, 1.0)
 
 
 @pytest.mark.parametrize("stop", ["worker_down", "worker_leaving"])
@@ -79,12 +79,12 @@
 
 
 def test_adopted_tasks_take_capacity_but_no_place():
-    made = Scheduler.over(specs(1), Places("s", {"a": 1}))
+    made = Scheduler.for_workers(specs(1), Places("s", {"a": 1}))
     made.adopt("w0", [RunningTask("old", "a", Resources(8000, 1000))], 0.0)
     made.worker_up("w0")
     made.enqueue(task("t"), 0.0)
     assert not placed(made)
-    made.ended("old", True, 1.0)
+    made.task_ended("old", True, 1.0)
     assert list(placed(made, 1.0)) == ["t"]
 
 
@@ -129,7 +129,7 @@
         made.enqueue(task(name, team), 0.0)
     assert set(placed(made)) == {"a1", "b1"}
     assert made.explain("a2", 1.0).reason is WaitReason.TEAM_LIMIT
-    made.ended("a1", True, 1.0)
+    made.task_ended("a1", True, 1.0)
     assert set(placed(made, 1.0)) == {"a2"}
 
 
@@ -155,9 +155,9 @@
     made.enqueue(task("u", "b", kind=WorkKind.REQUEST, urgency=Urgency.URGENT), 1.0)
     made.enqueue(task("other", "c"), 1.0)
     assert not placed(made, 1.0)
-    (wanted,) = made.preemptions()
-    assert (wanted.action, wanted.for_task) == (PreemptionAction.STOP, "u")
-    assert made.ended(wanted.task_id, False, 1.2, preempted=True) is Verdict.RETRY
+    (wanted,) = made.take_preemptions()
+    assert (wanted.action, wanted.for_task_id) == (PreemptionAction.STOP, "u")
+    assert made.task_ended(wanted.task_id, False, 1.2, preempted=True) is Verdict.RETRY
     assert placed(made, 1.2)["u"] == wanted.worker
 
 
@@ -173,7 +173,7 @@
     made = scheduler(q=policy)
     fill(made, **changes)
     made.enqueue(task("u", "b", urgency=Urgency.URGENT), 1.0)
-    assert not placed(made, 1.0) and not made.preemptions()
+    assert not placed(made, 1.0) and not made.take_preemptions()
 
 
 def test_throttled_task_leaves_processors_to_urgent_work():
@@ -181,8 +181,8 @@
     fill(made)
     made.enqueue(task("u", "b", urgency=Urgency.URGENT), 1.0)
     assert not placed(made, 1.0)
-    (wanted,) = made.preemptions()
-    made.throttled(wanted.task_id, wanted.cpu_milli)
+    (wanted,) = made.take_preemptions()
+    made.task_throttled(wanted.task_id, wanted.cpu_milli)
     assert list(placed(made, 1.1)) == ["u"]
 
 
@@ -193,7 +193,7 @@
     gang = [task(f"g{n}", "b", cpu=8000) for n in range(2)]
     assert made.enqueue_gang("g", gang, 0.0) is None
     assert not placed(made, 0.2)
-    made.ended("busy", True, 1.0)
+    made.task_ended("busy", True, 1.0)
     assert set(placed(made, 1.0)) == {"g0", "g1"}
 
 
@@ -211,12 +211,12 @@
     gang = [task(f"g{n}", "b", cpu=4000) for n in range(3)]
     first = made.hold("g", gang, 1.0)
     assert isinstance(first, Hold) and not first.ready
-    assert isinstance(made.commit("g", 1.0), Refusal)
-    made.ended("fill0", True, 2.0)
-    made.ended("fill1", True, 2.0)
+    assert isinstance(made.commit_hold("g", 1.0), Refusal)
+    made.task_ended("fill0", True, 2.0)
+    made.task_ended("fill1", True, 2.0)
     made.enqueue(task("small", "c", expected_run_s=1e6), 2.0)
     assert made.hold("g", gang, 2.0).ready
-    assert {p.task.task_id for p in made.commit("g", 2.0)} == {"g0", "g1", "g2"}
+    assert {p.task.task_id for p in made.commit_hold("g", 2.0)} == {"g0", "g1", "g2"}
 
 
 def test_released_and_expired_holds_give_everything_back():
@@ -224,13 +224,13 @@
     gang = [task(f"g{n}", "b") for n in range(8)]
     assert made.hold("g", gang, 0.0).ready
     assert made.places.used["b"] == 8
-    assert made.release("g") and not made.release("g")
+    assert made.release_hold("g") and not made.release_hold("g")
     assert made.hold("h", gang, 0.0, expires_at=5.0).ready
     made.enqueue(task("t", "c", cpu=8000), 1.0)
     assert not placed(made, 1.0)
     assert list(placed(made, 6.0)) == ["t"]
     assert made.places.used["b"] == 0
-    assert made.commit("h", 6.0).kind is ErrorKind.NOT_FOUND
+    assert made.commit_hold("h", 6.0).kind is ErrorKind.NOT_FOUND
 
 
 def test_backfill_never_delays_a_held_start():
@@ -242,9 +242,9 @@
     made.enqueue(task("fixed", "c", expected_run_s=2.0, idempotent=False), 0.0)
     made.enqueue(task("short", "c", expected_run_s=2.0), 0.0)
     assert list(placed(made, 1.0)) == ["short"]
-    made.ended("half", True, 10.0)
+    made.task_ended("half", True, 10.0)
     assert not placed(made, held.start_at)
-    assert [wanted.task_id for wanted in made.preemptions()] == ["short"]
+    assert [wanted.task_id for wanted in made.take_preemptions()] == ["short"]
 
 
 def test_large_task_is_not_starved_by_small_ones():
@@ -258,7 +258,7 @@
     for step in range(1, 400):
         now = step * 0.5
         made.enqueue(task(f"n{step}", "b", expected_run_s=100.0, submitted_at=now), now)
-        made.ended(running.pop(rng.randrange(len(running))), True, now)
+        made.task_ended(running.pop(rng.randrange(len(running))), True, now)
         new = placed(made, now)
         started = "large" in new
         if started:
@@ -279,10 +279,10 @@
 
 def test_removed_worker_gives_up_what_fits_nowhere_else():
     large = WorkerSpec("big", "127.0.0.1", 1, "r9", Resources(16000, 16000, 0, 8))
-    made = Scheduler.over([*specs(1), large], Places("s", {"a": 9}))
+    made = Scheduler.for_workers([*specs(1), large], Places("s", {"a": 9}))
     made.enqueue(task("t", cpu=12000), 0.0)
     made.set_workers(specs(1))
-    ((gone, refusal),) = made.given_up()
+    ((gone, refusal),) = made.take_refused()
     assert (gone.task_id, refusal.kind) == ("t", ErrorKind.NEVER_FITS)
 
 
@@ -323,7 +323,7 @@
     def end(self, pick, ok, memory):
         if self.made.running:
             name = pick.choice(sorted(self.made.running))
-            self.made.ended(name, ok, self.now, Resources(700, memory))
+            self.made.task_ended(name, ok, self.now, Resources(700, memory))
 
     @rule(pick=st.randoms(use_true_random=False))
     def cancel(self, pick):
@@ -338,7 +338,7 @@
     @rule(commit=st.booleans())
     def end_hold(self, commit):
         for job in [job for job in self.made.book.reservations if job.startswith("job")]:
-            self.made.commit(job, self.now) if commit else self.made.release(job)
+            self.made.commit_hold(job, self.now) if commit else self.made.release_hold(job)
 
     @rule(worker=st.sampled_from(["w0", "w1", "w2"]), up=st.booleans())
     def change_worker(self, worker, up):
