--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -43,7 +43,7 @@
     policy = QueuePolicy(objective=stream.profile.objective)
     queues = {f"{team}-{kind.value}": policy for team in stream.weights for kind in WorkKind}
     teams = {
-        team: TeamPolicy(weight=weight, queue_limit=QUEUE_LIMIT)
+        team: TeamPolicy(weight=weight, max_queued=QUEUE_LIMIT)
         for team, weight in stream.weights.items()
     }
     scheduler.set_policies(queues, teams)
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -23,11 +23,11 @@
     }
 
 
-def _queue_policy(policy: Policy, team_limit: int) -> QueuePolicy:
+def _queue_policy(policy: Policy, max_queued_per_team: int) -> QueuePolicy:
     action = PreemptionAction.NEVER
     if policy.preemption:
         action = PreemptionAction(policy.preempt_action.value)
-    return QueuePolicy(policy.objective.value, action, team_limit=team_limit)
+    return QueuePolicy(policy.objective.value, action, max_queued_per_team=max_queued_per_team)
 
 
 def team_policies(view: RecordView) -> dict[str, TeamPolicy]:
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -88,7 +88,7 @@
         self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
         self.places = ShardPlaces(self.quota, self._kind_of)
         self.scheduler = Scheduler.for_workers(specs, self.places)
-        self.scheduler.lines.is_full = self.places.is_full
+        self.scheduler.queues.is_class_full = self.places.is_full
         self.leaving: set[str] = set()
         self.barred: dict[str, float] = {}
         # Tasks that a worker was asked to end; their end says nothing about health or size.
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -62,7 +62,7 @@
         scheduler = self._owner.scheduler
         spare = self._owner.places.spare
         count = min(len(tasks), spare(tasks[0].team, tasks[0].kind)) if tasks else 0
-        if job_id in scheduler.book.reservations:
+        if job_id in scheduler.reservations.by_job:
             count = len(tasks)
         while count > 0:
             hold = scheduler.hold(job_id, list(tasks[:count]), now, deadline)
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -74,7 +74,7 @@
         fairness = owner.scheduler.fairness
         teams = set(owner.quota.escrow) | set(owner.quota.used)
         for team in teams:
-            self._metrics.set_share(team, owner.shard, fairness.dominant(team))
+            self._metrics.set_share(team, owner.shard, fairness.dominant_share(team))
             self._metrics.set_escrow(team, owner.shard, owner.quota.allowed(team))
         self._metrics.set_packing(owner.shard, packing(owner.scheduler.index))
 
--- a/baobabhoist/scheduling/admission.py
+++ b/baobabhoist/scheduling/admission.py
@@ -7,7 +7,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Task, WorkKind
 from baobabhoist.scheduling.policy import QueuePolicy, TeamPolicy
-from baobabhoist.scheduling.queues import TeamLine
+from baobabhoist.scheduling.queues import TeamQueue
 
 # The rate is learnt over about this long, in seconds.
 RATE_WINDOW_S = 10.0
@@ -50,7 +50,7 @@
 
 def refuse(
     task: Task,
-    line: TeamLine,
+    line: TeamQueue,
     team: TeamPolicy,
     queue: QueuePolicy,
     rates: StartRates,
@@ -58,10 +58,10 @@
 ) -> Refusal | None:
     """Return why a task is not queued: the queue is full, or its deadline would pass in it."""
     wait_s = rates.wait_s(task.team, line.queued)
-    if line.queued >= team.queue_limit:
+    if line.queued >= team.max_queued:
         return _full(task, f"holds {line.queued} tasks, its limit", wait_s)
     in_queue = line.queued_in[task.queue]
-    if in_queue >= queue.team_limit:
+    if in_queue >= queue.max_queued_per_team:
         reason = f"holds {in_queue} tasks for the queue {task.queue}, the limit of that queue"
         return _full(task, reason, wait_s)
     if task.kind is not WorkKind.REQUEST or line.queued < MIN_PREDICTED_QUEUE:
--- a/baobabhoist/scheduling/explain.py
+++ b/baobabhoist/scheduling/explain.py
@@ -8,7 +8,7 @@
 from baobabhoist.scheduling.results import Explanation, WaitReason
 
 if TYPE_CHECKING:
-    from baobabhoist.scheduling.queues import Entry
+    from baobabhoist.scheduling.queues import QueueEntry
     from baobabhoist.scheduling.scheduler import Scheduler
 
 
@@ -18,22 +18,22 @@
     if running is not None:
         message = f"the task runs on worker {running.worker.name}"
         return Explanation(task_id, WaitReason.RUNNING, message)
-    entry = scheduler.lines.entries.get(task_id)
+    entry = scheduler.queues.entries.get(task_id)
     if entry is None or entry.lane is None:
         return Explanation(task_id, WaitReason.NOT_FOUND, "this owner has no such task")
     reason, message = _reason(scheduler, entry)
     return Explanation(task_id, reason, message, entry.waited_s(now))
 
 
-def _reason(scheduler: Scheduler, entry: Entry) -> tuple[WaitReason, str]:
+def _reason(scheduler: Scheduler, entry: QueueEntry) -> tuple[WaitReason, str]:
     team, need = entry.task.team, entry.need
     if entry.held:
-        found = scheduler.book.reservations.get(entry.task.task_id)
+        found = scheduler.reservations.by_job.get(entry.task.task_id)
         when = f", complete at about {found.start_at:.1f}" if found else ""
         return WaitReason.HOLD, f"capacity is being held for it{when}"
     if entry.lane is not None and entry.lane.team.limited:
         return WaitReason.TEAM_LIMIT, f"team {team} uses all places it has here"
-    if scheduler.lines.is_full(team, entry.task.kind):
+    if scheduler.queues.is_class_full(team, entry.task.kind):
         kind = entry.task.kind.value
         return WaitReason.TEAM_LIMIT, f"team {team} runs as much {kind} work as it may here"
     if scheduler.index.might_fit(need) and scheduler.index.search(
@@ -43,7 +43,7 @@
         return WaitReason.SHARE, f"others go first; team {team} uses {share:.0%} of its share"
     if _fits_quarantined(scheduler, need):
         return WaitReason.QUARANTINE, "only workers in quarantine have room for it"
-    if scheduler.book.collecting and _fits_held(scheduler, need):
+    if scheduler.reservations.collecting and _fits_held(scheduler, need):
         return WaitReason.HOLD, "the room that there is, is held for other work"
     failed = scheduler.health.excluded(entry.task.task_id)
     tried = f"; it failed on {', '.join(failed)}" if failed else ""
@@ -56,5 +56,5 @@
 
 
 def _fits_held(scheduler: Scheduler, need: Amount) -> bool:
-    names = scheduler.book.collecting
+    names = scheduler.reservations.collecting
     return any(fits(need, scheduler.index.workers[name].free) for name in names)
--- a/baobabhoist/scheduling/fairness.py
+++ b/baobabhoist/scheduling/fairness.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class Fairness:
+class FairShareTracker:
     """Keep each team's weighted dominant share of the fleet."""
 
     total: Amount
@@ -36,7 +36,7 @@
         self.used[team] = left
         self._shares.pop(team, None)
 
-    def dominant(self, team: str) -> float:
+    def dominant_share(self, team: str) -> float:
         """Return the largest part of any resource here that the team uses."""
         used, total = self.used.get(team, NOTHING), self.total
         return max(
@@ -50,7 +50,7 @@
         """Return the team's dominant share of the fleet over its entitlement; 1 is its share."""
         share = self._shares.get(team)
         if share is None:
-            whole = self.dominant(team) * self.local_fraction + self.elsewhere.get(team, 0.0)
+            whole = self.dominant_share(team) * self.local_fraction + self.elsewhere.get(team, 0.0)
             share = whole * self._weight_sum() / self.weights.get(team, 1.0)
             self._shares[team] = share
         return share
--- a/baobabhoist/scheduling/holds.py
+++ b/baobabhoist/scheduling/holds.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Task
-from baobabhoist.scheduling.queues import Entry, Lane
+from baobabhoist.scheduling.queues import Lane, QueueEntry
 from baobabhoist.scheduling.reservations import Reservation
 from baobabhoist.scheduling.results import Hold, Placement
 from baobabhoist.scheduling.state import SchedulerState
@@ -27,13 +27,13 @@
     ) -> Hold | Refusal:
         """Hold capacity for tasks that must start together, or return the state of the hold."""
         self._now = now
-        found = self.book.reservations.get(job_id)
+        found = self.reservations.by_job.get(job_id)
         if found is None:
             refusal = self._never_fits(tasks)
             if refusal is not None:
                 return refusal
             needs = [(task, self._need(task)) for task in tasks]
-            found = self.book.plan(job_id, needs, now, expires_at or now + HOLD_S)
+            found = self.reservations.plan(job_id, needs, now, expires_at or now + HOLD_S)
             if found is None:
                 return _no_capacity("the workers cannot be free together before the hold ends")
         if not found.ready and found.complete():
@@ -46,7 +46,7 @@
 
     def commit_hold(self, job_id: str, now: float) -> list[Placement] | Refusal:
         """Start the tasks of a ready hold."""
-        found = self.book.reservations.get(job_id)
+        found = self.reservations.by_job.get(job_id)
         if found is None or found.entry is not None:
             return Refusal(
                 ErrorKind.NOT_FOUND,
@@ -62,7 +62,7 @@
 
     def release_hold(self, job_id: str) -> bool:
         """Drop a hold; tell whether there was one."""
-        found = self.book.reservations.get(job_id)
+        found = self.reservations.by_job.get(job_id)
         if found is None or found.entry is not None:
             return False
         self._end_reservation(found)
@@ -82,19 +82,19 @@
         return None
 
     def _end_reservation(self, reservation: Reservation) -> None:
-        self.book.end(reservation)
+        self.reservations.end(reservation)
         if reservation.job_id in self._placed_holds:
             self._placed_holds.remove(reservation.job_id)
             for member in reservation.members:
                 self.places.ended(member.task.task_id)
         entry = reservation.entry
         if entry is not None and entry.lane is not None and entry.held:
-            self.lines.requeue(entry, self._now)
+            self.queues.requeue(entry, self._now)
         for member in reservation.members:
-            self.lines.grew(member.worker.room, member.worker)
+            self.queues.grew(member.worker.room, member.worker)
 
     def _bind_all(self, reservation: Reservation, now: float) -> list[Placement]:
-        self.book.end(reservation)
+        self.reservations.end(reservation)
         self._placed_holds.discard(reservation.job_id)
         return [self._bind(m.task, m.need, m.worker, now) for m in reservation.members]
 
@@ -107,36 +107,36 @@
             if lane is not None:
                 self._no_places(lane, entry, now)
             return
-        self.lines.remove(entry)
+        self.queues.remove(entry)
         batch.extend(self._bind_all(found, now))
 
-    def _no_places(self, lane: Lane, entry: Entry, now: float) -> None:
+    def _no_places(self, lane: Lane, entry: QueueEntry, now: float) -> None:
         """Let the team's places collect for a gang that has waited long, for a limited time."""
         if now >= entry.drain_from + 2 * HOLD_S or entry.drain_from == inf:
             starved = entry.waited_s(now) >= self._queue(lane.queue).reserve_after_s
             entry.drain_from = now if starved else inf
         if entry.drain_from <= now < entry.drain_from + HOLD_S:
-            self.lines.limit(lane.team)
+            self.queues.limit(lane.team)
         else:
-            self.lines.skip(lane)
+            self.queues.skip(lane)
 
     def _commit_complete(self, now: float, batch: list[Placement]) -> None:
         self._check_holds = False
-        for found in list(self.book.reservations.values()):
+        for found in list(self.reservations.by_job.values()):
             if now >= found.expires_at or not found.usable():
                 self._end_reservation(found)
             elif found.entry is not None and found.complete():
                 self._commit_queued(found, now, batch)
 
-    def _reserve_for_starved(self, heads: list[tuple[Lane, Entry]], now: float) -> None:
+    def _reserve_for_starved(self, heads: list[tuple[Lane, QueueEntry]], now: float) -> None:
         allowed = max(1, int(MAX_COLLECTING_FRACTION * len(self.index.workers)))
-        if len(self.book.collecting) >= allowed:
+        if len(self.reservations.collecting) >= allowed:
             return
         starved = []
         for lane, entry in heads:
             bound, waited = self._queue(lane.queue).reserve_after_s, entry.waited_s(now)
             stuck = lane.shape.blocked is not None or len(entry.members) > 1
-            if waited < bound or not stuck or self.lines.waits_for_place(lane):
+            if waited < bound or not stuck or self.queues.waits_for_place(lane):
                 continue
             rank = self._rank(lane, entry, now)
             if rank <= 1.0 or waited >= OVER_SHARE_FACTOR * bound:
@@ -144,10 +144,13 @@
         for _, _, entry in sorted(starved):
             needs = [(task, self._need(task)) for task in entry.members]
             expires_at = min(now + 2 * HOLD_S, entry.task.deadline)
-            if self.book.plan(entry.task.task_id, needs, now, expires_at, entry) is not None:
+            if (
+                self.reservations.plan(entry.task.task_id, needs, now, expires_at, entry)
+                is not None
+            ):
                 entry.held = True
                 self._check_holds = True
-            if len(self.book.collecting) >= allowed:
+            if len(self.reservations.collecting) >= allowed:
                 return
 
 
--- a/baobabhoist/scheduling/policy.py
+++ b/baobabhoist/scheduling/policy.py
@@ -73,7 +73,7 @@
 class QueuePolicy:
     """Hold the policy of one queue; times are in seconds.
 
-    `team_limit` is how many tasks a team may have waiting in the queue at this owner.
+    `max_queued_per_team` is how many tasks a team may have waiting in the queue at this owner.
 
     `reserve_after_s` bounds starvation: work that has waited longer for capacity gets a
     reservation.
@@ -82,7 +82,7 @@
     objective: str = attrs.field(default="share", validator=attrs.validators.in_(OBJECTIVES))
     preemption: PreemptionAction = PreemptionAction.STOP
     reserve_after_s: float = 30.0
-    team_limit: float = inf
+    max_queued_per_team: float = inf
 
 
 @attrs.frozen
@@ -90,4 +90,4 @@
     """Hold a team's weight when everything is full and the length its queue may reach."""
 
     weight: float = attrs.field(default=1.0, validator=attrs.validators.gt(0))
-    queue_limit: int = 10_000
+    max_queued: int = 10_000
--- a/baobabhoist/scheduling/queues.py
+++ b/baobabhoist/scheduling/queues.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(eq=False)
-class Entry:
+class QueueEntry:
     """Hold one waiting task, or the members of a gang that start together."""
 
     task: Task
@@ -45,15 +45,15 @@
 class Lane:
     """Hold waiting work of one team, queue, kind and size, earliest deadline first."""
 
-    team: TeamLine
-    shape: Shape
+    team: TeamQueue
+    shape: SizeClass
     queue: str
     kind: WorkKind
     urgent: bool
-    heap: list[tuple[float, int, Entry]] = attrs.Factory(list)
+    heap: list[tuple[float, int, QueueEntry]] = attrs.Factory(list)
     stamp: int = 0
 
-    def head(self) -> Entry | None:
+    def head(self) -> QueueEntry | None:
         """Return the first entry that still waits."""
         heap = self.heap
         while heap:
@@ -65,7 +65,7 @@
 
 
 @attrs.define(eq=False)
-class Shape:
+class SizeClass:
     """Hold the lanes whose work has about the same size; `blocked` is what found no room.
 
     `grown` holds the workers that gained room since; None means that all are to be tried.
@@ -90,7 +90,7 @@
 
 
 @attrs.define(eq=False)
-class TeamLine:
+class TeamQueue:
     """Hold one team's lanes; `limited` is set while the team has no place left."""
 
     name: str
@@ -102,7 +102,7 @@
 
 # Rank, deadline and number of the lane's head, the lane's stamp when it was ranked, the lane.
 Ranked = tuple[float, float, int, int, Lane]
-Rank = Callable[[Lane, Entry, float], float]
+Rank = Callable[[Lane, QueueEntry, float], float]
 
 
 def shape_of(need: Amount, members: int) -> tuple[int, ...]:
@@ -117,7 +117,7 @@
     return _STEPS_PER_DOUBLING * doubling + (value * 5 >= 7 << (doubling - 1) if doubling else 0)
 
 
-class WaitingLines:
+class TaskQueues:
     """Order waiting work across teams by rank, and skip what cannot be placed now.
 
     Ranks are computed when a lane changes and renewed by `refresh`. A heap over the first lane
@@ -125,25 +125,25 @@
     """
 
     def __init__(self, rank: Rank) -> None:
-        self.entries: dict[str, Entry] = {}
-        self.teams: dict[str, TeamLine] = {}
-        self.shapes: dict[tuple[int, ...], Shape] = {}
+        self.entries: dict[str, QueueEntry] = {}
+        self.teams: dict[str, TeamQueue] = {}
+        self.shapes: dict[tuple[int, ...], SizeClass] = {}
         # Tells whether a limit for a team's kind of work keeps its lanes waiting.
-        self.is_full: Callable[[str, WorkKind], bool] = lambda team, kind: False
+        self.is_class_full: Callable[[str, WorkKind], bool] = lambda team, kind: False
         self._rank = rank
-        self._by_deadline: list[tuple[float, int, Entry]] = []
+        self._by_deadline: list[tuple[float, int, QueueEntry]] = []
         self._active: list[Ranked] = []
         self._turn: list[str] = []
         self._stamp = 0
 
-    def team(self, name: str) -> TeamLine:
+    def team(self, name: str) -> TeamQueue:
         """Return a team's line."""
         line = self.teams.get(name)
         if line is None:
-            line = self.teams[name] = TeamLine(name)
+            line = self.teams[name] = TeamQueue(name)
         return line
 
-    def add(self, entry: Entry, now: float) -> None:
+    def add(self, entry: QueueEntry, now: float) -> None:
         """Queue an entry."""
         task, team = entry.task, self.team(entry.task.team)
         urgent = task.urgency is Urgency.URGENT
@@ -153,7 +153,7 @@
         if lane is None:
             shape = self.shapes.get(shape_key)
             if shape is None:
-                shape = self.shapes[shape_key] = Shape()
+                shape = self.shapes[shape_key] = SizeClass()
             lane = team.lanes[key] = Lane(team, shape, task.queue, task.kind, urgent)
             shape.lanes.append(lane)
         heapq.heappush(lane.heap, (task.deadline, entry.seq, entry))
@@ -172,7 +172,7 @@
             shape.unblock(None)
             self._activate(shape)
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Take an entry out in constant time; the heaps drop it when it reaches their top."""
         if entry.lane is not None:
             line = entry.lane.team
@@ -217,14 +217,14 @@
                 return lane
         return None
 
-    def _replace_top(self, shape: Shape, again: Lane | None, now: float) -> None:
+    def _replace_top(self, shape: SizeClass, again: Lane | None, now: float) -> None:
         heapq.heappop(self._active)
         heapq.heappop(shape.ranked)
         if again is not None:
             self.push(again, now)
         self._activate(shape)
 
-    def _activate(self, shape: Shape) -> None:
+    def _activate(self, shape: SizeClass) -> None:
         if shape.ranked:
             heapq.heappush(self._active, shape.ranked[0])
 
@@ -238,9 +238,9 @@
 
     def waits_for_place(self, lane: Lane) -> bool:
         """Tell whether a limit of its team keeps a lane waiting."""
-        return lane.team.limited or self.is_full(lane.team.name, lane.kind)
+        return lane.team.limited or self.is_class_full(lane.team.name, lane.kind)
 
-    def limit(self, team: TeamLine) -> None:
+    def limit(self, team: TeamQueue) -> None:
         """Skip a team until a place of it is free."""
         team.limited = True
 
@@ -270,14 +270,14 @@
                 if lane.heap:
                     self.push(lane, now)
 
-    def refresh(self, now: float, limit: int = REFRESHED_LANES) -> list[tuple[Lane, Entry]]:
+    def refresh(self, now: float, limit: int = REFRESHED_LANES) -> list[tuple[Lane, QueueEntry]]:
         """Rank the next lanes again, about `limit` of them, and return them with their heads."""
         if len(self._by_deadline) > 2 * len(self.entries) + _COMPACT_ABOVE:
             self._compact()
         if not self._turn:
             self._forget_empty()
             self._turn = list(self.teams)
-        found: list[tuple[Lane, Entry]] = []
+        found: list[tuple[Lane, QueueEntry]] = []
         while self._turn and len(found) < limit:
             team = self.teams.get(self._turn.pop())
             if team is None:
@@ -311,7 +311,7 @@
             if not team.queued and not team.lanes:
                 del self.teams[name]
 
-    def expire(self, now: float) -> Iterator[Entry]:
+    def expire(self, now: float) -> Iterator[QueueEntry]:
         """Remove and yield what has passed its deadline."""
         heap = self._by_deadline
         while heap and (heap[0][0] <= now or heap[0][2].lane is None):
@@ -320,7 +320,7 @@
                 self.remove(entry)
                 yield entry
 
-    def requeue(self, entry: Entry, now: float) -> None:
+    def requeue(self, entry: QueueEntry, now: float) -> None:
         """Put an entry whose hold ended back in its place."""
         self.remove(entry)
         entry.held = False
--- a/baobabhoist/scheduling/reservations.py
+++ b/baobabhoist/scheduling/reservations.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.model import Task
 from baobabhoist.scheduling.capacity import Amount, CapacityIndex, WorkerState, fits, minus, plus
-from baobabhoist.scheduling.queues import Entry
+from baobabhoist.scheduling.queues import QueueEntry
 from baobabhoist.scheduling.results import Hold
 
 # Workers looked at when capacity has to be collected; a bound keeps planning independent of
@@ -39,7 +39,7 @@
     members: list[Member]
     start_at: float
     expires_at: float
-    entry: Entry | None = None
+    entry: QueueEntry | None = None
     ready: bool = False
 
     def complete(self) -> bool:
@@ -58,11 +58,11 @@
         return Hold(self.job_id, workers, self.start_at, self.expires_at, self.ready)
 
 
-class HoldBook:
+class ReservationTable:
     """Keep the reservations of one owner; a worker collects capacity for one at a time."""
 
     def __init__(self, index: CapacityIndex, ends: Ends) -> None:
-        self.reservations: dict[str, Reservation] = {}
+        self.by_job: dict[str, Reservation] = {}
         self.collecting: dict[str, Reservation] = {}
         self.backfilled: dict[str, str] = {}
         self._index = index
@@ -74,7 +74,7 @@
         tasks: list[tuple[Task, Amount]],
         now: float,
         expires_at: float,
-        entry: Entry | None = None,
+        entry: QueueEntry | None = None,
         only_now: bool = False,
     ) -> Reservation | None:
         """Reserve for all tasks or for none; largest first, on free capacity if there is any."""
@@ -100,7 +100,7 @@
         return reservation
 
     def reserve_on(
-        self, worker: WorkerState, entry: Entry, need: Amount, now: float, expires_at: float
+        self, worker: WorkerState, entry: QueueEntry, need: Amount, now: float, expires_at: float
     ) -> Reservation:
         """Reserve one worker for a task for which others make room."""
         self._index.reserve(worker, need)
@@ -110,7 +110,7 @@
         return reservation
 
     def _record(self, reservation: Reservation) -> None:
-        self.reservations[reservation.job_id] = reservation
+        self.by_job[reservation.job_id] = reservation
         if not reservation.complete():
             for member in reservation.members:
                 if min(minus(member.worker.free, member.worker.reserved)) < 0:
@@ -118,7 +118,7 @@
 
     def end(self, reservation: Reservation) -> None:
         """Drop a reservation and what it holds."""
-        del self.reservations[reservation.job_id]
+        del self.by_job[reservation.job_id]
         for member in reservation.members:
             self._index.unreserve(member.worker, member.need)
             if self.collecting.get(member.worker.name) is reservation:
@@ -143,7 +143,7 @@
     def overdue(self, now: float) -> Iterator[tuple[str, str]]:
         """Yield backfilled tasks that would delay a held start, with the job they delay."""
         for task_id, job_id in list(self.backfilled.items()):
-            reservation = self.reservations.get(job_id)
+            reservation = self.by_job.get(job_id)
             if reservation is None:
                 del self.backfilled[task_id]
             elif now + STOP_MARGIN_S >= reservation.start_at:
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -24,7 +24,7 @@
 from baobabhoist.scheduling.placement import choose, observe_speed
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.preemption import Running, action_for, plan_room
-from baobabhoist.scheduling.queues import Entry, Lane
+from baobabhoist.scheduling.queues import Lane, QueueEntry
 from baobabhoist.scheduling.results import Explanation, Placement, Preemption, Verdict
 from baobabhoist.scheduling.state import PlaceBudget as PlaceBudget
 
@@ -66,15 +66,15 @@
         self.fairness.total = self.index.total
         self.fairness.changed()
         self._largest = self._largest_worker()
-        for reservation in list(self.book.reservations.values()):
+        for reservation in list(self.reservations.by_job.values()):
             if any(m.worker.name not in self.index.workers for m in reservation.members):
                 self._end_reservation(reservation)
-        for entry in {id(e): e for e in self.lines.entries.values()}.values():
+        for entry in {id(e): e for e in self.queues.entries.values()}.values():
             refusal = self._never_fits(entry.members)
             if refusal is not None:
                 self._drop(entry)
                 self._refused.extend((task, refusal) for task in entry.members)
-        self.lines.unblock()
+        self.queues.unblock()
 
     # Queueing.
 
@@ -85,12 +85,12 @@
     def enqueue_gang(self, job_id: str, tasks: list[Task], now: float) -> Refusal | None:
         """Queue tasks that all run on this owner and start together."""
         for task in tasks:
-            known = task.task_id in self.running or task.task_id in self.lines.entries
+            known = task.task_id in self.running or task.task_id in self.queues.entries
             check(not known, Invariant.SCHEDULER, "task %s is queued or placed", task.task_id)
         first = tasks[0]
         refusal = self._never_fits(tasks) or admission.refuse(
             first,
-            self.lines.team(first.team),
+            self.queues.team(first.team),
             self._team(first.team),
             self._queue(first.queue),
             self.rates,
@@ -100,13 +100,13 @@
             return refusal
         need = max(self._need(task) for task in tasks)
         run_s = max(self.estimator.run_s(task) for task in tasks)
-        entry = Entry(first, tuple(tasks), need, run_s, next(self._seq))
-        self.lines.add(entry, now)
+        entry = QueueEntry(first, tuple(tasks), need, run_s, next(self._seq))
+        self.queues.add(entry, now)
         return None
 
     def cancel(self, task_id: str) -> bool:
         """Drop a queued task, with its gang; tell whether it was still queued."""
-        entry = self.lines.entries.get(task_id)
+        entry = self.queues.entries.get(task_id)
         if entry is None:
             return False
         self._drop(entry)
@@ -114,7 +114,7 @@
 
     def expire(self, now: float) -> list[Task]:
         """Drop the queued tasks whose deadline has passed and return them."""
-        return [task for entry in self.lines.expire(now) for task in entry.members]
+        return [task for entry in self.queues.expire(now) for task in entry.members]
 
     def take_refused(self) -> list[tuple[Task, Refusal]]:
         """Return the queued tasks that were refused since the last call, with the reason."""
@@ -145,14 +145,14 @@
             if len(batch) >= limit:
                 break
             room = self.index.largest_open()
-            lane = self.lines.best(larger(room, extra) if extra else room, now)
+            lane = self.queues.best(larger(room, extra) if extra else room, now)
             entry = lane.head() if lane else None
             if lane is None or entry is None:
                 break
             self._serve(lane, entry, now, batch)
         return batch
 
-    def _serve(self, lane: Lane, entry: Entry, now: float, batch: list[Placement]) -> None:
+    def _serve(self, lane: Lane, entry: QueueEntry, now: float, batch: list[Placement]) -> None:
         if len(entry.members) > 1:
             self._serve_gang(lane, entry, now, batch)
             return
@@ -160,7 +160,7 @@
         need = entry.need = self._need(task)
         excluded = self.health.excluded(task.task_id)
         worker = choose(self.index, task, need, excluded, self.spread)
-        if worker is None and self.book.collecting and self._backfill(lane, now, batch):
+        if worker is None and self.reservations.collecting and self._backfill(lane, now, batch):
             return
         probed = worker is None and bool(self.health.quarantined) and task.idempotent
         if probed:
@@ -173,7 +173,7 @@
     def _start(
         self,
         lane: Lane,
-        entry: Entry,
+        entry: QueueEntry,
         need: Amount,
         worker: WorkerState,
         now: float,
@@ -181,60 +181,62 @@
     ) -> bool:
         task = entry.task
         if self.places.start(task.team, task.task_id, worker.name) is not None:
-            self.lines.limit(lane.team)
+            self.queues.limit(lane.team)
             return False
-        self.lines.remove(entry)
+        self.queues.remove(entry)
         batch.append(self._bind(task, need, worker, now))
-        self.lines.push(lane, now)
+        self.queues.push(lane, now)
         return True
 
     def _backfill(self, lane: Lane, now: float, batch: list[Placement]) -> bool:
         """Start one of the lane's first tasks where it ends before a held start."""
-        if not self.book.has_gap(now):
+        if not self.reservations.has_gap(now):
             return False
         for _, _, entry in lane.heap[:BACKFILL_LOOK]:
             task = entry.task
             if entry.lane is not lane or entry.held or not self._may_backfill(task):
                 continue
             need = entry.need
-            worker = self.book.backfill(need, self.estimator.long_run_s(task), now)
+            worker = self.reservations.backfill(need, self.estimator.long_run_s(task), now)
             if worker is None or worker.name in self.health.excluded(task.task_id):
                 continue
-            held_for = self.book.collecting[worker.name].job_id
+            held_for = self.reservations.collecting[worker.name].job_id
             if self._start(lane, entry, need, worker, now, batch):
-                self.book.backfilled[task.task_id] = held_for
+                self.reservations.backfilled[task.task_id] = held_for
             return True
         return False
 
-    def _serve_gang(self, lane: Lane, entry: Entry, now: float, batch: list[Placement]) -> None:
+    def _serve_gang(
+        self, lane: Lane, entry: QueueEntry, now: float, batch: list[Placement]
+    ) -> None:
         needs = [(task, self._need(task)) for task in entry.members]
         job_id = entry.task.task_id
-        found = self.book.plan(job_id, needs, now, now + HOLD_S, entry, only_now=True)
+        found = self.reservations.plan(job_id, needs, now, now + HOLD_S, entry, only_now=True)
         if found is None:
-            self.lines.skip(lane)
+            self.queues.skip(lane)
         else:
             self._commit_queued(found, now, batch)
             if entry.lane is None:
-                self.lines.push(lane, now)
+                self.queues.push(lane, now)
 
-    def _no_room(self, lane: Lane, entry: Entry, need: Amount, now: float) -> None:
+    def _no_room(self, lane: Lane, entry: QueueEntry, need: Amount, now: float) -> None:
         if lane.urgent and self._make_room(entry, need, now):
-            self.lines.push(lane, now)
+            self.queues.push(lane, now)
         elif self.health.excluded(entry.task.task_id):
-            self.lines.skip(lane)
+            self.queues.skip(lane)
         else:
-            self.lines.blocked(lane, need)
+            self.queues.blocked(lane, need)
 
-    def _make_room(self, entry: Entry, need: Amount, now: float) -> bool:
+    def _make_room(self, entry: QueueEntry, need: Amount, now: float) -> bool:
         task = entry.task
         plan = plan_room(self.index, self.running, self._queue, task, need, now)
         if plan is None:
             return False
         if self.places.start(task.team, task.task_id, plan.worker.name) is not None:
-            self.lines.limit(self.lines.team(task.team))
+            self.queues.limit(self.queues.team(task.team))
             return False
         entry.held = True
-        found = self.book.reserve_on(plan.worker, entry, need, now, now + HOLD_S)
+        found = self.reservations.reserve_on(plan.worker, entry, need, now, now + HOLD_S)
         self._placed_holds.add(found.job_id)
         for preemption in plan.preemptions:
             self.running[preemption.task_id].making_room = True
@@ -265,7 +267,7 @@
         self.fairness.give(task.team, running.need)
         if task.kind is WorkKind.SERVICE:
             self.spread.remove(task.job_id, worker.spec.rack)
-        self.book.backfilled.pop(task_id, None)
+        self.reservations.backfilled.pop(task_id, None)
         verdict = Verdict.RETRY
         if not running.adopted:
             self.places.ended(task_id)
@@ -275,10 +277,10 @@
                 verdict = self._learn(running, succeeded, now, usage)
         elif succeeded:
             verdict = Verdict.DONE
-        self._check_holds = self._check_holds or bool(self.book.reservations)
-        collecting = worker.name in self.book.collecting
-        self.lines.grew(worker.free if collecting else worker.room, worker)
-        self.lines.team_changed(task.team, now)
+        self._check_holds = self._check_holds or bool(self.reservations.by_job)
+        collecting = worker.name in self.reservations.collecting
+        self.queues.grew(worker.free if collecting else worker.room, worker)
+        self.queues.team_changed(task.team, now)
         return verdict
 
     def _learn(
@@ -324,35 +326,35 @@
 
     def _upkeep(self, now: float) -> None:
         self._upkeep_at = now + UPKEEP_S
-        self._check_holds = bool(self.book.reservations)
+        self._check_holds = bool(self.reservations.by_job)
         self.rates.update(now)
-        for task_id, job_id in self.book.overdue(now):
+        for task_id, job_id in self.reservations.overdue(now):
             running = self.running.get(task_id)
             if running is not None and not running.making_room:
                 running.making_room = True
                 policy = self._queue(running.declared.queue)
                 action = action_for(running.declared, policy)
                 self._preemptions.append(Preemption(task_id, running.worker.name, action, job_id))
-        if now >= self._unlimit_at:
-            self._unlimit_at = now + UNLIMIT_S
-            self.lines.unlimit(now)
+        if now >= self._limited_teams_retry_at:
+            self._limited_teams_retry_at = now + UNLIMIT_S
+            self.queues.unlimit(now)
             for name in self.health.probe_due(now):
                 worker = self.index.workers.get(name)
                 if worker is not None and worker.availability is Availability.UP:
-                    self.lines.grew(minus(worker.free, worker.reserved), worker)
+                    self.queues.grew(minus(worker.free, worker.reserved), worker)
         if now >= self._unblock_at:
             self._unblock_at = now + UNBLOCK_S
-            self.lines.unblock()
-        self._reserve_for_starved(self.lines.refresh(now), now)
+            self.queues.unblock()
+        self._reserve_for_starved(self.queues.refresh(now), now)
 
     # Helpers.
 
     def _extra_room(self, now: float) -> Amount | None:
         """Return a bound on what backfill and probes may use, or None when there are none."""
-        if not self.book.collecting and not self.health.quarantined:
+        if not self.reservations.collecting and not self.health.quarantined:
             return None
         room = NOTHING
-        for name in [*self.book.collecting, *self.health.probe_due(now)]:
+        for name in [*self.reservations.collecting, *self.health.probe_due(now)]:
             room = larger(room, self.index.workers[name].free)
         return room
 
@@ -371,8 +373,8 @@
             PreemptionAction.CHECKPOINT,
         )
 
-    def _drop(self, entry: Entry) -> None:
-        held = self.book.reservations.get(entry.task.task_id) if entry.held else None
-        self.lines.remove(entry)
+    def _drop(self, entry: QueueEntry) -> None:
+        held = self.reservations.by_job.get(entry.task.task_id) if entry.held else None
+        self.queues.remove(entry)
         if held is not None and held.entry is entry:
             self._end_reservation(held)
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -24,13 +24,13 @@
     resources_of,
 )
 from baobabhoist.scheduling.estimates import RETRY_MARGIN, Estimator
-from baobabhoist.scheduling.fairness import Fairness
+from baobabhoist.scheduling.fairness import FairShareTracker
 from baobabhoist.scheduling.health import HealthBook
 from baobabhoist.scheduling.placement import RackSpread
 from baobabhoist.scheduling.policy import OBJECTIVES, QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.preemption import Running
-from baobabhoist.scheduling.queues import Entry, Lane, WaitingLines
-from baobabhoist.scheduling.reservations import HoldBook
+from baobabhoist.scheduling.queues import Lane, QueueEntry, TaskQueues
+from baobabhoist.scheduling.reservations import ReservationTable
 from baobabhoist.scheduling.results import Placement, Preemption
 
 URGENT_RANK = -1e9
@@ -55,11 +55,11 @@
     def __init__(self, workers: Iterable[WorkerSpec], places: PlaceBudget) -> None:
         self.places = places
         self.index = CapacityIndex(workers)
-        self.fairness = Fairness(self.index.total)
-        self.lines = WaitingLines(self._rank)
+        self.fairness = FairShareTracker(self.index.total)
+        self.queues = TaskQueues(self._rank)
         self.health = HealthBook()
         self.estimator = Estimator()
-        self.book = HoldBook(self.index, self._ends)
+        self.reservations = ReservationTable(self.index, self._ends)
         self.running: dict[str, Running] = {}
         self.spread = RackSpread()
         self.rates = admission.StartRates()
@@ -74,7 +74,7 @@
         self._now = 0.0
         self._upkeep_at = 0.0
         self._unblock_at = 0.0
-        self._unlimit_at = 0.0
+        self._limited_teams_retry_at = 0.0
         self._check_holds = False
 
     @property
@@ -86,7 +86,7 @@
     @property
     def queued(self) -> dict[str, Task]:
         """Return the queued tasks by id."""
-        entries = {id(entry): entry for entry in self.lines.entries.values()}.values()
+        entries = {id(entry): entry for entry in self.queues.entries.values()}.values()
         return {task.task_id: task for entry in entries for task in entry.members}
 
     @property
@@ -97,7 +97,7 @@
     def worker_up(self, worker: str) -> None:
         """Offer a worker's whole capacity, less what is placed there."""
         self._set_availability(worker, Availability.UP)
-        self.lines.unblock()
+        self.queues.unblock()
 
     def worker_down(self, worker: str) -> None:
         """Stop placing work on a worker."""
@@ -146,7 +146,7 @@
 
     def places_changed(self) -> None:
         """Look again at the teams without a place, after places arrived from elsewhere."""
-        self.lines.unlimit(self._now)
+        self.queues.unlimit(self._now)
 
     def _bind(self, task: Task, need: Amount, worker: WorkerState, now: float) -> Placement:
         placed = task.task_id in self.running
@@ -191,7 +191,7 @@
         found = (self.running[task_id] for task_id in worker.tasks)
         return [(running.projected_end(self._now), running.need) for running in found]
 
-    def _rank(self, lane: Lane, entry: Entry, now: float) -> float:
+    def _rank(self, lane: Lane, entry: QueueEntry, now: float) -> float:
         if lane.urgent:
             return URGENT_RANK
         objective = OBJECTIVES[self._queue(lane.queue).objective]
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -141,7 +141,7 @@
 async def test_a_waiting_team_starts_in_the_cycle_that_brings_its_places(pair):
     """Guard against urgent work that waits for the next upkeep although its place has come."""
     owner = pair.owner(0)
-    owner.scheduler._unlimit_at = float("inf")
+    owner.scheduler._limited_teams_retry_at = float("inf")
     for number in range(3):
         pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota.used["team"] == 2)
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -117,7 +117,7 @@
 
 def test_full_queue_is_refused_early_with_a_time_to_retry():
     made = scheduler()
-    made.set_policies({}, {"a": TeamPolicy(queue_limit=2)})
+    made.set_policies({}, {"a": TeamPolicy(max_queued=2)})
     refusals = [made.enqueue(task(f"t{n}"), 0.0) for n in range(3)]
     assert refusals[:2] == [None, None]
     assert refusals[2].kind is ErrorKind.QUEUE_FULL and refusals[2].retry_after_s
@@ -337,7 +337,7 @@
 
     @rule(commit=st.booleans())
     def end_hold(self, commit):
-        for job in [job for job in self.made.book.reservations if job.startswith("job")]:
+        for job in [job for job in self.made.reservations.by_job if job.startswith("job")]:
             self.made.commit_hold(job, self.now) if commit else self.made.release_hold(job)
 
     @rule(worker=st.sampled_from(["w0", "w1", "w2"]), up=st.booleans())
@@ -347,7 +347,7 @@
     @invariant()
     def amounts_agree(self):
         made, ready = self.made, 0
-        for found in made.book.reservations.values():
+        for found in made.reservations.by_job.values():
             ready += len(found.members) if found.job_id in made._placed_holds else 0
         assert len(made.places.running) == len(made.running) + ready
         for worker in made.index.workers.values():
@@ -356,7 +356,7 @@
             assert min(worker.free) >= 0 and {r.declared.task_id for r in here} == worker.tasks
         waiting = made.queued.keys()
         assert not waiting & made.running.keys()
-        assert sum(line.queued for line in made.lines.teams.values()) == len(waiting)
+        assert sum(line.queued for line in made.queues.teams.values()) == len(waiting)
 
 
 TestSchedulerMachine = SchedulerMachine.TestCase
