--- a/baobabhoist/benchmarks/baselines.py
+++ b/baobabhoist/benchmarks/baselines.py
@@ -10,7 +10,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Resources, Task, WorkerSpec
 from baobabhoist.scheduling.results import Placement, Preemption, Verdict
-from baobabhoist.scheduling.scheduler import PlaceBudget
+from baobabhoist.scheduling.scheduler import PlaceQuota
 
 MAX_ATTEMPTS = 4
 
@@ -24,7 +24,7 @@
     """
 
     workers: dict[str, WorkerSpec]
-    places: PlaceBudget
+    places: PlaceQuota
     best_fit: bool
     free: dict[str, Resources]
     waiting: dict[str, list[Task]] = attrs.Factory(dict)
@@ -34,7 +34,7 @@
     _new: set[str] = attrs.Factory(set)
 
     @classmethod
-    def over(cls, specs: Iterable[WorkerSpec], places: PlaceBudget, best_fit: bool) -> Baseline:
+    def over(cls, specs: Iterable[WorkerSpec], places: PlaceQuota, best_fit: bool) -> Baseline:
         """Return a baseline for these workers, all of them up."""
         workers = {spec.name: spec for spec in specs}
         return cls(workers, places, best_fit, {n: s.capacity for n, s in workers.items()})
@@ -93,7 +93,7 @@
 
     def _undo(self, task_id: str) -> None:
         placement = self.placed.pop(task_id)
-        self.places.ended(task_id)
+        self.places.release(task_id)
         name = placement.worker
         self.free[name] = self.free[name].plus(placement.task.resources)
         self._changed.add(name)
@@ -104,7 +104,7 @@
         done: list[Placement] = []
         for task in tasks:
             name = self._choose(task.resources, names)
-            limited = name and self.places.start(task.team, task.task_id, name) is not None
+            limited = name and self.places.acquire(task.team, task.task_id, name) is not None
             if limited:
                 self._new.add(job_id)
             if name is None or limited:
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -18,7 +18,7 @@
 from baobabhoist.model import Task, Urgency, WorkerSpec, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.scheduling.policy import QueuePolicy, TeamPolicy
-from baobabhoist.scheduling.scheduler import PlaceBudget, Scheduler
+from baobabhoist.scheduling.scheduler import PlaceQuota, Scheduler
 
 QUEUE_LIMIT = 10_000
 
@@ -29,16 +29,16 @@
 
     ledger: QuotaLedger
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place."""
-        return self.ledger.start(team, task_id, worker)
+        return self.ledger.acquire(team, task_id, worker)
 
-    def ended(self, task_id: str) -> None:
+    def release(self, task_id: str) -> None:
         """Give a place back."""
-        self.ledger.ended(task_id, confirmed=True)
+        self.ledger.release(task_id, confirmed=True)
 
 
-def _ours(stream: Stream, places: PlaceBudget) -> Policy:
+def _ours(stream: Stream, places: PlaceQuota) -> Policy:
     scheduler = Scheduler.for_workers(stream.workers, places)
     policy = QueuePolicy(objective=stream.profile.objective)
     queues = {f"{team}-{kind.value}": policy for team in stream.weights for kind in WorkKind}
@@ -52,7 +52,7 @@
     return scheduler
 
 
-POLICIES: dict[str, Callable[[Stream, PlaceBudget], Policy]] = {
+POLICIES: dict[str, Callable[[Stream, PlaceQuota], Policy]] = {
     "baobabhoist": _ours,
     "arrival order, first fit": lambda s, q: Baseline.over(s.workers, q, best_fit=False),
     "best fit, no shares": lambda s, q: Baseline.over(s.workers, q, best_fit=True),
@@ -82,7 +82,7 @@
     return report
 
 
-def _measure(stream: Stream, make: Callable[[Stream, PlaceBudget], Policy]) -> dict[str, Any]:
+def _measure(stream: Stream, make: Callable[[Stream, PlaceQuota], Policy]) -> dict[str, Any]:
     ledger = QuotaLedger("bench", escrow=dict(stream.limits))
     replay = Replay(stream, make(stream, ConfirmedPlaces(ledger)), ledger)
     gc.collect()
--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -101,4 +101,4 @@
         owner = self._owner
         if task_id in owner.scheduler.running:
             owner.scheduler.task_ended(task_id, succeeded, owner.now)
-        owner.places.ended(task_id)
+        owner.places.release(task_id)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -20,7 +20,7 @@
 from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
 from baobabhoist.quota import escrow
 from baobabhoist.quota.escrow import EscrowRow, Move
-from baobabhoist.quota.transfer import POOL, ShardNeeds, TeamNeeds, Transfer, TransferPlanner
+from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
 from baobabhoist.records.view import RecordView
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.store.table import Committed, Row, Table, Transaction
@@ -100,7 +100,9 @@
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
                 log.warning("a step on the escrow rows was refused")
-            waiting = any(owner.quota.cap is not None for owner in self._instance.busy_owners())
+            waiting = any(
+                owner.quota.takeover_cap is not None for owner in self._instance.busy_owners()
+            )
             try:
                 async with asyncio.timeout(WAITING_INTERVAL_S if waiting else INTERVAL_S):
                     await self._wake.wait()
@@ -114,7 +116,10 @@
             or self._clock() >= self._read_at
             or any(known.row.pending_limit is not None for known in self.known.values())
             or any(account.in_doubt for account in self._accounts.values())
-            or any(owner.quota.cap is not None or self._wanted(owner) for owner in self._usable())
+            or any(
+                owner.quota.takeover_cap is not None or self._wanted(owner)
+                for owner in self._usable()
+            )
         )
 
     async def cycle(self) -> None:
@@ -143,7 +148,7 @@
     def limits_changed(self) -> None:
         """Apply lowered limits of the records at once, before the rows follow."""
         for owner in self._usable():
-            if owner.quota.cap is None:
+            if owner.quota.takeover_cap is None:
                 self._set_ceilings(owner)
                 owner.dispatch(self._clock())
         self._wake.set()
@@ -157,14 +162,14 @@
         nothing = PlacesGiven(wanted.team, 0)
         owners = {owner.shard: owner for owner in self._usable()}
         owner = owners.get(wanted.from_shard)
-        if owner is None or owner.quota.cap is not None:
+        if owner is None or owner.quota.takeover_cap is not None:
             return nothing
         account = self._account(owner)
         if wanted.team in account.in_doubt or self._wanted(owner).get(wanted.team):
             return nothing
         try:
             row = _known(wanted.team, await self._instance.table.read(_key(wanted.team)))
-            places = min(wanted.places, owner.quota.giveable(wanted.team))
+            places = min(wanted.places, owner.quota.transferable(wanted.team))
             given = await self._move_out(account, wanted.team, row, places, wanted.to_shard)
         except (PlatformError, InvariantBreachError):
             return nothing
@@ -210,7 +215,7 @@
         for team, record in view.teams().items():
             known = self.known.get(team)
             if known is None:
-                row = escrow.initial(record.limit, view.shards())
+                row = escrow.initial_row(record.limit, view.shards())
                 changed[team] = (0, row)
             elif known.revision and _target(known.row) != record.limit:
                 row = _refused_none(escrow.set_limit(team, known.row, record.limit), known.row)
@@ -226,7 +231,7 @@
                     target="the pool",
                 )
         if changed:
-            txn = escrow.transaction(changed, {}, uuid.uuid4().hex)
+            txn = escrow.build_transaction(changed, {}, uuid.uuid4().hex)
             outcome = await self._instance.table.commit(txn)
             if isinstance(outcome, Committed):
                 for team, (_, row) in changed.items():
@@ -239,7 +244,7 @@
             known = self.known.get(team)
             if known is not None and known.revision == revision:
                 # Any later revision makes a transaction that is still on its way fail.
-                writes = {_key(team): escrow.encode(known.row)}
+                writes = {_key(team): escrow.encode_row(known.row)}
                 outcome = await self._instance.table.commit(
                     Transaction({_key(team): revision}, writes)
                 )
@@ -255,7 +260,7 @@
         if not owner.claim.escrow_usable:
             return
         held = {team: known.row.held(owner.shard) for team, known in self.known.items()}
-        arrived = owner.quota.cap is not None
+        arrived = owner.quota.takeover_cap is not None
         if arrived:
             owner.use_escrow(held)
         for team, places in held.items():
@@ -263,7 +268,7 @@
             if team in account.in_doubt or not more:
                 continue
             if more > 0:
-                owner.quota.put_in(team, more)
+                owner.quota.deposit(team, more)
                 arrived = True
             else:
                 log.error("shard %s holds %d places of %s too many", owner.shard, -more, team)
@@ -290,10 +295,10 @@
         owner = account.owner
         for team, known in list(self.known.items()):
             pending = known.row.pending_limit is not None
-            if not pending or team in account.in_doubt or owner.quota.cap is not None:
+            if not pending or team in account.in_doubt or owner.quota.takeover_cap is not None:
                 continue
             over = known.row.held(owner.shard) - owner.quota.allowed(team)
-            places = min(over, owner.quota.giveable(team))
+            places = min(over, owner.quota.transferable(team))
             if places > 0:
                 await self._move_out(account, team, known, places, None)
 
@@ -302,7 +307,7 @@
         owner, now = account.owner, self._clock()
         account.told = {k: at for k, at in account.told.items() if now - at < TELL_AGAIN_S}
         for team in [team for team, used in owner.quota.used.items() if used]:
-            for task_id in owner.quota.excess(team):
+            for task_id in owner.quota.excess_tasks(team):
                 placed = owner.scheduler.running.get(task_id)
                 worker = owner.running_on(task_id)
                 is_request = placed is not None and placed.placement.task.kind is WorkKind.REQUEST
@@ -321,7 +326,7 @@
     async def _demand(self, account: Account) -> list[PlacesWanted]:
         """Take places from the pool, and return what to ask other shards for."""
         owner = account.owner
-        if owner.quota.cap is not None:
+        if owner.quota.takeover_cap is not None:
             return []
         wanted = self._wanted(owner)
         others = self._others(owner) if wanted else []
@@ -340,7 +345,7 @@
         """Move places here; they are used once a later reading of the row shows them."""
         owner, known = account.owner, self.known[step.team]
         taken = Move(owner.shard, owner.claim.token.epoch, step.places)
-        moved = escrow.move(step.team, known.row, [taken])
+        moved = escrow.apply_moves(step.team, known.row, [taken])
         if not isinstance(moved, Refusal):
             await self._commit(account, step.team, known.revision, moved)
 
@@ -366,18 +371,18 @@
 
     def _needs(
         self, owner: ShardOwner, team: str, wanted: int, others: Iterable[ShardDigest]
-    ) -> TeamNeeds:
+    ) -> TeamBalance:
         row = self.known[team].row
         pool = 0 if row.pending_limit is not None else row.pool
-        shards = [ShardNeeds(owner.shard, 0, wanted)]
+        shards = [ShardBalance(owner.shard, 0, wanted)]
         if row.pending_limit is None:
             shards += [
                 # A shard that waits for places itself gives none, and asks for itself.
-                ShardNeeds(digest.shard, 0 if digest.unmet.get(team) else spare, 0)
+                ShardBalance(digest.shard, 0 if digest.unmet.get(team) else spare, 0)
                 for digest in others
                 if (spare := digest.spare.get(team, 0)) > 0
             ]
-        return TeamNeeds(team, pool, tuple(shards))
+        return TeamBalance(team, pool, tuple(shards))
 
     def _others(self, owner: ShardOwner) -> Iterable[ShardDigest]:
         own = (digest_of(other) for other in self._usable() if other is not owner)
@@ -396,21 +401,21 @@
         steps = [Move(owner.shard, owner.claim.token.epoch, -places)]
         if target is not None:
             steps.append(Move(target, known.row.epochs.get(target, 0), places))
-        moved = escrow.move(team, known.row, steps)
+        moved = escrow.apply_moves(team, known.row, steps)
         if isinstance(moved, Refusal):
             return False
-        owner.quota.take_out(team, places)
+        owner.quota.withdraw(team, places)
         account.in_doubt[team] = known.revision
         outcome = await self._commit(account, team, known.revision, moved)
         if not outcome:
-            owner.quota.put_in(team, places)
+            owner.quota.deposit(team, places)
         return outcome
 
     async def _commit(self, account: Account, team: str, revision: int, row: EscrowRow) -> bool:
         """Commit a row; an answer that is lost leaves the team in doubt."""
         owner = account.owner
         shards = {owner.shard: owner.fencing.row_revision}
-        txn = escrow.transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
+        txn = escrow.build_transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
         outcome = await self._instance.table.commit(txn)
         account.in_doubt.pop(team, None)
         if not isinstance(outcome, Committed):
@@ -431,7 +436,7 @@
 def _known(team: str, row: Row) -> Known:
     if row.value is None:
         raise PlatformError(f"team {team} has no escrow row")
-    return Known(row.revision, escrow.decode(team, row.value))
+    return Known(row.revision, escrow.decode_row(team, row.value))
 
 
 def _target(row: EscrowRow) -> int:
--- a/baobabhoist/daemon/places.py
+++ b/baobabhoist/daemon/places.py
@@ -18,7 +18,7 @@
 
     An end is confirmed when its report carries this owner's token, or nothing was sent.
     `kind_of` returns the kind of a task that is about to start. Both ledgers see the same
-    starts and ends, so that one mark stands for the same ends in both.
+    starts and ends, so that one watermark stands for the same ends in both.
     """
 
     quota: QuotaLedger
@@ -40,23 +40,23 @@
         limit = self.classes.limits.get(class_key(task.team, task.kind))
         return self._full(task.team, task.kind) if limit == 0 and task.idempotent else None
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place, or return the reason why there is none."""
         kind = self.kind_of(task_id)
         if self.is_full(team, kind):
             return self._full(team, kind)
-        refusal = self.quota.start(team, task_id, worker)
+        refusal = self.quota.acquire(team, task_id, worker)
         if refusal is None:
-            self.classes.start(class_key(team, kind), task_id, worker)
+            self.classes.acquire(class_key(team, kind), task_id, worker)
         return refusal
 
-    def ended(self, task_id: str) -> None:
+    def release(self, task_id: str) -> None:
         """Give the place of a task back, if it still holds one."""
         confirmed = task_id in self.confirmed
         self.confirmed.discard(task_id)
         for ledger in (self.quota, self.classes):
             if task_id in ledger.running:
-                ledger.ended(task_id, confirmed)
+                ledger.release(task_id, confirmed)
 
     def adopt(self, worker: str, running: Iterable[RunningTask]) -> None:
         """Count the tasks that a worker reports when it is fenced."""
@@ -64,10 +64,10 @@
         self.quota.adopt(worker, tasks)
         self.classes.adopt(worker, tasks)
 
-    def worker_confirmed(self, worker: str, mark: int) -> None:
+    def confirm_ends(self, worker: str, watermark: int) -> None:
         """Release the places of ends that were known before an accepted call was sent."""
-        self.quota.worker_confirmed(worker, mark)
-        self.classes.worker_confirmed(worker, mark)
+        self.quota.confirm_ends(worker, watermark)
+        self.classes.confirm_ends(worker, watermark)
 
     def is_full(self, team: str, kind: WorkKind) -> bool:
         """Tell whether the class limit of a team keeps this kind of work waiting here."""
@@ -98,5 +98,5 @@
 
     def _follow_cap(self) -> None:
         # The quota ledger ends the takeover cap when the table has confirmed the epoch.
-        if self.quota.cap is None:
-            self.classes.cap = None
+        if self.quota.takeover_cap is None:
+            self.classes.takeover_cap = None
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -40,7 +40,7 @@
     """Return a shard's part of each class limit; the parts of all shards add up to the limit."""
     shards = list(view.shards())
     return {
-        class_key(name, kind): escrow.initial(limit, shards).held(shard)
+        class_key(name, kind): escrow.initial_row(limit, shards).held(shard)
         for name, team in view.teams().items()
         for kind, limit in team.class_limits.items()
     }
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -318,7 +318,7 @@
 
     def leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Compare a worker's report with the tasks that were adopted."""
-        self.places.worker_confirmed(worker, mark)
+        self.places.confirm_ends(worker, mark)
         self.adoption.reported(worker, reply.running)
 
     def worker_restarted(self, worker: str) -> None:
@@ -327,7 +327,7 @@
 
     def renewal_mark(self) -> int:
         """Return the number of the last end that is known before a renewal is sent."""
-        return self.quota.mark()
+        return self.quota.end_watermark()
 
     def usable_workers_changed(self) -> None:
         """Compare the workers that may get work with those that do."""
@@ -376,14 +376,14 @@
 
     def refresh_places(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
-        if self.quota.cap is not None and self.claim.escrow_usable:
+        if self.quota.takeover_cap is not None and self.claim.escrow_usable:
             places = self._escrow(self.shard)
             if places is not None:
                 self.use_escrow(places)
 
     def use_escrow(self, places: Mapping[str, int]) -> None:
         """End the takeover cap; the places were read after the table confirmed the epoch."""
-        self.quota.uncap(dict(places))
+        self.quota.lift_cap(dict(places))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
--- a/baobabhoist/quota/class_limits.py
+++ b/baobabhoist/quota/class_limits.py
@@ -34,7 +34,7 @@
         limit = self.limits.get(team)
         if limit is None:
             return UNLIMITED
-        return limit if self.cap is None else min(limit, self.cap.get(team, 0))
+        return limit if self.takeover_cap is None else min(limit, self.takeover_cap.get(team, 0))
 
     def spare(self, team: str) -> int:
         """Return how many tasks of the class may start here now, on any worker."""
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -48,7 +48,7 @@
     return f"escrow/{team}"
 
 
-def initial(limit: int, shards: Iterable[str]) -> EscrowRow:
+def initial_row(limit: int, shards: Iterable[str]) -> EscrowRow:
     """Split a limit evenly over the shards; the first ones by name get the remainder."""
     names = sorted(set(shards))
     if not names:
@@ -57,7 +57,7 @@
     return EscrowRow(limit, 0, {name: share + (n < rest) for n, name in enumerate(names)})
 
 
-def encode(row: EscrowRow) -> dict[str, Any]:
+def encode_row(row: EscrowRow) -> dict[str, Any]:
     """Return the row as the table stores it."""
     return {
         "limit": row.limit,
@@ -68,7 +68,7 @@
     }
 
 
-def decode(team: str, value: Any) -> EscrowRow:
+def decode_row(team: str, value: Any) -> EscrowRow:
     """Return the row that the table stores; raises PlatformError if it is malformed."""
     try:
         pending = value["pending_limit"]
@@ -143,10 +143,10 @@
     return split
 
 
-def move(team: str, row: EscrowRow, moves: Iterable[Move]) -> EscrowRow | Refusal:
+def apply_moves(team: str, row: EscrowRow, moves: Iterable[Move]) -> EscrowRow | Refusal:
     """Return the row after the moves, or the reason why one of them is not possible."""
     for step in sorted(moves, key=lambda step: step.places):
-        result = _move_one(team, row, step)
+        result = _apply_move(team, row, step)
         if isinstance(result, Refusal):
             return result
         row = result
@@ -154,7 +154,7 @@
     return row
 
 
-def _move_one(team: str, row: EscrowRow, step: Move) -> EscrowRow | Refusal:
+def _apply_move(team: str, row: EscrowRow, step: Move) -> EscrowRow | Refusal:
     if step.epoch < row.epochs.get(step.shard, 0):
         return Refusal(
             ErrorKind.STALE_TOKEN,
@@ -194,12 +194,12 @@
     return attrs.evolve(row, epochs={**row.epochs, shard: max(epoch, row.epochs.get(shard, 0))})
 
 
-def drop_shard(team: str, row: EscrowRow, shard: str) -> EscrowRow:
+def remove_shard(team: str, row: EscrowRow, shard: str) -> EscrowRow:
     """Return the row without a shard whose workers are all gone; its places go to the pool."""
     held = row.held(shard)
     freed = row
     if held:
-        moved = move(team, row, [Move(shard, row.epochs.get(shard, 0), -held)])
+        moved = apply_moves(team, row, [Move(shard, row.epochs.get(shard, 0), -held)])
         assert not isinstance(moved, Refusal)
         freed = moved
     return attrs.evolve(
@@ -209,7 +209,7 @@
     )
 
 
-def transaction(
+def build_transaction(
     rows: Mapping[str, tuple[int, EscrowRow]], shard_revisions: Mapping[str, int], txn_id: str
 ) -> Transaction:
     """Return the transaction that writes the escrow rows of several teams.
@@ -222,5 +222,5 @@
     for team, (revision, row) in rows.items():
         check_row(team, row)
         checks[row_key(team)] = revision
-        writes[row_key(team)] = encode(row)
+        writes[row_key(team)] = encode_row(row)
     return Transaction(checks, writes, txn_id)
--- a/baobabhoist/quota/ledger.py
+++ b/baobabhoist/quota/ledger.py
@@ -23,22 +23,26 @@
 
     shard: str
     escrow: dict[str, int] = attrs.Factory(dict)
-    cap: dict[str, int] | None = None
+    takeover_cap: dict[str, int] | None = None
     running: dict[str, tuple[str, str]] = attrs.Factory(dict)
     used: Counter[str] = attrs.Factory(Counter)
     ceilings: dict[str, int] = attrs.Factory(dict)
-    adopted: set[str] = attrs.Factory(set)
-    ends: int = 0
+    adopted_workers: set[str] = attrs.Factory(set)
+    end_count: int = 0
     unconfirmed: Counter[str] = attrs.Factory(Counter)
     # Numbers of the unconfirmed ends of a worker by team, oldest first.
-    unconfirmed_on: dict[str, dict[str, deque[int]]] = attrs.Factory(dict)
+    unconfirmed_by_worker: dict[str, dict[str, deque[int]]] = attrs.Factory(dict)
 
     def allowed(self, team: str) -> int:
         """Return how many places the team may use here now."""
-        held = self.cap.get(team, 0) if self.cap is not None else self.escrow.get(team, 0)
+        held = (
+            self.takeover_cap.get(team, 0)
+            if self.takeover_cap is not None
+            else self.escrow.get(team, 0)
+        )
         return min(held, self.ceilings.get(team, held))
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place for a task that is about to be dispatched."""
         check(
             task_id not in self.running,
@@ -47,25 +51,25 @@
             task_id,
         )
         allowed = self.allowed(team)
-        bound = self.unconfirmed_on.get(worker, {}).get(team)
-        if not self._has_place(team, allowed, bool(bound)):
+        reusable = self.unconfirmed_by_worker.get(worker, {}).get(team)
+        if not self._has_place(team, allowed, bool(reusable)):
             return self._refusal(team)
         after = self.used[team] + 1
         check(
-            after <= allowed and (bool(bound) or after + self.unconfirmed[team] <= allowed),
+            after <= allowed and (bool(reusable) or after + self.unconfirmed[team] <= allowed),
             Invariant.QUOTA_WITHIN_PLACES,
             "team %s would use %d of %d places",
             team,
             after,
             allowed,
         )
-        if bound:
-            self._less_unconfirmed(team, 1)
-            bound.pop()
+        if reusable:
+            self._reduce_unconfirmed(team, 1)
+            reusable.pop()
         self._take(team, task_id, worker)
         return None
 
-    def ended(self, task_id: str, confirmed: bool = False) -> None:
+    def release(self, task_id: str, confirmed: bool = False) -> None:
         """Give the place of an ended task back.
 
         `confirmed` states that the worker held this owner's token when the task ended, or
@@ -83,67 +87,69 @@
         self.used[team] -= 1
         if confirmed or not worker:
             return
-        self.ends += 1
-        self.unconfirmed_on.setdefault(worker, {}).setdefault(team, deque()).append(self.ends)
+        self.end_count += 1
+        self.unconfirmed_by_worker.setdefault(worker, {}).setdefault(team, deque()).append(
+            self.end_count
+        )
         self.unconfirmed[team] += 1
 
-    def mark(self) -> int:
+    def end_watermark(self) -> int:
         """Return the number of the last end; take it before sending a call to a worker."""
-        return self.ends
+        return self.end_count
 
-    def worker_confirmed(self, worker: str, mark: int | None = None) -> None:
+    def confirm_ends(self, worker: str, watermark: int | None = None) -> None:
         """Release the places of ends that were known before an accepted call was sent.
 
-        `mark` is what `mark()` returned before the call; None stands for all ends.
+        `watermark` is what `end_watermark()` returned before the call; None stands for all ends.
         """
-        for team, numbers in self.unconfirmed_on.get(worker, {}).items():
-            while numbers and (mark is None or numbers[0] <= mark):
-                self._less_unconfirmed(team, 1)
+        for team, numbers in self.unconfirmed_by_worker.get(worker, {}).items():
+            while numbers and (watermark is None or numbers[0] <= watermark):
+                self._reduce_unconfirmed(team, 1)
                 numbers.popleft()
 
-    def worker_gone(self, worker: str) -> list[str]:
+    def release_worker(self, worker: str) -> list[str]:
         """Release all places of a worker on which nothing can run any more.
 
         Call it only when the worker is excused (see `ownership.claim`); returns its tasks.
         """
         lost = [task_id for task_id, (_, where) in self.running.items() if where == worker]
         for task_id in lost:
-            self.ended(task_id)
-        self.worker_confirmed(worker)
+            self.release(task_id)
+        self.confirm_ends(worker)
         return lost
 
-    def giveable(self, team: str) -> int:
+    def transferable(self, team: str) -> int:
         """Return how many places may leave the shard now."""
-        if self.cap is not None:
+        if self.takeover_cap is not None:
             return 0
         held = self.escrow.get(team, 0)
         return max(0, held - self.used[team] - self.unconfirmed[team])
 
-    def take_out(self, team: str, n: int) -> None:
+    def withdraw(self, team: str, n: int) -> None:
         """Stop using places before the transaction that gives them away."""
         check(
-            0 < n <= self.giveable(team),
+            0 < n <= self.transferable(team),
             Invariant.QUOTA_GIVEN_FREE,
             "team %s: %d places given, %d free and confirmed",
             team,
             n,
-            self.giveable(team),
+            self.transferable(team),
         )
         self.escrow[team] = self.escrow.get(team, 0) - n
 
-    def put_in(self, team: str, n: int) -> None:
+    def deposit(self, team: str, n: int) -> None:
         """Use places after the transaction that moved them here has committed."""
         check(n > 0, Invariant.QUOTA_COUNTS, "team %s: %d places put in", team, n)
         self.escrow[team] = self.escrow.get(team, 0) + n
 
     def begin_takeover(self) -> None:
         """Forget all places: a new claim counts only what the workers report."""
-        self.cap = {}
-        self.adopted.clear()
+        self.takeover_cap = {}
+        self.adopted_workers.clear()
         self.running.clear()
         self.used.clear()
         self.unconfirmed.clear()
-        self.unconfirmed_on.clear()
+        self.unconfirmed_by_worker.clear()
 
     def adopt(self, worker: str, running: Iterable[RunningTask]) -> None:
         """Count the tasks that a worker reports when it is fenced.
@@ -151,18 +157,18 @@
         Under the takeover cap each task of the worker's first report adds a place to the cap;
         a later report may be a delayed copy of the first.
         """
-        first = worker not in self.adopted
-        self.adopted.add(worker)
+        first = worker not in self.adopted_workers
+        self.adopted_workers.add(worker)
         for task in running:
             if task.task_id in self.running:
                 continue
-            if self.cap is not None and first:
-                self.cap[task.team] = self.cap.get(task.team, 0) + 1
+            if self.takeover_cap is not None and first:
+                self.takeover_cap[task.team] = self.takeover_cap.get(task.team, 0) + 1
             self._take(task.team, task.task_id, worker)
 
-    def uncap(self, escrow: Mapping[str, int]) -> None:
+    def lift_cap(self, escrow: Mapping[str, int]) -> None:
         """Return to the full escrow once the table has confirmed the epoch."""
-        self.cap = None
+        self.takeover_cap = None
         self.escrow = dict(escrow)
 
     def set_ceiling(self, team: str, places: int | None) -> None:
@@ -172,7 +178,7 @@
         else:
             self.ceilings[team] = max(0, places)
 
-    def excess(self, team: str) -> list[str]:
+    def excess_tasks(self, team: str) -> list[str]:
         """Return the tasks to checkpoint or stop, the latest started first."""
         over = self.used[team] - self.allowed(team)
         if over <= 0:
@@ -180,15 +186,15 @@
         tasks = [task_id for task_id, (of, _) in self.running.items() if of == team]
         return tasks[: -over - 1 : -1]
 
-    def _has_place(self, team: str, allowed: int, bound: bool) -> bool:
+    def _has_place(self, team: str, allowed: int, reusable: bool) -> bool:
         used = self.used[team]
-        return used < allowed and (bound or used + self.unconfirmed[team] < allowed)
+        return used < allowed and (reusable or used + self.unconfirmed[team] < allowed)
 
     def _take(self, team: str, task_id: str, worker: str) -> None:
         self.running[task_id] = (team, worker)
         self.used[team] += 1
 
-    def _less_unconfirmed(self, team: str, n: int) -> None:
+    def _reduce_unconfirmed(self, team: str, n: int) -> None:
         check(
             self.unconfirmed[team] >= n,
             Invariant.QUOTA_COUNTS,
--- a/baobabhoist/quota/transfer.py
+++ b/baobabhoist/quota/transfer.py
@@ -10,25 +10,25 @@
 
 
 @attrs.frozen
-class ShardNeeds:
+class ShardBalance:
     """Describe a shard's places of one team.
 
-    `giveable` counts free places whose release is confirmed; `wanted` counts queued tasks that
+    `surplus` counts free places whose release is confirmed; `deficit` counts queued tasks that
     only lack a place.
     """
 
     shard: str
-    giveable: int
-    wanted: int
+    surplus: int
+    deficit: int
 
 
 @attrs.frozen
-class TeamNeeds:
+class TeamBalance:
     """Describe the places of one team as the planner knows them."""
 
     team: str
     pool: int
-    shards: tuple[ShardNeeds, ...]
+    shards: tuple[ShardBalance, ...]
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
     next_at: float = 0.0
     wanted_since: dict[tuple[str, str], float] = attrs.Factory(dict)
 
-    def plan(self, needs: Iterable[TeamNeeds], now: float) -> list[Transfer]:
+    def plan(self, needs: Iterable[TeamBalance], now: float) -> list[Transfer]:
         """Return the next batch of transfers, or none while the rate limit holds.
 
         The teams that have waited longest come first.
@@ -83,40 +83,43 @@
             self.next_at = now + self.limits.interval_s
         return batch
 
-    def _note_demand(self, teams: list[TeamNeeds], now: float) -> None:
+    def _note_demand(self, teams: list[TeamBalance], now: float) -> None:
         wanting = {
-            (team.team, needs.shard) for team in teams for needs in team.shards if needs.wanted > 0
+            (team.team, needs.shard)
+            for team in teams
+            for needs in team.shards
+            if needs.deficit > 0
         }
         self.wanted_since = {key: self.wanted_since.get(key, now) for key in sorted(wanting)}
 
-    def _waiting_since(self, team: TeamNeeds, now: float) -> float:
+    def _waiting_since(self, team: TeamBalance, now: float) -> float:
         since = [self.wanted_since.get((team.team, needs.shard), now) for needs in team.shards]
         return min(since, default=now)
 
-    def _plan_team(self, team: TeamNeeds, now: float) -> list[Transfer]:
+    def _plan_team(self, team: TeamBalance, now: float) -> list[Transfer]:
         sources = {POOL: team.pool}
         # A shard that wants places gives none away, or two shards would exchange them forever.
-        for needs in sorted(team.shards, key=lambda needs: (-needs.giveable, needs.shard)):
-            if needs.wanted <= 0 and needs.giveable > 0:
-                sources[needs.shard] = needs.giveable
+        for needs in sorted(team.shards, key=lambda needs: (-needs.surplus, needs.shard)):
+            if needs.deficit <= 0 and needs.surplus > 0:
+                sources[needs.shard] = needs.surplus
         budget = self.limits.max_places
         found: list[Transfer] = []
-        for needs in sorted(team.shards, key=lambda needs: (-needs.wanted, needs.shard)):
+        for needs in sorted(team.shards, key=lambda needs: (-needs.deficit, needs.shard)):
             since = self.wanted_since.get((team.team, needs.shard))
             if since is None or now - since < self.limits.patience_s:
                 continue
-            taken = _take(sources, team.team, needs.shard, min(needs.wanted, budget))
+            taken = _take(sources, team.team, needs.shard, min(needs.deficit, budget))
             budget -= sum(transfer.places for transfer in taken)
             found.extend(taken)
         return found
 
 
-def _take(sources: dict[str, int], team: str, target: str, wanted: int) -> list[Transfer]:
+def _take(sources: dict[str, int], team: str, target: str, deficit: int) -> list[Transfer]:
     taken = []
     for source, available in sources.items():
-        places = min(wanted, available)
+        places = min(deficit, available)
         if places > 0:
             sources[source] -= places
-            wanted -= places
+            deficit -= places
             taken.append(Transfer(team, source, target, places))
     return taken
--- a/baobabhoist/scheduling/holds.py
+++ b/baobabhoist/scheduling/holds.py
@@ -72,10 +72,10 @@
         taken: list[str] = []
         for member in reservation.members:
             task = member.task
-            refusal = self.places.start(task.team, task.task_id, member.worker.name)
+            refusal = self.places.acquire(task.team, task.task_id, member.worker.name)
             if refusal is not None:
                 for task_id in taken:
-                    self.places.ended(task_id)
+                    self.places.release(task_id)
                 return refusal
             taken.append(task.task_id)
         self._placed_holds.add(reservation.job_id)
@@ -86,7 +86,7 @@
         if reservation.job_id in self._placed_holds:
             self._placed_holds.remove(reservation.job_id)
             for member in reservation.members:
-                self.places.ended(member.task.task_id)
+                self.places.release(member.task.task_id)
         entry = reservation.entry
         if entry is not None and entry.lane is not None and entry.held:
             self.queues.requeue(entry, self._now)
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -26,7 +26,7 @@
 from baobabhoist.scheduling.preemption import Running, action_for, plan_room
 from baobabhoist.scheduling.queues import Lane, QueueEntry
 from baobabhoist.scheduling.results import Explanation, Placement, Preemption, Verdict
-from baobabhoist.scheduling.state import PlaceBudget as PlaceBudget
+from baobabhoist.scheduling.state import PlaceQuota as PlaceQuota
 
 BATCH_LIMIT = 32
 # A call ends after this many tries even if little was placed; what found no room is remembered,
@@ -50,7 +50,7 @@
     """
 
     @classmethod
-    def for_workers(cls, workers: Iterable[WorkerSpec], places: PlaceBudget) -> Scheduler:
+    def for_workers(cls, workers: Iterable[WorkerSpec], places: PlaceQuota) -> Scheduler:
         """Return a scheduler for these workers, none of which is up yet."""
         return cls(workers, places)
 
@@ -180,7 +180,7 @@
         batch: list[Placement],
     ) -> bool:
         task = entry.task
-        if self.places.start(task.team, task.task_id, worker.name) is not None:
+        if self.places.acquire(task.team, task.task_id, worker.name) is not None:
             self.queues.limit(lane.team)
             return False
         self.queues.remove(entry)
@@ -232,7 +232,7 @@
         plan = plan_room(self.index, self.running, self._queue, task, need, now)
         if plan is None:
             return False
-        if self.places.start(task.team, task.task_id, plan.worker.name) is not None:
+        if self.places.acquire(task.team, task.task_id, plan.worker.name) is not None:
             self.queues.limit(self.queues.team(task.team))
             return False
         entry.held = True
@@ -270,7 +270,7 @@
         self.reservations.backfilled.pop(task_id, None)
         verdict = Verdict.RETRY
         if not running.adopted:
-            self.places.ended(task_id)
+            self.places.release(task_id)
             if preempted:
                 self.health.forget_probe(worker.name, task_id)
             else:
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -39,20 +39,20 @@
 _DEFAULT_TEAM = TeamPolicy()
 
 
-class PlaceBudget(Protocol):
+class PlaceQuota(Protocol):
     """Grant places within the teams' upper limits."""
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place, or return the reason why there is none."""
 
-    def ended(self, task_id: str) -> None:
+    def release(self, task_id: str) -> None:
         """Give the place of a task back."""
 
 
 class SchedulerState:
     """Hold what an owner's decisions are based on, and keep it consistent."""
 
-    def __init__(self, workers: Iterable[WorkerSpec], places: PlaceBudget) -> None:
+    def __init__(self, workers: Iterable[WorkerSpec], places: PlaceQuota) -> None:
         self.places = places
         self.index = CapacityIndex(workers)
         self.fairness = FairShareTracker(self.index.total)
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -68,7 +68,7 @@
         self.instances = [self._new_instance(n) for n in range(instances)]
         self.table_up = True
         self.epoch = 0
-        self.row = escrow.initial(LIMIT, [SHARD])
+        self.row = escrow.initial_row(LIMIT, [SHARD])
         self.messages = []
         # Pairs of an instance's index and a worker that cannot reach each other.
         self.cut = set()
@@ -97,7 +97,7 @@
 
     def _perform(self, inst, action):
         if isinstance(action, oc.PresentToken):
-            call = (action.token, self.clock(inst), inst.quota.mark())
+            call = (action.token, self.clock(inst), inst.quota.end_watermark())
             self._to_worker(inst, action.worker, "fence", call)
         elif isinstance(action, oc.AdvanceEpoch):
             self._advance_epoch(inst, action)
@@ -227,7 +227,7 @@
             self.deliver(index)
 
     def _worker_fence(self, inst, worker, call):
-        token, sent_at, mark = call
+        token, sent_at, watermark = call
         previous = worker.fence.highest
         if not worker.fence.present(token):
             self._to_instance(inst, "event", oc.FenceRefused(worker.name, previous), worker)
@@ -236,7 +236,7 @@
         event = oc.WorkerFenced(
             worker.name, token, running, tuple(worker.ended.values()), previous, sent_at
         )
-        self._to_instance(inst, "fenced", (event, mark), worker)
+        self._to_instance(inst, "fenced", (event, watermark), worker)
 
     def _worker_run(self, inst, worker, call):
         token, task_id = call
@@ -248,9 +248,9 @@
             worker.running[task_id] = inst.claim.instance_id
 
     def _worker_renew(self, inst, worker, call):
-        token, sent_at, mark = call
+        token, sent_at, watermark = call
         if worker.fence.allows(token):
-            self._to_instance(inst, "renewed", (token, sent_at, mark), worker)
+            self._to_instance(inst, "renewed", (token, sent_at, watermark), worker)
         else:
             refusal = oc.FenceRefused(worker.name, worker.fence.highest)
             self._to_instance(inst, "event", refusal, worker)
@@ -268,15 +268,15 @@
             inst.queue.pop(task.task_id, None)
 
     def _on_renewed(self, inst, worker, content):
-        token, sent_at, mark = content
+        token, sent_at, watermark = content
         if token == inst.claim.token:
-            inst.quota.worker_confirmed(worker.name, mark)
+            inst.quota.confirm_ends(worker.name, watermark)
             self.apply(inst, oc.WorkerConfirmed(worker.name, token, sent_at))
 
     def _on_ended(self, inst, worker, content):
         task_id, held = content
         if task_id in inst.quota.running:
-            inst.quota.ended(task_id, confirmed=held == inst.claim.token)
+            inst.quota.release(task_id, confirmed=held == inst.claim.token)
         entry = inst.keys.entries.get(task_id)
         if entry is not None and entry.state in (KeyState.DISPATCHED, KeyState.UNKNOWN):
             inst.keys.answered(task_id, Answer(task_id, 200, b""))
@@ -310,7 +310,7 @@
                     continue
                 if not inst.claim.may_dispatch(worker.name, keyed):
                     continue
-                if inst.quota.start(TEAM, request_id, worker.name) is None:
+                if inst.quota.acquire(TEAM, request_id, worker.name) is None:
                     inst.keys.dispatched(request_id, worker.name)
                     del inst.queue[request_id]
                     call = (inst.claim.token, request_id)
@@ -334,7 +334,7 @@
     def renew(self, inst):
         """Send a call to every fenced worker."""
         for name in sorted(inst.claim.fenced):
-            call = (inst.claim.token, self.clock(inst), inst.quota.mark())
+            call = (inst.claim.token, self.clock(inst), inst.quota.end_watermark())
             self._to_worker(inst, name, "renew", call)
 
     def end_task(self, worker):
@@ -357,22 +357,22 @@
         if not (self.table_up and current):
             return
         epoch = inst.claim.token.epoch
-        if inst.quota.cap is not None:
+        if inst.quota.takeover_cap is not None:
             self.row = escrow.confirm_epoch(self.row, SHARD, epoch)
-            inst.quota.uncap({TEAM: self.row.held(SHARD)})
+            inst.quota.lift_cap({TEAM: self.row.held(SHARD)})
             return
-        if places == 0 or (places < 0 and not inst.quota.giveable(TEAM)):
+        if places == 0 or (places < 0 and not inst.quota.transferable(TEAM)):
             return
         if places < 0:
-            inst.quota.take_out(TEAM, 1)
-        moved = escrow.move(TEAM, self.row, [escrow.Move(SHARD, epoch, places)])
+            inst.quota.withdraw(TEAM, 1)
+        moved = escrow.apply_moves(TEAM, self.row, [escrow.Move(SHARD, epoch, places)])
         if isinstance(moved, Refusal):
             if places < 0:
-                inst.quota.put_in(TEAM, 1)
+                inst.quota.deposit(TEAM, 1)
             return
         self.row = moved
         if places > 0:
-            inst.quota.put_in(TEAM, 1)
+            inst.quota.deposit(TEAM, 1)
 
     # Faults.
 
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -9,7 +9,7 @@
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
 from baobabhoist.peer.messages import PlacesWanted
-from baobabhoist.quota.escrow import decode
+from baobabhoist.quota.escrow import decode_row
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.shards import Rack, quicken, request, until
 from baobabhoist.tests.tables import MemoryTable
@@ -77,7 +77,7 @@
         return self.nodes[number].owners[0]
 
     def row(self):
-        return decode("team", self.table.rows["escrow/team"].value)
+        return decode_row("team", self.table.rows["escrow/team"].value)
 
     def held(self):
         return [self.owner(number).quota.escrow.get("team", 0) for number in (0, 1)]
--- a/baobabhoist/tests/test_quota_class_limits.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -47,31 +47,31 @@
 def test_a_new_owner_counts_the_kinds_that_already_run():
     """Guard against a takeover after which a kind starts again up to its full limit."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.quota.uncap({"team": 9})
-    assert places.start("team", "batch-8", "w1") is None
-    refused = places.start("team", "batch-9", "w1")
+    places.quota.lift_cap({"team": 9})
+    assert places.acquire("team", "batch-8", "w1") is None
+    refused = places.acquire("team", "batch-9", "w1")
     assert (refused.kind, "batch" in refused.message) == (ErrorKind.TEAM_LIMIT, True)
-    assert places.start("team", "request-9", "w1") is None
+    assert places.acquire("team", "request-9", "w1") is None
 
 
 def test_a_new_owner_under_the_takeover_cap_starts_no_more_of_a_kind_than_it_found():
     """Guard against an excess while workers are not fenced that may run more of the kind."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
     places.confirmed.add("request-1")
-    places.ended("request-1")
-    assert places.start("team", "batch-8", "w1") is not None
-    assert places.start("team", "request-8", "w1") is None
+    places.release("request-1")
+    assert places.acquire("team", "batch-8", "w1") is not None
+    assert places.acquire("team", "request-8", "w1") is None
 
 
 def test_an_unconfirmed_end_does_not_free_the_part_of_a_class():
     """Guard against a start while a new owner may still count the ended task."""
     places = places_after_takeover([])
-    places.quota.uncap({"team": 9})
-    assert [places.start("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
-    places.ended("batch-0")
-    assert places.start("team", "batch-2", "w2") is not None
-    places.worker_confirmed("w1", places.quota.mark())
-    assert places.start("team", "batch-2", "w2") is None
+    places.quota.lift_cap({"team": 9})
+    assert [places.acquire("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
+    places.release("batch-0")
+    assert places.acquire("team", "batch-2", "w2") is not None
+    places.confirm_ends("w1", places.quota.end_watermark())
+    assert places.acquire("team", "batch-2", "w2") is None
 
 
 def test_a_full_class_waits_and_holds_no_other_work_of_the_team_back(monkeypatch):
--- a/baobabhoist/tests/test_quota_transfer.py
+++ b/baobabhoist/tests/test_quota_transfer.py
@@ -1,10 +1,10 @@
 """Test the planning of transfers."""
 
-from baobabhoist.quota.transfer import POOL, ShardNeeds, TeamNeeds, Transfer, TransferPlanner
+from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
 
 
 def needs(pool, **shards):
-    return TeamNeeds("t", pool, tuple(ShardNeeds(n, *counts) for n, counts in shards.items()))
+    return TeamBalance("t", pool, tuple(ShardBalance(n, *counts) for n, counts in shards.items()))
 
 
 def test_lasting_demand_is_served_from_the_pool_and_then_from_idle_shards():
@@ -24,7 +24,7 @@
 def test_batch_is_bounded():
     """Guard against one batch that takes every place or writes every team's row."""
     planner = TransferPlanner()
-    teams = [TeamNeeds(f"t{n}", 500, (ShardNeeds("a", 0, 100),)) for n in range(40)]
+    teams = [TeamBalance(f"t{n}", 500, (ShardBalance("a", 0, 100),)) for n in range(40)]
     planner.plan(teams, 0.0)
     batch = planner.plan(teams, 1.0)
     assert len(batch) == planner.limits.max_teams
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -21,8 +21,8 @@
 class Places(QuotaLedger):
     """Confirm every end, as an owner does whose worker reports it."""
 
-    def ended(self, task_id, confirmed=True):
-        super().ended(task_id, True)
+    def release(self, task_id, confirmed=True):
+        super().release(task_id, True)
 
 
 def specs(count, per_rack=2, size=SIZE):
