--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -19,7 +19,7 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
 from baobabhoist.quota import escrow
-from baobabhoist.quota.escrow import EscrowRow, Move
+from baobabhoist.quota.escrow import EscrowRow, PlaceMove
 from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
 from baobabhoist.records.view import RecordView
 from baobabhoist.scheduling.policy import PreemptionAction
@@ -344,7 +344,7 @@
     async def _take_from_pool(self, account: Account, step: Transfer) -> None:
         """Move places here; they are used once a later reading of the row shows them."""
         owner, known = account.owner, self.known[step.team]
-        taken = Move(owner.shard, owner.claim.token.epoch, step.places)
+        taken = PlaceMove(owner.shard, owner.claim.token.epoch, step.places)
         moved = escrow.apply_moves(step.team, known.row, [taken])
         if not isinstance(moved, Refusal):
             await self._commit(account, step.team, known.revision, moved)
@@ -398,9 +398,9 @@
         owner = account.owner
         if places <= 0:
             return False
-        steps = [Move(owner.shard, owner.claim.token.epoch, -places)]
+        steps = [PlaceMove(owner.shard, owner.claim.token.epoch, -places)]
         if target is not None:
-            steps.append(Move(target, known.row.epochs.get(target, 0), places))
+            steps.append(PlaceMove(target, known.row.epochs.get(target, 0), places))
         moved = escrow.apply_moves(team, known.row, steps)
         if isinstance(moved, Refusal):
             return False
--- a/baobabhoist/daemon/places.py
+++ b/baobabhoist/daemon/places.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import RunningTask, Task, WorkKind
-from baobabhoist.quota.class_limits import ClassLedger, class_key
+from baobabhoist.quota.class_limits import ClassLimitLedger, class_key
 from baobabhoist.quota.ledger import QuotaLedger
 
 
@@ -23,12 +23,12 @@
 
     quota: QuotaLedger
     kind_of: Callable[[str], WorkKind]
-    classes: ClassLedger = attrs.field()
+    classes: ClassLimitLedger = attrs.field()
     confirmed: set[str] = attrs.Factory(set)
 
     @classes.default
-    def _new_classes(self) -> ClassLedger:
-        ledger = ClassLedger(self.quota.shard)
+    def _new_classes(self) -> ClassLimitLedger:
+        ledger = ClassLimitLedger(self.quota.shard)
         ledger.begin_takeover()
         return ledger
 
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -41,7 +41,7 @@
     token, task_id = owner.claim.token, wanted.task_id
     emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task_id)
     if wanted.action is PreemptionAction.THROTTLE:
-        placed = owner.scheduler.placed.get(task_id)
+        placed = owner.scheduler.placements.get(task_id)
         had = placed.task.resources.cpu_milli if placed is not None else 0
         percent = wanted.cpu_milli * PERCENT // had if had else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -383,7 +383,7 @@
 
     def use_escrow(self, places: Mapping[str, int]) -> None:
         """End the takeover cap; the places were read after the table confirmed the epoch."""
-        self.quota.lift_cap(dict(places))
+        self.quota.lift_takeover_cap(dict(places))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
--- a/baobabhoist/quota/class_limits.py
+++ b/baobabhoist/quota/class_limits.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class ClassLedger(QuotaLedger):
+class ClassLimitLedger(QuotaLedger):
     """Bound the tasks of each team and kind by this shard's part of the class limit.
 
     The parts are fixed and never move between shards, so their sum holds without the table.
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Move:
+class PlaceMove:
     """Move places between the pool and a shard under the shard's epoch.
 
     Positive `places` go to the shard, negative ones to the pool.
@@ -143,7 +143,7 @@
     return split
 
 
-def apply_moves(team: str, row: EscrowRow, moves: Iterable[Move]) -> EscrowRow | Refusal:
+def apply_moves(team: str, row: EscrowRow, moves: Iterable[PlaceMove]) -> EscrowRow | Refusal:
     """Return the row after the moves, or the reason why one of them is not possible."""
     for step in sorted(moves, key=lambda step: step.places):
         result = _apply_move(team, row, step)
@@ -154,7 +154,7 @@
     return row
 
 
-def _apply_move(team: str, row: EscrowRow, step: Move) -> EscrowRow | Refusal:
+def _apply_move(team: str, row: EscrowRow, step: PlaceMove) -> EscrowRow | Refusal:
     if step.epoch < row.epochs.get(step.shard, 0):
         return Refusal(
             ErrorKind.STALE_TOKEN,
@@ -199,7 +199,7 @@
     held = row.held(shard)
     freed = row
     if held:
-        moved = apply_moves(team, row, [Move(shard, row.epochs.get(shard, 0), -held)])
+        moved = apply_moves(team, row, [PlaceMove(shard, row.epochs.get(shard, 0), -held)])
         assert not isinstance(moved, Refusal)
         freed = moved
     return attrs.evolve(
--- a/baobabhoist/quota/ledger.py
+++ b/baobabhoist/quota/ledger.py
@@ -166,7 +166,7 @@
                 self.takeover_cap[task.team] = self.takeover_cap.get(task.team, 0) + 1
             self._take(task.team, task.task_id, worker)
 
-    def lift_cap(self, escrow: Mapping[str, int]) -> None:
+    def lift_takeover_cap(self, escrow: Mapping[str, int]) -> None:
         """Return to the full escrow once the table has confirmed the epoch."""
         self.takeover_cap = None
         self.escrow = dict(escrow)
--- a/baobabhoist/quota/transfer.py
+++ b/baobabhoist/quota/transfer.py
@@ -46,14 +46,14 @@
     """Bound the transfers of one planner.
 
     The interval keeps some hundred owners within the several hundred writes a second of the
-    table. Demand must last for `patience_s`, because work is forwarded to a shard with places
+    table. Demand must last for `min_demand_duration_s`, because work is forwarded to a shard with places
     before places are moved to the work.
     """
 
     interval_s: float = 1.0
-    patience_s: float = 0.5
+    min_demand_duration_s: float = 0.5
     max_teams: int = 16
-    max_places: int = 64
+    max_places_per_team: int = 64
 
 
 @attrs.define
@@ -61,7 +61,7 @@
     """Plan the transfers into and out of shards; times are Unix seconds."""
 
     limits: TransferLimits = attrs.Factory(TransferLimits)
-    next_at: float = 0.0
+    next_plan_at: float = 0.0
     wanted_since: dict[tuple[str, str], float] = attrs.Factory(dict)
 
     def plan(self, needs: Iterable[TeamBalance], now: float) -> list[Transfer]:
@@ -71,7 +71,7 @@
         """
         teams = list(needs)
         self._note_demand(teams, now)
-        if now < self.next_at:
+        if now < self.next_plan_at:
             return []
         teams.sort(key=lambda team: (self._waiting_since(team, now), team.team))
         batch: list[Transfer] = []
@@ -80,7 +80,7 @@
                 break
             batch.extend(self._plan_team(team, now))
         if batch:
-            self.next_at = now + self.limits.interval_s
+            self.next_plan_at = now + self.limits.interval_s
         return batch
 
     def _note_demand(self, teams: list[TeamBalance], now: float) -> None:
@@ -102,11 +102,11 @@
         for needs in sorted(team.shards, key=lambda needs: (-needs.surplus, needs.shard)):
             if needs.deficit <= 0 and needs.surplus > 0:
                 sources[needs.shard] = needs.surplus
-        budget = self.limits.max_places
+        budget = self.limits.max_places_per_team
         found: list[Transfer] = []
         for needs in sorted(team.shards, key=lambda needs: (-needs.deficit, needs.shard)):
             since = self.wanted_since.get((team.team, needs.shard))
-            if since is None or now - since < self.limits.patience_s:
+            if since is None or now - since < self.limits.min_demand_duration_s:
                 continue
             taken = _take(sources, team.team, needs.shard, min(needs.deficit, budget))
             budget -= sum(transfer.places for transfer in taken)
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -78,19 +78,19 @@
         self._check_holds = False
 
     @property
-    def free(self) -> dict[str, Resources]:
+    def free_resources(self) -> dict[str, Resources]:
         """Return the free capacity of each worker that is up."""
         workers = self.index.workers.values()
         return {w.name: resources_of(w.free) for w in workers if w.availability is Availability.UP}
 
     @property
-    def queued(self) -> dict[str, Task]:
+    def queued_tasks(self) -> dict[str, Task]:
         """Return the queued tasks by id."""
         entries = {id(entry): entry for entry in self.queues.entries.values()}.values()
         return {task.task_id: task for entry in entries for task in entry.members}
 
     @property
-    def placed(self) -> dict[str, Placement]:
+    def placements(self) -> dict[str, Placement]:
         """Return the placements of the running tasks by task id."""
         return {task_id: running.placement for task_id, running in self.running.items()}
 
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -359,13 +359,13 @@
         epoch = inst.claim.token.epoch
         if inst.quota.takeover_cap is not None:
             self.row = escrow.confirm_epoch(self.row, SHARD, epoch)
-            inst.quota.lift_cap({TEAM: self.row.held(SHARD)})
+            inst.quota.lift_takeover_cap({TEAM: self.row.held(SHARD)})
             return
         if places == 0 or (places < 0 and not inst.quota.transferable(TEAM)):
             return
         if places < 0:
             inst.quota.withdraw(TEAM, 1)
-        moved = escrow.apply_moves(TEAM, self.row, [escrow.Move(SHARD, epoch, places)])
+        moved = escrow.apply_moves(TEAM, self.row, [escrow.PlaceMove(SHARD, epoch, places)])
         if isinstance(moved, Refusal):
             if places < 0:
                 inst.quota.deposit(TEAM, 1)
--- a/baobabhoist/tests/test_gateway_admin.py
+++ b/baobabhoist/tests/test_gateway_admin.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from baobabhoist.quota.escrow import Move, apply_moves, encode_row, initial_row, set_limit
+from baobabhoist.quota.escrow import PlaceMove, apply_moves, encode_row, initial_row, set_limit
 from baobabhoist.records.view import RecordView
 from baobabhoist.store.table import Row
 from baobabhoist.tests.gateways import OPERATOR, ROSTER, with_gateway
@@ -180,10 +180,10 @@
         # The row follows the record later, but the limit is not in force before that either.
         assert (lowered.status, lowered.json["pending_limit"]) == (200, pending)
         assert await seen() == (pending, [pending])
-        row = apply_moves("fibre", set_limit("fibre", row, 4), [Move("n1", 1, -2)])
+        row = apply_moves("fibre", set_limit("fibre", row, 4), [PlaceMove("n1", 1, -2)])
         await store(row)
         assert await seen() == ({**pending, "in_force": 7}, [{**pending, "in_force": 7}])
-        await store(apply_moves("fibre", row, [Move("n1", 1, -3)]))
+        await store(apply_moves("fibre", row, [PlaceMove("n1", 1, -3)]))
         assert await seen() == (None, [])
         table.down = True
         assert await seen_down(gateway) == (200, None)
--- a/baobabhoist/tests/test_quota_class_limits.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -47,7 +47,7 @@
 def test_a_new_owner_counts_the_kinds_that_already_run():
     """Guard against a takeover after which a kind starts again up to its full limit."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.quota.lift_cap({"team": 9})
+    places.quota.lift_takeover_cap({"team": 9})
     assert places.acquire("team", "batch-8", "w1") is None
     refused = places.acquire("team", "batch-9", "w1")
     assert (refused.kind, "batch" in refused.message) == (ErrorKind.TEAM_LIMIT, True)
@@ -66,7 +66,7 @@
 def test_an_unconfirmed_end_does_not_free_the_part_of_a_class():
     """Guard against a start while a new owner may still count the ended task."""
     places = places_after_takeover([])
-    places.quota.lift_cap({"team": 9})
+    places.quota.lift_takeover_cap({"team": 9})
     assert [places.acquire("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
     places.release("batch-0")
     assert places.acquire("team", "batch-2", "w2") is not None
--- a/baobabhoist/tests/test_quota_escrow.py
+++ b/baobabhoist/tests/test_quota_escrow.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.errors import InvariantBreachError, PlatformError, Refusal
 from baobabhoist.quota import escrow
-from baobabhoist.quota.escrow import EscrowRow, Move
+from baobabhoist.quota.escrow import EscrowRow, PlaceMove
 
 SHARDS = ["a", "b", "c"]
 MOVES = st.tuples(st.sampled_from(SHARDS), st.integers(0, 2), st.integers(-4, 4))
@@ -23,7 +23,7 @@
             changed = escrow.set_limit("t", row, step)
             wanted = wanted if isinstance(changed, Refusal) else step
         else:
-            changed = escrow.apply_moves("t", row, [Move(*step)])
+            changed = escrow.apply_moves("t", row, [PlaceMove(*step)])
         row = row if isinstance(changed, Refusal) else changed
         escrow.check_row("t", row)
         assert sum(escrow.ceilings(row).values()) <= wanted
@@ -36,16 +36,16 @@
     row = escrow.set_limit("t", EscrowRow(10, 1, {"a": 6, "b": 3}), 4)
     assert (row.limit, row.pool, row.pending_limit) == (9, 0, 4)
     assert escrow.ceilings(row) == {"a": 3, "b": 1}
-    assert isinstance(escrow.apply_moves("t", row, [Move("a", 1, 1)]), Refusal)
-    row = escrow.apply_moves("t", row, [Move("a", 1, -3), Move("b", 1, -3)])
+    assert isinstance(escrow.apply_moves("t", row, [PlaceMove("a", 1, 1)]), Refusal)
+    row = escrow.apply_moves("t", row, [PlaceMove("a", 1, -3), PlaceMove("b", 1, -3)])
     assert (row.limit, row.pool, row.pending_limit) == (4, 1, None)
 
 
 def test_move_under_an_earlier_epoch_is_refused():
     """Guard against an earlier owner that moves the places of its successor."""
     row = escrow.confirm_epoch(escrow.initial_row(4, SHARDS), "a", 3)
-    assert isinstance(escrow.apply_moves("t", row, [Move("a", 2, -1)]), Refusal)
-    assert escrow.apply_moves("t", row, [Move("a", 3, -1)]).pool == 1
+    assert isinstance(escrow.apply_moves("t", row, [PlaceMove("a", 2, -1)]), Refusal)
+    assert escrow.apply_moves("t", row, [PlaceMove("a", 3, -1)]).pool == 1
 
 
 def test_dropped_shard_returns_its_places():
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -64,7 +64,7 @@
     quota.release("a", confirmed=True)
     assert quota.transferable("roster") == 0
     assert quota.acquire("roster", "x", "w1") is None
-    quota.lift_cap({"roster": 3})
+    quota.lift_takeover_cap({"roster": 3})
     assert quota.acquire("roster", "y", "w1") is None
     assert is_refusal(quota.acquire("roster", "z", "w1"))
 
--- a/baobabhoist/tests/test_quota_transfer.py
+++ b/baobabhoist/tests/test_quota_transfer.py
@@ -28,4 +28,4 @@
     planner.plan(teams, 0.0)
     batch = planner.plan(teams, 1.0)
     assert len(batch) == planner.limits.max_teams
-    assert {transfer.places for transfer in batch} == {planner.limits.max_places}
+    assert {transfer.places for transfer in batch} == {planner.limits.max_places_per_team}
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -139,7 +139,7 @@
         made.enqueue(task(f"t{n}"), 0.0)
     assert all(made.cancel(f"t{n}") for n in range(100))
     assert not made.cancel("t0")
-    assert not placed(made) and not made.queued
+    assert not placed(made) and not made.queued_tasks
 
 
 def test_replicas_of_a_service_are_spread_over_racks():
@@ -327,8 +327,8 @@
 
     @rule(pick=st.randoms(use_true_random=False))
     def cancel(self, pick):
-        if self.made.queued:
-            assert self.made.cancel(pick.choice(sorted(self.made.queued)))
+        if self.made.queued_tasks:
+            assert self.made.cancel(pick.choice(sorted(self.made.queued_tasks)))
 
     @rule(count=st.integers(1, 4))
     def hold(self, count):
@@ -354,7 +354,7 @@
             here = [r for r in made.running.values() if r.worker is worker]
             assert sum(r.need[0] for r in here) + worker.free[0] == worker.capacity[0]
             assert min(worker.free) >= 0 and {r.declared.task_id for r in here} == worker.tasks
-        waiting = made.queued.keys()
+        waiting = made.queued_tasks.keys()
         assert not waiting & made.running.keys()
         assert sum(line.queued for line in made.queues.teams.values()) == len(waiting)
 
