--- a/baobabhoist/quota/transfer.py
+++ b/baobabhoist/quota/transfer.py
@@ -46,8 +46,8 @@
     """Bound the transfers of one planner.
 
     The interval keeps some hundred owners within the several hundred writes a second of the
-    table. Demand must last for `min_demand_duration_s`, because work is forwarded to a shard with places
-    before places are moved to the work.
+    table. Demand must last for `min_demand_duration_s`, because work is forwarded to a shard
+    with places before places are moved to the work.
     """
 
     interval_s: float = 1.0
