--- a/baobabhoist/quota/classes.py
+++ b/baobabhoist/quota/class_limits.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class ClassLedger(QuotaLedger):
+class ClassLimitLedger(QuotaLedger):
     """Bound the tasks of each team and kind by this shard's part of the class limit.
 
     The parts are fixed and never move between shards, so their sum holds without the table.
@@ -34,7 +34,7 @@
         limit = self.limits.get(team)
         if limit is None:
             return UNLIMITED
-        return limit if self.cap is None else min(limit, self.cap.get(team, 0))
+        return limit if self.takeover_cap is None else min(limit, self.takeover_cap.get(team, 0))
 
     def spare(self, team: str) -> int:
         """Return how many tasks of the class may start here now, on any worker."""
