--- a/baobabhoist/cell/approvals.py
+++ b/baobabhoist/cell/approvals.py
@@ -29,12 +29,12 @@
 
     def valid_ticket(self, worker_id: str, now: float) -> str:
         """Return a ticket that is valid for a start sent now, or an empty string."""
-        held = self.tickets.get(worker_id)
-        return held.text if held is not None and held.expires_ms > now else ""
+        ticket = self.tickets.get(worker_id)
+        return ticket.text if ticket is not None and ticket.expires_ms > now else ""
 
-    def mark_requested(self, answer_due_ms: float) -> None:
+    def mark_requested(self, answer_timeout_ms: float) -> None:
         """Record that a request was sent and when it times out."""
-        self.next_request_ms = answer_due_ms
+        self.next_request_ms = answer_timeout_ms
 
     def is_request_blocked(self, now: float) -> bool:
         """Tell whether it is too early for the next request."""
@@ -47,8 +47,8 @@
         self.next_request_ms = 0.0
         for worker_id in requested:
             if worker_id in approved:
-                expires = valid_until_ms - TICKET_MARGIN_MS
-                self.tickets[worker_id] = Ticket(approved[worker_id], expires)
+                expires_ms = valid_until_ms - TICKET_MARGIN_MS
+                self.tickets[worker_id] = Ticket(approved[worker_id], expires_ms)
                 self.refused_workers.discard(worker_id)
             elif worker_id not in self.tickets:
                 self.refused_workers.add(worker_id)
--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -37,9 +37,9 @@
         """Quarantine a worker with a stalled run; return whether it was not quarantined before."""
         return self._quarantine(now)
 
-    def accepts_task(self, now: float, running: int) -> bool:
+    def accepts_task(self, now: float, run_count: int) -> bool:
         """Tell whether the worker may get a task; on probation it gets one at a time."""
-        return now >= self.quarantined_until_ms and not (self.is_on_probation and running > 0)
+        return now >= self.quarantined_until_ms and not (self.is_on_probation and run_count > 0)
 
     def _quarantine(self, now: float) -> bool:
         if now < self.quarantined_until_ms:
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -47,10 +47,10 @@
     stop_sent_ms: float = 0.0
     # When the worker answered the stop command.
     stop_answered_ms: float = 0.0
-    percent: float = 0.0
+    progress_percent: float = 0.0
     last_progress_ms: float = 0.0
     # This owner started the run, and not from a checkpoint.
-    is_from_start: bool = False
+    is_fresh_start: bool = False
 
 
 @attrs.define(eq=False)
@@ -61,7 +61,7 @@
     index: int
     run: Run | None = None
     is_done: bool = False
-    last_run: int = 0
+    last_run_number: int = 0
     failed_runs: set[int] = attrs.Factory(set)
     checkpoint: str = ""
 
@@ -125,7 +125,7 @@
         if run.task.run is None and not run.task.is_done:
             self.idle_count -= 1
         run.task.run = run
-        run.task.last_run = max(run.task.last_run, run.number)
+        run.task.last_run_number = max(run.task.last_run_number, run.number)
 
     def detach_run(self, run: Run) -> None:
         """Remove an ended run from its task."""
--- a/baobabhoist/cell/model.py
+++ b/baobabhoist/cell/model.py
@@ -132,13 +132,13 @@
 class AdviceTerms:
     """Describe the cost of an advice request and the validity of its tickets."""
 
-    request_ms: float
-    per_worker_ms: float
+    base_cost_ms: float
+    cost_per_worker_ms: float
     ticket_valid_ms: int
 
-    def cost_ms(self, workers: int) -> float:
+    def cost_ms(self, worker_count: int) -> float:
         """Return how long the adviser takes for a request about this many workers."""
-        return self.request_ms + self.per_worker_ms * workers
+        return self.base_cost_ms + self.cost_per_worker_ms * worker_count
 
 
 @attrs.frozen
@@ -267,7 +267,7 @@
     task: TaskKey
     run: int
     checkpoint: str
-    percent: float
+    progress_percent: float
     usage: float = 0.0
 
 
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -64,7 +64,7 @@
             and not run.task.step.spec.lasting
             and now - run.last_progress_ms > STALL_TIMEOUT_MS
             and worker.last_report_ms > run.last_progress_ms + STALL_TIMEOUT_MS
-            and run.percent < 100
+            and run.progress_percent < 100
         )
         if is_stalled:
             if worker.health.record_stall(now):
@@ -75,7 +75,7 @@
                 task=run.task.key.to_text(),
                 run=run.number,
                 worker=run.worker_id,
-                percent=run.percent,
+                percent=run.progress_percent,
             )
             self._state.stop_run(run, now)
 
--- a/baobabhoist/cell/run_ends.py
+++ b/baobabhoist/cell/run_ends.py
@@ -81,7 +81,7 @@
         spec = task.step.spec
         # Gangs run at the pace of their slowest member and resumed runs skip part of the work,
         # so neither tells the speed of this worker.
-        if run.is_from_start and not spec.gang and run.confirmed_ms:
+        if run.is_fresh_start and not spec.gang and run.confirmed_ms:
             queue = task.step.job.accepted.queue
             took_ms = now - run.confirmed_ms
             self._state.speeds.observe(run.worker_id, queue, took_ms, spec.expected_ms)
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -210,13 +210,13 @@
             emit(log, Event.WORKER_UNLISTED, worker=worker_id, runs=len(worker.runs))
 
     def handle_report(
-        self, worker_id: str, report: WorkerReport, sent_ms: float, now: float
+        self, worker_id: str, report: WorkerReport, requested_ms: float, now: float
     ) -> None:
         """Apply the report that a worker sent in reply to a lease renewal."""
         worker = self.state.workers.get(worker_id)
         if worker is None:
             return
-        self._reports.handle_report(worker, report, sent_ms, now)
+        self._reports.handle_report(worker, report, requested_ms, now)
 
     def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Apply the outcome of a start command."""
@@ -240,21 +240,21 @@
 
     def handle_advice(
         self,
-        key: StepKey,
+        step_key: StepKey,
         requested: Iterable[str],
         approved: Mapping[str, str],
         valid_until_ms: float,
     ) -> None:
         """Apply the answer of the placement adviser."""
         self.placer.open_advice_requests -= 1
-        step = self._find_step(key)
+        step = self._find_step(step_key)
         if step is not None:
             step.approvals.record_answer(requested, approved, valid_until_ms)
 
-    def handle_advice_failure(self, key: StepKey, retry_ms: float) -> None:
+    def handle_advice_failure(self, step_key: StepKey, retry_ms: float) -> None:
         """Allow a failed advice request to be repeated from `retry_ms` on."""
         self.placer.open_advice_requests -= 1
-        step = self._find_step(key)
+        step = self._find_step(step_key)
         if step is not None:
             step.approvals.schedule_retry(retry_ms)
 
@@ -304,9 +304,9 @@
             job.accepted_local_ms + slack_factor * critical_path_ms(job.accepted) + target_ms
         )
 
-    def _find_step(self, key: StepKey) -> StepState | None:
-        job = self.state.jobs.get(key.job_id)
-        return job.find_step(key) if job is not None else None
+    def _find_step(self, step_key: StepKey) -> StepState | None:
+        job = self.state.jobs.get(step_key.job_id)
+        return job.find_step(step_key) if job is not None else None
 
     def _check_fenced(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED:
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -89,7 +89,7 @@
         job = task.step.job
         ticket = task.step.approvals.valid_ticket(worker.worker_id, now)
         run = self._add_run(task, worker, run_number, RunPhase.STARTING, now)
-        run.is_from_start = not task.checkpoint
+        run.is_fresh_start = not task.checkpoint
         # The run must be stored before the command is sent, so that the next owner knows of it.
         self.dirty.add(job.job_id)
         if job.phase is JobPhase.QUEUED:
@@ -121,7 +121,10 @@
 
     def next_run_number(self, tasks: list[TaskState]) -> int:
         """Return a number higher than any run of these tasks had under any owner."""
-        return max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run for task in tasks)) + 1
+        return (
+            max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run_number for task in tasks))
+            + 1
+        )
 
     def stop_run(self, run: Run, now: float) -> None:
         """Issue a stop command for a run."""
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -34,15 +34,15 @@
         self._run_ends = run_ends
 
     def handle_report(
-        self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
+        self, worker: WorkerState, report: WorkerReport, requested_ms: float, now: float
     ) -> None:
-        """Apply a report; `sent_ms` is when it was requested."""
+        """Apply a report; `requested_ms` is when it was requested."""
         if (
             worker.started_unix_ms
             and report.started_unix_ms
             and report.started_unix_ms != worker.started_unix_ms
         ):
-            self._handle_restart(worker, sent_ms, now)
+            self._handle_restart(worker, requested_ms, now)
         worker.started_unix_ms = report.started_unix_ms or worker.started_unix_ms
         worker.lease.update_clock(report.clock_ms, now)
         worker.last_report_ms = now
@@ -61,7 +61,7 @@
                 self._apply_end(worker, ended_run, now)
         for active_run in report.running:
             self._apply_active_run(worker, active_run, now)
-        self._close_missing_runs(worker, report, sent_ms, now)
+        self._close_missing_runs(worker, report, requested_ms, now)
 
     def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
         """Apply the outcome of a start command."""
@@ -175,13 +175,13 @@
         run.confirmed_ms = run.confirmed_ms or now
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
-        if active_run.percent != run.percent:
-            run.percent, run.last_progress_ms = active_run.percent, now
+        if active_run.progress_percent != run.progress_percent:
+            run.progress_percent, run.last_progress_ms = active_run.progress_percent, now
         if active_run.checkpoint and run.task.step.spec.checkpoints:
             run.task.checkpoint = active_run.checkpoint
 
     def _close_missing_runs(
-        self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
+        self, worker: WorkerState, report: WorkerReport, requested_ms: float, now: float
     ) -> None:
         """Close the runs and orphans that have ended because the report does not list them."""
         listed = {(active_run.task, active_run.run) for active_run in report.running}
@@ -191,14 +191,14 @@
         for run in list(worker.runs.values()):
             if (run.task.key, run.number) in listed:
                 continue
-            if run.phase is RunPhase.STOPPING and 0 < run.stop_answered_ms < sent_ms:
+            if run.phase is RunPhase.STOPPING and 0 < run.stop_answered_ms < requested_ms:
                 self._state.close_run(run)
-            elif run.phase is RunPhase.RUNNING and 0 < run.confirmed_ms < sent_ms:
+            elif run.phase is RunPhase.RUNNING and 0 < run.confirmed_ms < requested_ms:
                 close_lost_run(
                     self._state, self._run_ends, run, now, "its worker does not list it"
                 )
 
-    def _handle_restart(self, worker: WorkerState, sent_ms: float, now: float) -> None:
+    def _handle_restart(self, worker: WorkerState, requested_ms: float, now: float) -> None:
         emit(log, Event.WORKER_RESTARTED, worker=worker.worker_id, runs=len(worker.runs))
         worker.last_seen_end = worker.last_acked_end = 0
         worker.orphan_runs.clear()
@@ -206,7 +206,10 @@
         for step in self._state.ready_steps.values():
             step.approvals.remove_worker(worker.worker_id)
         for run in list(worker.runs.values()):
-            if run.phase in (RunPhase.RUNNING, RunPhase.STOPPING) and run.confirmed_ms < sent_ms:
+            if (
+                run.phase in (RunPhase.RUNNING, RunPhase.STOPPING)
+                and run.confirmed_ms < requested_ms
+            ):
                 close_lost_run(self._state, self._run_ends, run, now, "its worker started again")
 
     def _find_run(self, command: StartTask | StopTask) -> Run | None:
--- a/baobabhoist/cell/worker_selection.py
+++ b/baobabhoist/cell/worker_selection.py
@@ -16,7 +16,7 @@
     """Hold a candidate worker, the tasks of a step that fit on it and its placement cost."""
 
     worker: WorkerState
-    count: int
+    task_count: int
     cost: float
 
 
@@ -58,7 +58,7 @@
     """Return a worker for each task that fits, by ascending cost."""
     chosen: list[WorkerState] = []
     for slot in slots:
-        chosen += [slot.worker] * min(slot.count, task_count - len(chosen))
+        chosen += [slot.worker] * min(slot.task_count, task_count - len(chosen))
         if len(chosen) == task_count:
             break
     return chosen
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -85,13 +85,13 @@
     def submit(self, accepted):
         self.cell.add_job(accepted, self.now, self.now, self.now)
 
-    def renew(self, worker_id, deliver=True):
+    def renew(self, worker_id, report_arrives=True):
         worker, state = self.workers[worker_id], self.cell.state.workers[worker_id]
         deadline = state.lease.extend_deadline(self.now, LEASE_MS)
         reply = worker.renew(self.token, state.last_acked_end, deadline)
         if reply is CommandOutcome.FENCED:
             self.cell.mark_fenced()
-        elif deliver:
+        elif report_arrives:
             self.cell.handle_report(worker_id, reply, self.now, self.now + 0.5)
 
     def renew_all(self):
@@ -111,20 +111,20 @@
                 self.undelivered.append(command)
         return commands
 
-    def deliver_command(self, command, answer_arrives=True):
-        """Deliver a command, and its reply if `answer_arrives`."""
+    def deliver_command(self, command, reply_arrives=True):
+        """Deliver a command, and its reply if `reply_arrives`."""
         worker = self.workers[command.worker_id]
         if isinstance(command, StartTask):
             state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS)
             outcome = worker.start(self.token, command, deadline or 0)
             self.cell.handle_start_result(
-                command, outcome if answer_arrives else CommandOutcome.UNKNOWN, self.now
+                command, outcome if reply_arrives else CommandOutcome.UNKNOWN, self.now
             )
         elif isinstance(command, StopTask):
             outcome = worker.stop(self.token, command)
             self.cell.handle_stop_result(
-                command, outcome if answer_arrives else CommandOutcome.UNKNOWN, self.now
+                command, outcome if reply_arrives else CommandOutcome.UNKNOWN, self.now
             )
         return outcome
 
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -137,8 +137,8 @@
             destination.append(SentCommand(self.token, deadline, command))
 
     @precondition(lambda self: self.in_transit)
-    @rule(data=st.data(), answer_arrives=st.booleans())
-    def deliver(self, data, answer_arrives):
+    @rule(data=st.data(), reply_arrives=st.booleans())
+    def deliver(self, data, reply_arrives):
         sent = self.in_transit.pop(data.draw(st.integers(0, len(self.in_transit) - 1)))
         if sent.command.worker_id in self.unreachable:
             self._return_outcome(sent, CommandOutcome.UNKNOWN)
@@ -149,7 +149,7 @@
             outcome = worker.start(sent.token, sent.command, sent.deadline_ms)
         else:
             outcome = worker.stop(sent.token, sent.command)
-        self._return_outcome(sent, outcome if answer_arrives else CommandOutcome.UNKNOWN)
+        self._return_outcome(sent, outcome if reply_arrives else CommandOutcome.UNKNOWN)
 
     @precondition(lambda self: self.in_transit)
     @rule(data=st.data())
