--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.peer.messages import ShardDigest
 from baobabhoist.quota import escrow
-from baobabhoist.quota.classes import class_key
+from baobabhoist.quota.class_limits import class_key
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
 from baobabhoist.scheduling.policy import PreemptionAction, QueuePolicy, TeamPolicy
@@ -23,11 +23,11 @@
     }
 
 
-def _queue_policy(policy: Policy, team_limit: int) -> QueuePolicy:
+def _queue_policy(policy: Policy, max_queued_per_team: int) -> QueuePolicy:
     action = PreemptionAction.NEVER
     if policy.preemption:
         action = PreemptionAction(policy.preempt_action.value)
-    return QueuePolicy(policy.objective.value, action, team_limit=team_limit)
+    return QueuePolicy(policy.objective.value, action, max_queued_per_team=max_queued_per_team)
 
 
 def team_policies(view: RecordView) -> dict[str, TeamPolicy]:
@@ -40,7 +40,7 @@
     """Return a shard's part of each class limit; the parts of all shards add up to the limit."""
     shards = list(view.shards())
     return {
-        class_key(name, kind): escrow.initial(limit, shards).held(shard)
+        class_key(name, kind): escrow.initial_row(limit, shards).held(shard)
         for name, team in view.teams().items()
         for kind, limit in team.class_limits.items()
     }
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -62,7 +62,7 @@
         scheduler = self._owner.scheduler
         spare = self._owner.places.spare
         count = min(len(tasks), spare(tasks[0].team, tasks[0].kind)) if tasks else 0
-        if job_id in scheduler.book.reservations:
+        if job_id in scheduler.reservations.by_job:
             count = len(tasks)
         while count > 0:
             hold = scheduler.hold(job_id, list(tasks[:count]), now, deadline)
@@ -77,7 +77,7 @@
         The coordinator then sends each task as a request, which joins the one started here.
         """
         owner = self._owner
-        placements = owner.scheduler.commit(job_id, now)
+        placements = owner.scheduler.commit_hold(job_id, now)
         if isinstance(placements, Refusal):
             return False
         for placement in placements:
@@ -92,4 +92,4 @@
 
     def release_hold(self, job_id: str) -> None:
         """Give a hold back."""
-        self._owner.scheduler.release(job_id)
+        self._owner.scheduler.release_hold(job_id)
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -12,7 +12,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.invariants import Invariant, check
 from baobabhoist.model import Resources, RunningTask, Task, WorkerSpec, WorkKind
-from baobabhoist.scheduling import overload
+from baobabhoist.scheduling import admission
 from baobabhoist.scheduling.capacity import (
     NOTHING,
     Amount,
@@ -24,13 +24,13 @@
     resources_of,
 )
 from baobabhoist.scheduling.estimates import RETRY_MARGIN, Estimator
-from baobabhoist.scheduling.fairness import Fairness
-from baobabhoist.scheduling.gangs import HoldBook
+from baobabhoist.scheduling.fairness import FairShareTracker
 from baobabhoist.scheduling.health import HealthBook
 from baobabhoist.scheduling.placement import RackSpread
 from baobabhoist.scheduling.policy import OBJECTIVES, QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.preemption import Running
-from baobabhoist.scheduling.queues import Entry, Lane, WaitingLines
+from baobabhoist.scheduling.queues import Lane, QueueEntry, TaskQueues
+from baobabhoist.scheduling.reservations import ReservationTable
 from baobabhoist.scheduling.results import Placement, Preemption
 
 URGENT_RANK = -1e9
@@ -39,65 +39,65 @@
 _DEFAULT_TEAM = TeamPolicy()
 
 
-class PlaceBudget(Protocol):
+class PlaceQuota(Protocol):
     """Grant places within the teams' upper limits."""
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place, or return the reason why there is none."""
 
-    def ended(self, task_id: str) -> None:
+    def release(self, task_id: str) -> None:
         """Give the place of a task back."""
 
 
 class SchedulerState:
     """Hold what an owner's decisions are based on, and keep it consistent."""
 
-    def __init__(self, workers: Iterable[WorkerSpec], places: PlaceBudget) -> None:
+    def __init__(self, workers: Iterable[WorkerSpec], places: PlaceQuota) -> None:
         self.places = places
         self.index = CapacityIndex(workers)
-        self.fairness = Fairness(self.index.total)
-        self.lines = WaitingLines(self._rank)
+        self.fairness = FairShareTracker(self.index.total)
+        self.queues = TaskQueues(self._rank)
         self.health = HealthBook()
         self.estimator = Estimator()
-        self.book = HoldBook(self.index, self._ends)
+        self.reservations = ReservationTable(self.index, self._ends)
         self.running: dict[str, Running] = {}
         self.spread = RackSpread()
-        self.rates = overload.StartRates()
+        self.rates = admission.StartRates()
         self._queues: Mapping[str, QueuePolicy] = {}
         self._teams: Mapping[str, TeamPolicy] = {}
         self._largest = self._largest_worker()
         self._peaks: OrderedDict[str, Amount] = OrderedDict()
         self._placed_holds: set[str] = set()
         self._preemptions: list[Preemption] = []
-        self._given_up: list[tuple[Task, Refusal]] = []
+        self._refused: list[tuple[Task, Refusal]] = []
         self._seq = itertools.count(1)
         self._now = 0.0
         self._upkeep_at = 0.0
         self._unblock_at = 0.0
-        self._unlimit_at = 0.0
+        self._limited_teams_retry_at = 0.0
         self._check_holds = False
 
     @property
-    def free(self) -> dict[str, Resources]:
+    def free_resources(self) -> dict[str, Resources]:
         """Return the free capacity of each worker that is up."""
         workers = self.index.workers.values()
         return {w.name: resources_of(w.free) for w in workers if w.availability is Availability.UP}
 
     @property
-    def queued(self) -> dict[str, Task]:
+    def queued_tasks(self) -> dict[str, Task]:
         """Return the queued tasks by id."""
-        entries = {id(entry): entry for entry in self.lines.entries.values()}.values()
+        entries = {id(entry): entry for entry in self.queues.entries.values()}.values()
         return {task.task_id: task for entry in entries for task in entry.members}
 
     @property
-    def placed(self) -> dict[str, Placement]:
+    def placements(self) -> dict[str, Placement]:
         """Return the placements of the running tasks by task id."""
         return {task_id: running.placement for task_id, running in self.running.items()}
 
     def worker_up(self, worker: str) -> None:
         """Offer a worker's whole capacity, less what is placed there."""
         self._set_availability(worker, Availability.UP)
-        self.lines.unblock()
+        self.queues.unblock()
 
     def worker_down(self, worker: str) -> None:
         """Stop placing work on a worker."""
@@ -146,7 +146,7 @@
 
     def places_changed(self) -> None:
         """Look again at the teams without a place, after places arrived from elsewhere."""
-        self.lines.unlimit(self._now)
+        self.queues.unlimit(self._now)
 
     def _bind(self, task: Task, need: Amount, worker: WorkerState, now: float) -> Placement:
         placed = task.task_id in self.running
@@ -191,7 +191,7 @@
         found = (self.running[task_id] for task_id in worker.tasks)
         return [(running.projected_end(self._now), running.need) for running in found]
 
-    def _rank(self, lane: Lane, entry: Entry, now: float) -> float:
+    def _rank(self, lane: Lane, entry: QueueEntry, now: float) -> float:
         if lane.urgent:
             return URGENT_RANK
         objective = OBJECTIVES[self._queue(lane.queue).objective]
