--- a/baobabhoist/scheduling/admission.py
+++ b/baobabhoist/scheduling/admission.py
@@ -22,59 +22,67 @@
 
     rates: dict[str, float] = attrs.Factory(dict)
     _starts: dict[str, int] = attrs.Factory(dict)
-    _since: float = 0.0
+    _updated_at: float = 0.0
 
-    def started(self, team: str) -> None:
+    def record_start(self, team: str) -> None:
         """Count a start."""
         self._starts[team] = self._starts.get(team, 0) + 1
 
     def update(self, now: float) -> None:
         """Fold the starts since the last update into the rates, about once a second."""
-        passed = now - self._since
-        if passed < 1.0:
+        elapsed_s = now - self._updated_at
+        if elapsed_s < 1.0:
             return
-        gain = min(1.0, passed / RATE_WINDOW_S)
+        weight = min(1.0, elapsed_s / RATE_WINDOW_S)
         for team in self.rates.keys() | self._starts.keys():
-            rate = self._starts.get(team, 0) / passed
-            known = self.rates.get(team)
-            self.rates[team] = rate if known is None else known + gain * (rate - known)
+            rate = self._starts.get(team, 0) / elapsed_s
+            previous = self.rates.get(team)
+            self.rates[team] = rate if previous is None else previous + weight * (rate - previous)
         self.rates = {team: rate for team, rate in self.rates.items() if rate > 1e-6}
         self._starts.clear()
-        self._since = now
+        self._updated_at = now
 
-    def wait_s(self, team: str, queued: int) -> float | None:
+    def predicted_wait_s(self, team: str, queued: int) -> float | None:
         """Return how long a queue of this length takes to start, or None when unknown."""
         rate = self.rates.get(team)
         return queued / rate if rate else None
 
 
-def refuse(
+def check_admission(
     task: Task,
-    line: TeamQueue,
-    team: TeamPolicy,
-    queue: QueuePolicy,
+    team_queue: TeamQueue,
+    team_policy: TeamPolicy,
+    queue_policy: QueuePolicy,
     rates: StartRates,
     now: float,
 ) -> Refusal | None:
     """Return why a task is not queued: the queue is full, or its deadline would pass in it."""
-    wait_s = rates.wait_s(task.team, line.queued)
-    if line.queued >= team.max_queued:
-        return _full(task, f"holds {line.queued} tasks, its limit", wait_s)
-    in_queue = line.queued_in[task.queue]
-    if in_queue >= queue.max_queued_per_team:
-        reason = f"holds {in_queue} tasks for the queue {task.queue}, the limit of that queue"
-        return _full(task, reason, wait_s)
-    if task.kind is not WorkKind.REQUEST or line.queued < MIN_PREDICTED_QUEUE:
+    wait_s = rates.predicted_wait_s(task.team, team_queue.task_count)
+    if team_queue.task_count >= team_policy.max_queued:
+        return _queue_full_refusal(task, f"holds {team_queue.task_count} tasks, its limit", wait_s)
+    queued_in_queue = team_queue.task_count_by_queue[task.queue]
+    if queued_in_queue >= queue_policy.max_queued_per_team:
+        reason = (
+            f"holds {queued_in_queue} tasks for the queue {task.queue}, the limit of that queue"
+        )
+        return _queue_full_refusal(task, reason, wait_s)
+    if task.kind is not WorkKind.REQUEST or team_queue.task_count < MIN_PREDICTED_QUEUE:
         return None
     # Only requests with an earlier or similar deadline are served before this one.
-    ahead = sum(len(lane.heap) for lane in line.lanes.values() if lane.kind is WorkKind.REQUEST)
-    wait_s = rates.wait_s(task.team, ahead)
+    ahead = sum(
+        len(subqueue.heap)
+        for subqueue in team_queue.subqueues.values()
+        if subqueue.kind is WorkKind.REQUEST
+    )
+    wait_s = rates.predicted_wait_s(task.team, ahead)
     if ahead >= MIN_PREDICTED_QUEUE and wait_s is not None and now + wait_s > task.deadline:
-        return _full(task, f"needs about {wait_s:.0f} s, longer than the deadline allows", wait_s)
+        return _queue_full_refusal(
+            task, f"needs about {wait_s:.0f} s, longer than the deadline allows", wait_s
+        )
     return None
 
 
-def _full(task: Task, reason: str, wait_s: float | None) -> Refusal:
+def _queue_full_refusal(task: Task, reason: str, wait_s: float | None) -> Refusal:
     return Refusal(
         ErrorKind.QUEUE_FULL,
         f"the queue of team {task.team} {reason}",
--- a/baobabhoist/scheduling/explain.py
+++ b/baobabhoist/scheduling/explain.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from baobabhoist.scheduling.capacity import Amount, fits
+from baobabhoist.scheduling.capacity import ResourceVector, fits
 from baobabhoist.scheduling.results import Explanation, WaitReason
 
 if TYPE_CHECKING:
@@ -19,42 +19,45 @@
         message = f"the task runs on worker {running.worker.name}"
         return Explanation(task_id, WaitReason.RUNNING, message)
     entry = scheduler.queues.entries.get(task_id)
-    if entry is None or entry.lane is None:
+    if entry is None or entry.subqueue is None:
         return Explanation(task_id, WaitReason.NOT_FOUND, "this owner has no such task")
     reason, message = _reason(scheduler, entry)
     return Explanation(task_id, reason, message, entry.waited_s(now))
 
 
 def _reason(scheduler: Scheduler, entry: QueueEntry) -> tuple[WaitReason, str]:
-    team, need = entry.task.team, entry.need
-    if entry.held:
+    team, demand = entry.task.team, entry.demand
+    if entry.has_reservation:
         found = scheduler.reservations.by_job.get(entry.task.task_id)
         when = f", complete at about {found.start_at:.1f}" if found else ""
         return WaitReason.HOLD, f"capacity is being held for it{when}"
-    if entry.lane is not None and entry.lane.team.limited:
+    if entry.subqueue is not None and entry.subqueue.team.is_limited:
         return WaitReason.TEAM_LIMIT, f"team {team} uses all places it has here"
     if scheduler.queues.is_class_full(team, entry.task.kind):
         kind = entry.task.kind.value
         return WaitReason.TEAM_LIMIT, f"team {team} runs as much {kind} work as it may here"
-    if scheduler.index.might_fit(need) and scheduler.index.search(
-        need, 1, scheduler.health.excluded(entry.task.task_id)
+    if scheduler.index.might_fit(demand) and scheduler.index.find_workers(
+        demand, 1, scheduler.health.excluded_workers(entry.task.task_id)
     ):
-        share = scheduler.fairness.share(team)
+        share = scheduler.fairness.entitlement_ratio(team)
         return WaitReason.SHARE, f"others go first; team {team} uses {share:.0%} of its share"
-    if _fits_quarantined(scheduler, need):
+    if _fits_quarantined(scheduler, demand):
         return WaitReason.QUARANTINE, "only workers in quarantine have room for it"
-    if scheduler.reservations.collecting and _fits_held(scheduler, need):
+    if scheduler.reservations.pending_by_worker and _fits_held(scheduler, demand):
         return WaitReason.HOLD, "the room that there is, is held for other work"
-    failed = scheduler.health.excluded(entry.task.task_id)
+    failed = scheduler.health.excluded_workers(entry.task.task_id)
     tried = f"; it failed on {', '.join(failed)}" if failed else ""
-    return WaitReason.CAPACITY, f"no worker has {need[0]} millicores, {need[1]} MiB free{tried}"
+    return (
+        WaitReason.CAPACITY,
+        f"no worker has {demand[0]} millicores, {demand[1]} MiB free{tried}",
+    )
 
 
-def _fits_quarantined(scheduler: Scheduler, need: Amount) -> bool:
+def _fits_quarantined(scheduler: Scheduler, demand: ResourceVector) -> bool:
     names = scheduler.health.quarantined
-    return any(fits(need, scheduler.index.workers[name].free) for name in names)
+    return any(fits(demand, scheduler.index.workers[name].free) for name in names)
 
 
-def _fits_held(scheduler: Scheduler, need: Amount) -> bool:
-    names = scheduler.reservations.collecting
-    return any(fits(need, scheduler.index.workers[name].free) for name in names)
+def _fits_held(scheduler: Scheduler, demand: ResourceVector) -> bool:
+    names = scheduler.reservations.pending_by_worker
+    return any(fits(demand, scheduler.index.workers[name].free) for name in names)
--- a/baobabhoist/scheduling/placement.py
+++ b/baobabhoist/scheduling/placement.py
@@ -8,13 +8,13 @@
 import attrs
 
 from baobabhoist.model import Task, WorkKind
-from baobabhoist.scheduling.capacity import Amount, CapacityIndex, WorkerState, fits
+from baobabhoist.scheduling.capacity import CapacityIndex, ResourceVector, WorkerState, fits
 
 # Scoring more workers than this improves packing little and costs time with every decision.
-CANDIDATES = 4
+MAX_CANDIDATES = 4
 # A worker at half speed scores as badly as one that is left this much emptier.
 SPEED_WEIGHT = 0.5
-SPEED_GAIN = 0.1
+SPEED_SMOOTHING = 0.1
 
 
 @attrs.define
@@ -36,51 +36,59 @@
         if not racks:
             del self.replicas[job_id]
 
-    def order(self, job_id: str, racks: Collection[str]) -> list[str]:
+    def racks_by_use(self, job_id: str, racks: Collection[str]) -> list[str]:
         """Return the racks, those with the fewest replicas of the service first."""
         used = self.replicas.get(job_id, Counter())
         return sorted(racks, key=lambda rack: (used[rack], rack))
 
 
-def choose(
-    index: CapacityIndex, task: Task, need: Amount, excluded: Collection[str], spread: RackSpread
+def choose_worker(
+    index: CapacityIndex,
+    task: Task,
+    demand: ResourceVector,
+    excluded: Collection[str],
+    spread: RackSpread,
 ) -> WorkerState | None:
     """Return the best worker found for a task, or None when none has room."""
-    if not index.might_fit(need):
+    if not index.might_fit(demand):
         return None
     if task.kind is WorkKind.SERVICE:
-        return _in_least_used_rack(index, task, need, excluded, spread)
-    found = index.search(need, CANDIDATES, excluded)
+        return _choose_in_least_used_rack(index, task, demand, excluded, spread)
+    found = index.find_workers(demand, MAX_CANDIDATES, excluded)
     if len(found) < 2:
         return found[0] if found else None
-    return min(found, key=lambda worker: score(worker, need))
+    return min(found, key=lambda worker: score(worker, demand))
 
 
-def score(worker: WorkerState, need: Amount) -> float:
+def score(worker: WorkerState, demand: ResourceVector) -> float:
     """Rate a worker with room, lower is better: what stays unused, its imbalance, its speed."""
-    capacity, room = worker.capacity, worker.room
-    cpu = (room[0] - need[0]) / (capacity[0] or 1)
-    memory = (room[1] - need[1]) / (capacity[1] or 1)
+    capacity, room = worker.capacity, worker.allocatable
+    cpu = (room[0] - demand[0]) / (capacity[0] or 1)
+    memory = (room[1] - demand[1]) / (capacity[1] or 1)
     # The sum of both and of their difference is twice the larger one.
     return 2.0 * (cpu if cpu > memory else memory) - SPEED_WEIGHT * worker.speed
 
 
-def observe_speed(worker: WorkerState, expected_s: float, run_s: float) -> None:
+def update_speed(worker: WorkerState, expected_s: float, run_s: float) -> None:
     """Learn a worker's speed from a run; 1 is the speed that the estimates assume."""
     if run_s > 0.0 and expected_s > 0.0:
         sample = min(max(expected_s / run_s, 0.25), 4.0)
-        worker.speed += SPEED_GAIN * (sample - worker.speed)
+        worker.speed += SPEED_SMOOTHING * (sample - worker.speed)
 
 
-def _in_least_used_rack(
-    index: CapacityIndex, task: Task, need: Amount, excluded: Collection[str], spread: RackSpread
+def _choose_in_least_used_rack(
+    index: CapacityIndex,
+    task: Task,
+    demand: ResourceVector,
+    excluded: Collection[str],
+    spread: RackSpread,
 ) -> WorkerState | None:
-    for rack in spread.order(task.job_id, index.racks):
+    for rack in spread.racks_by_use(task.job_id, index.racks):
         fitting = [
             worker
             for worker in index.racks[rack]
-            if fits(need, worker.room) and worker.name not in excluded
+            if fits(demand, worker.allocatable) and worker.name not in excluded
         ]
         if fitting:
-            return min(fitting, key=lambda worker: (score(worker, need), worker.name))
+            return min(fitting, key=lambda worker: (score(worker, demand), worker.name))
     return None
--- a/baobabhoist/scheduling/policy.py
+++ b/baobabhoist/scheduling/policy.py
@@ -13,7 +13,7 @@
 # The wait that counts as much as having exactly one's share, in seconds. A caller waits for a
 # request, nobody waits for a single batch task; within one kind the order is that of arrival,
 # which keeps the longest waits shortest.
-TOLERANCE_S = {
+WAIT_TOLERANCE_S = {
     WorkKind.REQUEST: 0.1,
     WorkKind.BATCH: 10.0,
     WorkKind.GANG: 10.0,
@@ -22,7 +22,7 @@
 
 # Requests are a few percent of the load and somebody waits for each of them, so a team's
 # requests are ordered as if it used only this part of its share.
-REQUEST_SHARE = 0.25
+REQUEST_SHARE_FACTOR = 0.25
 
 
 class PreemptionAction(enum.StrEnum):
@@ -37,7 +37,7 @@
 class Objective(Protocol):
     """Order the heads of the queues; the lowest rank is placed first."""
 
-    def rank(self, share: float, waited_s: float, kind: WorkKind) -> float:
+    def rank(self, entitlement_ratio: float, waited_s: float, kind: WorkKind) -> float:
         """Return the rank of a task whose team uses `share` of what it is entitled to."""
 
 
@@ -45,9 +45,13 @@
 class ShareObjective:
     """Place the work of the team that is furthest below its share."""
 
-    def rank(self, share: float, waited_s: float, kind: WorkKind) -> float:
+    def rank(self, entitlement_ratio: float, waited_s: float, kind: WorkKind) -> float:
         """Return the team's share, reduced for requests."""
-        return share * REQUEST_SHARE if kind is WorkKind.REQUEST else share
+        return (
+            entitlement_ratio * REQUEST_SHARE_FACTOR
+            if kind is WorkKind.REQUEST
+            else entitlement_ratio
+        )
 
 
 @attrs.frozen
@@ -58,9 +62,9 @@
     that both objectives can order the queues of one owner.
     """
 
-    def rank(self, share: float, waited_s: float, kind: WorkKind) -> float:
+    def rank(self, entitlement_ratio: float, waited_s: float, kind: WorkKind) -> float:
         """Return a rank that halves when the wait reaches the tolerance."""
-        return 1.0 / (1.0 + waited_s / TOLERANCE_S[kind])
+        return 1.0 / (1.0 + waited_s / WAIT_TOLERANCE_S[kind])
 
 
 OBJECTIVES: dict[str, Objective] = {
--- a/baobabhoist/scheduling/reservations.py
+++ b/baobabhoist/scheduling/reservations.py
@@ -8,26 +8,33 @@
 import attrs
 
 from baobabhoist.model import Task
-from baobabhoist.scheduling.capacity import Amount, CapacityIndex, WorkerState, fits, minus, plus
+from baobabhoist.scheduling.capacity import (
+    CapacityIndex,
+    ResourceVector,
+    WorkerState,
+    add,
+    fits,
+    subtract,
+)
 from baobabhoist.scheduling.queues import QueueEntry
 from baobabhoist.scheduling.results import Hold
 
 # Workers looked at when capacity has to be collected; a bound keeps planning independent of
 # the number of workers.
-SAMPLED_WORKERS = 32
+MAX_SAMPLED_WORKERS = 32
 # Work that still uses held capacity is stopped this long before the promised start.
-STOP_MARGIN_S = 0.5
+BACKFILL_STOP_MARGIN_S = 0.5
 
 # Yields (projected end, amount) of what runs on a worker.
-Ends = Callable[[WorkerState], list[tuple[float, Amount]]]
+ProjectedEnds = Callable[[WorkerState], list[tuple[float, ResourceVector]]]
 
 
 @attrs.define(eq=False)
-class Member:
+class ReservedTask:
     """Bind one task of a hold to the worker that is held for it."""
 
     task: Task
-    need: Amount
+    demand: ResourceVector
     worker: WorkerState
 
 
@@ -36,21 +43,22 @@
     """Hold capacity for all members; `entry` is set when the work comes from a queue."""
 
     job_id: str
-    members: list[Member]
+    members: list[ReservedTask]
     start_at: float
     expires_at: float
     entry: QueueEntry | None = None
     ready: bool = False
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether everything that is held is free now."""
-        return self.usable() and all(
-            min(minus(member.worker.free, member.worker.reserved)) >= 0 for member in self.members
+        return self.has_usable_workers() and all(
+            min(subtract(member.worker.free, member.worker.reserved)) >= 0
+            for member in self.members
         )
 
-    def usable(self) -> bool:
+    def has_usable_workers(self) -> bool:
         """Tell whether every worker may still be given work."""
-        return all(member.worker.usable() for member in self.members)
+        return all(member.worker.is_usable() for member in self.members)
 
     def as_hold(self) -> Hold:
         """Return what the caller sees."""
@@ -61,114 +69,126 @@
 class ReservationTable:
     """Keep the reservations of one owner; a worker collects capacity for one at a time."""
 
-    def __init__(self, index: CapacityIndex, ends: Ends) -> None:
+    def __init__(self, index: CapacityIndex, ends: ProjectedEnds) -> None:
         self.by_job: dict[str, Reservation] = {}
-        self.collecting: dict[str, Reservation] = {}
-        self.backfilled: dict[str, str] = {}
+        self.pending_by_worker: dict[str, Reservation] = {}
+        self.backfilled_tasks: dict[str, str] = {}
         self._index = index
-        self._ends = ends
+        self._projected_ends = ends
 
-    def plan(
+    def reserve(
         self,
         job_id: str,
-        tasks: list[tuple[Task, Amount]],
+        tasks: list[tuple[Task, ResourceVector]],
         now: float,
         expires_at: float,
         entry: QueueEntry | None = None,
-        only_now: bool = False,
+        immediate_only: bool = False,
     ) -> Reservation | None:
         """Reserve for all tasks or for none; largest first, on free capacity if there is any."""
-        members: list[Member] = []
+        members: list[ReservedTask] = []
         start_at = now
-        for task, need in sorted(tasks, key=lambda item: item[1], reverse=True):
-            found = self._index.search(need, 1)
+        for task, demand in sorted(tasks, key=lambda item: item[1], reverse=True):
+            found = self._index.find_workers(demand, 1)
             if found:
                 worker, at = found[0], now
-            elif only_now:
+            elif immediate_only:
                 worker, at = None, inf
             else:
-                worker, at = self._soonest(need, now, members)
+                worker, at = self._find_earliest_worker(demand, now, members)
             if worker is None or at > expires_at:
                 for member in members:
-                    self._index.unreserve(member.worker, member.need)
+                    self._index.unreserve(member.worker, member.demand)
                 return None
-            self._index.reserve(worker, need)
-            members.append(Member(task, need, worker))
+            self._index.reserve(worker, demand)
+            members.append(ReservedTask(task, demand, worker))
             start_at = max(start_at, at)
         reservation = Reservation(job_id, members, start_at, expires_at, entry)
-        self._record(reservation)
+        self._add(reservation)
         return reservation
 
     def reserve_on(
-        self, worker: WorkerState, entry: QueueEntry, need: Amount, now: float, expires_at: float
+        self,
+        worker: WorkerState,
+        entry: QueueEntry,
+        demand: ResourceVector,
+        now: float,
+        expires_at: float,
     ) -> Reservation:
-        """Reserve one worker for a task for which others make room."""
-        self._index.reserve(worker, need)
-        members = [Member(entry.task, need, worker)]
+        """Reserve one worker for a task for which others make available."""
+        self._index.reserve(worker, demand)
+        members = [ReservedTask(entry.task, demand, worker)]
         reservation = Reservation(entry.task.task_id, members, now, expires_at, entry)
-        self._record(reservation)
+        self._add(reservation)
         return reservation
 
-    def _record(self, reservation: Reservation) -> None:
+    def _add(self, reservation: Reservation) -> None:
         self.by_job[reservation.job_id] = reservation
-        if not reservation.complete():
+        if not reservation.is_complete():
             for member in reservation.members:
-                if min(minus(member.worker.free, member.worker.reserved)) < 0:
-                    self.collecting[member.worker.name] = reservation
+                if min(subtract(member.worker.free, member.worker.reserved)) < 0:
+                    self.pending_by_worker[member.worker.name] = reservation
 
-    def end(self, reservation: Reservation) -> None:
+    def remove(self, reservation: Reservation) -> None:
         """Drop a reservation and what it holds."""
         del self.by_job[reservation.job_id]
         for member in reservation.members:
-            self._index.unreserve(member.worker, member.need)
-            if self.collecting.get(member.worker.name) is reservation:
-                del self.collecting[member.worker.name]
+            self._index.unreserve(member.worker, member.demand)
+            if self.pending_by_worker.get(member.worker.name) is reservation:
+                del self.pending_by_worker[member.worker.name]
 
-    def has_gap(self, now: float) -> bool:
+    def has_backfill_window(self, now: float) -> bool:
         """Tell whether some held start is far enough ahead for other work."""
-        return any(found.start_at > now + STOP_MARGIN_S for found in self.collecting.values())
+        return any(
+            reservation.start_at > now + BACKFILL_STOP_MARGIN_S
+            for reservation in self.pending_by_worker.values()
+        )
 
-    def backfill(self, need: Amount, long_run_s: float, now: float) -> WorkerState | None:
+    def find_backfill_worker(
+        self, demand: ResourceVector, p90_run_s: float, now: float
+    ) -> WorkerState | None:
         """Return a collecting worker where a task would end before the held start."""
-        for name, reservation in self.collecting.items():
+        for name, reservation in self.pending_by_worker.items():
             worker = self._index.workers[name]
             if (
-                now + long_run_s + STOP_MARGIN_S < reservation.start_at
-                and worker.usable()
-                and fits(need, worker.free)
+                now + p90_run_s + BACKFILL_STOP_MARGIN_S < reservation.start_at
+                and worker.is_usable()
+                and fits(demand, worker.free)
             ):
                 return worker
         return None
 
-    def overdue(self, now: float) -> Iterator[tuple[str, str]]:
+    def take_overdue_backfills(self, now: float) -> Iterator[tuple[str, str]]:
         """Yield backfilled tasks that would delay a held start, with the job they delay."""
-        for task_id, job_id in list(self.backfilled.items()):
+        for task_id, job_id in list(self.backfilled_tasks.items()):
             reservation = self.by_job.get(job_id)
             if reservation is None:
-                del self.backfilled[task_id]
-            elif now + STOP_MARGIN_S >= reservation.start_at:
-                del self.backfilled[task_id]
+                del self.backfilled_tasks[task_id]
+            elif now + BACKFILL_STOP_MARGIN_S >= reservation.start_at:
+                del self.backfilled_tasks[task_id]
                 yield task_id, job_id
 
-    def _soonest(
-        self, need: Amount, now: float, members: list[Member]
+    def _find_earliest_worker(
+        self, demand: ResourceVector, now: float, members: list[ReservedTask]
     ) -> tuple[WorkerState | None, float]:
-        own = {member.worker.name for member in members}
+        own_workers = {member.worker.name for member in members}
         best, best_at = None, inf
-        for worker in self._index.sample(max(SAMPLED_WORKERS, 2 * len(members))):
-            if not worker.usable() or (worker.name in self.collecting and worker.name not in own):
+        for worker in self._index.sample_workers(max(MAX_SAMPLED_WORKERS, 2 * len(members))):
+            if not worker.is_usable() or (
+                worker.name in self.pending_by_worker and worker.name not in own_workers
+            ):
                 continue
-            at = self._ready_at(worker, need, now)
+            at = self._available_at(worker, demand, now)
             if at < best_at:
                 best, best_at = worker, at
         return best, best_at
 
-    def _ready_at(self, worker: WorkerState, need: Amount, now: float) -> float:
-        room = minus(worker.free, worker.reserved)
-        if not fits(plus(need, worker.reserved), worker.capacity):
+    def _available_at(self, worker: WorkerState, demand: ResourceVector, now: float) -> float:
+        available = subtract(worker.free, worker.reserved)
+        if not fits(add(demand, worker.reserved), worker.capacity):
             return inf
-        for at, amount in sorted(self._ends(worker)):
-            room = plus(room, amount)
-            if fits(need, room):
+        for at, amount in sorted(self._projected_ends(worker)):
+            available = add(available, amount)
+            if fits(demand, available):
                 return max(at, now)
         return inf
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -9,37 +9,37 @@
 from baobabhoist.model import Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.scheduling import admission
 from baobabhoist.scheduling.capacity import (
-    NOTHING,
-    Amount,
+    ZERO,
     Availability,
+    ResourceVector,
     WorkerState,
-    amount_of,
+    elementwise_max,
     fits,
-    larger,
-    minus,
+    subtract,
+    to_vector,
 )
 from baobabhoist.scheduling.explain import explain
-from baobabhoist.scheduling.health import MAX_TRACKED
-from baobabhoist.scheduling.holds import HOLD_S, HoldScheduler
-from baobabhoist.scheduling.placement import choose, observe_speed
+from baobabhoist.scheduling.health import MAX_TRACKED_ENTRIES
+from baobabhoist.scheduling.holds import HOLD_TIMEOUT_S, HoldScheduler
+from baobabhoist.scheduling.placement import choose_worker, update_speed
 from baobabhoist.scheduling.policy import PreemptionAction
-from baobabhoist.scheduling.preemption import Running, action_for, plan_room
-from baobabhoist.scheduling.queues import Lane, QueueEntry
+from baobabhoist.scheduling.preemption import PlacedTask, plan_preemption, preemption_action
+from baobabhoist.scheduling.queues import QueueEntry, Subqueue
 from baobabhoist.scheduling.results import Explanation, Placement, Preemption, Verdict
 from baobabhoist.scheduling.state import PlaceQuota as PlaceQuota
 
-BATCH_LIMIT = 32
+DEFAULT_BATCH_SIZE = 32
 # A call ends after this many tries even if little was placed; what found no room is remembered,
 # so the next call goes on with the rest.
-MAX_TRIES = 512
+MAX_PLACEMENT_ATTEMPTS = 512
 # Ranks, probes and holds are renewed this often; a call in between costs only what changed.
-UPKEEP_S = 0.1
-# Tasks of a lane that are tried for backfill; its head may be the one that runs too long.
-BACKFILL_LOOK = 8
+MAINTENANCE_INTERVAL_S = 0.1
+# Tasks of a subqueue that are tried for backfill; its head may be the one that runs too long.
+MAX_BACKFILL_CANDIDATES = 8
 # Estimates change the sizes of what waits, so sizes that found no room are tried again.
-UNBLOCK_S = 2.0
+SIZE_CLASS_RETRY_S = 2.0
 # Places may arrive from other shards without notice to the scheduler.
-UNLIMIT_S = 0.5
+LIMITED_TEAM_RETRY_S = 0.5
 
 
 class Scheduler(HoldScheduler):
@@ -62,19 +62,19 @@
         before = set(self.index.workers)
         self.index.set_workers(workers)
         for name in before - set(self.index.workers):
-            self.health.forget_worker(name)
-        self.fairness.total = self.index.total
-        self.fairness.changed()
-        self._largest = self._largest_worker()
+            self.health.remove_worker(name)
+        self.fairness.capacity = self.index.total
+        self.fairness.invalidate()
+        self._largest_capacity = self._find_largest_capacity()
         for reservation in list(self.reservations.by_job.values()):
             if any(m.worker.name not in self.index.workers for m in reservation.members):
                 self._end_reservation(reservation)
         for entry in {id(e): e for e in self.queues.entries.values()}.values():
-            refusal = self._never_fits(entry.members)
+            refusal = self._refuse_if_too_large(entry.members)
             if refusal is not None:
-                self._drop(entry)
+                self._remove_entry(entry)
                 self._refused.extend((task, refusal) for task in entry.members)
-        self.queues.unblock()
+        self.queues.unblock_all()
 
     # Queueing.
 
@@ -88,19 +88,19 @@
             known = task.task_id in self.running or task.task_id in self.queues.entries
             check(not known, Invariant.SCHEDULER, "task %s is queued or placed", task.task_id)
         first = tasks[0]
-        refusal = self._never_fits(tasks) or admission.refuse(
+        refusal = self._refuse_if_too_large(tasks) or admission.check_admission(
             first,
-            self.queues.team(first.team),
-            self._team(first.team),
-            self._queue(first.queue),
+            self.queues.team_queue(first.team),
+            self._team_policy(first.team),
+            self._queue_policy(first.queue),
             self.rates,
             now,
         )
         if refusal is not None:
             return refusal
-        need = max(self._need(task) for task in tasks)
-        run_s = max(self.estimator.run_s(task) for task in tasks)
-        entry = QueueEntry(first, tuple(tasks), need, run_s, next(self._seq))
+        demand = max(self._demand_of(task) for task in tasks)
+        run_s = max(self.estimator.median_run_s(task) for task in tasks)
+        entry = QueueEntry(first, tuple(tasks), demand, run_s, next(self._seq))
         self.queues.add(entry, now)
         return None
 
@@ -109,7 +109,7 @@
         entry = self.queues.entries.get(task_id)
         if entry is None:
             return False
-        self._drop(entry)
+        self._remove_entry(entry)
         return True
 
     def expire(self, now: float) -> list[Task]:
@@ -132,118 +132,138 @@
 
     # Placing.
 
-    def next_batch(self, now: float, limit: int = BATCH_LIMIT) -> list[Placement]:
+    def next_batch(self, now: float, limit: int = DEFAULT_BATCH_SIZE) -> list[Placement]:
         """Place what fits now, and return it for dispatch; call again if `limit` was reached."""
         self._now = now
         batch: list[Placement] = []
-        if now >= self._upkeep_at:
-            self._upkeep(now)
-        if self._check_holds:
-            self._commit_complete(now, batch)
-        extra = self._extra_room(now)
-        for _ in range(MAX_TRIES):
+        if now >= self._maintenance_at:
+            self._run_maintenance(now)
+        if self._holds_need_check:
+            self._commit_complete_holds(now, batch)
+        reserved_bound = self._reserved_capacity_bound(now)
+        for _ in range(MAX_PLACEMENT_ATTEMPTS):
             if len(batch) >= limit:
                 break
-            room = self.index.largest_open()
-            lane = self.queues.best(larger(room, extra) if extra else room, now)
-            entry = lane.head() if lane else None
-            if lane is None or entry is None:
+            room = self.index.max_allocatable()
+            subqueue = self.queues.next_subqueue(
+                elementwise_max(room, reserved_bound) if reserved_bound else room, now
+            )
+            entry = subqueue.head() if subqueue else None
+            if subqueue is None or entry is None:
                 break
-            self._serve(lane, entry, now, batch)
+            self._place_entry(subqueue, entry, now, batch)
         return batch
 
-    def _serve(self, lane: Lane, entry: QueueEntry, now: float, batch: list[Placement]) -> None:
+    def _place_entry(
+        self, subqueue: Subqueue, entry: QueueEntry, now: float, batch: list[Placement]
+    ) -> None:
         if len(entry.members) > 1:
-            self._serve_gang(lane, entry, now, batch)
+            self._place_gang(subqueue, entry, now, batch)
             return
         task = entry.task
-        need = entry.need = self._need(task)
-        excluded = self.health.excluded(task.task_id)
-        worker = choose(self.index, task, need, excluded, self.spread)
-        if worker is None and self.reservations.collecting and self._backfill(lane, now, batch):
+        demand = entry.demand = self._demand_of(task)
+        excluded = self.health.excluded_workers(task.task_id)
+        worker = choose_worker(self.index, task, demand, excluded, self.spread)
+        if (
+            worker is None
+            and self.reservations.pending_by_worker
+            and self._backfill(subqueue, now, batch)
+        ):
             return
-        probed = worker is None and bool(self.health.quarantined) and task.idempotent
-        if probed:
-            worker = self._probe(need, excluded, now)
+        is_probe = worker is None and bool(self.health.quarantined) and task.idempotent
+        if is_probe:
+            worker = self._find_probe_worker(demand, excluded, now)
         if worker is None:
-            self._no_room(lane, entry, need, now)
-        elif self._start(lane, entry, need, worker, now, batch) and probed:
-            self.health.probe(worker.name, task.task_id)
+            self._handle_no_capacity(subqueue, entry, demand, now)
+        elif self._start_entry(subqueue, entry, demand, worker, now, batch) and is_probe:
+            self.health.start_probe(worker.name, task.task_id)
 
-    def _start(
+    def _start_entry(
         self,
-        lane: Lane,
+        subqueue: Subqueue,
         entry: QueueEntry,
-        need: Amount,
+        demand: ResourceVector,
         worker: WorkerState,
         now: float,
         batch: list[Placement],
     ) -> bool:
         task = entry.task
         if self.places.acquire(task.team, task.task_id, worker.name) is not None:
-            self.queues.limit(lane.team)
+            self.queues.mark_limited(subqueue.team)
             return False
         self.queues.remove(entry)
-        batch.append(self._bind(task, need, worker, now))
-        self.queues.push(lane, now)
+        batch.append(self._bind(task, demand, worker, now))
+        self.queues.update_rank(subqueue, now)
         return True
 
-    def _backfill(self, lane: Lane, now: float, batch: list[Placement]) -> bool:
-        """Start one of the lane's first tasks where it ends before a held start."""
-        if not self.reservations.has_gap(now):
+    def _backfill(self, subqueue: Subqueue, now: float, batch: list[Placement]) -> bool:
+        """Start one of the subqueue's first tasks where it ends before a held start."""
+        if not self.reservations.has_backfill_window(now):
             return False
-        for _, _, entry in lane.heap[:BACKFILL_LOOK]:
+        for _, _, entry in subqueue.heap[:MAX_BACKFILL_CANDIDATES]:
             task = entry.task
-            if entry.lane is not lane or entry.held or not self._may_backfill(task):
+            if (
+                entry.subqueue is not subqueue
+                or entry.has_reservation
+                or not self._can_backfill(task)
+            ):
                 continue
-            need = entry.need
-            worker = self.reservations.backfill(need, self.estimator.long_run_s(task), now)
-            if worker is None or worker.name in self.health.excluded(task.task_id):
+            demand = entry.demand
+            worker = self.reservations.find_backfill_worker(
+                demand, self.estimator.p90_run_s(task), now
+            )
+            if worker is None or worker.name in self.health.excluded_workers(task.task_id):
                 continue
-            held_for = self.reservations.collecting[worker.name].job_id
-            if self._start(lane, entry, need, worker, now, batch):
-                self.reservations.backfilled[task.task_id] = held_for
+            delayed_job_id = self.reservations.pending_by_worker[worker.name].job_id
+            if self._start_entry(subqueue, entry, demand, worker, now, batch):
+                self.reservations.backfilled_tasks[task.task_id] = delayed_job_id
             return True
         return False
 
-    def _serve_gang(
-        self, lane: Lane, entry: QueueEntry, now: float, batch: list[Placement]
+    def _place_gang(
+        self, subqueue: Subqueue, entry: QueueEntry, now: float, batch: list[Placement]
     ) -> None:
-        needs = [(task, self._need(task)) for task in entry.members]
+        demands = [(task, self._demand_of(task)) for task in entry.members]
         job_id = entry.task.task_id
-        found = self.reservations.plan(job_id, needs, now, now + HOLD_S, entry, only_now=True)
-        if found is None:
-            self.queues.skip(lane)
+        reservation = self.reservations.reserve(
+            job_id, demands, now, now + HOLD_TIMEOUT_S, entry, immediate_only=True
+        )
+        if reservation is None:
+            self.queues.skip_until_refresh(subqueue)
         else:
-            self._commit_queued(found, now, batch)
-            if entry.lane is None:
-                self.queues.push(lane, now)
-
-    def _no_room(self, lane: Lane, entry: QueueEntry, need: Amount, now: float) -> None:
-        if lane.urgent and self._make_room(entry, need, now):
-            self.queues.push(lane, now)
-        elif self.health.excluded(entry.task.task_id):
-            self.queues.skip(lane)
+            self._commit_entry(reservation, now, batch)
+            if entry.subqueue is None:
+                self.queues.update_rank(subqueue, now)
+
+    def _handle_no_capacity(
+        self, subqueue: Subqueue, entry: QueueEntry, demand: ResourceVector, now: float
+    ) -> None:
+        if subqueue.urgent and self._preempt_for(entry, demand, now):
+            self.queues.update_rank(subqueue, now)
+        elif self.health.excluded_workers(entry.task.task_id):
+            self.queues.skip_until_refresh(subqueue)
         else:
-            self.queues.blocked(lane, need)
+            self.queues.block(subqueue, demand)
 
-    def _make_room(self, entry: QueueEntry, need: Amount, now: float) -> bool:
+    def _preempt_for(self, entry: QueueEntry, demand: ResourceVector, now: float) -> bool:
         task = entry.task
-        plan = plan_room(self.index, self.running, self._queue, task, need, now)
+        plan = plan_preemption(self.index, self.running, self._queue_policy, task, demand, now)
         if plan is None:
             return False
         if self.places.acquire(task.team, task.task_id, plan.worker.name) is not None:
-            self.queues.limit(self.queues.team(task.team))
+            self.queues.mark_limited(self.queues.team_queue(task.team))
             return False
-        entry.held = True
-        found = self.reservations.reserve_on(plan.worker, entry, need, now, now + HOLD_S)
-        self._placed_holds.add(found.job_id)
+        entry.has_reservation = True
+        reservation = self.reservations.reserve_on(
+            plan.worker, entry, demand, now, now + HOLD_TIMEOUT_S
+        )
+        self._holds_with_places.add(reservation.job_id)
         for preemption in plan.preemptions:
-            self.running[preemption.task_id].making_room = True
+            self.running[preemption.task_id].is_being_preempted = True
         self._preemptions.extend(plan.preemptions)
         return True
 
-    # Ends.
+    # ProjectedEnds.
 
     def task_ended(
         self,
@@ -262,119 +282,126 @@
         check(task_id in self.running, Invariant.SCHEDULER, "task %s is not placed", task_id)
         running = self.running[task_id]
         worker, task = running.worker, running.declared
-        self.index.give(worker, running.need, task_id)
+        self.index.release(worker, running.demand, task_id)
         del self.running[task_id]
-        self.fairness.give(task.team, running.need)
+        self.fairness.remove_usage(task.team, running.demand)
         if task.kind is WorkKind.SERVICE:
             self.spread.remove(task.job_id, worker.spec.rack)
-        self.reservations.backfilled.pop(task_id, None)
+        self.reservations.backfilled_tasks.pop(task_id, None)
         verdict = Verdict.RETRY
-        if not running.adopted:
+        if not running.is_adopted:
             self.places.release(task_id)
             if preempted:
-                self.health.forget_probe(worker.name, task_id)
+                self.health.cancel_probe(worker.name, task_id)
             else:
-                verdict = self._learn(running, succeeded, now, usage)
+                verdict = self._record_outcome(running, succeeded, now, usage)
         elif succeeded:
             verdict = Verdict.DONE
-        self._check_holds = self._check_holds or bool(self.reservations.by_job)
-        collecting = worker.name in self.reservations.collecting
-        self.queues.grew(worker.free if collecting else worker.room, worker)
-        self.queues.team_changed(task.team, now)
+        self._holds_need_check = self._holds_need_check or bool(self.reservations.by_job)
+        collecting = worker.name in self.reservations.pending_by_worker
+        self.queues.capacity_freed(worker.free if collecting else worker.allocatable, worker)
+        self.queues.rerank_team(task.team, now)
         return verdict
 
-    def _learn(
-        self, running: Running, succeeded: bool, now: float, usage: Resources | None
+    def _record_outcome(
+        self, running: PlacedTask, succeeded: bool, now: float, usage: Resources | None
     ) -> Verdict:
         task, worker = running.declared, running.worker
         job = task.job_id or f"{task.team}/{task.queue}"
         if succeeded:
             run_s = now - running.placement.placed_at
-            observe_speed(worker, running.run_s, run_s)
-            self.estimator.observe(task, run_s, usage)
-            self._peaks.pop(task.task_id, None)
-            if self.health.succeeded(task.task_id, job, worker.name):
+            update_speed(worker, running.median_run_s, run_s)
+            self.estimator.observe_success(task, run_s, usage)
+            self._peak_usage.pop(task.task_id, None)
+            if self.health.record_success(task.task_id, job, worker.name):
                 worker.quarantined = False
-                self.index.changed(worker)
+                self.index.update(worker)
             return Verdict.DONE
         if usage is not None:
             self.estimator.observe_usage(task, usage)
-            self._peaks[task.task_id] = amount_of(usage)
-            if len(self._peaks) > MAX_TRACKED:
-                self._peaks.popitem(last=False)
-        usable = sum(1 for w in self.index.workers.values() if w.usable())
-        verdict = self.health.failed(task.task_id, job, worker.name, now, usable)
-        if self.health.suspect(worker.name, len(self.index.workers), now):
+            self._peak_usage[task.task_id] = to_vector(usage)
+            if len(self._peak_usage) > MAX_TRACKED_ENTRIES:
+                self._peak_usage.popitem(last=False)
+        usable = sum(1 for w in self.index.workers.values() if w.is_usable())
+        verdict = self.health.record_failure(task.task_id, job, worker.name, now, usable)
+        if self.health.quarantine_if_suspect(worker.name, len(self.index.workers), now):
             worker.quarantined = True
-            self.index.changed(worker)
+            self.index.update(worker)
         return verdict
 
     def task_throttled(self, task_id: str, cpu_milli: int) -> None:
         """Note that a worker limits a task to these processors."""
         running = self.running.get(task_id)
-        if running is None or cpu_milli >= running.need[0]:
+        if running is None or cpu_milli >= running.demand[0]:
             return
-        kept = (cpu_milli, running.need[1], running.need[2], running.need[3])
-        self.index.give(running.worker, running.need, task_id)
-        self.index.take(running.worker, kept, task_id)
-        self.fairness.give(running.declared.team, running.need)
-        self.fairness.take(running.declared.team, kept)
-        running.need = kept
-        self._check_holds = True
+        kept = (cpu_milli, running.demand[1], running.demand[2], running.demand[3])
+        self.index.release(running.worker, running.demand, task_id)
+        self.index.allocate(running.worker, kept, task_id)
+        self.fairness.remove_usage(running.declared.team, running.demand)
+        self.fairness.add_usage(running.declared.team, kept)
+        running.demand = kept
+        self._holds_need_check = True
 
     # Upkeep.
 
-    def _upkeep(self, now: float) -> None:
-        self._upkeep_at = now + UPKEEP_S
-        self._check_holds = bool(self.reservations.by_job)
+    def _run_maintenance(self, now: float) -> None:
+        self._maintenance_at = now + MAINTENANCE_INTERVAL_S
+        self._holds_need_check = bool(self.reservations.by_job)
         self.rates.update(now)
-        for task_id, job_id in self.reservations.overdue(now):
+        for task_id, job_id in self.reservations.take_overdue_backfills(now):
             running = self.running.get(task_id)
-            if running is not None and not running.making_room:
-                running.making_room = True
-                policy = self._queue(running.declared.queue)
-                action = action_for(running.declared, policy)
+            if running is not None and not running.is_being_preempted:
+                running.is_being_preempted = True
+                policy = self._queue_policy(running.declared.queue)
+                action = preemption_action(running.declared, policy)
                 self._preemptions.append(Preemption(task_id, running.worker.name, action, job_id))
         if now >= self._limited_teams_retry_at:
-            self._limited_teams_retry_at = now + UNLIMIT_S
-            self.queues.unlimit(now)
-            for name in self.health.probe_due(now):
+            self._limited_teams_retry_at = now + LIMITED_TEAM_RETRY_S
+            self.queues.retry_limited_teams(now)
+            for name in self.health.workers_due_for_probe(now):
                 worker = self.index.workers.get(name)
                 if worker is not None and worker.availability is Availability.UP:
-                    self.queues.grew(minus(worker.free, worker.reserved), worker)
-        if now >= self._unblock_at:
-            self._unblock_at = now + UNBLOCK_S
-            self.queues.unblock()
-        self._reserve_for_starved(self.queues.refresh(now), now)
+                    self.queues.capacity_freed(subtract(worker.free, worker.reserved), worker)
+        if now >= self._size_class_retry_at:
+            self._size_class_retry_at = now + SIZE_CLASS_RETRY_S
+            self.queues.unblock_all()
+        self._reserve_for_starved(self.queues.refresh_ranks(now), now)
 
     # Helpers.
 
-    def _extra_room(self, now: float) -> Amount | None:
+    def _reserved_capacity_bound(self, now: float) -> ResourceVector | None:
         """Return a bound on what backfill and probes may use, or None when there are none."""
-        if not self.reservations.collecting and not self.health.quarantined:
+        if not self.reservations.pending_by_worker and not self.health.quarantined:
             return None
-        room = NOTHING
-        for name in [*self.reservations.collecting, *self.health.probe_due(now)]:
-            room = larger(room, self.index.workers[name].free)
+        room = ZERO
+        for name in [
+            *self.reservations.pending_by_worker,
+            *self.health.workers_due_for_probe(now),
+        ]:
+            room = elementwise_max(room, self.index.workers[name].free)
         return room
 
-    def _probe(self, need: Amount, excluded: list[str], now: float) -> WorkerState | None:
-        for name in self.health.probe_due(now):
+    def _find_probe_worker(
+        self, demand: ResourceVector, excluded: list[str], now: float
+    ) -> WorkerState | None:
+        for name in self.health.workers_due_for_probe(now):
             worker = self.index.workers[name]
             up = worker.availability is Availability.UP
-            room = minus(worker.free, worker.reserved)
-            if up and name not in excluded and fits(need, room):
+            room = subtract(worker.free, worker.reserved)
+            if up and name not in excluded and fits(demand, room):
                 return worker
         return None
 
-    def _may_backfill(self, task: Task) -> bool:
-        return action_for(task, self._queue(task.queue)) in (
+    def _can_backfill(self, task: Task) -> bool:
+        return preemption_action(task, self._queue_policy(task.queue)) in (
             PreemptionAction.STOP,
             PreemptionAction.CHECKPOINT,
         )
 
-    def _drop(self, entry: QueueEntry) -> None:
-        held = self.reservations.by_job.get(entry.task.task_id) if entry.held else None
+    def _remove_entry(self, entry: QueueEntry) -> None:
+        reservation = (
+            self.reservations.by_job.get(entry.task.task_id) if entry.has_reservation else None
+        )
         self.queues.remove(entry)
-        if held is not None and held.entry is entry:
-            self._end_reservation(held)
+        if reservation is not None and reservation.entry is entry:
+            self._end_reservation(reservation)
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -14,29 +14,29 @@
 from baobabhoist.model import Resources, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.scheduling import admission
 from baobabhoist.scheduling.capacity import (
-    NOTHING,
-    Amount,
+    ZERO,
     Availability,
     CapacityIndex,
+    ResourceVector,
     WorkerState,
-    amount_of,
     fits,
-    resources_of,
+    to_resources,
+    to_vector,
 )
-from baobabhoist.scheduling.estimates import RETRY_MARGIN, Estimator
+from baobabhoist.scheduling.estimates import RETRY_MEMORY_FACTOR, Estimator
 from baobabhoist.scheduling.fairness import FairShareTracker
-from baobabhoist.scheduling.health import HealthBook
+from baobabhoist.scheduling.health import HealthTracker
 from baobabhoist.scheduling.placement import RackSpread
 from baobabhoist.scheduling.policy import OBJECTIVES, QueuePolicy, TeamPolicy
-from baobabhoist.scheduling.preemption import Running
-from baobabhoist.scheduling.queues import Lane, QueueEntry, TaskQueues
+from baobabhoist.scheduling.preemption import PlacedTask
+from baobabhoist.scheduling.queues import QueueEntry, Subqueue, TaskQueues
 from baobabhoist.scheduling.reservations import ReservationTable
 from baobabhoist.scheduling.results import Placement, Preemption
 
 URGENT_RANK = -1e9
 
-_DEFAULT_QUEUE = QueuePolicy()
-_DEFAULT_TEAM = TeamPolicy()
+_DEFAULT_QUEUE_POLICY = QueuePolicy()
+_DEFAULT_TEAM_POLICY = TeamPolicy()
 
 
 class PlaceQuota(Protocol):
@@ -57,31 +57,31 @@
         self.index = CapacityIndex(workers)
         self.fairness = FairShareTracker(self.index.total)
         self.queues = TaskQueues(self._rank)
-        self.health = HealthBook()
+        self.health = HealthTracker()
         self.estimator = Estimator()
-        self.reservations = ReservationTable(self.index, self._ends)
-        self.running: dict[str, Running] = {}
+        self.reservations = ReservationTable(self.index, self._projected_ends)
+        self.running: dict[str, PlacedTask] = {}
         self.spread = RackSpread()
         self.rates = admission.StartRates()
-        self._queues: Mapping[str, QueuePolicy] = {}
-        self._teams: Mapping[str, TeamPolicy] = {}
-        self._largest = self._largest_worker()
-        self._peaks: OrderedDict[str, Amount] = OrderedDict()
-        self._placed_holds: set[str] = set()
+        self._queue_policies: Mapping[str, QueuePolicy] = {}
+        self._team_policies: Mapping[str, TeamPolicy] = {}
+        self._largest_capacity = self._find_largest_capacity()
+        self._peak_usage: OrderedDict[str, ResourceVector] = OrderedDict()
+        self._holds_with_places: set[str] = set()
         self._preemptions: list[Preemption] = []
         self._refused: list[tuple[Task, Refusal]] = []
         self._seq = itertools.count(1)
         self._now = 0.0
-        self._upkeep_at = 0.0
-        self._unblock_at = 0.0
+        self._maintenance_at = 0.0
+        self._size_class_retry_at = 0.0
         self._limited_teams_retry_at = 0.0
-        self._check_holds = False
+        self._holds_need_check = False
 
     @property
     def free_resources(self) -> dict[str, Resources]:
         """Return the free capacity of each worker that is up."""
         workers = self.index.workers.values()
-        return {w.name: resources_of(w.free) for w in workers if w.availability is Availability.UP}
+        return {w.name: to_resources(w.free) for w in workers if w.availability is Availability.UP}
 
     @property
     def queued_tasks(self) -> dict[str, Task]:
@@ -97,7 +97,7 @@
     def worker_up(self, worker: str) -> None:
         """Offer a worker's whole capacity, less what is placed there."""
         self._set_availability(worker, Availability.UP)
-        self.queues.unblock()
+        self.queues.unblock_all()
 
     def worker_down(self, worker: str) -> None:
         """Stop placing work on a worker."""
@@ -117,65 +117,70 @@
             if item.task_id in self.running:
                 continue
             task = Task(item.task_id, item.team, "", WorkKind.BATCH, item.resources, now, now)
-            need = amount_of(item.resources)
-            self.index.adopt(state, need, item.task_id)
-            self.fairness.take(item.team, need)
+            demand = to_vector(item.resources)
+            self.index.adopt(state, demand, item.task_id)
+            self.fairness.add_usage(item.team, demand)
             placement = Placement(task, worker, now)
-            self.running[item.task_id] = Running(
-                placement, task, need, state, task.expected_run_s, task.expected_run_s, True
+            self.running[item.task_id] = PlacedTask(
+                placement, task, demand, state, task.expected_run_s, task.expected_run_s, True
             )
 
     def set_policies(
         self, queues: Mapping[str, QueuePolicy], teams: Mapping[str, TeamPolicy]
     ) -> None:
         """Use these policies from now on."""
-        self._queues, self._teams = queues, teams
+        self._queue_policies, self._team_policies = queues, teams
         self.fairness.weights = {name: policy.weight for name, policy in teams.items()}
-        self.fairness.changed()
-        self._upkeep_at = 0.0
+        self.fairness.invalidate()
+        self._maintenance_at = 0.0
 
     def set_fleet_usage(self, elsewhere: Mapping[str, float], local_fraction: float = 1.0) -> None:
         """Count the teams' dominant shares of the fleet elsewhere.
 
         `local_fraction` is this owner's part of the fleet's capacity.
         """
-        self.fairness.elsewhere = elsewhere
+        self.fairness.remote_shares = elsewhere
         self.fairness.local_fraction = local_fraction
-        self.fairness.changed()
-        self._upkeep_at = 0.0
+        self.fairness.invalidate()
+        self._maintenance_at = 0.0
 
     def places_changed(self) -> None:
         """Look again at the teams without a place, after places arrived from elsewhere."""
-        self.queues.unlimit(self._now)
+        self.queues.retry_limited_teams(self._now)
 
-    def _bind(self, task: Task, need: Amount, worker: WorkerState, now: float) -> Placement:
+    def _bind(
+        self, task: Task, demand: ResourceVector, worker: WorkerState, now: float
+    ) -> Placement:
         placed = task.task_id in self.running
         check(not placed, Invariant.SCHEDULER, "task %s is placed already", task.task_id)
-        self.index.take(worker, need, task.task_id)
-        self.fairness.take(task.team, need)
-        self.rates.started(task.team)
+        self.index.allocate(worker, demand, task.task_id)
+        self.fairness.add_usage(task.team, demand)
+        self.rates.record_start(task.team)
         if task.kind is WorkKind.SERVICE:
             self.spread.add(task.job_id, worker.spec.rack)
         granted = task
-        if need != amount_of(task.resources):
-            granted = attrs.evolve(task, resources=resources_of(need))
+        if demand != to_vector(task.resources):
+            granted = attrs.evolve(task, resources=to_resources(demand))
         placement = Placement(granted, worker.name, now)
-        run_s, long_run_s = self.estimator.run_s(task), self.estimator.long_run_s(task)
-        self.running[task.task_id] = Running(placement, task, need, worker, run_s, long_run_s)
+        run_s, p90_run_s = self.estimator.median_run_s(task), self.estimator.p90_run_s(task)
+        self.running[task.task_id] = PlacedTask(placement, task, demand, worker, run_s, p90_run_s)
         return placement
 
-    def _need(self, task: Task) -> Amount:
-        need, declared = self.estimator.need(task, self._largest), amount_of(task.resources)
-        peak = self._peaks.get(task.task_id)
+    def _demand_of(self, task: Task) -> ResourceVector:
+        demand, declared = (
+            self.estimator.estimate_demand(task, self._largest_capacity),
+            to_vector(task.resources),
+        )
+        peak = self._peak_usage.get(task.task_id)
         if peak is not None:
-            memory = max(declared[1], round(peak[1] * RETRY_MARGIN))
-            memory = max(need[1], min(memory, self._largest[1]))
-            need = (max(need[0], declared[0]), memory, need[2], need[3])
-        return need if fits(need, declared) or self.index.could_ever_fit(need) else declared
+            memory = max(declared[1], round(peak[1] * RETRY_MEMORY_FACTOR))
+            memory = max(demand[1], min(memory, self._largest_capacity[1]))
+            demand = (max(demand[0], declared[0]), memory, demand[2], demand[3])
+        return demand if fits(demand, declared) or self.index.could_ever_fit(demand) else declared
 
-    def _never_fits(self, tasks: Iterable[Task]) -> Refusal | None:
+    def _refuse_if_too_large(self, tasks: Iterable[Task]) -> Refusal | None:
         for task in tasks:
-            if not self.index.could_ever_fit(amount_of(task.resources)):
+            if not self.index.could_ever_fit(to_vector(task.resources)):
                 return Refusal(
                     ErrorKind.NEVER_FITS,
                     f"no worker in the records has room for {task.resources}",
@@ -183,28 +188,30 @@
                 )
         return None
 
-    def _largest_worker(self) -> Amount:
+    def _find_largest_capacity(self) -> ResourceVector:
         capacities = [worker.capacity for worker in self.index.workers.values()]
-        return max(capacities, default=NOTHING)
+        return max(capacities, default=ZERO)
 
-    def _ends(self, worker: WorkerState) -> list[tuple[float, Amount]]:
+    def _projected_ends(self, worker: WorkerState) -> list[tuple[float, ResourceVector]]:
         found = (self.running[task_id] for task_id in worker.tasks)
-        return [(running.projected_end(self._now), running.need) for running in found]
+        return [(running.projected_end(self._now), running.demand) for running in found]
 
-    def _rank(self, lane: Lane, entry: QueueEntry, now: float) -> float:
-        if lane.urgent:
+    def _rank(self, subqueue: Subqueue, entry: QueueEntry, now: float) -> float:
+        if subqueue.urgent:
             return URGENT_RANK
-        objective = OBJECTIVES[self._queue(lane.queue).objective]
-        return objective.rank(self.fairness.share(lane.team.name), entry.waited_s(now), lane.kind)
+        objective = OBJECTIVES[self._queue_policy(subqueue.queue).objective]
+        return objective.rank(
+            self.fairness.entitlement_ratio(subqueue.team.name), entry.waited_s(now), subqueue.kind
+        )
 
     def _set_availability(self, worker: str, availability: Availability) -> None:
         state = self.index.workers.get(worker)
         if state is not None:
             state.availability = availability
-            self.index.changed(state)
+            self.index.update(state)
 
-    def _queue(self, name: str) -> QueuePolicy:
-        return self._queues.get(name, _DEFAULT_QUEUE)
+    def _queue_policy(self, name: str) -> QueuePolicy:
+        return self._queue_policies.get(name, _DEFAULT_QUEUE_POLICY)
 
-    def _team(self, name: str) -> TeamPolicy:
-        return self._teams.get(name, _DEFAULT_TEAM)
+    def _team_policy(self, name: str) -> TeamPolicy:
+        return self._team_policies.get(name, _DEFAULT_TEAM_POLICY)
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -347,16 +347,18 @@
     @invariant()
     def amounts_agree(self):
         made, ready = self.made, 0
-        for found in made.reservations.by_job.values():
-            ready += len(found.members) if found.job_id in made._placed_holds else 0
+        for reservation in made.reservations.by_job.values():
+            ready += (
+                len(reservation.members) if reservation.job_id in made._holds_with_places else 0
+            )
         assert len(made.places.running) == len(made.running) + ready
         for worker in made.index.workers.values():
             here = [r for r in made.running.values() if r.worker is worker]
-            assert sum(r.need[0] for r in here) + worker.free[0] == worker.capacity[0]
+            assert sum(r.demand[0] for r in here) + worker.free[0] == worker.capacity[0]
             assert min(worker.free) >= 0 and {r.declared.task_id for r in here} == worker.tasks
         waiting = made.queued_tasks.keys()
         assert not waiting & made.running.keys()
-        assert sum(line.queued for line in made.queues.teams.values()) == len(waiting)
+        assert sum(team.task_count for team in made.queues.teams.values()) == len(waiting)
 
 
 TestSchedulerMachine = SchedulerMachine.TestCase
