--- a/baobabhoist/scheduling/admission.py
+++ b/baobabhoist/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Refuse work early when it cannot be served in time."""
+"""Control admission: refuse work early that cannot be served in time."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from baobabhoist.scheduling.policy import QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.queues import TeamQueue
 
-# The rate is learnt over about this long, in seconds.
+# Time constant of the moving average of the start rates.
 RATE_WINDOW_S = 10.0
-# Shorter queues drain in unpredictable bursts, so no wait is predicted from them.
+# Shorter queues drain in unpredictable bursts, so no wait is predicted for them.
 MIN_PREDICTED_QUEUE = 32
 MAX_RETRY_AFTER_S = 60.0
 
 
 @attrs.define
 class StartRates:
-    """Keep how many tasks of each team start per second."""
+    """Track how many tasks of each team start per second."""
 
     rates: dict[str, float] = attrs.Factory(dict)
     _starts: dict[str, int] = attrs.Factory(dict)
     _updated_at: float = 0.0
 
     def record_start(self, team: str) -> None:
-        """Count a start."""
+        """Count the start of a task."""
         self._starts[team] = self._starts.get(team, 0) + 1
 
     def update(self, now: float) -> None:
-        """Fold the starts since the last update into the rates, about once a second."""
+        """Add the starts since the last update to the moving averages, at most once a second."""
         elapsed_s = now - self._updated_at
         if elapsed_s < 1.0:
             return
@@ -43,7 +43,7 @@
         self._updated_at = now
 
     def predicted_wait_s(self, team: str, queued: int) -> float | None:
-        """Return how long a queue of this length takes to start, or None when unknown."""
+        """Return how long a queue of this length takes to start, or None if that is unknown."""
         rate = self.rates.get(team)
         return queued / rate if rate else None
 
@@ -56,7 +56,10 @@
     rates: StartRates,
     now: float,
 ) -> Refusal | None:
-    """Return why a task is not queued: the queue is full, or its deadline would pass in it."""
+    """Return why a task is not admitted, or None.
+
+    A task is refused if its queue is full or its deadline is predicted to pass in the queue.
+    """
     wait_s = rates.predicted_wait_s(task.team, team_queue.task_count)
     if team_queue.task_count >= team_policy.max_queued:
         return _queue_full_refusal(task, f"holds {team_queue.task_count} tasks, its limit", wait_s)
@@ -86,6 +89,6 @@
     return Refusal(
         ErrorKind.QUEUE_FULL,
         f"the queue of team {task.team} {reason}",
-        remedy="send less at once, or again after the given time",
+        remedy="send fewer tasks at once, or retry after the given time",
         retry_after_s=min(max(wait_s or 1.0, 0.5), MAX_RETRY_AFTER_S),
     )
--- a/baobabhoist/scheduling/capacity.py
+++ b/baobabhoist/scheduling/capacity.py
@@ -1,4 +1,4 @@
-"""Index the free capacity of an owner's workers."""
+"""Track the capacity of a shard's workers and find workers on which a task fits."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 from baobabhoist.invariants import Invariant, check
 from baobabhoist.model import Resources, WorkerSpec
 
-# Amounts are plain tuples (millicores, MiB, devices, slots): comparing and adding attrs
-# objects would take a large part of the time of a decision.
+# Resource vectors are plain tuples (millicores, MiB, devices, slots): comparing and adding attrs
+# objects would take a large part of the time of a placement decision.
 ResourceVector = tuple[int, int, int, int]
 
 ZERO: ResourceVector = (0, 0, 0, 0)
+# Allocatable capacity of a worker that gets no new work; no demand fits in it.
 UNAVAILABLE: ResourceVector = (-1, -1, -1, -1)
 
 
 def to_vector(resources: Resources) -> ResourceVector:
-    """Return resources as a tuple."""
+    """Convert resources to a vector."""
     return (resources.cpu_milli, resources.memory_mb, resources.accelerators, resources.slots)
 
 
-def to_resources(amount: ResourceVector) -> Resources:
-    """Return a tuple as resources."""
-    return Resources(*amount)
+def to_resources(vector: ResourceVector) -> Resources:
+    """Convert a vector to resources."""
+    return Resources(*vector)
 
 
 def fits(demand: ResourceVector, free: ResourceVector) -> bool:
-    """Tell whether an amount is available in another."""
+    """Return whether each resource of a demand is available."""
     return (
         demand[0] <= free[0]
         and demand[1] <= free[1]
@@ -40,17 +41,17 @@
 
 
 def add(left: ResourceVector, right: ResourceVector) -> ResourceVector:
-    """Return the sum."""
+    """Return the elementwise sum."""
     return (left[0] + right[0], left[1] + right[1], left[2] + right[2], left[3] + right[3])
 
 
 def subtract(left: ResourceVector, right: ResourceVector) -> ResourceVector:
-    """Return the difference; it may go below zero."""
+    """Return the elementwise difference, which may be negative."""
     return (left[0] - right[0], left[1] - right[1], left[2] - right[2], left[3] - right[3])
 
 
 def elementwise_max(left: ResourceVector, right: ResourceVector) -> ResourceVector:
-    """Return the larger amount of each resource."""
+    """Return the larger value of each resource."""
     return (
         left[0] if left[0] > right[0] else right[0],
         left[1] if left[1] > right[1] else right[1],
@@ -60,7 +61,7 @@
 
 
 class Availability(enum.Enum):
-    """Say whether a worker may be given new work."""
+    """Define whether a worker accepts new work."""
 
     DOWN = "down"
     UP = "up"
@@ -69,21 +70,21 @@
 
 @attrs.define(eq=False)
 class WorkerState:
-    """Hold what the owner knows of one worker; only the index changes the amounts.
+    """Hold the state of one worker; only `CapacityIndex` changes its resource vectors.
 
-    `allocatable` is what ordinary work may use: what is free and not reserved.
+    `allocatable` is the capacity that is free, not reserved, and open to ordinary work.
     """
 
     spec: WorkerSpec
     capacity: ResourceVector
     free: ResourceVector
-    position: int = 0
+    leaf_index: int = 0
     reserved: ResourceVector = ZERO
     availability: Availability = Availability.DOWN
-    quarantined: bool = False
+    is_quarantined: bool = False
     speed: float = 1.0
     allocatable: ResourceVector = UNAVAILABLE
-    tasks: set[str] = attrs.Factory(set)
+    task_ids: set[str] = attrs.Factory(set)
 
     @property
     def name(self) -> str:
@@ -91,18 +92,18 @@
         return self.spec.name
 
     def is_usable(self) -> bool:
-        """Tell whether the worker may be given ordinary work."""
-        return self.availability is Availability.UP and not self.quarantined
+        """Return whether the worker may be given ordinary work."""
+        return self.availability is Availability.UP and not self.is_quarantined
 
     def compute_allocatable(self) -> ResourceVector:
-        """Compute `allocatable`."""
+        """Return the value that `allocatable` should have."""
         return subtract(self.free, self.reserved) if self.is_usable() else UNAVAILABLE
 
 
 class CapacityIndex:
-    """Find workers with room in logarithmic time.
+    """Find workers with enough allocatable capacity in logarithmic time.
 
-    A binary tree over the workers, ordered by rack, keeps the largest open amount of each
+    A binary tree over the workers, ordered by rack, keeps the largest allocatable amount of each
     resource below every node, so a search skips the subtrees in which nothing can fit.
     """
 
@@ -118,97 +119,97 @@
         self.set_workers(specs)
 
     def set_workers(self, specs: Iterable[WorkerSpec]) -> None:
-        """Take a new list of workers; known ones keep their state."""
-        known = self.workers
+        """Replace the list of workers; workers that are already known keep their state."""
+        previous = self.workers
         self.workers = {}
         for spec in specs:
             capacity = to_vector(spec.capacity)
-            state = known.get(spec.name)
-            if state is None:
-                state = WorkerState(spec, capacity, capacity)
-            elif state.spec != spec:
-                state.free = add(state.free, subtract(capacity, state.capacity))
-                state.spec, state.capacity = spec, capacity
-            self.workers[spec.name] = state
-        for name, state in known.items():
-            if name not in self.workers and state.tasks:
-                state.availability = Availability.LEAVING
-                self.workers[name] = state
+            worker = previous.get(spec.name)
+            if worker is None:
+                worker = WorkerState(spec, capacity, capacity)
+            elif worker.spec != spec:
+                worker.free = add(worker.free, subtract(capacity, worker.capacity))
+                worker.spec, worker.capacity = spec, capacity
+            self.workers[spec.name] = worker
+        for name, worker in previous.items():
+            if name not in self.workers and worker.task_ids:
+                worker.availability = Availability.LEAVING
+                self.workers[name] = worker
         self._rebuild()
 
     def could_ever_fit(self, demand: ResourceVector) -> bool:
-        """Tell whether the amount fits in some worker's whole capacity."""
+        """Return whether the demand fits in the total capacity of any worker."""
         return any(fits(demand, capacity) for capacity in self._capacity_counts)
 
     def might_fit(self, demand: ResourceVector) -> bool:
-        """Tell in constant time whether a search may succeed; true is not a promise."""
+        """Return in constant time whether a search may succeed; False is certain, True is not."""
         return fits(demand, self._tree[1])
 
     def max_allocatable(self) -> ResourceVector:
-        """Return the largest open amount of each resource on any worker."""
+        """Return the largest allocatable amount of each resource on any worker."""
         return self._tree[1]
 
-    def allocate(self, state: WorkerState, demand: ResourceVector, task_id: str) -> None:
-        """Take capacity for a task; taking more than is free is refused."""
-        left = subtract(state.free, demand)
+    def allocate(self, worker: WorkerState, demand: ResourceVector, task_id: str) -> None:
+        """Allocate free capacity to a task; raises InvariantBreachError if there is too little."""
+        remaining = subtract(worker.free, demand)
         check(
-            min(left) >= 0 and task_id not in state.tasks,
+            min(remaining) >= 0 and task_id not in worker.task_ids,
             Invariant.SCHEDULER,
-            "task %s takes %s of %s on worker %s",
+            "task %s cannot be allocated %s of %s free on worker %s",
             task_id,
             demand,
-            state.free,
-            state.spec.name,
+            worker.free,
+            worker.spec.name,
         )
-        state.free = left
-        state.tasks.add(task_id)
-        self.update(state)
-
-    def adopt(self, state: WorkerState, demand: ResourceVector, task_id: str) -> None:
-        """Count a task that the worker runs already, even when it exceeds the capacity."""
-        if task_id not in state.tasks:
-            state.free = subtract(state.free, demand)
-            state.tasks.add(task_id)
-            self.update(state)
-
-    def release(self, state: WorkerState, demand: ResourceVector, task_id: str) -> None:
-        """Give the capacity of an ended task back."""
-        free = add(state.free, demand)
+        worker.free = remaining
+        worker.task_ids.add(task_id)
+        self.update(worker)
+
+    def adopt(self, worker: WorkerState, demand: ResourceVector, task_id: str) -> None:
+        """Allocate capacity to a task that the worker already runs, even beyond what is free."""
+        if task_id not in worker.task_ids:
+            worker.free = subtract(worker.free, demand)
+            worker.task_ids.add(task_id)
+            self.update(worker)
+
+    def release(self, worker: WorkerState, demand: ResourceVector, task_id: str) -> None:
+        """Release the capacity of an ended task."""
+        free = add(worker.free, demand)
         check(
-            task_id in state.tasks and fits(free, state.capacity),
+            task_id in worker.task_ids and fits(free, worker.capacity),
             Invariant.SCHEDULER,
-            "task %s gives %s back to worker %s twice",
+            "task %s releases %s on worker %s without holding it",
             task_id,
             demand,
-            state.spec.name,
+            worker.spec.name,
         )
-        state.free = free
-        state.tasks.remove(task_id)
-        self.update(state)
+        worker.free = free
+        worker.task_ids.remove(task_id)
+        self.update(worker)
 
-    def reserve(self, state: WorkerState, demand: ResourceVector) -> None:
-        """Keep capacity from ordinary work; it may be more than is free now."""
-        state.reserved = add(state.reserved, demand)
-        self.update(state)
+    def reserve(self, worker: WorkerState, demand: ResourceVector) -> None:
+        """Withhold capacity from ordinary work; it may exceed what is free now."""
+        worker.reserved = add(worker.reserved, demand)
+        self.update(worker)
 
-    def unreserve(self, state: WorkerState, demand: ResourceVector) -> None:
+    def unreserve(self, worker: WorkerState, demand: ResourceVector) -> None:
         """End a reservation."""
-        left = subtract(state.reserved, demand)
+        remaining = subtract(worker.reserved, demand)
         check(
-            min(left) >= 0,
+            min(remaining) >= 0,
             Invariant.SCHEDULER,
-            "%s is not reserved on worker %s",
+            "cannot unreserve %s on worker %s: it is not reserved",
             demand,
-            state.spec.name,
+            worker.spec.name,
         )
-        state.reserved = left
-        self.update(state)
+        worker.reserved = remaining
+        self.update(worker)
 
-    def update(self, state: WorkerState) -> None:
-        """Bring the tree up to date after a change of a worker."""
+    def update(self, worker: WorkerState) -> None:
+        """Recompute a worker's allocatable capacity and the tree nodes above it."""
         tree = self._tree
-        node = self._first_leaf + state.position
-        tree[node] = state.allocatable = state.compute_allocatable()
+        node = self._first_leaf + worker.leaf_index
+        tree[node] = worker.allocatable = worker.compute_allocatable()
         while node > 1:
             node >>= 1
             largest = elementwise_max(tree[2 * node], tree[2 * node + 1])
@@ -219,31 +220,36 @@
     def find_workers(
         self, demand: ResourceVector, limit: int, excluded: Collection[str] = ()
     ) -> list[WorkerState]:
-        """Return up to `limit` workers with room, a different sample on each call."""
+        """Return up to `limit` workers on which a demand fits, a different sample on each call."""
         tree, first_leaf, leaves = self._tree, self._first_leaf, self._leaves
         cpu, memory, devices, slots = demand
         self._random_state = random_state = (
             self._random_state * 1_103_515_245 + 12_345
         ) & 0x7FFFFFFF
-        # The low bits of the generator have short periods.
+        # The low bits of a linear congruential generator have short periods.
         random_state >>= 8
         found: list[WorkerState] = []
         stack = [1]
         while stack:
             node = stack.pop()
-            top = tree[node]
-            if cpu > top[0] or memory > top[1] or devices > top[2] or slots > top[3]:
+            largest = tree[node]
+            if (
+                cpu > largest[0]
+                or memory > largest[1]
+                or devices > largest[2]
+                or slots > largest[3]
+            ):
                 continue
             if node >= first_leaf:
-                state = leaves[node - first_leaf]
-                if state.spec.name not in excluded:
-                    found.append(state)
+                worker = leaves[node - first_leaf]
+                if worker.spec.name not in excluded:
+                    found.append(worker)
                     if len(found) == limit:
                         break
                 continue
-            first = 2 * node + (random_state >> (node.bit_length() & 15) & 1)
-            stack.append(first ^ 1)
-            stack.append(first)
+            first_child = 2 * node + (random_state >> (node.bit_length() & 15) & 1)
+            stack.append(first_child ^ 1)
+            stack.append(first_child)
         return found
 
     def sample_workers(self, limit: int) -> Iterator[WorkerState]:
@@ -261,13 +267,13 @@
         self.racks = {}
         self.total = ZERO
         self._capacity_counts = Counter()
-        for position, state in enumerate(self._leaves):
-            state.position = position
-            self._tree[self._first_leaf + position] = state.allocatable = (
-                state.compute_allocatable()
+        for leaf_index, worker in enumerate(self._leaves):
+            worker.leaf_index = leaf_index
+            self._tree[self._first_leaf + leaf_index] = worker.allocatable = (
+                worker.compute_allocatable()
             )
-            self.racks.setdefault(state.spec.rack, []).append(state)
-            self.total = add(self.total, state.capacity)
-            self._capacity_counts[state.capacity] += 1
+            self.racks.setdefault(worker.spec.rack, []).append(worker)
+            self.total = add(self.total, worker.capacity)
+            self._capacity_counts[worker.capacity] += 1
         for node in range(self._first_leaf - 1, 0, -1):
             self._tree[node] = elementwise_max(self._tree[2 * node], self._tree[2 * node + 1])
--- a/baobabhoist/scheduling/explain.py
+++ b/baobabhoist/scheduling/explain.py
@@ -13,43 +13,48 @@
 
 
 def explain(scheduler: Scheduler, task_id: str, now: float) -> Explanation:
-    """Return the state of a task, or the first thing that keeps it waiting."""
-    running = scheduler.running.get(task_id)
-    if running is not None:
-        message = f"the task runs on worker {running.worker.name}"
+    """Return the state of a task, or the first reason found for which it waits."""
+    placed = scheduler.running.get(task_id)
+    if placed is not None:
+        message = f"the task is running on worker {placed.worker.name}"
         return Explanation(task_id, WaitReason.RUNNING, message)
     entry = scheduler.queues.entries.get(task_id)
     if entry is None or entry.subqueue is None:
-        return Explanation(task_id, WaitReason.NOT_FOUND, "this owner has no such task")
-    reason, message = _reason(scheduler, entry)
+        return Explanation(
+            task_id, WaitReason.NOT_FOUND, "the owner of this shard has no such task"
+        )
+    reason, message = _wait_reason(scheduler, entry)
     return Explanation(task_id, reason, message, entry.waited_s(now))
 
 
-def _reason(scheduler: Scheduler, entry: QueueEntry) -> tuple[WaitReason, str]:
+def _wait_reason(scheduler: Scheduler, entry: QueueEntry) -> tuple[WaitReason, str]:
     team, demand = entry.task.team, entry.demand
     if entry.has_reservation:
-        found = scheduler.reservations.by_job.get(entry.task.task_id)
-        when = f", complete at about {found.start_at:.1f}" if found else ""
-        return WaitReason.HOLD, f"capacity is being held for it{when}"
+        reservation = scheduler.reservations.by_job.get(entry.task.task_id)
+        when = f", expected to be complete at {reservation.start_at:.1f}" if reservation else ""
+        return WaitReason.HOLD, f"capacity is being reserved for the task{when}"
     if entry.subqueue is not None and entry.subqueue.team.is_limited:
-        return WaitReason.TEAM_LIMIT, f"team {team} uses all places it has here"
+        return WaitReason.TEAM_LIMIT, f"team {team} uses all its places in this shard"
     if scheduler.queues.is_class_full(team, entry.task.kind):
         kind = entry.task.kind.value
-        return WaitReason.TEAM_LIMIT, f"team {team} runs as much {kind} work as it may here"
+        return (
+            WaitReason.TEAM_LIMIT,
+            f"team {team} has reached its limit of {kind} work in this shard",
+        )
     if scheduler.index.might_fit(demand) and scheduler.index.find_workers(
         demand, 1, scheduler.health.excluded_workers(entry.task.task_id)
     ):
-        share = scheduler.fairness.entitlement_ratio(team)
-        return WaitReason.SHARE, f"others go first; team {team} uses {share:.0%} of its share"
+        ratio = scheduler.fairness.entitlement_ratio(team)
+        return WaitReason.SHARE, f"other teams go first; team {team} uses {ratio:.0%} of its share"
     if _fits_quarantined(scheduler, demand):
-        return WaitReason.QUARANTINE, "only workers in quarantine have room for it"
-    if scheduler.reservations.pending_by_worker and _fits_held(scheduler, demand):
-        return WaitReason.HOLD, "the room that there is, is held for other work"
+        return WaitReason.QUARANTINE, "the task fits only on quarantined workers"
+    if scheduler.reservations.pending_by_worker and _fits_pending(scheduler, demand):
+        return WaitReason.HOLD, "the free capacity is reserved for other work"
     failed = scheduler.health.excluded_workers(entry.task.task_id)
-    tried = f"; it failed on {', '.join(failed)}" if failed else ""
+    failures = f"; the task failed on {', '.join(failed)}" if failed else ""
     return (
         WaitReason.CAPACITY,
-        f"no worker has {demand[0]} millicores, {demand[1]} MiB free{tried}",
+        f"no worker has {demand[0]} millicores, {demand[1]} MiB free{failures}",
     )
 
 
@@ -58,6 +63,6 @@
     return any(fits(demand, scheduler.index.workers[name].free) for name in names)
 
 
-def _fits_held(scheduler: Scheduler, demand: ResourceVector) -> bool:
+def _fits_pending(scheduler: Scheduler, demand: ResourceVector) -> bool:
     names = scheduler.reservations.pending_by_worker
     return any(fits(demand, scheduler.index.workers[name].free) for name in names)
--- a/baobabhoist/scheduling/fairness.py
+++ b/baobabhoist/scheduling/fairness.py
@@ -1,4 +1,4 @@
-"""Compare what teams use with what they are entitled to when everything is full."""
+"""Compare what each team uses with its entitlement when the fleet is fully used."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @attrs.define
 class FairShareTracker:
-    """Keep each team's weighted dominant share of the fleet."""
+    """Track each team's weighted dominant share of the fleet (dominant resource fairness).
+
+    `remote_shares` holds what teams use in other shards, as dominant shares of the fleet, and
+    `local_fraction` is this shard's part of the fleet's capacity.
+    """
 
     capacity: ResourceVector
     weights: dict[str, float] = attrs.Factory(dict)
@@ -23,21 +27,21 @@
     _cached_weight_sum: float = 0.0
 
     def add_usage(self, team: str, demand: ResourceVector) -> None:
-        """Count the start of a task."""
+        """Add the resources of a task that starts."""
         if team not in self.used and team not in self.weights:
             self.invalidate()
         self.used[team] = add(self.used.get(team, ZERO), demand)
         self._ratios.pop(team, None)
 
     def remove_usage(self, team: str, demand: ResourceVector) -> None:
-        """Count the end of a task."""
+        """Remove the resources of a task that ended."""
         remaining = subtract(self.used.get(team, ZERO), demand)
-        check(min(remaining) >= 0, Invariant.SCHEDULER, "team %s gives back too much", team)
+        check(min(remaining) >= 0, Invariant.SCHEDULER, "team %s releases more than it uses", team)
         self.used[team] = remaining
         self._ratios.pop(team, None)
 
     def dominant_share(self, team: str) -> float:
-        """Return the largest part of any resource here that the team uses."""
+        """Return the largest fraction of any resource in this shard that the team uses."""
         used, capacity = self.used.get(team, ZERO), self.capacity
         return max(
             used[0] / (capacity[0] or 1),
@@ -47,18 +51,21 @@
         )
 
     def entitlement_ratio(self, team: str) -> float:
-        """Return the team's dominant share of the fleet over its entitlement; 1 is its share."""
+        """Return the team's share of the fleet divided by its entitlement.
+
+        The team is entitled to its part of the sum of all weights, at which the ratio is 1.
+        """
         ratio = self._ratios.get(team)
         if ratio is None:
-            fleet_share = self.dominant_share(team) * self.local_fraction + self.remote_shares.get(
+            share = self.dominant_share(team) * self.local_fraction + self.remote_shares.get(
                 team, 0.0
             )
-            ratio = fleet_share * self._weight_sum() / self.weights.get(team, 1.0)
+            ratio = share * self._weight_sum() / self.weights.get(team, 1.0)
             self._ratios[team] = ratio
         return ratio
 
     def invalidate(self) -> None:
-        """Forget computed shares after a change of weights, capacity or usage elsewhere."""
+        """Drop the cached ratios after a change of weights, capacity or remote shares."""
         self._ratios.clear()
         self._cached_weight_sum = 0.0
 
--- a/baobabhoist/scheduling/health.py
+++ b/baobabhoist/scheduling/health.py
@@ -1,4 +1,4 @@
-"""Tell failing workers from failing jobs, and keep work away from the former."""
+"""Distinguish failing workers from failing jobs, and quarantine the workers."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 
 from baobabhoist.scheduling.results import Verdict
 
-# A worker is suspected after this many failures without a success between. A job that has not
-# succeeded elsewhere counts once, because it may be the job that is at fault.
+# A worker is suspect after this many failures without a success in between. A job that has not
+# succeeded elsewhere counts once, because the job itself may be at fault.
 SUSPECT_FAILURES = 3
-# A task that failed on this many different workers in good health fails everywhere.
+# A task that failed on this many different healthy workers is assumed to fail everywhere.
 MAX_FAILED_WORKERS = 3
 MAX_TASK_ATTEMPTS = 6
-# A common cause fails tasks on every worker; quarantine must not empty the shard for it.
+# A fault that all workers have in common fails tasks on each of them; it must not put the whole
+# shard into quarantine.
 MAX_QUARANTINED_FRACTION = 0.25
 INITIAL_PROBE_INTERVAL_S = 5.0
 MAX_PROBE_INTERVAL_S = 300.0
 REQUIRED_PROBE_SUCCESSES = 2
+# Bounds the memory that each kind of history takes; the oldest entries are dropped.
 MAX_TRACKED_ENTRIES = 4096
 
 
 class WorkerHealth(enum.Enum):
-    """Name the states of a worker's health."""
+    """Define the states of a worker's health."""
 
     GOOD = "good"
     QUARANTINED = "quarantined"
@@ -32,7 +34,7 @@
 
 @attrs.define
 class WorkerHistory:
-    """Hold the recent failures of one worker, by job, and the state of its quarantine."""
+    """Hold one worker's failures by job since its last success, and its quarantine state."""
 
     state: WorkerHealth = WorkerHealth.GOOD
     failed_jobs: Counter[str] = attrs.Factory(Counter)
@@ -44,7 +46,7 @@
 
 @attrs.define
 class HealthTracker:
-    """Judge workers and tasks by which of them fail together."""
+    """Attribute failures to workers or to tasks by which of them fail together."""
 
     workers: dict[str, WorkerHistory] = attrs.Factory(dict)
     failed_workers_by_task: OrderedDict[str, list[str]] = attrs.Factory(OrderedDict)
@@ -57,11 +59,11 @@
         return self.workers.setdefault(worker, WorkerHistory())
 
     def excluded_workers(self, task_id: str) -> list[str]:
-        """Return the workers on which a task has failed."""
+        """Return the workers on which a task failed and must not be tried again."""
         return self.failed_workers_by_task.get(task_id, [])
 
     def record_success(self, task_id: str, job: str, worker: str) -> bool:
-        """Note a success; tell whether it ended the worker's quarantine."""
+        """Record a success, and return whether it ended the worker's quarantine."""
         self.failed_workers_by_task.pop(task_id, None)
         self.failed_workers_by_job.pop(job, None)
         self.last_success_by_job[job] = worker
@@ -81,7 +83,10 @@
     def record_failure(
         self, task_id: str, job: str, worker: str, now: float, usable: int
     ) -> Verdict:
-        """Note a failure and say whether one of the usable workers may try the task again."""
+        """Record a failure, and return whether to retry the task on another worker.
+
+        `usable` is the number of workers that may be given work.
+        """
         history = self.history(worker)
         history.failed_jobs[job] += 1
         if history.probe_task_id == task_id:
@@ -106,7 +111,10 @@
         return Verdict.RETRY
 
     def quarantine_if_suspect(self, worker: str, total: int, now: float) -> bool:
-        """Quarantine a worker that fails what does not fail elsewhere."""
+        """Quarantine a worker that fails jobs which do not fail elsewhere.
+
+        Return whether the worker was quarantined now. `total` is the number of workers.
+        """
         history = self.history(worker)
         if history.state is not WorkerHealth.GOOD:
             return False
@@ -127,7 +135,7 @@
         return True
 
     def workers_due_for_probe(self, now: float) -> list[str]:
-        """Return the quarantined workers that may be given one task to try."""
+        """Return the quarantined workers that may be given a task as a probe now."""
         return [
             name
             for name in sorted(self.quarantined)
@@ -135,17 +143,17 @@
         ]
 
     def start_probe(self, worker: str, task_id: str) -> None:
-        """Note that a task tries a quarantined worker."""
+        """Record that a task runs as a probe on a quarantined worker."""
         self.workers[worker].probe_task_id = task_id
 
     def cancel_probe(self, worker: str, task_id: str) -> None:
-        """Note that a probe ended without a result."""
+        """End a probe that gave no result."""
         history = self.workers.get(worker)
         if history is not None and history.probe_task_id == task_id:
             history.probe_task_id = ""
 
     def remove_worker(self, worker: str) -> None:
-        """Drop a worker that left the records."""
+        """Forget a worker that is no longer in the records."""
         self.workers.pop(worker, None)
         self.quarantined.discard(worker)
 
--- a/baobabhoist/scheduling/holds.py
+++ b/baobabhoist/scheduling/holds.py
@@ -1,4 +1,4 @@
-"""Hold capacity for gangs and starved work, and start it when the hold is complete."""
+"""Reserve capacity for gangs and starved work, and start the work when all of it is free."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from baobabhoist.scheduling.state import SchedulerState
 
 HOLD_TIMEOUT_S = 60.0
-# Collecting capacity leaves some of it idle, so only this part of the workers may do it at once.
+# A worker is partly idle while capacity on it is collected for a reservation, so only this
+# fraction of the workers may have a pending reservation.
 MAX_PENDING_WORKER_FRACTION = 0.125
-# Work of a team above its share waits for its turn; it counts as starved only after this many
-# times the bound, because a reservation before that would take capacity from teams below theirs.
+# Work of a team above its share counts as starved only after this many times the usual bound; an
+# earlier reservation would take capacity from teams below their share.
 OVER_SHARE_WAIT_FACTOR = 10.0
 
 
 class HoldScheduler(SchedulerState):
-    """Keep the holds of one owner, asked for by a job coordinator or by its own queues."""
+    """Manage the holds of one shard, requested by a job coordinator or by the shard's queues."""
 
     def hold(
         self, job_id: str, tasks: list[Task], now: float, expires_at: float | None = None
     ) -> Hold | Refusal:
-        """Hold capacity for tasks that must start together, or return the state of the hold."""
+        """Reserve capacity for tasks that must start together, or return the state of the hold."""
         self._now = now
         reservation = self.reservations.by_job.get(job_id)
         if reservation is None:
@@ -38,7 +39,7 @@
             )
             if reservation is None:
                 return _no_capacity_refusal(
-                    "the workers cannot be free together before the hold ends"
+                    "the workers will not all be free before the hold expires"
                 )
         if not reservation.ready and reservation.is_complete():
             refusal = self._acquire_places(reservation)
@@ -49,7 +50,7 @@
         return reservation.as_hold()
 
     def commit_hold(self, job_id: str, now: float) -> list[Placement] | Refusal:
-        """Start the tasks of a ready hold."""
+        """Place the tasks of a ready hold on their workers."""
         reservation = self.reservations.by_job.get(job_id)
         if reservation is None or reservation.entry is not None:
             return Refusal(
@@ -59,13 +60,13 @@
             )
         if now >= reservation.expires_at:
             self._end_reservation(reservation)
-            return _no_capacity_refusal(f"the hold for job {job_id} has ended")
+            return _no_capacity_refusal(f"the hold for job {job_id} has expired")
         if not reservation.ready or not reservation.is_complete():
             return _no_capacity_refusal(f"the hold for job {job_id} is not complete")
         return self._bind_all(reservation, now)
 
     def release_hold(self, job_id: str) -> bool:
-        """Drop a hold; tell whether there was one."""
+        """Release a hold, and return whether there was one."""
         reservation = self.reservations.by_job.get(job_id)
         if reservation is None or reservation.entry is not None:
             return False
@@ -73,15 +74,15 @@
         return True
 
     def _acquire_places(self, reservation: Reservation) -> Refusal | None:
-        taken: list[str] = []
+        acquired: list[str] = []
         for member in reservation.members:
             task = member.task
             refusal = self.places.acquire(task.team, task.task_id, member.worker.name)
             if refusal is not None:
-                for task_id in taken:
+                for task_id in acquired:
                     self.places.release(task_id)
                 return refusal
-            taken.append(task.task_id)
+            acquired.append(task.task_id)
         self._holds_with_places.add(reservation.job_id)
         return None
 
@@ -118,14 +119,14 @@
         batch.extend(self._bind_all(reservation, now))
 
     def _handle_missing_places(self, subqueue: Subqueue, entry: QueueEntry, now: float) -> None:
-        """Let the team's places collect for a gang that has waited long, for a limited time."""
-        if (
-            now >= entry.places_accumulate_from + 2 * HOLD_TIMEOUT_S
-            or entry.places_accumulate_from == inf
-        ):
-            starved = entry.waited_s(now) >= self._queue_policy(subqueue.queue).reserve_after_s
-            entry.places_accumulate_from = now if starved else inf
-        if entry.places_accumulate_from <= now < entry.places_accumulate_from + HOLD_TIMEOUT_S:
+        """Keep the team's other work waiting for a time, so that a starved gang gets its places.
+
+        The pause is limited to `HOLD_TIMEOUT_S` and followed by one of the same length at least.
+        """
+        if now >= entry.accumulate_from + 2 * HOLD_TIMEOUT_S or entry.accumulate_from == inf:
+            is_starved = entry.waited_s(now) >= self._queue_policy(subqueue.queue).reserve_after_s
+            entry.accumulate_from = now if is_starved else inf
+        if entry.accumulate_from <= now < entry.accumulate_from + HOLD_TIMEOUT_S:
             self.queues.mark_limited(subqueue.team)
         else:
             self.queues.skip_until_refresh(subqueue)
@@ -139,17 +140,22 @@
                 self._commit_entry(reservation, now, batch)
 
     def _reserve_for_starved(self, heads: list[tuple[Subqueue, QueueEntry]], now: float) -> None:
-        allowed = max(1, int(MAX_PENDING_WORKER_FRACTION * len(self.index.workers)))
-        if len(self.reservations.pending_by_worker) >= allowed:
+        max_pending = max(1, int(MAX_PENDING_WORKER_FRACTION * len(self.index.workers)))
+        if len(self.reservations.pending_by_worker) >= max_pending:
             return
         starved = []
         for subqueue, entry in heads:
-            bound, waited = self._queue_policy(subqueue.queue).reserve_after_s, entry.waited_s(now)
-            is_blocked = subqueue.size_class.blocked_demand is not None or len(entry.members) > 1
-            if waited < bound or not is_blocked or self.queues.is_limited(subqueue):
+            bound_s, waited_s = (
+                self._queue_policy(subqueue.queue).reserve_after_s,
+                entry.waited_s(now),
+            )
+            lacks_capacity = (
+                subqueue.size_class.blocked_demand is not None or len(entry.members) > 1
+            )
+            if waited_s < bound_s or not lacks_capacity or self.queues.is_limited(subqueue):
                 continue
             rank = self._rank(subqueue, entry, now)
-            if rank <= 1.0 or waited >= OVER_SHARE_WAIT_FACTOR * bound:
+            if rank <= 1.0 or waited_s >= OVER_SHARE_WAIT_FACTOR * bound_s:
                 starved.append((rank, entry.seq, entry))
         for _, _, entry in sorted(starved):
             demands = [(task, self._demand_of(task)) for task in entry.members]
@@ -160,7 +166,7 @@
             ):
                 entry.has_reservation = True
                 self._holds_need_check = True
-            if len(self.reservations.pending_by_worker) >= allowed:
+            if len(self.reservations.pending_by_worker) >= max_pending:
                 return
 
 
--- a/baobabhoist/scheduling/placement.py
+++ b/baobabhoist/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Choose a worker: filter through the index, score a few, take the best."""
+"""Choose a worker for a task: filter through the index, score some candidates, take the best."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
 from baobabhoist.model import Task, WorkKind
 from baobabhoist.scheduling.capacity import CapacityIndex, ResourceVector, WorkerState, fits
 
-# Scoring more workers than this improves packing little and costs time with every decision.
+# Scoring more workers improves packing little and costs time in every decision.
 MAX_CANDIDATES = 4
-# A worker at half speed scores as badly as one that is left this much emptier.
+# Weight of a worker's speed in its score: a worker at half speed scores as badly as one for which
+# the unused fractions and their imbalance add up to half of this more.
 SPEED_WEIGHT = 0.5
+# Weight of a new sample in the moving average of a worker's speed.
 SPEED_SMOOTHING = 0.1
 
 
@@ -24,11 +26,11 @@
     replicas: defaultdict[str, Counter[str]] = attrs.Factory(lambda: defaultdict(Counter))
 
     def add(self, job_id: str, rack: str) -> None:
-        """Count a replica."""
+        """Add a replica."""
         self.replicas[job_id][rack] += 1
 
     def remove(self, job_id: str, rack: str) -> None:
-        """Forget a replica."""
+        """Remove a replica."""
         racks = self.replicas[job_id]
         racks[rack] -= 1
         if racks[rack] <= 0:
@@ -38,8 +40,8 @@
 
     def racks_by_use(self, job_id: str, racks: Collection[str]) -> list[str]:
         """Return the racks, those with the fewest replicas of the service first."""
-        used = self.replicas.get(job_id, Counter())
-        return sorted(racks, key=lambda rack: (used[rack], rack))
+        replicas = self.replicas.get(job_id, Counter())
+        return sorted(racks, key=lambda rack: (replicas[rack], rack))
 
 
 def choose_worker(
@@ -49,28 +51,32 @@
     excluded: Collection[str],
     spread: RackSpread,
 ) -> WorkerState | None:
-    """Return the best worker found for a task, or None when none has room."""
+    """Return the best worker found for a task, or None if it fits on none."""
     if not index.might_fit(demand):
         return None
     if task.kind is WorkKind.SERVICE:
         return _choose_in_least_used_rack(index, task, demand, excluded, spread)
-    found = index.find_workers(demand, MAX_CANDIDATES, excluded)
-    if len(found) < 2:
-        return found[0] if found else None
-    return min(found, key=lambda worker: score(worker, demand))
+    candidates = index.find_workers(demand, MAX_CANDIDATES, excluded)
+    if len(candidates) < 2:
+        return candidates[0] if candidates else None
+    return min(candidates, key=lambda worker: score(worker, demand))
 
 
 def score(worker: WorkerState, demand: ResourceVector) -> float:
-    """Rate a worker with room, lower is better: what stays unused, its imbalance, its speed."""
+    """Score a worker on which the demand fits; a lower score is better.
+
+    The score adds the unused fractions of processors and memory and their imbalance, and subtracts
+    the weighted speed.
+    """
     capacity, room = worker.capacity, worker.allocatable
     cpu = (room[0] - demand[0]) / (capacity[0] or 1)
     memory = (room[1] - demand[1]) / (capacity[1] or 1)
-    # The sum of both and of their difference is twice the larger one.
+    # cpu + memory + abs(cpu - memory) is twice the larger of the two.
     return 2.0 * (cpu if cpu > memory else memory) - SPEED_WEIGHT * worker.speed
 
 
 def update_speed(worker: WorkerState, expected_s: float, run_s: float) -> None:
-    """Learn a worker's speed from a run; 1 is the speed that the estimates assume."""
+    """Update a worker's speed from a run; 1 is the speed that the estimates assume."""
     if run_s > 0.0 and expected_s > 0.0:
         sample = min(max(expected_s / run_s, 0.25), 4.0)
         worker.speed += SPEED_SMOOTHING * (sample - worker.speed)
--- a/baobabhoist/scheduling/policy.py
+++ b/baobabhoist/scheduling/policy.py
@@ -1,4 +1,4 @@
-"""Define what operators can choose per queue, and the objectives that order waiting work."""
+"""Define the policies that operators set per queue, and the objectives that rank waiting work."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from baobabhoist.model import WorkKind
 
-# The wait that counts as much as having exactly one's share, in seconds. A caller waits for a
-# request, nobody waits for a single batch task; within one kind the order is that of arrival,
-# which keeps the longest waits shortest.
+# Wait in seconds at which the rank of the waiting-time objective halves. It is short for requests,
+# because a caller waits for each of them and nobody waits for a single batch task. Within one kind
+# the order is that of arrival, which minimizes the longest wait.
 WAIT_TOLERANCE_S = {
     WorkKind.REQUEST: 0.1,
     WorkKind.BATCH: 10.0,
@@ -20,13 +20,13 @@
     WorkKind.SERVICE: 10.0,
 }
 
-# Requests are a few percent of the load and somebody waits for each of them, so a team's
-# requests are ordered as if it used only this part of its share.
+# Requests are a few percent of the load and a caller waits for each of them, so a team's requests
+# are ranked as if the team used only this fraction of what it uses.
 REQUEST_SHARE_FACTOR = 0.25
 
 
 class PreemptionAction(enum.StrEnum):
-    """Name what a worker is asked to do with a task that must make room."""
+    """Define what a worker is asked to do with a preempted task."""
 
     CHECKPOINT = "checkpoint"
     THROTTLE = "throttle"
@@ -35,18 +35,18 @@
 
 
 class Objective(Protocol):
-    """Order the heads of the queues; the lowest rank is placed first."""
+    """Rank the heads of the queues; the lowest rank is placed first."""
 
     def rank(self, entitlement_ratio: float, waited_s: float, kind: WorkKind) -> float:
-        """Return the rank of a task whose team uses `share` of what it is entitled to."""
+        """Return the rank of a task whose team uses this ratio of its entitlement."""
 
 
 @attrs.frozen
 class ShareObjective:
-    """Place the work of the team that is furthest below its share."""
+    """Rank work by how far its team is below its share."""
 
     def rank(self, entitlement_ratio: float, waited_s: float, kind: WorkKind) -> float:
-        """Return the team's share, reduced for requests."""
+        """Return the team's ratio of use to entitlement, reduced for requests."""
         return (
             entitlement_ratio * REQUEST_SHARE_FACTOR
             if kind is WorkKind.REQUEST
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class WaitingTimeObjective:
-    """Place the work that has waited longest in relation to what its kind tolerates.
+    """Rank work by how long it has waited, relative to the tolerance of its kind.
 
     The rank starts at 1, the rank of a team that has exactly its share, and only falls, so
     that both objectives can order the queues of one owner.
@@ -75,9 +75,9 @@
 
 @attrs.frozen
 class QueuePolicy:
-    """Hold the policy of one queue; times are in seconds.
+    """Define the policy of one queue.
 
-    `max_queued_per_team` is how many tasks a team may have waiting in the queue at this owner.
+    `max_queued_per_team` is how many tasks a team may have waiting in the queue in this shard.
 
     `reserve_after_s` bounds starvation: work that has waited longer for capacity gets a
     reservation.
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class TeamPolicy:
-    """Hold a team's weight when everything is full and the length its queue may reach."""
+    """Define a team's weight under contention and the maximum length of its queue."""
 
     weight: float = attrs.field(default=1.0, validator=attrs.validators.gt(0))
     max_queued: int = 10_000
--- a/baobabhoist/scheduling/queues.py
+++ b/baobabhoist/scheduling/queues.py
@@ -1,4 +1,4 @@
-"""Keep the waiting work of every team in the order in which it should be placed."""
+"""Queue the work of every team in the order in which it is placed."""
 
 from __future__ import annotations
 
@@ -12,20 +12,25 @@
 from baobabhoist.model import Task, Urgency, WorkKind
 from baobabhoist.scheduling.capacity import ResourceVector, WorkerState, fits
 
-# Sizes within a factor of the square root of two wait in one subqueue; a subqueue whose head does not
-# fit is not searched further, so wider steps would hide smaller tasks behind larger ones.
+# Demands within a factor of the square root of two share a subqueue. A subqueue whose head does
+# not fit is not searched further, so wider steps would make smaller tasks wait behind larger ones.
 _STEPS_PER_DOUBLING = 2
-# Cancelled entries are dropped from the heaps when they outnumber the live ones by this.
+# The heaps are compacted when cancelled entries outnumber the live ones by this.
 _MAX_STALE_ENTRIES = 1024
-# Subqueues ranked again in one go; ranking all subqueues of a hundred teams at once takes milliseconds.
+# Subqueues ranked per refresh; ranking those of a hundred teams at once takes milliseconds.
 RANKS_PER_REFRESH = 256
-# Ranks that differ by less than this are rounding.
+# Smaller differences between ranks are rounding errors.
 _RANK_TOLERANCE = 1e-9
 
 
 @attrs.define(eq=False)
 class QueueEntry:
-    """Hold one waiting task, or the members of a gang that start together."""
+    """Hold one waiting task, or the members of a gang that start together.
+
+    An entry with a reservation is skipped by the queue; the reservation starts it.
+    `accumulate_from` is when the team's other work was paused so that its places accumulate for
+    this gang, or infinity.
+    """
 
     task: Task
     members: tuple[Task, ...]
@@ -34,7 +39,7 @@
     seq: int
     subqueue: Subqueue | None = None
     has_reservation: bool = False
-    places_accumulate_from: float = inf
+    accumulate_from: float = inf
 
     def waited_s(self, now: float) -> float:
         """Return how long the work has waited, in seconds."""
@@ -43,18 +48,21 @@
 
 @attrs.define(eq=False)
 class Subqueue:
-    """Hold waiting work of one team, queue, kind and size, earliest deadline first."""
+    """Hold the waiting work of one team, queue, kind and size class, earliest deadline first.
+
+    Ranked items with another `rank_version` are out of date.
+    """
 
     team: TeamQueue
     size_class: SizeClass
     queue: str
     kind: WorkKind
-    urgent: bool
+    is_urgent: bool
     heap: list[tuple[float, int, QueueEntry]] = attrs.Factory(list)
     rank_version: int = 0
 
     def head(self) -> QueueEntry | None:
-        """Return the first entry that still waits."""
+        """Return the first entry that still waits, and drop those before it."""
         heap = self.heap
         while heap:
             entry = heap[0][2]
@@ -66,9 +74,10 @@
 
 @attrs.define(eq=False)
 class SizeClass:
-    """Hold the subqueues whose work has about the same size; `blocked_demand` is what found no room.
+    """Hold the subqueues whose work has about the same resource demand.
 
-    `workers_to_try` holds the workers that gained room since; None means that all are to be tried.
+    `blocked_demand` is a demand that fitted on no worker; the class is skipped while it is set.
+    `workers_to_try` holds the workers on which capacity was freed since; None stands for all.
     """
 
     ranked: list[RankedSubqueue] = attrs.Factory(list)
@@ -77,7 +86,7 @@
     workers_to_try: dict[str, WorkerState] | None = None
 
     def unblock(self, worker: WorkerState | None) -> None:
-        """Try the size again, on one worker that grew or, without one, on all."""
+        """Try the class again, on a worker that has more free capacity or, for None, on all."""
         if self.blocked_demand is not None:
             self.workers_to_try = {} if worker else None
         self.blocked_demand = None
@@ -85,7 +94,7 @@
             self.workers_to_try[worker.spec.name] = worker
 
     def may_fit(self, demand: ResourceVector) -> bool:
-        """Tell whether a worker that grew since the size found no room might have room now."""
+        """Return whether a demand may fit on a worker that has to be tried again."""
         return self.workers_to_try is None or any(
             fits(demand, w.free) for w in self.workers_to_try.values()
         )
@@ -93,7 +102,7 @@
 
 @attrs.define(eq=False)
 class TeamQueue:
-    """Hold one team's subqueues; `is_limited` is set while the team has no place left."""
+    """Hold one team's subqueues; `is_limited` is set while the team uses all its places."""
 
     name: str
     subqueues: dict[tuple[str, str, bool, tuple[int, ...]], Subqueue] = attrs.Factory(dict)
@@ -102,19 +111,19 @@
     is_limited: bool = False
 
 
-# Rank, deadline and number of the subqueue's head, the subqueue's stamp when it was ranked, the subqueue.
+# Rank, deadline and sequence number of the head, the rank version at that time, the subqueue.
 RankedSubqueue = tuple[float, float, int, int, Subqueue]
 RankFunction = Callable[[Subqueue, QueueEntry, float], float]
 
 
 def size_class_key(demand: ResourceVector, members: int) -> tuple[int, ...]:
-    """Return the size class of an amount."""
+    """Return the key of the size class of a demand."""
     cpu, memory, devices, slots = demand
     return (_size_step(cpu), _size_step(memory), devices, slots, members)
 
 
 def _size_step(value: int) -> int:
-    """Return the logarithm of a value in half doublings."""
+    """Return the base-2 logarithm of a value in half steps."""
     doubling = value.bit_length()
     return _STEPS_PER_DOUBLING * doubling + (value * 5 >= 7 << (doubling - 1) if doubling else 0)
 
@@ -122,15 +131,15 @@
 class TaskQueues:
     """Order waiting work across teams by rank, and skip what cannot be placed now.
 
-    Ranks are computed when a subqueue changes and renewed by `refresh_ranks`. A heap over the first subqueue
-    of each size class gives the next choice without a look at every subqueue.
+    Ranks are computed when a subqueue changes and renewed by `refresh_ranks`. A heap over the
+    first subqueue of each size class gives the next subqueue without a scan of all of them.
     """
 
     def __init__(self, rank: RankFunction) -> None:
         self.entries: dict[str, QueueEntry] = {}
         self.teams: dict[str, TeamQueue] = {}
         self.size_classes: dict[tuple[int, ...], SizeClass] = {}
-        # Tells whether a limit for a team's kind of work keeps its subqueues waiting.
+        # Returns whether a class limit keeps a team's work of a kind waiting.
         self.is_class_full: Callable[[str, WorkKind], bool] = lambda team, kind: False
         self._rank = rank
         self._by_deadline: list[tuple[float, int, QueueEntry]] = []
@@ -139,25 +148,25 @@
         self._rank_version = 0
 
     def team_queue(self, name: str) -> TeamQueue:
-        """Return a team's line."""
-        line = self.teams.get(name)
-        if line is None:
-            line = self.teams[name] = TeamQueue(name)
-        return line
+        """Return a team's queue, which is created if it does not exist."""
+        team = self.teams.get(name)
+        if team is None:
+            team = self.teams[name] = TeamQueue(name)
+        return team
 
     def add(self, entry: QueueEntry, now: float) -> None:
-        """Queue an entry."""
+        """Add an entry to the subqueue of its team, queue, kind and size class."""
         task, team = entry.task, self.team_queue(entry.task.team)
-        urgent = task.urgency is Urgency.URGENT
+        is_urgent = task.urgency is Urgency.URGENT
         size_key = size_class_key(entry.demand, len(entry.members))
-        key = (task.queue, task.kind.value, urgent, size_key)
+        key = (task.queue, task.kind.value, is_urgent, size_key)
         subqueue = team.subqueues.get(key)
         if subqueue is None:
             size_class = self.size_classes.get(size_key)
             if size_class is None:
                 size_class = self.size_classes[size_key] = SizeClass()
             subqueue = team.subqueues[key] = Subqueue(
-                team, size_class, task.queue, task.kind, urgent
+                team, size_class, task.queue, task.kind, is_urgent
             )
             size_class.subqueues.append(subqueue)
         heapq.heappush(subqueue.heap, (task.deadline, entry.seq, entry))
@@ -171,27 +180,27 @@
         if subqueue.heap[0][2] is entry:
             self.update_rank(subqueue, now)
         size_class = subqueue.size_class
-        first = bool(size_class.ranked) and size_class.ranked[0][4] is subqueue
+        is_first = bool(size_class.ranked) and size_class.ranked[0][4] is subqueue
         if (
             size_class.blocked_demand is not None
-            and first
+            and is_first
             and not fits(size_class.blocked_demand, entry.demand)
         ):
             size_class.unblock(None)
             self._activate(size_class)
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take an entry out in constant time; the heaps drop it when it reaches their top."""
+        """Remove an entry in constant time; the heaps drop it when it reaches their top."""
         if entry.subqueue is not None:
-            line = entry.subqueue.team
-            line.task_count -= len(entry.members)
-            line.task_count_by_queue[entry.task.queue] -= len(entry.members)
+            team = entry.subqueue.team
+            team.task_count -= len(entry.members)
+            team.task_count_by_queue[entry.task.queue] -= len(entry.members)
             entry.subqueue = None
             for member in entry.members:
                 del self.entries[member.task_id]
 
     def update_rank(self, subqueue: Subqueue, now: float) -> None:
-        """Rank a subqueue by its head."""
+        """Compute the rank of a subqueue from its head."""
         entry = subqueue.head()
         if entry is None or self.is_limited(subqueue):
             return
@@ -204,8 +213,12 @@
         if size_class.blocked_demand is None and size_class.ranked[0] is item:
             heapq.heappush(self._active, item)
 
-    def next_subqueue(self, room: ResourceVector, now: float) -> Subqueue | None:
-        """Return the subqueue to serve next among the sizes that may fit in `room`."""
+    def next_subqueue(self, available: ResourceVector, now: float) -> Subqueue | None:
+        """Return the first subqueue by rank whose head may fit in `available`, or None.
+
+        Size classes that do not fit are blocked. Urgent work is returned even if it does not fit,
+        because others may be preempted for it.
+        """
         active = self._active
         while active:
             item = active[0]
@@ -226,19 +239,19 @@
                 or self._rank(subqueue, entry, now) > item[0] + _RANK_TOLERANCE
             ):
                 self._replace_top(size_class, subqueue, now)
-            elif not subqueue.urgent and not (
-                fits(entry.demand, room) and size_class.may_fit(entry.demand)
+            elif not subqueue.is_urgent and not (
+                fits(entry.demand, available) and size_class.may_fit(entry.demand)
             ):
                 size_class.blocked_demand = entry.demand
             else:
                 return subqueue
         return None
 
-    def _replace_top(self, size_class: SizeClass, again: Subqueue | None, now: float) -> None:
+    def _replace_top(self, size_class: SizeClass, stale: Subqueue | None, now: float) -> None:
         heapq.heappop(self._active)
         heapq.heappop(size_class.ranked)
-        if again is not None:
-            self.update_rank(again, now)
+        if stale is not None:
+            self.update_rank(stale, now)
         self._activate(size_class)
 
     def _activate(self, size_class: SizeClass) -> None:
@@ -246,32 +259,32 @@
             heapq.heappush(self._active, size_class.ranked[0])
 
     def block(self, subqueue: Subqueue, demand: ResourceVector) -> None:
-        """Skip a size until capacity grows."""
+        """Skip a subqueue's size class until capacity is freed."""
         subqueue.size_class.blocked_demand = demand
 
     def skip_until_refresh(self, subqueue: Subqueue) -> None:
-        """Skip one subqueue until the next refresh."""
+        """Skip one subqueue until its rank is refreshed."""
         subqueue.rank_version = 0
 
     def is_limited(self, subqueue: Subqueue) -> bool:
-        """Tell whether a limit of its team keeps a subqueue waiting."""
+        """Return whether a limit of its team keeps a subqueue waiting."""
         return subqueue.team.is_limited or self.is_class_full(subqueue.team.name, subqueue.kind)
 
     def mark_limited(self, team: TeamQueue) -> None:
-        """Skip a team until a place of it is free."""
+        """Skip a team until one of its places is free."""
         team.is_limited = True
 
-    def capacity_freed(self, room: ResourceVector, worker: WorkerState) -> None:
-        """Look again at the sizes that fit in a worker's room."""
+    def capacity_freed(self, available: ResourceVector, worker: WorkerState) -> None:
+        """Unblock the size classes that may fit in what is available on a worker now."""
         for size_class in self.size_classes.values():
             if size_class.blocked_demand is None:
                 size_class.unblock(worker)
-            elif fits(size_class.blocked_demand, room):
+            elif fits(size_class.blocked_demand, available):
                 size_class.unblock(worker)
                 self._activate(size_class)
 
     def unblock_all(self) -> None:
-        """Look again at every size on every worker."""
+        """Unblock every size class, to be tried on every worker."""
         for size_class in self.size_classes.values():
             was_blocked, size_class.blocked_demand = size_class.blocked_demand is not None, None
             size_class.workers_to_try = None
@@ -279,7 +292,7 @@
                 self._activate(size_class)
 
     def rerank_team(self, name: str, now: float) -> None:
-        """Rank a team again after a place or a share of it became free."""
+        """Rank a team's subqueues again after it released a place or resources."""
         team = self.teams.get(name)
         if team is not None and team.task_count:
             team.is_limited = False
@@ -290,14 +303,14 @@
     def refresh_ranks(
         self, now: float, limit: int = RANKS_PER_REFRESH
     ) -> list[tuple[Subqueue, QueueEntry]]:
-        """Rank the next subqueues again, about `limit` of them, and return them with their heads."""
+        """Rank about `limit` further subqueues again, and return them with their heads."""
         if len(self._by_deadline) > 2 * len(self.entries) + _MAX_STALE_ENTRIES:
             self._compact()
         if not self._teams_to_refresh:
             self._drop_empty()
             self._teams_to_refresh = list(self.teams)
-        found: list[tuple[Subqueue, QueueEntry]] = []
-        while self._teams_to_refresh and len(found) < limit:
+        heads: list[tuple[Subqueue, QueueEntry]] = []
+        while self._teams_to_refresh and len(heads) < limit:
             team = self.teams.get(self._teams_to_refresh.pop())
             if team is None:
                 continue
@@ -305,17 +318,17 @@
                 entry = subqueue.head()
                 if entry is not None:
                     self.update_rank(subqueue, now)
-                    found.append((subqueue, entry))
-        return found
+                    heads.append((subqueue, entry))
+        return heads
 
     def retry_limited_teams(self, now: float) -> None:
-        """Look again at the teams that had no place left."""
+        """Try the teams again that had used all their places."""
         for name, team in self.teams.items():
             if team.is_limited:
                 self.rerank_team(name, now)
 
     def _drop_empty(self) -> None:
-        """Drop subqueues, sizes and teams without work, and the old ranks of the others."""
+        """Drop subqueues, size classes and teams without work, and outdated ranks."""
         for size_key, size_class in list(self.size_classes.items()):
             size_class.subqueues = [
                 subqueue for subqueue in size_class.subqueues if subqueue.head() is not None
@@ -337,7 +350,7 @@
                 del self.teams[name]
 
     def expire(self, now: float) -> Iterator[QueueEntry]:
-        """Remove and yield what has passed its deadline."""
+        """Remove and yield the entries whose deadline has passed."""
         heap = self._by_deadline
         while heap and (heap[0][0] <= now or heap[0][2].subqueue is None):
             entry = heapq.heappop(heap)[2]
@@ -346,13 +359,13 @@
                 yield entry
 
     def requeue(self, entry: QueueEntry, now: float) -> None:
-        """Put an entry whose hold ended back in its place."""
+        """Queue an entry again whose reservation ended."""
         self.remove(entry)
         entry.has_reservation = False
         self.add(entry, now)
 
     def _compact(self) -> None:
-        """Drop what was cancelled but has not reached the top of its heap."""
+        """Drop cancelled entries that have not reached the top of their heaps."""
         self._by_deadline = [item for item in self._by_deadline if item[2].subqueue is not None]
         heapq.heapify(self._by_deadline)
         for size_class in self.size_classes.values():
--- a/baobabhoist/scheduling/reservations.py
+++ b/baobabhoist/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Hold capacity for work that cannot start yet: gangs, starved and urgent work."""
+"""Reserve capacity for work that cannot start yet: gangs, starved tasks and urgent tasks."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 from baobabhoist.scheduling.queues import QueueEntry
 from baobabhoist.scheduling.results import Hold
 
-# Workers looked at when capacity has to be collected; a bound keeps planning independent of
-# the number of workers.
+# Workers considered when none has enough free capacity; the bound keeps the cost of a reservation
+# independent of the number of workers.
 MAX_SAMPLED_WORKERS = 32
-# Work that still uses held capacity is stopped this long before the promised start.
+# A backfilled task that still runs on reserved capacity is stopped this long before the start of
+# the reservation.
 BACKFILL_STOP_MARGIN_S = 0.5
 
-# Yields (projected end, amount) of what runs on a worker.
+# Returns the projected end and the resources of each task that runs on a worker.
 ProjectedEnds = Callable[[WorkerState], list[tuple[float, ResourceVector]]]
 
 
 @attrs.define(eq=False)
 class ReservedTask:
-    """Bind one task of a hold to the worker that is held for it."""
+    """Assign one task of a reservation to a worker."""
 
     task: Task
     demand: ResourceVector
@@ -40,7 +41,10 @@
 
 @attrs.define(eq=False)
 class Reservation:
-    """Hold capacity for all members; `entry` is set when the work comes from a queue."""
+    """Reserve capacity for all members; `entry` is set when the work comes from a queue.
+
+    `ready` is set when the capacity is complete and the places of all members are acquired.
+    """
 
     job_id: str
     members: list[ReservedTask]
@@ -50,24 +54,29 @@
     ready: bool = False
 
     def is_complete(self) -> bool:
-        """Tell whether everything that is held is free now."""
+        """Return whether all reserved capacity is free now."""
         return self.has_usable_workers() and all(
             min(subtract(member.worker.free, member.worker.reserved)) >= 0
             for member in self.members
         )
 
     def has_usable_workers(self) -> bool:
-        """Tell whether every worker may still be given work."""
+        """Return whether every worker may still be given work."""
         return all(member.worker.is_usable() for member in self.members)
 
     def as_hold(self) -> Hold:
-        """Return what the caller sees."""
+        """Return the hold that is reported to the caller."""
         workers = {member.task.task_id: member.worker.name for member in self.members}
         return Hold(self.job_id, workers, self.start_at, self.expires_at, self.ready)
 
 
 class ReservationTable:
-    """Keep the reservations of one owner; a worker collects capacity for one at a time."""
+    """Keep the reservations of one shard.
+
+    `pending_by_worker` maps workers on which reserved capacity is not free yet to the reservation
+    that waits for it, at most one for each worker. `backfilled_tasks` maps each task that runs on
+    reserved capacity to the job of the reservation that it may delay.
+    """
 
     def __init__(self, index: CapacityIndex, ends: ProjectedEnds) -> None:
         self.by_job: dict[str, Reservation] = {}
@@ -85,7 +94,10 @@
         entry: QueueEntry | None = None,
         immediate_only: bool = False,
     ) -> Reservation | None:
-        """Reserve for all tasks or for none; largest first, on free capacity if there is any."""
+        """Reserve capacity for all tasks or for none, the largest first, and free capacity first.
+
+        With `immediate_only` no capacity is reserved that is still in use.
+        """
         members: list[ReservedTask] = []
         start_at = now
         for task, demand in sorted(tasks, key=lambda item: item[1], reverse=True):
@@ -115,7 +127,7 @@
         now: float,
         expires_at: float,
     ) -> Reservation:
-        """Reserve one worker for a task for which others make available."""
+        """Reserve capacity on a worker for a task for which others are preempted."""
         self._index.reserve(worker, demand)
         members = [ReservedTask(entry.task, demand, worker)]
         reservation = Reservation(entry.task.task_id, members, now, expires_at, entry)
@@ -130,7 +142,7 @@
                     self.pending_by_worker[member.worker.name] = reservation
 
     def remove(self, reservation: Reservation) -> None:
-        """Drop a reservation and what it holds."""
+        """Remove a reservation and release the capacity that it reserves."""
         del self.by_job[reservation.job_id]
         for member in reservation.members:
             self._index.unreserve(member.worker, member.demand)
@@ -138,7 +150,7 @@
                 del self.pending_by_worker[member.worker.name]
 
     def has_backfill_window(self, now: float) -> bool:
-        """Tell whether some held start is far enough ahead for other work."""
+        """Return whether any pending reservation starts late enough for a backfilled task."""
         return any(
             reservation.start_at > now + BACKFILL_STOP_MARGIN_S
             for reservation in self.pending_by_worker.values()
@@ -147,7 +159,7 @@
     def find_backfill_worker(
         self, demand: ResourceVector, p90_run_s: float, now: float
     ) -> WorkerState | None:
-        """Return a collecting worker where a task would end before the held start."""
+        """Return a worker on which a task would end before the pending reservation starts."""
         for name, reservation in self.pending_by_worker.items():
             worker = self._index.workers[name]
             if (
@@ -159,7 +171,7 @@
         return None
 
     def take_overdue_backfills(self, now: float) -> Iterator[tuple[str, str]]:
-        """Yield backfilled tasks that would delay a held start, with the job they delay."""
+        """Yield and forget backfilled tasks that delay a reservation, with the delayed job."""
         for task_id, job_id in list(self.backfilled_tasks.items()):
             reservation = self.by_job.get(job_id)
             if reservation is None:
@@ -187,8 +199,8 @@
         available = subtract(worker.free, worker.reserved)
         if not fits(add(demand, worker.reserved), worker.capacity):
             return inf
-        for at, amount in sorted(self._projected_ends(worker)):
-            available = add(available, amount)
+        for at, released in sorted(self._projected_ends(worker)):
+            available = add(available, released)
             if fits(demand, available):
                 return max(at, now)
         return inf
--- a/baobabhoist/scheduling/results.py
+++ b/baobabhoist/scheduling/results.py
@@ -1,4 +1,4 @@
-"""Define what the scheduler returns to the owner of a shard."""
+"""Define the results that the scheduler returns to the owner of a shard."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @attrs.frozen
 class Placement:
-    """Bind a task to a worker; capacity and place are already taken.
+    """Bind a task to a worker; its capacity and its place are already allocated.
 
-    The task's resources are the amounts that were granted, which may be below the declared.
+    The task's resources are those that were granted, which may differ from the declared ones.
     """
 
     task: Task
@@ -23,7 +23,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Say what should become of a task that ended."""
+    """Define what to do with a task that ended."""
 
     DONE = "done"
     RETRY = "retry"
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Preemption:
-    """Ask a worker to make room; the room counts as free once the end is reported.
+    """Request a worker to preempt a task, whose capacity is free once its end is reported.
 
     For a throttle, `cpu_milli` is what the task may keep, and `Scheduler.task_throttled` reports
     that the worker did so.
@@ -47,10 +47,10 @@
 
 @attrs.frozen
 class Hold:
-    """Hold capacity for all tasks of a job on this owner's workers.
+    """Describe a hold of capacity for all tasks of a job on this shard's workers.
 
     While `ready` is false the capacity is still being collected and is expected to be
-    complete at `start_at`; call `hold` again to ask. It ends by itself at `expires_at`.
+    complete at `start_at`; call `hold` again to poll it. It is released at `expires_at`.
     """
 
     job_id: str
@@ -61,7 +61,7 @@
 
 
 class WaitReason(enum.StrEnum):
-    """Name why a task is not running."""
+    """Define why a task waits, or that it runs or is unknown."""
 
     TEAM_LIMIT = "limit"
     SHARE = "share"
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class Explanation:
-    """Tell operators and callers why a task waits."""
+    """Explain to operators and callers why a task waits."""
 
     task_id: str
     reason: WaitReason
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Decide which queued task starts on which worker; the facade used by the owner of a shard."""
+"""Schedule the tasks of a shard on its workers; the interface for the shard's owner."""
 
 from __future__ import annotations
 
@@ -29,21 +29,23 @@
 from baobabhoist.scheduling.state import PlaceQuota as PlaceQuota
 
 DEFAULT_BATCH_SIZE = 32
-# A call ends after this many tries even if little was placed; what found no room is remembered,
-# so the next call goes on with the rest.
+# A call of `next_batch` ends after this many attempts even if little was placed. Size classes that
+# fitted nowhere stay blocked, so the next call continues with the others.
 MAX_PLACEMENT_ATTEMPTS = 512
-# Ranks, probes and holds are renewed this often; a call in between costs only what changed.
+# Interval at which ranks, probes and holds are checked; a call in between handles changes only.
 MAINTENANCE_INTERVAL_S = 0.1
-# Tasks of a subqueue that are tried for backfill; its head may be the one that runs too long.
+# Tasks of a subqueue considered for backfill; its head alone may run too long to fit.
 MAX_BACKFILL_CANDIDATES = 8
-# Estimates change the sizes of what waits, so sizes that found no room are tried again.
+# Interval at which blocked size classes are tried again, because estimates change the demands of
+# waiting tasks.
 SIZE_CLASS_RETRY_S = 2.0
-# Places may arrive from other shards without notice to the scheduler.
+# Interval at which teams without a free place are tried again, because places may arrive from
+# other shards without notice to the scheduler.
 LIMITED_TEAM_RETRY_S = 0.5
 
 
 class Scheduler(HoldScheduler):
-    """Queue tasks and place them on the workers of one owner.
+    """Queue tasks and place them on the workers of one shard.
 
     Every method takes `now` in Unix seconds and does no I/O. A step that would break an
     invariant raises InvariantBreachError and has no effect.
@@ -55,13 +57,13 @@
         return cls(workers, places)
 
     def set_workers(self, workers: Iterable[WorkerSpec]) -> None:
-        """Take a changed list of workers; new ones get work after `worker_up`.
+        """Replace the list of workers; new ones get work after `worker_up`.
 
-        Queued tasks that fit no worker any more are returned by `take_refused`.
+        Queued tasks that no longer fit on any worker are returned by `take_refused`.
         """
-        before = set(self.index.workers)
+        previous = set(self.index.workers)
         self.index.set_workers(workers)
-        for name in before - set(self.index.workers):
+        for name in previous - set(self.index.workers):
             self.health.remove_worker(name)
         self.fairness.capacity = self.index.total
         self.fairness.invalidate()
@@ -76,17 +78,22 @@
                 self._refused.extend((task, refusal) for task in entry.members)
         self.queues.unblock_all()
 
-    # Queueing.
+    # Queueing
 
     def enqueue(self, task: Task, now: float) -> Refusal | None:
         """Queue a task, or return why it is not queued."""
         return self.enqueue_gang(task.task_id, [task], now)
 
     def enqueue_gang(self, job_id: str, tasks: list[Task], now: float) -> Refusal | None:
-        """Queue tasks that all run on this owner and start together."""
+        """Queue tasks that start together on workers of this shard."""
         for task in tasks:
-            known = task.task_id in self.running or task.task_id in self.queues.entries
-            check(not known, Invariant.SCHEDULER, "task %s is queued or placed", task.task_id)
+            is_known = task.task_id in self.running or task.task_id in self.queues.entries
+            check(
+                not is_known,
+                Invariant.SCHEDULER,
+                "task %s is already queued or placed",
+                task.task_id,
+            )
         first = tasks[0]
         refusal = self._refuse_if_too_large(tasks) or admission.check_admission(
             first,
@@ -105,7 +112,7 @@
         return None
 
     def cancel(self, task_id: str) -> bool:
-        """Drop a queued task, with its gang; tell whether it was still queued."""
+        """Remove a queued task, with its gang, and return whether it was still queued."""
         entry = self.queues.entries.get(task_id)
         if entry is None:
             return False
@@ -113,40 +120,43 @@
         return True
 
     def expire(self, now: float) -> list[Task]:
-        """Drop the queued tasks whose deadline has passed and return them."""
+        """Remove and return the queued tasks whose deadline has passed."""
         return [task for entry in self.queues.expire(now) for task in entry.members]
 
     def take_refused(self) -> list[tuple[Task, Refusal]]:
-        """Return the queued tasks that were refused since the last call, with the reason."""
-        found, self._refused = self._refused, []
-        return found
+        """Return the queued tasks refused since the last call, with the reason."""
+        refused, self._refused = self._refused, []
+        return refused
 
     def take_preemptions(self) -> list[Preemption]:
-        """Return the requests to make room that arose since the last call."""
-        found, self._preemptions = self._preemptions, []
-        return found
+        """Return the preemptions decided since the last call, to be sent to the workers."""
+        preemptions, self._preemptions = self._preemptions, []
+        return preemptions
 
     def explain(self, task_id: str, now: float) -> Explanation:
-        """Say why a task waits."""
+        """Return why a task waits."""
         return explain(self, task_id, now)
 
-    # Placing.
+    # Placement
 
     def next_batch(self, now: float, limit: int = DEFAULT_BATCH_SIZE) -> list[Placement]:
-        """Place what fits now, and return it for dispatch; call again if `limit` was reached."""
+        """Place the tasks that fit now and return them for dispatch.
+
+        Call it again if `limit` was reached.
+        """
         self._now = now
         batch: list[Placement] = []
         if now >= self._maintenance_at:
             self._run_maintenance(now)
         if self._holds_need_check:
             self._commit_complete_holds(now, batch)
-        reserved_bound = self._reserved_capacity_bound(now)
+        extra = self._backfill_or_probe_capacity(now)
         for _ in range(MAX_PLACEMENT_ATTEMPTS):
             if len(batch) >= limit:
                 break
-            room = self.index.max_allocatable()
+            allocatable = self.index.max_allocatable()
             subqueue = self.queues.next_subqueue(
-                elementwise_max(room, reserved_bound) if reserved_bound else room, now
+                elementwise_max(allocatable, extra) if extra else allocatable, now
             )
             entry = subqueue.head() if subqueue else None
             if subqueue is None or entry is None:
@@ -197,7 +207,10 @@
         return True
 
     def _backfill(self, subqueue: Subqueue, now: float, batch: list[Placement]) -> bool:
-        """Start one of the subqueue's first tasks where it ends before a held start."""
+        """Start one of the subqueue's first tasks that ends before a pending reservation starts.
+
+        Return whether a worker was found, even if the team has no free place.
+        """
         if not self.reservations.has_backfill_window(now):
             return False
         for _, _, entry in subqueue.heap[:MAX_BACKFILL_CANDIDATES]:
@@ -238,7 +251,7 @@
     def _handle_no_capacity(
         self, subqueue: Subqueue, entry: QueueEntry, demand: ResourceVector, now: float
     ) -> None:
-        if subqueue.urgent and self._preempt_for(entry, demand, now):
+        if subqueue.is_urgent and self._preempt_for(entry, demand, now):
             self.queues.update_rank(subqueue, now)
         elif self.health.excluded_workers(entry.task.task_id):
             self.queues.skip_until_refresh(subqueue)
@@ -263,7 +276,7 @@
         self._preemptions.extend(plan.preemptions)
         return True
 
-    # ProjectedEnds.
+    # Ends of tasks
 
     def task_ended(
         self,
@@ -273,48 +286,49 @@
         usage: Resources | None = None,
         preempted: bool = False,
     ) -> Verdict:
-        """Free what a placed task held, learn from its end and say what should become of it.
+        """Release what a placed task held, and return what to do with the task.
 
-        `usage` is the peak that the worker measured. The caller enqueues the task again after
-        `RETRY`, if its kind may run again.
+        The outcome is recorded for the estimates and the health of the worker. `usage` is the
+        peak usage that the worker measured. After `RETRY` the caller enqueues the task again, if
+        its kind may run again.
         """
         self._now = now
         check(task_id in self.running, Invariant.SCHEDULER, "task %s is not placed", task_id)
-        running = self.running[task_id]
-        worker, task = running.worker, running.declared
-        self.index.release(worker, running.demand, task_id)
+        placed = self.running[task_id]
+        worker, task = placed.worker, placed.declared
+        self.index.release(worker, placed.demand, task_id)
         del self.running[task_id]
-        self.fairness.remove_usage(task.team, running.demand)
+        self.fairness.remove_usage(task.team, placed.demand)
         if task.kind is WorkKind.SERVICE:
             self.spread.remove(task.job_id, worker.spec.rack)
         self.reservations.backfilled_tasks.pop(task_id, None)
         verdict = Verdict.RETRY
-        if not running.is_adopted:
+        if not placed.is_adopted:
             self.places.release(task_id)
             if preempted:
                 self.health.cancel_probe(worker.name, task_id)
             else:
-                verdict = self._record_outcome(running, succeeded, now, usage)
+                verdict = self._record_outcome(placed, succeeded, now, usage)
         elif succeeded:
             verdict = Verdict.DONE
         self._holds_need_check = self._holds_need_check or bool(self.reservations.by_job)
-        collecting = worker.name in self.reservations.pending_by_worker
-        self.queues.capacity_freed(worker.free if collecting else worker.allocatable, worker)
+        is_pending = worker.name in self.reservations.pending_by_worker
+        self.queues.capacity_freed(worker.free if is_pending else worker.allocatable, worker)
         self.queues.rerank_team(task.team, now)
         return verdict
 
     def _record_outcome(
-        self, running: PlacedTask, succeeded: bool, now: float, usage: Resources | None
+        self, placed: PlacedTask, succeeded: bool, now: float, usage: Resources | None
     ) -> Verdict:
-        task, worker = running.declared, running.worker
+        task, worker = placed.declared, placed.worker
         job = task.job_id or f"{task.team}/{task.queue}"
         if succeeded:
-            run_s = now - running.placement.placed_at
-            update_speed(worker, running.median_run_s, run_s)
+            run_s = now - placed.placement.placed_at
+            update_speed(worker, placed.median_run_s, run_s)
             self.estimator.observe_success(task, run_s, usage)
             self._peak_usage.pop(task.task_id, None)
             if self.health.record_success(task.task_id, job, worker.name):
-                worker.quarantined = False
+                worker.is_quarantined = False
                 self.index.update(worker)
             return Verdict.DONE
         if usage is not None:
@@ -325,36 +339,36 @@
         usable = sum(1 for w in self.index.workers.values() if w.is_usable())
         verdict = self.health.record_failure(task.task_id, job, worker.name, now, usable)
         if self.health.quarantine_if_suspect(worker.name, len(self.index.workers), now):
-            worker.quarantined = True
+            worker.is_quarantined = True
             self.index.update(worker)
         return verdict
 
     def task_throttled(self, task_id: str, cpu_milli: int) -> None:
-        """Note that a worker limits a task to these processors."""
-        running = self.running.get(task_id)
-        if running is None or cpu_milli >= running.demand[0]:
+        """Record that a worker limits a task to this amount of processor time."""
+        placed = self.running.get(task_id)
+        if placed is None or cpu_milli >= placed.demand[0]:
             return
-        kept = (cpu_milli, running.demand[1], running.demand[2], running.demand[3])
-        self.index.release(running.worker, running.demand, task_id)
-        self.index.allocate(running.worker, kept, task_id)
-        self.fairness.remove_usage(running.declared.team, running.demand)
-        self.fairness.add_usage(running.declared.team, kept)
-        running.demand = kept
+        kept = (cpu_milli, placed.demand[1], placed.demand[2], placed.demand[3])
+        self.index.release(placed.worker, placed.demand, task_id)
+        self.index.allocate(placed.worker, kept, task_id)
+        self.fairness.remove_usage(placed.declared.team, placed.demand)
+        self.fairness.add_usage(placed.declared.team, kept)
+        placed.demand = kept
         self._holds_need_check = True
 
-    # Upkeep.
+    # Maintenance
 
     def _run_maintenance(self, now: float) -> None:
         self._maintenance_at = now + MAINTENANCE_INTERVAL_S
         self._holds_need_check = bool(self.reservations.by_job)
         self.rates.update(now)
         for task_id, job_id in self.reservations.take_overdue_backfills(now):
-            running = self.running.get(task_id)
-            if running is not None and not running.is_being_preempted:
-                running.is_being_preempted = True
-                policy = self._queue_policy(running.declared.queue)
-                action = preemption_action(running.declared, policy)
-                self._preemptions.append(Preemption(task_id, running.worker.name, action, job_id))
+            placed = self.running.get(task_id)
+            if placed is not None and not placed.is_being_preempted:
+                placed.is_being_preempted = True
+                policy = self._queue_policy(placed.declared.queue)
+                action = preemption_action(placed.declared, policy)
+                self._preemptions.append(Preemption(task_id, placed.worker.name, action, job_id))
         if now >= self._limited_teams_retry_at:
             self._limited_teams_retry_at = now + LIMITED_TEAM_RETRY_S
             self.queues.retry_limited_teams(now)
@@ -367,28 +381,28 @@
             self.queues.unblock_all()
         self._reserve_for_starved(self.queues.refresh_ranks(now), now)
 
-    # Helpers.
+    # Helpers
 
-    def _reserved_capacity_bound(self, now: float) -> ResourceVector | None:
-        """Return a bound on what backfill and probes may use, or None when there are none."""
+    def _backfill_or_probe_capacity(self, now: float) -> ResourceVector | None:
+        """Return an upper bound of the capacity for backfill and probes, or None without any."""
         if not self.reservations.pending_by_worker and not self.health.quarantined:
             return None
-        room = ZERO
+        bound = ZERO
         for name in [
             *self.reservations.pending_by_worker,
             *self.health.workers_due_for_probe(now),
         ]:
-            room = elementwise_max(room, self.index.workers[name].free)
-        return room
+            bound = elementwise_max(bound, self.index.workers[name].free)
+        return bound
 
     def _find_probe_worker(
         self, demand: ResourceVector, excluded: list[str], now: float
     ) -> WorkerState | None:
         for name in self.health.workers_due_for_probe(now):
             worker = self.index.workers[name]
-            up = worker.availability is Availability.UP
-            room = subtract(worker.free, worker.reserved)
-            if up and name not in excluded and fits(demand, room):
+            is_up = worker.availability is Availability.UP
+            available = subtract(worker.free, worker.reserved)
+            if is_up and name not in excluded and fits(demand, available):
                 return worker
         return None
 
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -1,4 +1,4 @@
-"""Hold the state of one owner's decisions: workers, policies, what runs and what waits."""
+"""Hold the state that scheduling decisions are based on: workers, policies and tasks."""
 
 from __future__ import annotations
 
@@ -33,6 +33,7 @@
 from baobabhoist.scheduling.reservations import ReservationTable
 from baobabhoist.scheduling.results import Placement, Preemption
 
+# Lower than the rank of any other work.
 URGENT_RANK = -1e9
 
 _DEFAULT_QUEUE_POLICY = QueuePolicy()
@@ -43,14 +44,14 @@
     """Grant places within the teams' upper limits."""
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a place, or return the reason why there is none."""
+        """Acquire a place for a task, or return why there is none."""
 
     def release(self, task_id: str) -> None:
-        """Give the place of a task back."""
+        """Release the place of a task."""
 
 
 class SchedulerState:
-    """Hold what an owner's decisions are based on, and keep it consistent."""
+    """Hold the workers, queues and running tasks of one shard, and keep them consistent."""
 
     def __init__(self, workers: Iterable[WorkerSpec], places: PlaceQuota) -> None:
         self.places = places
@@ -92,10 +93,10 @@
     @property
     def placements(self) -> dict[str, Placement]:
         """Return the placements of the running tasks by task id."""
-        return {task_id: running.placement for task_id, running in self.running.items()}
+        return {task_id: placed.placement for task_id, placed in self.running.items()}
 
     def worker_up(self, worker: str) -> None:
-        """Offer a worker's whole capacity, less what is placed there."""
+        """Place work on a worker from now on, up to the capacity that is free."""
         self._set_availability(worker, Availability.UP)
         self.queues.unblock_all()
 
@@ -104,13 +105,13 @@
         self._set_availability(worker, Availability.DOWN)
 
     def worker_leaving(self, worker: str) -> None:
-        """Give a leaving or drained worker nothing new; what runs there goes on."""
+        """Stop placing work on a worker that leaves or drains; its tasks go on."""
         self._set_availability(worker, Availability.LEAVING)
 
     def adopt(self, worker: str, running: Iterable[RunningTask], now: float) -> None:
-        """Count what a worker runs already, before `worker_up`; places are not touched.
+        """Count the tasks that a worker already runs; call it before `worker_up`.
 
-        The end of an adopted task is reported with `ended`, which leaves its place to the caller.
+        No places are acquired for adopted tasks: `task_ended` leaves them to the caller too.
         """
         state = self.index.workers[worker]
         for item in running:
@@ -128,31 +129,33 @@
     def set_policies(
         self, queues: Mapping[str, QueuePolicy], teams: Mapping[str, TeamPolicy]
     ) -> None:
-        """Use these policies from now on."""
+        """Apply the policies of queues and teams from now on."""
         self._queue_policies, self._team_policies = queues, teams
         self.fairness.weights = {name: policy.weight for name, policy in teams.items()}
         self.fairness.invalidate()
         self._maintenance_at = 0.0
 
-    def set_fleet_usage(self, elsewhere: Mapping[str, float], local_fraction: float = 1.0) -> None:
-        """Count the teams' dominant shares of the fleet elsewhere.
+    def set_fleet_usage(
+        self, remote_shares: Mapping[str, float], local_fraction: float = 1.0
+    ) -> None:
+        """Set what the teams use in other shards, as dominant shares of the fleet.
 
-        `local_fraction` is this owner's part of the fleet's capacity.
+        `local_fraction` is this shard's part of the fleet's capacity.
         """
-        self.fairness.remote_shares = elsewhere
+        self.fairness.remote_shares = remote_shares
         self.fairness.local_fraction = local_fraction
         self.fairness.invalidate()
         self._maintenance_at = 0.0
 
     def places_changed(self) -> None:
-        """Look again at the teams without a place, after places arrived from elsewhere."""
+        """Try limited teams again, after places arrived from other shards."""
         self.queues.retry_limited_teams(self._now)
 
     def _bind(
         self, task: Task, demand: ResourceVector, worker: WorkerState, now: float
     ) -> Placement:
-        placed = task.task_id in self.running
-        check(not placed, Invariant.SCHEDULER, "task %s is placed already", task.task_id)
+        is_placed = task.task_id in self.running
+        check(not is_placed, Invariant.SCHEDULER, "task %s is already placed", task.task_id)
         self.index.allocate(worker, demand, task.task_id)
         self.fairness.add_usage(task.team, demand)
         self.rates.record_start(task.team)
@@ -162,8 +165,8 @@
         if demand != to_vector(task.resources):
             granted = attrs.evolve(task, resources=to_resources(demand))
         placement = Placement(granted, worker.name, now)
-        run_s, p90_run_s = self.estimator.median_run_s(task), self.estimator.p90_run_s(task)
-        self.running[task.task_id] = PlacedTask(placement, task, demand, worker, run_s, p90_run_s)
+        median_s, p90_s = self.estimator.median_run_s(task), self.estimator.p90_run_s(task)
+        self.running[task.task_id] = PlacedTask(placement, task, demand, worker, median_s, p90_s)
         return placement
 
     def _demand_of(self, task: Task) -> ResourceVector:
@@ -183,7 +186,7 @@
             if not self.index.could_ever_fit(to_vector(task.resources)):
                 return Refusal(
                     ErrorKind.NEVER_FITS,
-                    f"no worker in the records has room for {task.resources}",
+                    f"no worker in the records is large enough for {task.resources}",
                     remedy="ask for fewer processors, less memory or fewer accelerators",
                 )
         return None
@@ -193,11 +196,11 @@
         return max(capacities, default=ZERO)
 
     def _projected_ends(self, worker: WorkerState) -> list[tuple[float, ResourceVector]]:
-        found = (self.running[task_id] for task_id in worker.tasks)
-        return [(running.projected_end(self._now), running.demand) for running in found]
+        tasks = (self.running[task_id] for task_id in worker.task_ids)
+        return [(placed.projected_end(self._now), placed.demand) for placed in tasks]
 
     def _rank(self, subqueue: Subqueue, entry: QueueEntry, now: float) -> float:
-        if subqueue.urgent:
+        if subqueue.is_urgent:
             return URGENT_RANK
         objective = OBJECTIVES[self._queue_policy(subqueue.queue).objective]
         return objective.rank(
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -355,7 +355,7 @@
         for worker in made.index.workers.values():
             here = [r for r in made.running.values() if r.worker is worker]
             assert sum(r.demand[0] for r in here) + worker.free[0] == worker.capacity[0]
-            assert min(worker.free) >= 0 and {r.declared.task_id for r in here} == worker.tasks
+            assert min(worker.free) >= 0 and {r.declared.task_id for r in here} == worker.task_ids
         waiting = made.queued_tasks.keys()
         assert not waiting & made.running.keys()
         assert sum(team.task_count for team in made.queues.teams.values()) == len(waiting)
