--- a/baobabhoist/quota/__init__.py
+++ b/baobabhoist/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Keep each team within its upper limit."""
+"""Limit how many tasks each team runs at the same time."""
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -1,4 +1,7 @@
-"""Build the transactions on a team's escrow row, which holds pool and shards' places."""
+"""Define the escrow row of a team and the transactions on it.
+
+The row divides the team's upper limit into the places of each shard and a pool of free places.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,11 @@
 
 @attrs.frozen
 class EscrowRow:
-    """Hold a team's places: `pool + sum(places) <= limit` always holds.
+    """Hold a team's places, with the invariant `pool + sum(places) <= limit`.
 
-    `limit` is the upper limit in force. A lower one that the shards have not yet made room for
-    is in `pending_limit`. `epochs` holds the epoch under which each shard last changed the row.
+    `limit` is the upper limit in force. `pending_limit` is a lower limit for which the shards
+    have not yet returned enough places. `epochs` holds the epoch under which each shard last
+    changed the row.
     """
 
     limit: int
@@ -27,7 +31,7 @@
     pending_limit: int | None = None
 
     def held(self, shard: str) -> int:
-        """Return the places of a shard."""
+        """Return the number of places that a shard holds."""
         return self.places.get(shard, 0)
 
 
@@ -49,16 +53,19 @@
 
 
 def initial_row(limit: int, shards: Iterable[str]) -> EscrowRow:
-    """Split a limit evenly over the shards; the first ones by name get the remainder."""
+    """Return a row that splits a limit evenly over the shards.
+
+    The first shards by name get the remainder.
+    """
     names = sorted(set(shards))
     if not names:
         return EscrowRow(limit, limit, {})
-    share, rest = divmod(limit, len(names))
-    return EscrowRow(limit, 0, {name: share + (n < rest) for n, name in enumerate(names)})
+    share, remainder = divmod(limit, len(names))
+    return EscrowRow(limit, 0, {name: share + (n < remainder) for n, name in enumerate(names)})
 
 
 def encode_row(row: EscrowRow) -> dict[str, Any]:
-    """Return the row as the table stores it."""
+    """Convert a row to the value that the table stores."""
     return {
         "limit": row.limit,
         "pool": row.pool,
@@ -69,7 +76,7 @@
 
 
 def decode_row(team: str, value: Any) -> EscrowRow:
-    """Return the row that the table stores; raises PlatformError if it is malformed."""
+    """Convert a value of the table to a row; raises PlatformError if it is malformed."""
     try:
         pending = value["pending_limit"]
         row = EscrowRow(
@@ -80,18 +87,18 @@
             None if pending is None else int(pending),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise PlatformError(f"row {row_key(team)} is malformed: {exc!r}") from exc
+        raise PlatformError(f"escrow row {row_key(team)} is malformed: {exc!r}") from exc
     check_row(team, row)
     return row
 
 
 def check_row(team: str, row: EscrowRow) -> None:
-    """Refuse a row that promises more places than the limit; raises InvariantBreachError."""
+    """Check that a row is within its limit; raises InvariantBreachError."""
     amounts = [row.pool, *row.places.values()]
     check(
         min(amounts) >= 0 and sum(amounts) <= row.limit,
         Invariant.ESCROW_WITHIN_LIMIT,
-        "team %s: pool %d and places %s exceed the limit %d",
+        "team %s: pool %d and places %s are negative or exceed the limit %d",
         team,
         row.pool,
         dict(row.places),
@@ -125,28 +132,28 @@
 
 
 def ceilings(row: EscrowRow) -> dict[str, int]:
-    """Return how many places each shard may use; their sum respects a pending limit.
+    """Return how many places each shard may use; the sum is within a pending limit.
 
-    While a lower limit is pending it is split in proportion to the places held, with largest
-    remainders first, so that every owner computes the same split from the row alone.
+    A pending limit is split in proportion to the places held, by the largest remainder method, so
+    that every owner computes the same split from the row alone.
     """
-    held = dict(row.places)
-    total = sum(held.values())
+    places = dict(row.places)
+    total = sum(places.values())
     if row.pending_limit is None or total <= row.pending_limit:
-        return held
-    exact = {shard: row.pending_limit * n / total for shard, n in held.items()}
+        return places
+    exact = {shard: row.pending_limit * n / total for shard, n in places.items()}
     split = {shard: int(share) for shard, share in exact.items()}
-    rest = row.pending_limit - sum(split.values())
-    by_remainder = sorted(held, key=lambda shard: (split[shard] - exact[shard], shard))
-    for shard in by_remainder[:rest]:
+    remainder = row.pending_limit - sum(split.values())
+    by_remainder = sorted(places, key=lambda shard: (split[shard] - exact[shard], shard))
+    for shard in by_remainder[:remainder]:
         split[shard] += 1
     return split
 
 
 def apply_moves(team: str, row: EscrowRow, moves: Iterable[PlaceMove]) -> EscrowRow | Refusal:
-    """Return the row after the moves, or the reason why one of them is not possible."""
-    for step in sorted(moves, key=lambda step: step.places):
-        result = _apply_move(team, row, step)
+    """Return the row after the moves, or why one of them is not possible."""
+    for place_move in sorted(moves, key=lambda place_move: place_move.places):
+        result = _apply_move(team, row, place_move)
         if isinstance(result, Refusal):
             return result
         row = result
@@ -154,48 +161,50 @@
     return row
 
 
-def _apply_move(team: str, row: EscrowRow, step: PlaceMove) -> EscrowRow | Refusal:
-    if step.epoch < row.epochs.get(step.shard, 0):
+def _apply_move(team: str, row: EscrowRow, place_move: PlaceMove) -> EscrowRow | Refusal:
+    if place_move.epoch < row.epochs.get(place_move.shard, 0):
         return Refusal(
             ErrorKind.STALE_TOKEN,
-            f"shard {step.shard} has a newer owner than epoch {step.epoch}",
+            f"shard {place_move.shard} has a newer owner than epoch {place_move.epoch}",
             remedy="read the shard's row again",
         )
-    held = row.held(step.shard) + step.places
+    held = row.held(place_move.shard) + place_move.places
     if held < 0:
-        return _short(team, f"shard {step.shard} holds {row.held(step.shard)} places")
-    if step.places > 0 and (row.pending_limit is not None or step.places > row.pool):
-        return _short(team, f"the pool holds {row.pool} places")
-    pool, limit, pending = row.pool - step.places, row.limit, row.pending_limit
-    if pending is not None and step.places < 0:
-        lowered = max(pending, limit + step.places)
+        return _too_few_places(
+            team, f"shard {place_move.shard} holds {row.held(place_move.shard)} places"
+        )
+    if place_move.places > 0 and (row.pending_limit is not None or place_move.places > row.pool):
+        return _too_few_places(team, f"the pool holds {row.pool} places")
+    pool, limit, pending = row.pool - place_move.places, row.limit, row.pending_limit
+    if pending is not None and place_move.places < 0:
+        lowered = max(pending, limit + place_move.places)
         pool -= limit - lowered
         limit, pending = lowered, None if lowered == pending else pending
     return EscrowRow(
         limit,
         pool,
-        {**row.places, step.shard: held},
-        {**row.epochs, step.shard: step.epoch},
+        {**row.places, place_move.shard: held},
+        {**row.epochs, place_move.shard: place_move.epoch},
         pending,
     )
 
 
-def _short(team: str, reason: str) -> Refusal:
+def _too_few_places(team: str, reason: str) -> Refusal:
     return Refusal(
         ErrorKind.TEAM_LIMIT,
-        f"team {team} has too few places: {reason}",
-        remedy="wait until places are returned",
+        f"team {team} has too few free places: {reason}",
+        remedy="retry when places have been returned",
         retry_after_s=1.0,
     )
 
 
 def confirm_epoch(row: EscrowRow, shard: str, epoch: int) -> EscrowRow:
-    """Return the row that refuses later moves of the shard's earlier owners."""
+    """Return the row with a shard's epoch, which fences moves of the shard's earlier owners."""
     return attrs.evolve(row, epochs={**row.epochs, shard: max(epoch, row.epochs.get(shard, 0))})
 
 
 def remove_shard(team: str, row: EscrowRow, shard: str) -> EscrowRow:
-    """Return the row without a shard whose workers are all gone; its places go to the pool."""
+    """Return the row without a shard that has no workers left; its places go to the pool."""
     held = row.held(shard)
     freed = row
     if held:
@@ -215,7 +224,8 @@
     """Return the transaction that writes the escrow rows of several teams.
 
     `rows` maps each team to the revision that was read and the new row. `shard_revisions` maps
-    each shard whose places change to the revision at which its row names the owner's epoch.
+    each shard whose places change to the revision at which its row names the owner's epoch; the
+    transaction fails if another owner has taken the shard over since.
     """
     checks = {f"shard/{shard}": revision for shard, revision in shard_revisions.items()}
     writes = {}
--- a/baobabhoist/quota/ledger.py
+++ b/baobabhoist/quota/ledger.py
@@ -1,4 +1,4 @@
-"""Count the places that teams use in one shard against the shard's escrow."""
+"""Count the places that teams use in one shard against the places that the shard holds."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 
 @attrs.define
 class QuotaLedger:
-    """Let a shard start work only within the places it holds for each team.
+    """Admit tasks of each team within the places that the shard holds in escrow.
 
-    A place whose task ended is *unconfirmed* until the worker accepted a later call: a new
-    owner may have fenced the worker while the task ran and count the place as its own. It can
-    be used again on the same worker, whose fence decides, but not elsewhere.
+    A released place is *unconfirmed* until the worker has accepted a later call: a new owner of
+    the shard may have fenced the worker while the task ran, and count the place as its own. An
+    unconfirmed place can be used again on the same worker, which rejects the calls of a fenced
+    owner, but not on another one.
+
+    `takeover_cap` replaces `escrow` after a takeover, until the table has confirmed the epoch.
     """
 
     shard: str
@@ -30,11 +33,11 @@
     adopted_workers: set[str] = attrs.Factory(set)
     end_count: int = 0
     unconfirmed: Counter[str] = attrs.Factory(Counter)
-    # Numbers of the unconfirmed ends of a worker by team, oldest first.
+    # Sequence numbers of the unconfirmed ends on each worker by team, oldest first.
     unconfirmed_by_worker: dict[str, dict[str, deque[int]]] = attrs.Factory(dict)
 
     def allowed(self, team: str) -> int:
-        """Return how many places the team may use here now."""
+        """Return how many places the team may use in this shard now."""
         held = (
             self.takeover_cap.get(team, 0)
             if self.takeover_cap is not None
@@ -43,7 +46,7 @@
         return min(held, self.ceilings.get(team, held))
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a place for a task that is about to be dispatched."""
+        """Acquire a place for a task that is about to be dispatched."""
         check(
             task_id not in self.running,
             Invariant.QUOTA_TASK_NEW,
@@ -54,26 +57,27 @@
         reusable = self.unconfirmed_by_worker.get(worker, {}).get(team)
         if not self._has_place(team, allowed, bool(reusable)):
             return self._refusal(team)
-        after = self.used[team] + 1
+        used_after = self.used[team] + 1
         check(
-            after <= allowed and (bool(reusable) or after + self.unconfirmed[team] <= allowed),
+            used_after <= allowed
+            and (bool(reusable) or used_after + self.unconfirmed[team] <= allowed),
             Invariant.QUOTA_WITHIN_PLACES,
             "team %s would use %d of %d places",
             team,
-            after,
+            used_after,
             allowed,
         )
         if reusable:
             self._reduce_unconfirmed(team, 1)
             reusable.pop()
-        self._take(team, task_id, worker)
+        self._record_start(team, task_id, worker)
         return None
 
     def release(self, task_id: str, confirmed: bool = False) -> None:
-        """Give the place of an ended task back.
+        """Release the place of an ended task.
 
         `confirmed` states that the worker held this owner's token when the task ended, or
-        that the task was never sent.
+        that the task was never sent to it.
         """
         check(
             task_id in self.running,
@@ -94,43 +98,45 @@
         self.unconfirmed[team] += 1
 
     def end_watermark(self) -> int:
-        """Return the number of the last end; take it before sending a call to a worker."""
+        """Return the sequence number of the last end; read it before calling a worker."""
         return self.end_count
 
     def confirm_ends(self, worker: str, watermark: int | None = None) -> None:
-        """Release the places of ends that were known before an accepted call was sent.
+        """Confirm the ends on a worker that were known before a call that it accepted.
 
-        `watermark` is what `end_watermark()` returned before the call; None stands for all ends.
+        `watermark` is what `end_watermark()` returned before the call; None confirms all ends.
         """
-        for team, numbers in self.unconfirmed_by_worker.get(worker, {}).items():
-            while numbers and (watermark is None or numbers[0] <= watermark):
+        for team, end_numbers in self.unconfirmed_by_worker.get(worker, {}).items():
+            while end_numbers and (watermark is None or end_numbers[0] <= watermark):
                 self._reduce_unconfirmed(team, 1)
-                numbers.popleft()
+                end_numbers.popleft()
 
     def release_worker(self, worker: str) -> list[str]:
-        """Release all places of a worker on which nothing can run any more.
+        """Release all places of a worker on which nothing can run any more, and return its tasks.
 
-        Call it only when the worker is excused (see `ownership.claim`); returns its tasks.
+        Call it only when the worker is excused (see `ownership.claim`).
         """
-        lost = [task_id for task_id, (_, where) in self.running.items() if where == worker]
-        for task_id in lost:
+        task_ids = [
+            task_id for task_id, (_, on_worker) in self.running.items() if on_worker == worker
+        ]
+        for task_id in task_ids:
             self.release(task_id)
         self.confirm_ends(worker)
-        return lost
+        return task_ids
 
     def transferable(self, team: str) -> int:
-        """Return how many places may leave the shard now."""
+        """Return how many places may be transferred out of the shard now."""
         if self.takeover_cap is not None:
             return 0
         held = self.escrow.get(team, 0)
         return max(0, held - self.used[team] - self.unconfirmed[team])
 
     def withdraw(self, team: str, n: int) -> None:
-        """Stop using places before the transaction that gives them away."""
+        """Remove places before the transaction that transfers them out of the shard."""
         check(
             0 < n <= self.transferable(team),
             Invariant.QUOTA_GIVEN_FREE,
-            "team %s: %d places given, %d free and confirmed",
+            "team %s: %d places withdrawn, but %d are free and confirmed",
             team,
             n,
             self.transferable(team),
@@ -138,12 +144,12 @@
         self.escrow[team] = self.escrow.get(team, 0) - n
 
     def deposit(self, team: str, n: int) -> None:
-        """Use places after the transaction that moved them here has committed."""
-        check(n > 0, Invariant.QUOTA_COUNTS, "team %s: %d places put in", team, n)
+        """Add places after the transaction that transferred them to the shard has committed."""
+        check(n > 0, Invariant.QUOTA_COUNTS, "team %s: cannot deposit %d places", team, n)
         self.escrow[team] = self.escrow.get(team, 0) + n
 
     def begin_takeover(self) -> None:
-        """Forget all places: a new claim counts only what the workers report."""
+        """Forget all places: after a takeover only the tasks that workers report are counted."""
         self.takeover_cap = {}
         self.adopted_workers.clear()
         self.running.clear()
@@ -154,43 +160,43 @@
     def adopt(self, worker: str, running: Iterable[RunningTask]) -> None:
         """Count the tasks that a worker reports when it is fenced.
 
-        Under the takeover cap each task of the worker's first report adds a place to the cap;
-        a later report may be a delayed copy of the first.
+        Under the takeover cap each task in the worker's first report adds a place to the cap.
+        Later reports add none, because they may be delayed copies of the first.
         """
-        first = worker not in self.adopted_workers
+        is_first_report = worker not in self.adopted_workers
         self.adopted_workers.add(worker)
         for task in running:
             if task.task_id in self.running:
                 continue
-            if self.takeover_cap is not None and first:
+            if self.takeover_cap is not None and is_first_report:
                 self.takeover_cap[task.team] = self.takeover_cap.get(task.team, 0) + 1
-            self._take(task.team, task.task_id, worker)
+            self._record_start(task.team, task.task_id, worker)
 
     def lift_takeover_cap(self, escrow: Mapping[str, int]) -> None:
-        """Return to the full escrow once the table has confirmed the epoch."""
+        """End the takeover cap once the table has confirmed the epoch."""
         self.takeover_cap = None
         self.escrow = dict(escrow)
 
     def set_ceiling(self, team: str, places: int | None) -> None:
-        """Limit a team below its escrow from now on; None ends the limit."""
+        """Limit a team below its escrow from now on; None removes the limit."""
         if places is None:
             self.ceilings.pop(team, None)
         else:
             self.ceilings[team] = max(0, places)
 
     def excess_tasks(self, team: str) -> list[str]:
-        """Return the tasks to checkpoint or stop, the latest started first."""
-        over = self.used[team] - self.allowed(team)
-        if over <= 0:
+        """Return the tasks to checkpoint or stop to get within the limit, the latest first."""
+        excess = self.used[team] - self.allowed(team)
+        if excess <= 0:
             return []
-        tasks = [task_id for task_id, (of, _) in self.running.items() if of == team]
-        return tasks[: -over - 1 : -1]
+        tasks = [task_id for task_id, (task_team, _) in self.running.items() if task_team == team]
+        return tasks[: -excess - 1 : -1]
 
-    def _has_place(self, team: str, allowed: int, reusable: bool) -> bool:
+    def _has_place(self, team: str, allowed: int, can_reuse: bool) -> bool:
         used = self.used[team]
-        return used < allowed and (reusable or used + self.unconfirmed[team] < allowed)
+        return used < allowed and (can_reuse or used + self.unconfirmed[team] < allowed)
 
-    def _take(self, team: str, task_id: str, worker: str) -> None:
+    def _record_start(self, team: str, task_id: str, worker: str) -> None:
         self.running[task_id] = (team, worker)
         self.used[team] += 1
 
@@ -198,7 +204,7 @@
         check(
             self.unconfirmed[team] >= n,
             Invariant.QUOTA_COUNTS,
-            "team %s has %d unconfirmed places",
+            "team %s has only %d unconfirmed places",
             team,
             self.unconfirmed[team],
         )
@@ -208,6 +214,6 @@
         return Refusal(
             ErrorKind.TEAM_LIMIT,
             f"team {team} uses all its places in shard {self.shard}",
-            remedy="wait for a running task of the team to end",
+            remedy="retry when a running task of the team has ended",
             retry_after_s=1.0,
         )
--- a/baobabhoist/quota/transfer.py
+++ b/baobabhoist/quota/transfer.py
@@ -1,4 +1,4 @@
-"""Plan transfers of places between shards: on demand, in batches and at a limited rate."""
+"""Plan transfers of places between shards on demand, in batches and at a limited rate."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 import attrs
 
+# Name of the pool as the source of a transfer.
 POOL = ""
 
 
 @attrs.frozen
 class ShardBalance:
-    """Describe a shard's places of one team.
+    """Describe the supply of and demand for one team's places in a shard.
 
-    `surplus` counts free places whose release is confirmed; `deficit` counts queued tasks that
-    only lack a place.
+    `surplus` counts free places whose release is confirmed. `deficit` counts queued tasks that
+    lack nothing but a place.
     """
 
     shard: str
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class TeamBalance:
-    """Describe the places of one team as the planner knows them."""
+    """Describe the places of one team in the pool and in each shard."""
 
     team: str
     pool: int
@@ -33,7 +34,7 @@
 
 @attrs.frozen
 class Transfer:
-    """Move places of a team; the pool's name is the empty string."""
+    """Transfer places of a team from one shard or the pool (see `POOL`) to another shard."""
 
     team: str
     source: str
@@ -43,11 +44,11 @@
 
 @attrs.frozen
 class TransferLimits:
-    """Bound the transfers of one planner.
+    """Limit the rate and the size of one planner's batches.
 
-    The interval keeps some hundred owners within the several hundred writes a second of the
-    table. Demand must last for `min_demand_duration_s`, because work is forwarded to a shard
-    with places before places are moved to the work.
+    The interval keeps about a hundred owners within the several hundred writes per second that
+    the table serves. Demand must last for `min_demand_duration_s`, because work is forwarded to a
+    shard with free places before places are transferred to the work.
     """
 
     interval_s: float = 1.0
@@ -62,15 +63,15 @@
 
     limits: TransferLimits = attrs.Factory(TransferLimits)
     next_plan_at: float = 0.0
-    wanted_since: dict[tuple[str, str], float] = attrs.Factory(dict)
+    deficit_since: dict[tuple[str, str], float] = attrs.Factory(dict)
 
-    def plan(self, needs: Iterable[TeamBalance], now: float) -> list[Transfer]:
-        """Return the next batch of transfers, or none while the rate limit holds.
+    def plan(self, balances: Iterable[TeamBalance], now: float) -> list[Transfer]:
+        """Return the next batch of transfers, which is empty until the interval has passed.
 
         The teams that have waited longest come first.
         """
-        teams = list(needs)
-        self._note_demand(teams, now)
+        teams = list(balances)
+        self._track_demand(teams, now)
         if now < self.next_plan_at:
             return []
         teams.sort(key=lambda team: (self._waiting_since(team, now), team.team))
@@ -83,38 +84,46 @@
             self.next_plan_at = now + self.limits.interval_s
         return batch
 
-    def _note_demand(self, teams: list[TeamBalance], now: float) -> None:
-        wanting = {
-            (team.team, needs.shard)
+    def _track_demand(self, teams: list[TeamBalance], now: float) -> None:
+        with_deficit = {
+            (team.team, balance.shard)
             for team in teams
-            for needs in team.shards
-            if needs.deficit > 0
+            for balance in team.shards
+            if balance.deficit > 0
+        }
+        self.deficit_since = {
+            key: self.deficit_since.get(key, now) for key in sorted(with_deficit)
         }
-        self.wanted_since = {key: self.wanted_since.get(key, now) for key in sorted(wanting)}
 
     def _waiting_since(self, team: TeamBalance, now: float) -> float:
-        since = [self.wanted_since.get((team.team, needs.shard), now) for needs in team.shards]
+        since = [
+            self.deficit_since.get((team.team, balance.shard), now) for balance in team.shards
+        ]
         return min(since, default=now)
 
     def _plan_team(self, team: TeamBalance, now: float) -> list[Transfer]:
         sources = {POOL: team.pool}
-        # A shard that wants places gives none away, or two shards would exchange them forever.
-        for needs in sorted(team.shards, key=lambda needs: (-needs.surplus, needs.shard)):
-            if needs.deficit <= 0 and needs.surplus > 0:
-                sources[needs.shard] = needs.surplus
-        budget = self.limits.max_places_per_team
-        found: list[Transfer] = []
-        for needs in sorted(team.shards, key=lambda needs: (-needs.deficit, needs.shard)):
-            since = self.wanted_since.get((team.team, needs.shard))
+        # A shard with a deficit is no source, or two shards would exchange places forever.
+        for balance in sorted(team.shards, key=lambda balance: (-balance.surplus, balance.shard)):
+            if balance.deficit <= 0 and balance.surplus > 0:
+                sources[balance.shard] = balance.surplus
+        remaining = self.limits.max_places_per_team
+        transfers: list[Transfer] = []
+        for balance in sorted(team.shards, key=lambda balance: (-balance.deficit, balance.shard)):
+            since = self.deficit_since.get((team.team, balance.shard))
             if since is None or now - since < self.limits.min_demand_duration_s:
                 continue
-            taken = _take(sources, team.team, needs.shard, min(needs.deficit, budget))
-            budget -= sum(transfer.places for transfer in taken)
-            found.extend(taken)
-        return found
+            taken = _take_from_sources(
+                sources, team.team, balance.shard, min(balance.deficit, remaining)
+            )
+            remaining -= sum(transfer.places for transfer in taken)
+            transfers.extend(taken)
+        return transfers
 
 
-def _take(sources: dict[str, int], team: str, target: str, deficit: int) -> list[Transfer]:
+def _take_from_sources(
+    sources: dict[str, int], team: str, target: str, deficit: int
+) -> list[Transfer]:
     taken = []
     for source, available in sources.items():
         places = min(deficit, available)
--- a/baobabhoist/scheduling/explain.py
+++ b/baobabhoist/scheduling/explain.py
@@ -45,7 +45,10 @@
         demand, 1, scheduler.health.excluded_workers(entry.task.task_id)
     ):
         ratio = scheduler.fairness.entitlement_ratio(team)
-        return WaitReason.SHARE, f"other teams go first; team {team} uses {ratio:.0%} of its share"
+        return (
+            WaitReason.SHARE,
+            f"other work goes first; team {team} uses {ratio:.0%} of its share",
+        )
     if _fits_quarantined(scheduler, demand):
         return WaitReason.QUARANTINE, "the task fits only on quarantined workers"
     if scheduler.reservations.pending_by_worker and _fits_pending(scheduler, demand):
