--- a/baobabhoist/cell/approvals.py
+++ b/baobabhoist/cell/approvals.py
@@ -1,4 +1,4 @@
-"""Keep what the placement adviser said of a step: approvals last, tickets run out."""
+"""Cache the placement adviser's answers for a step: approvals are kept, tickets expire."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import attrs
 
-# Time for a start to reach its worker before the ticket runs out.
+# Time for a start command to reach its worker before the ticket expires.
 TICKET_MARGIN_MS = 60.0
 
 
 @attrs.frozen
 class Ticket:
-    """Hold a ticket; it is not valid from `expires_ms` on, on the owner's clock."""
+    """Hold a ticket that expires at `expires_ms` on the owner's clock."""
 
     text: str
     expires_ms: float
@@ -20,57 +20,57 @@
 
 @attrs.define
 class Approvals:
-    """Hold the approved and refused workers of one step."""
+    """Hold the workers that the adviser approved or refused for one step."""
 
     tickets: dict[str, Ticket] = attrs.Factory(dict)
-    refused: set[str] = attrs.Factory(set)
-    # While a question is open: when to give up waiting for its answer.
-    answer_due_ms: float = 0.0
+    refused_workers: set[str] = attrs.Factory(set)
+    # No further request is sent before this time: an answer is awaited or the last one failed.
+    next_request_ms: float = 0.0
 
-    def ticket(self, worker_id: str, now: float) -> str:
-        """Return a ticket that is valid for a start sent now, or nothing."""
+    def valid_ticket(self, worker_id: str, now: float) -> str:
+        """Return a ticket that is valid for a start sent now, or an empty string."""
         held = self.tickets.get(worker_id)
         return held.text if held is not None and held.expires_ms > now else ""
 
-    def asked(self, answer_due_ms: float) -> None:
-        """Note that a question is open."""
-        self.answer_due_ms = answer_due_ms
+    def mark_requested(self, answer_due_ms: float) -> None:
+        """Record that a request was sent and when it times out."""
+        self.next_request_ms = answer_due_ms
 
-    def waits(self, now: float) -> bool:
-        """Tell whether an answer is still awaited."""
-        return now < self.answer_due_ms
+    def is_request_blocked(self, now: float) -> bool:
+        """Tell whether it is too early for the next request."""
+        return now < self.next_request_ms
 
-    def answered(
-        self, named: Iterable[str], approved: Mapping[str, str], valid_until_ms: float
+    def record_answer(
+        self, requested: Iterable[str], approved: Mapping[str, str], valid_until_ms: float
     ) -> None:
-        """Take an answer over."""
-        self.answer_due_ms = 0.0
-        for worker_id in named:
+        """Store the tickets and refusals of an answer."""
+        self.next_request_ms = 0.0
+        for worker_id in requested:
             if worker_id in approved:
                 expires = valid_until_ms - TICKET_MARGIN_MS
                 self.tickets[worker_id] = Ticket(approved[worker_id], expires)
-                self.refused.discard(worker_id)
+                self.refused_workers.discard(worker_id)
             elif worker_id not in self.tickets:
-                self.refused.add(worker_id)
+                self.refused_workers.add(worker_id)
 
-    def failed(self, retry_ms: float) -> None:
-        """Note that a question has no answer; the next one may go out at `retry_ms`."""
-        self.answer_due_ms = retry_ms
+    def schedule_retry(self, retry_ms: float) -> None:
+        """Allow the next request at `retry_ms`, because the last one failed."""
+        self.next_request_ms = retry_ms
 
-    def drop(self, worker_id: str) -> None:
-        """Forget a ticket that a worker did not take, but not the approval."""
+    def invalidate_ticket(self, worker_id: str) -> None:
+        """Discard a ticket that a worker rejected; the approval is kept."""
         if worker_id in self.tickets:
             self.tickets[worker_id] = Ticket("", 0.0)
 
-    def forget(self, worker_id: str) -> None:
-        """Forget what is known of a worker, after its lifetime ended."""
+    def remove_worker(self, worker_id: str) -> None:
+        """Discard the answers about a worker that has restarted."""
         self.tickets.pop(worker_id, None)
-        self.refused.discard(worker_id)
+        self.refused_workers.discard(worker_id)
 
-    def unasked(self, workers: Iterable[str]) -> list[str]:
-        """Return the workers of which nothing is known."""
-        return [w for w in workers if w not in self.tickets and w not in self.refused]
+    def unassessed_workers(self, workers: Iterable[str]) -> list[str]:
+        """Return the workers that the adviser has neither approved nor refused."""
+        return [w for w in workers if w not in self.tickets and w not in self.refused_workers]
 
-    def valid(self, now: float, until: float) -> int:
-        """Return how many tickets are valid at both times."""
+    def count_valid_tickets(self, now: float, until: float) -> int:
+        """Return the number of tickets that are valid at both times."""
         return sum(1 for t in self.tickets.values() if t.expires_ms > max(now, until))
--- a/baobabhoist/cell/workers.py
+++ b/baobabhoist/cell/workers.py
@@ -1,121 +1,124 @@
-"""Hold what the owner knows of a worker: its room, its lease and the runs on it."""
+"""Track the workers of a cell: their resources, leases and runs."""
 
 from __future__ import annotations
 
 import attrs
 
-from baobabhoist.cell.health import Health
+from baobabhoist.cell.health import WorkerHealth
 from baobabhoist.cell.jobs import Run
-from baobabhoist.cell.model import NO_ROOM, Room, TaskKey, WorkerInfo
+from baobabhoist.cell.model import NO_RESOURCES, Resources, TaskKey, WorkerInfo
 
-# A worker's steady clock may run this much slower than real time.
-CLOCK_DRIFT = 0.02
-# Extra wait before the tasks of an unreachable worker count as gone.
+# A worker's monotonic clock may be slower than real time by this fraction.
+MAX_CLOCK_DRIFT = 0.02
+# Additional wait before the runs of an unreachable worker count as ended.
 LEASE_MARGIN_MS = 150.0
-# A worker that answered nothing for this long gets no new tasks.
-SILENT_MS = 2600.0
+# A worker that has not reported for this long gets no new tasks.
+REPORT_TIMEOUT_MS = 2600.0
 
 
 @attrs.define
 class Lease:
-    """Follow the lease of one worker over its own clock and the owner's.
+    """Track the lease of one worker, whose deadline is on the worker's own clock.
 
-    `deadline_ms` is the latest deadline that was ever sent, on the worker's clock, and
-    `granted_ms` how long a lease is that another owner may have given before.
+    `deadline_ms` is the latest deadline ever sent. `max_inherited_ms` is the longest lease that an
+    earlier owner may have granted. `clock_ms` is a reading of the worker's clock, taken at
+    `clock_read_ms` on the owner's clock.
     """
 
-    granted_ms: float
+    max_inherited_ms: float
     clock_ms: float = 0.0
-    read_ms: float = 0.0
+    clock_read_ms: float = 0.0
     deadline_ms: int = 0
-    known: bool = False
-
-    def heard(self, clock_ms: float, now: float) -> None:
-        """Take over a reading of the worker's clock."""
-        if not self.known or clock_ms >= self.clock_at(now):
-            if not self.known:
-                self.deadline_ms = max(self.deadline_ms, int(clock_ms + self.granted_ms))
-            self.clock_ms, self.read_ms, self.known = clock_ms, now, True
-
-    def restarted(self) -> None:
-        """Forget the clock of an ended lifetime."""
-        self.clock_ms = self.read_ms = 0.0
-        self.deadline_ms, self.known = 0, False
-
-    def clock_at(self, now: float) -> float:
-        """Return the reading that the worker's clock has reached at least, but for drift."""
-        return self.clock_ms + (now - self.read_ms) * (1.0 - CLOCK_DRIFT)
-
-    def next_deadline(self, now: float, lease_ms: float) -> int | None:
-        """Return the deadline to send with an order, or None while the clock is unknown."""
-        if not self.known:
+    is_clock_known: bool = False
+
+    def update_clock(self, clock_ms: float, now: float) -> None:
+        """Record a reading of the worker's clock unless an earlier one gives a later time."""
+        if not self.is_clock_known or clock_ms >= self.min_clock_at(now):
+            if not self.is_clock_known:
+                self.deadline_ms = max(self.deadline_ms, int(clock_ms + self.max_inherited_ms))
+            self.clock_ms, self.clock_read_ms, self.is_clock_known = clock_ms, now, True
+
+    def reset(self) -> None:
+        """Discard the clock and deadline of an earlier incarnation of the worker."""
+        self.clock_ms = self.clock_read_ms = 0.0
+        self.deadline_ms, self.is_clock_known = 0, False
+
+    def min_clock_at(self, now: float) -> float:
+        """Return the least time that the worker's clock can show now, given the maximum drift."""
+        return self.clock_ms + (now - self.clock_read_ms) * (1.0 - MAX_CLOCK_DRIFT)
+
+    def extend_deadline(self, now: float, lease_ms: float) -> int | None:
+        """Return a new deadline to send to the worker, or None while its clock is unknown."""
+        if not self.is_clock_known:
             return None
-        self.deadline_ms = max(self.deadline_ms, int(self.clock_at(now) + lease_ms))
+        self.deadline_ms = max(self.deadline_ms, int(self.min_clock_at(now) + lease_ms))
         return self.deadline_ms
 
-    def lapsed_ms(self) -> float:
-        """Return from when on nothing runs under this lease for certain."""
-        left = self.deadline_ms - self.clock_ms
-        return self.read_ms + left / (1.0 - CLOCK_DRIFT) + LEASE_MARGIN_MS
+    def expiry_ms(self) -> float:
+        """Return the time after which certainly no run is left under this lease."""
+        remaining_ms = self.deadline_ms - self.clock_ms
+        return self.clock_read_ms + remaining_ms / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
 
 
 @attrs.define(eq=False)
 class WorkerState:
-    """Hold one worker."""
+    """Hold the state of one worker; all times are on the owner's clock, in ms."""
 
     info: WorkerInfo
     lease: Lease
-    health: Health = attrs.Factory(Health)
-    used: Room = NO_ROOM
+    health: WorkerHealth = attrs.Factory(WorkerHealth)
+    used: Resources = NO_RESOURCES
     runs: dict[TaskKey, Run] = attrs.Factory(dict)
-    # Runs that this owner does not want, by the number of the run.
-    orphans: dict[TaskKey, int] = attrs.Factory(dict)
-    # The worker obeys this owner's fencing token.
-    fenced: bool = False
-    listed: bool = True
-    # When the directory dropped the worker, on the owner's clock in ms.
-    unlisted_ms: float = 0.0
-    heard_ms: float = -1e12
-    # When runs taken over from an earlier owner have lapsed, if the worker is never heard.
-    unheard_lapse_ms: float = float("inf")
-    paused_until_ms: float = 0.0
-    born_ms: int = 0
-    seen_end: int = 0
-    acked_end: int = 0
+    # Numbers of the runs that are not tracked and must be stopped, by task.
+    orphan_runs: dict[TaskKey, int] = attrs.Factory(dict)
+    # The worker rejects commands of earlier owners.
+    has_accepted_token: bool = False
+    is_listed: bool = True
+    # When the worker was last removed from the directory.
+    unlisted_since_ms: float = 0.0
+    last_report_ms: float = -1e12
+    # When the leases of earlier owners have expired, for a worker that has never reported.
+    inherited_lease_expiry_ms: float = float("inf")
+    backoff_until_ms: float = 0.0
+    # When the worker process started; identifies its incarnation.
+    started_unix_ms: int = 0
+    # Sequence numbers of the last end applied, and of the last one that is also stored.
+    last_seen_end: int = 0
+    last_acked_end: int = 0
 
     @property
     def worker_id(self) -> str:
-        """Return the id of the worker."""
+        """Return the worker id of the directory entry."""
         return self.info.worker_id
 
     @property
-    def free(self) -> Room:
-        """Return the room that no run takes."""
+    def free(self) -> Resources:
+        """Return the resources that no run has allocated."""
         return self.info.capacity.minus(self.used)
 
     @property
     def free_cpu(self) -> int:
-        """Return the processors that no run takes, in thousandths of a core."""
+        """Return the processor capacity that no run has allocated, in thousandths of a core."""
         return self.info.capacity.cpu - self.used.cpu
 
-    def usable(self, now: float) -> bool:
-        """Tell whether new tasks may start here."""
+    def can_start_tasks(self, now: float) -> bool:
+        """Tell whether new tasks may be started on the worker."""
         return (
-            self.fenced
-            and self.listed
-            and not self.info.draining
-            and not self.orphans
-            and now - self.heard_ms < SILENT_MS
-            and now >= self.paused_until_ms
-            and self.health.open(now, len(self.runs))
+            self.has_accepted_token
+            and self.is_listed
+            and not self.info.is_draining
+            and not self.orphan_runs
+            and now - self.last_report_ms < REPORT_TIMEOUT_MS
+            and now >= self.backoff_until_ms
+            and self.health.accepts_task(now, len(self.runs))
         )
 
-    def take(self, run: Run) -> None:
-        """Count a run."""
+    def add_run(self, run: Run) -> None:
+        """Add a run and allocate its resources."""
         self.runs[run.task.key] = run
-        self.used = self.used.plus(run.charged)
+        self.used = self.used.plus(run.allocation)
 
-    def release(self, run: Run) -> None:
-        """Stop counting a run."""
+    def remove_run(self, run: Run) -> None:
+        """Remove a run and release its resources."""
         if self.runs.pop(run.task.key, None) is not None:
-            self.used = self.used.minus(run.charged)
+            self.used = self.used.minus(run.allocation)
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from baobabhoist.cell import progress as progress_rows
-from baobabhoist.cell.cell import Cell
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.scheduler import CellScheduler
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.rowmap import (
     BEAT_ROW,
@@ -72,7 +72,7 @@
         self._unsent.append(send)
         self._wake.set()
 
-    async def run(self, cell: Cell) -> None:
+    async def run(self, cell: CellScheduler) -> None:
         """Write what changed until cancelled."""
         while True:
             await self._wake.wait()
@@ -88,7 +88,7 @@
         value = str(self._beats).encode()
         return await self._commit({BEAT_ROW: value}, {}) is not None
 
-    async def release(self, claim: bytes, cell: Cell | None) -> bool:
+    async def release(self, claim: bytes, cell: CellScheduler | None) -> bool:
         """Give the claim up after storing all progress; tell whether that is stored."""
         if cell is not None:
             await self._flush_all(cell)
@@ -103,29 +103,29 @@
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
-    async def _flush_all(self, cell: Cell) -> bool:
+    async def _flush_all(self, cell: CellScheduler) -> bool:
         """Store all progress; a try may fail because an earlier write was cut short."""
         for _ in range(FLUSH_TRIES):
             if await self._flush(cell):
                 return True
         return False
 
-    async def _flush(self, cell: Cell) -> bool:
-        seen = cell.seen_ends()
-        lifetimes = {w.worker_id: w.born_ms for w in cell.board.workers.values()}
-        dirty = cell.take_dirty()
+    async def _flush(self, cell: CellScheduler) -> bool:
+        seen = cell.last_seen_ends()
+        lifetimes = {w.worker_id: w.started_unix_ms for w in cell.state.workers.values()}
+        dirty = cell.take_unsaved_progress()
         unsent, self._unsent = self._unsent, []
         puts = {progress_row(i): progress_rows.encode(p) for i, p in dirty.items()}
-        if boot_ms() > self._learned_due_ms and cell.board.speeds.workers:
+        if boot_ms() > self._learned_due_ms and cell.state.speeds.workers:
             self._learned_due_ms = boot_ms() + LEARNED_INTERVAL_MS
-            puts[LEARNED_ROW] = encode_speeds(cell.board.speeds)
+            puts[LEARNED_ROW] = encode_speeds(cell.state.speeds)
         written = False
         try:
             written = await self._write(puts)
         finally:
             # Also when this task is cancelled, because another one then writes the rest.
             if not written:
-                cell.board.dirty.update(dirty)
+                cell.state.dirty.update(dirty)
                 self._unsent = unsent + self._unsent
         if not written:
             return False
@@ -145,13 +145,15 @@
             self._versions.update(dict.fromkeys(chunk, committed.version))
         return True
 
-    def _acknowledge(self, cell: Cell, seen: dict[str, int], lifetimes: dict[str, int]) -> None:
+    def _acknowledge(
+        self, cell: CellScheduler, seen: dict[str, int], lifetimes: dict[str, int]
+    ) -> None:
         for worker_id, number in seen.items():
-            worker = cell.board.workers.get(worker_id)
-            if worker is None or worker.born_ms != lifetimes[worker_id]:
+            worker = cell.state.workers.get(worker_id)
+            if worker is None or worker.started_unix_ms != lifetimes[worker_id]:
                 continue
-            if number > worker.acked_end:
-                worker.acked_end = number
+            if number > worker.last_acked_end:
+                worker.last_acked_end = number
                 self.on_acked(worker_id)
 
     async def _commit(
--- a/baobabhoist/control/workers.py
+++ b/baobabhoist/control/workers.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from baobabhoist.cell.model import OrderOutcome, StartTask, StopTask, WorkerReport
+from baobabhoist.cell.model import CommandOutcome, StartTask, StopTask, WorkerReport
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.interfaces import WorkerDriver
@@ -48,25 +48,25 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def start_task(self, order: StartTask) -> OrderOutcome:
+    async def start_task(self, order: StartTask) -> CommandOutcome:
         """Give an order to start."""
         deadline = self._deadline()
         if deadline is None:
-            return OrderOutcome.LATE
+            return CommandOutcome.LATE
         token = self._owner.ownership.token
         answer = await self._driver.start(self._state.info, token, order, deadline)
         if answer.clock_ms is not None:
-            self._state.lease.heard(answer.clock_ms, boot_ms())
+            self._state.lease.update_clock(answer.clock_ms, boot_ms())
         return answer.outcome
 
-    async def stop_task(self, order: StopTask) -> OrderOutcome:
+    async def stop_task(self, order: StopTask) -> CommandOutcome:
         """Give an order to stop."""
         token = self._owner.ownership.token
         answer = await self._driver.stop(self._state.info, token, order)
         return answer.outcome
 
     def _deadline(self) -> int | None:
-        return self._state.lease.next_deadline(boot_ms(), self._lease_ms)
+        return self._state.lease.extend_deadline(boot_ms(), self._lease_ms)
 
     async def _run(self) -> None:
         delay_s = RETRY_S
@@ -85,21 +85,23 @@
         state, cell = self._state, self._owner.cell
         if cell is None:
             return False
-        behind = state.seen_end > state.acked_end
-        wait_ms = WAIT_MS if state.fenced and self._answering and not behind else 0
+        behind = state.last_seen_end > state.last_acked_end
+        wait_ms = WAIT_MS if state.has_accepted_token and self._answering and not behind else 0
         # A silent worker is offered no longer lease: its tasks wait for the end of the last one.
         may_extend = self._answering and self._owner.may_renew()
         deadline = self._deadline() if may_extend else None
         sent_ms = boot_ms()
         token = self._owner.ownership.token
-        answer = await self._driver.renew(state.info, token, state.acked_end, deadline, wait_ms)
+        answer = await self._driver.renew(
+            state.info, token, state.last_acked_end, deadline, wait_ms
+        )
         if not isinstance(answer, WorkerReport):
             self._failed(answer)
             return False
         self._note_answering(True, "")
-        cell.reported(state.worker_id, answer, sent_ms, boot_ms())
+        cell.handle_report(state.worker_id, answer, sent_ms, boot_ms())
         self._owner.kick()
-        if state.seen_end > state.acked_end:
+        if state.last_seen_end > state.last_acked_end:
             await self._wait_for_ack()
         return True
 
@@ -112,9 +114,9 @@
         except TimeoutError:
             log.debug("the ends of %s are not stored yet", self._state.worker_id)
 
-    def _failed(self, outcome: OrderOutcome) -> None:
-        if outcome is OrderOutcome.FENCED and self._owner.cell is not None:
-            self._owner.cell.was_fenced()
+    def _failed(self, outcome: CommandOutcome) -> None:
+        if outcome is CommandOutcome.FENCED and self._owner.cell is not None:
+            self._owner.cell.mark_fenced()
             self._owner.kick()
         self._note_answering(False, outcome.value)
 
--- a/baobabhoist/tests/test_control_workers.py
+++ b/baobabhoist/tests/test_control_workers.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from baobabhoist.cell.model import OrderOutcome
+from baobabhoist.cell.model import CommandOutcome
 from baobabhoist.control import workers
 from baobabhoist.control.workers import WorkerLoop
-from baobabhoist.tests.cells import LEASE_MS, Rig, job
+from baobabhoist.tests.cell_harness import LEASE_MS, CellHarness, make_job
 
 
 class Driver:
@@ -25,13 +25,13 @@
         self.deadlines.append(deadline_ms)
         self.waits.append(wait_ms)
         if self.silent:
-            return OrderOutcome.UNKNOWN
+            return CommandOutcome.UNKNOWN
         return self.worker.renew(token, acked_end, deadline_ms)
 
 
 def drive(rounds, silent_from):
-    rig = Rig.with_workers(1)
-    rig.accept(job())
+    rig = CellHarness.with_workers(1)
+    rig.submit(make_job())
     rig.settle()
     driver = Driver(rig.workers["w0"])
     owner = SimpleNamespace(
@@ -41,7 +41,7 @@
         kick=lambda: None,
         progress=SimpleNamespace(wake=lambda: None),
     )
-    loop = WorkerLoop(owner, driver, rig.cell.board.workers["w0"], LEASE_MS)
+    loop = WorkerLoop(owner, driver, rig.cell.state.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
@@ -62,7 +62,7 @@
     rig, driver = drive(6, silent_from=2)
     assert driver.deadlines[2] is not None
     assert driver.deadlines[3:] == [None, None, None]
-    assert rig.cell.board.workers["w0"].lease.deadline_ms == driver.deadlines[2]
+    assert rig.cell.state.workers["w0"].lease.deadline_ms == driver.deadlines[2]
 
 
 def test_a_worker_that_answers_again_gets_its_lease_renewed():
