--- a/baobabhoist/tests/test_quota_class_limits.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -1,4 +1,4 @@
-"""Test the limits per team and kind of work."""
+"""Test the class limits, which bound the tasks of each team and kind of work."""
 
 import asyncio
 
@@ -19,20 +19,20 @@
 
 
 def test_the_parts_of_all_shards_add_up_to_the_class_limit():
-    """Guard against shards that together allow more than the record does."""
+    """Guard against shards that together admit more tasks than the record allows."""
     view = RecordView()
     body = {"limit": 9, "class_limits": {"batch": 7, "gang": 1}}
-    bodies = [("team", "team", body)]
-    bodies += [("shard", f"r{n}", {"data_centre": "north", "workers": []}) for n in range(3)]
-    for revision, (kind, name, each) in enumerate(bodies, 1):
-        view.apply(Record(kind, name, 2 if kind == "team" else 1, revision, each))
+    records = [("team", "team", body)]
+    records += [("shard", f"r{n}", {"data_centre": "north", "workers": []}) for n in range(3)]
+    for revision, (kind, name, content) in enumerate(records, 1):
+        view.apply(Record(kind, name, 2 if kind == "team" else 1, revision, content))
     parts = [class_limits(view, shard) for shard in view.shards()]
     assert sorted(part[BATCH] for part in parts) == [2, 2, 3]
     assert sum(part[class_key("team", WorkKind.GANG)] for part in parts) == 1
 
 
 def places_after_takeover(kinds):
-    """Return places of a new owner that found these kinds running on a fenced worker."""
+    """Return the places of a new owner after a worker reported running tasks of these kinds."""
     quota = QuotaLedger("r")
     quota.begin_takeover()
     places = ShardPlaces(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
@@ -44,8 +44,8 @@
     return places
 
 
-def test_a_new_owner_counts_the_kinds_that_already_run():
-    """Guard against a takeover after which a kind starts again up to its full limit."""
+def test_new_owner_counts_the_tasks_of_each_kind_that_already_run():
+    """Guard against a new owner that starts tasks up to the class limit beyond those that run."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
     places.quota.lift_takeover_cap({"team": 9})
     assert places.acquire("team", "batch-8", "w1") is None
@@ -54,8 +54,8 @@
     assert places.acquire("team", "request-9", "w1") is None
 
 
-def test_a_new_owner_under_the_takeover_cap_starts_no_more_of_a_kind_than_it_found():
-    """Guard against an excess while workers are not fenced that may run more of the kind."""
+def test_takeover_cap_bounds_each_class_to_the_tasks_that_run():
+    """Guard against exceeding a class limit while workers that are not fenced yet may run more."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
     places.confirmed.add("request-1")
     places.release("request-1")
@@ -63,8 +63,8 @@
     assert places.acquire("team", "request-8", "w1") is None
 
 
-def test_an_unconfirmed_end_does_not_free_the_part_of_a_class():
-    """Guard against a start while a new owner may still count the ended task."""
+def test_unconfirmed_end_does_not_release_a_class_place():
+    """Guard against a start on another worker while a new owner may still count the ended task."""
     places = places_after_takeover([])
     places.quota.lift_takeover_cap({"team": 9})
     assert [places.acquire("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
@@ -74,8 +74,8 @@
     assert places.acquire("team", "batch-2", "w2") is None
 
 
-def test_a_full_class_waits_and_holds_no_other_work_of_the_team_back(monkeypatch):
-    """Guard against batch work over its limit, and against requests that wait behind it."""
+def test_full_class_waits_without_blocking_other_work_of_the_team(monkeypatch):
+    """Guard against batch work above its class limit, and against requests that wait behind it."""
     quicken(monkeypatch)
 
     async def scenario():
@@ -98,7 +98,7 @@
             req = request("never", idempotent=True)
             req = attrs.evolve(req, task=attrs.evolve(req.task, kind=WorkKind.BATCH))
             refused = await owner.submit(req)
-            # The coordinator of a job sends a refused task to another shard.
+            # The job coordinator can send a refused task to another shard, as it has not run.
             assert (refused.kind, refused.outcome) == (ErrorKind.TEAM_LIMIT, Outcome.NOT_RUN)
             owner.places.classes.limits = {BATCH: 2}
             assert all(isinstance(result, Answer) for result in await asyncio.gather(*calls[1:]))
--- a/baobabhoist/tests/test_quota_escrow.py
+++ b/baobabhoist/tests/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""Test the escrow row."""
+"""Test the escrow row and its transactions."""
 
 import hypothesis.strategies as st
 import pytest
@@ -17,22 +17,22 @@
 def test_no_order_of_moves_and_limits_exceeds_the_limit(limit, steps):
     """Guard against a pool and shards that together hold more than the limit."""
     row = escrow.initial_row(limit, SHARDS)
-    wanted = limit
+    target = limit
     for step in steps:
         if isinstance(step, int):
             changed = escrow.set_limit("t", row, step)
-            wanted = wanted if isinstance(changed, Refusal) else step
+            target = target if isinstance(changed, Refusal) else step
         else:
             changed = escrow.apply_moves("t", row, [PlaceMove(*step)])
         row = row if isinstance(changed, Refusal) else changed
         escrow.check_row("t", row)
-        assert sum(escrow.ceilings(row).values()) <= wanted
-        assert wanted == (row.limit if row.pending_limit is None else row.pending_limit)
+        assert sum(escrow.ceilings(row).values()) <= target
+        assert target == (row.limit if row.pending_limit is None else row.pending_limit)
         assert escrow.decode_row("t", escrow.encode_row(row)) == row
 
 
-def test_lower_limit_is_pending_until_the_shards_returned_places():
-    """Guard against a lowered limit that is forgotten or that takes places in use."""
+def test_lower_limit_is_pending_until_shards_return_places():
+    """Guard against a lowered limit that is never reached or that revokes places in use."""
     row = escrow.set_limit("t", EscrowRow(10, 1, {"a": 6, "b": 3}), 4)
     assert (row.limit, row.pool, row.pending_limit) == (9, 0, 4)
     assert escrow.ceilings(row) == {"a": 3, "b": 1}
@@ -42,20 +42,20 @@
 
 
 def test_move_under_an_earlier_epoch_is_refused():
-    """Guard against an earlier owner that moves the places of its successor."""
+    """Guard against a fenced owner that moves the places of its successor."""
     row = escrow.confirm_epoch(escrow.initial_row(4, SHARDS), "a", 3)
     assert isinstance(escrow.apply_moves("t", row, [PlaceMove("a", 2, -1)]), Refusal)
     assert escrow.apply_moves("t", row, [PlaceMove("a", 3, -1)]).pool == 1
 
 
-def test_dropped_shard_returns_its_places():
-    """Guard against places that vanish with a shard."""
+def test_removed_shard_returns_its_places():
+    """Guard against places that are lost when a shard is removed."""
     row = escrow.remove_shard("t", escrow.initial_row(5, SHARDS), "a")
     assert row == EscrowRow(5, 2, {"b": 2, "c": 1})
 
 
 def test_transaction_checks_the_row_and_the_epochs_of_its_shards():
-    """Guard against a transfer that commits after the shard changed its owner."""
+    """Guard against a transfer that commits after a shard has a new owner."""
     txn = escrow.build_transaction({"t": (4, escrow.initial_row(3, SHARDS))}, {"a": 7}, "id")
     assert txn.checks == {"escrow/t": 4, "shard/a": 7}
     assert txn.writes["escrow/t"]["limit"] == 3
@@ -67,6 +67,6 @@
     "value", [None, {}, {**escrow.encode_row(escrow.initial_row(1, [])), "pool": "x"}]
 )
 def test_malformed_row_is_reported(value):
-    """Guard against a damaged row that reads as an empty one."""
+    """Guard against a malformed row that is read as an empty one."""
     with pytest.raises(PlatformError, match="escrow/t"):
         escrow.decode_row("t", value)
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""Test the places of a shard."""
+"""Test the quota ledger of a shard."""
 
 import pytest
 
@@ -8,25 +8,25 @@
 from baobabhoist.quota.ledger import QuotaLedger
 
 
-def ledger(places=2):
+def make_ledger(places=2):
     return QuotaLedger("rack-1", {"roster": places})
 
 
-def running(*names):
-    return [RunningTask(name, "roster", Resources()) for name in names]
+def running_tasks(*task_ids):
+    return [RunningTask(task_id, "roster", Resources()) for task_id in task_ids]
 
 
 def test_start_stays_within_the_places():
     """Guard against a team that exceeds its limit in one shard."""
-    quota = ledger(1)
+    quota = make_ledger(1)
     assert quota.acquire("roster", "a", "w1") is None
     assert is_refusal(quota.acquire("roster", "b", "w1"))
     assert is_refusal(quota.acquire("other", "c", "w1"))
 
 
-def test_ended_place_is_used_elsewhere_only_after_the_worker_confirmed():
-    """Guard against a place that the worker's new owner counts too."""
-    quota = ledger(1)
+def test_released_place_is_used_on_another_worker_only_after_confirmation():
+    """Guard against a place that a new owner of the shard counts as well."""
+    quota = make_ledger(1)
     quota.acquire("roster", "a", "w1")
     quota.release("a")
     assert is_refusal(quota.acquire("roster", "b", "w2"))
@@ -43,8 +43,8 @@
 
 
 def test_call_sent_before_an_end_does_not_confirm_it():
-    """Guard against a reply that overtakes the report of the end."""
-    quota = ledger(1)
+    """Guard against an end that is confirmed by a call which was sent before it."""
+    quota = make_ledger(1)
     quota.acquire("roster", "a", "w1")
     watermark = quota.end_watermark()
     quota.release("a")
@@ -54,12 +54,12 @@
     assert quota.transferable("roster") == 1
 
 
-def test_takeover_uses_only_the_places_found_in_use():
-    """Guard against a new owner that uses places given away by the old one."""
-    quota = ledger(5)
+def test_takeover_uses_only_places_of_running_tasks():
+    """Guard against a new owner that uses places transferred away by the previous one."""
+    quota = make_ledger(5)
     quota.begin_takeover()
     assert is_refusal(quota.acquire("roster", "x", "w1"))
-    quota.adopt("w1", running("a", "b"))
+    quota.adopt("w1", running_tasks("a", "b"))
     assert is_refusal(quota.acquire("roster", "x", "w1"))
     quota.release("a", confirmed=True)
     assert quota.transferable("roster") == 0
@@ -69,20 +69,20 @@
     assert is_refusal(quota.acquire("roster", "z", "w1"))
 
 
-def test_copy_of_an_inventory_does_not_raise_the_cap():
-    """Guard against a delayed report that names a task which has ended since."""
-    quota = ledger()
+def test_duplicate_report_does_not_raise_the_takeover_cap():
+    """Guard against a delayed duplicate of a report that names a task which has ended since."""
+    quota = make_ledger()
     quota.begin_takeover()
-    quota.adopt("w1", running("a"))
+    quota.adopt("w1", running_tasks("a"))
     quota.release("a", confirmed=True)
-    quota.adopt("w1", running("a"))
+    quota.adopt("w1", running_tasks("a"))
     assert quota.allowed("roster") == 1
     assert is_refusal(quota.acquire("roster", "x", "w1"))
 
 
-def test_excused_worker_gives_all_its_places_back():
-    """Guard against places that stay with a worker that is gone."""
-    quota = ledger(2)
+def test_release_worker_releases_all_its_places():
+    """Guard against places that stay allocated to a worker that is gone."""
+    quota = make_ledger(2)
     quota.acquire("roster", "a", "w1")
     quota.acquire("roster", "b", "w1")
     quota.release("a")
@@ -91,8 +91,8 @@
 
 
 def test_lowered_limit_stops_starts_at_once_and_lists_the_latest_tasks():
-    """Guard against starts above a lowered limit, and stopping more or older work than needed."""
-    quota = ledger(4)
+    """Guard against starts above a lowered limit, and stopping more or older tasks than needed."""
+    quota = make_ledger(4)
     for name in "abcd":
         quota.acquire("roster", name, "w1")
     quota.set_ceiling("roster", 2)
@@ -104,9 +104,9 @@
     assert quota.acquire("roster", "e", "w1") is None
 
 
-def test_places_leave_before_and_arrive_after_the_transaction():
-    """Guard against a place that donor and recipient use at the same time."""
-    quota = ledger(2)
+def test_places_are_withdrawn_before_and_deposited_after_the_transaction():
+    """Guard against a place that source and target shard use at the same time."""
+    quota = make_ledger(2)
     quota.withdraw("roster", 2)
     assert is_refusal(quota.acquire("roster", "a", "w1"))
     quota.deposit("roster", 1)
@@ -124,8 +124,8 @@
     ],
 )
 def test_step_that_breaks_an_invariant_is_refused_and_counted(step, event):
-    """Guard against a place that is counted twice or given away in use."""
-    quota = ledger(1)
+    """Guard against a place that is counted twice or transferred while in use."""
+    quota = make_ledger(1)
     quota.acquire("roster", "a", "w1")
     before, counted = repr(quota), invariants.breaches[event]
     with pytest.raises(InvariantBreachError):
@@ -134,10 +134,10 @@
     assert invariants.breaches[event] == counted + 1
 
 
-def test_start_beyond_the_places_is_refused_even_if_the_search_errs(monkeypatch):
-    """Guard against a fault in the search for a place that takes effect."""
+def test_start_above_the_limit_is_refused_even_if_the_first_check_is_wrong(monkeypatch):
+    """Guard against a fault in `_has_place` that lets a team exceed its places."""
     monkeypatch.setattr(QuotaLedger, "_has_place", lambda *args: True)
-    quota = ledger(0)
+    quota = make_ledger(0)
     with pytest.raises(InvariantBreachError):
         quota.acquire("roster", "a", "w1")
     assert not quota.running
--- a/baobabhoist/tests/test_scheduling_components.py
+++ b/baobabhoist/tests/test_scheduling_components.py
@@ -1,4 +1,4 @@
-"""Check the index, the estimates and the judgement of health on their own."""
+"""Test the capacity index, the estimator and the health tracker."""
 
 import random
 
@@ -13,15 +13,15 @@
 from baobabhoist.scheduling.results import Verdict
 
 
-def task(name="t", team="a", memory=1000):
+def make_task(name="t", team="a", memory=1000):
     return Task(name, team, "q", WorkKind.BATCH, Resources(1000, memory), 1e9, 0.0, True)
 
 
-def test_search_finds_room_exactly_when_a_scan_does():
+def test_index_finds_workers_exactly_when_a_scan_does():
     rng = random.Random(1)
-    size = Resources(8000, 8000, 2, 8)
-    index = CapacityIndex(WorkerSpec(f"w{n}", "h", 1, f"r{n % 5}", size) for n in range(37))
-    held = []
+    capacity = Resources(8000, 8000, 2, 8)
+    index = CapacityIndex(WorkerSpec(f"w{n}", "h", 1, f"r{n % 5}", capacity) for n in range(37))
+    allocations = []
     for step in range(2000):
         worker = rng.choice(sorted(index.workers.values(), key=lambda w: w.name))
         if rng.random() < 0.1:
@@ -33,41 +33,41 @@
         assert len(found) == min(3, len(scan)) and all(w in scan for w in found)
         if found:
             index.allocate(found[0], demand, f"t{step}")
-            held.append((found[0], demand, f"t{step}"))
-        elif held:
-            index.release(*held.pop(rng.randrange(len(held))))
+            allocations.append((found[0], demand, f"t{step}"))
+        elif allocations:
+            index.release(*allocations.pop(rng.randrange(len(allocations))))
 
 
-def test_estimate_moves_from_the_declaration_to_what_is_used():
+def test_estimate_converges_from_the_declaration_to_measured_usage():
     estimator, largest = Estimator(), (8000, 8000, 0, 8)
-    assert estimator.estimate_demand(task(), largest) == (1000, 1000, 0, 1)
+    assert estimator.estimate_demand(make_task(), largest) == (1000, 1000, 0, 1)
     for _ in range(100):
-        estimator.observe_success(task(), 5.0, Resources(400, 500))
-    assert estimator.estimate_demand(task(), largest)[:2] == (400, 500)
-    assert estimator.median_run_s(task()) == 5.0
+        estimator.observe_success(make_task(), 5.0, Resources(400, 500))
+    assert estimator.estimate_demand(make_task(), largest)[:2] == (400, 500)
+    assert estimator.median_run_s(make_task()) == 5.0
 
 
 def test_estimate_never_exceeds_the_largest_worker():
     estimator = Estimator()
     for _ in range(100):
-        estimator.observe_success(task(), 1.0, Resources(50_000, 50_000))
-    assert estimator.estimate_demand(task(), (4000, 6000, 0, 8)) == (4000, 6000, 0, 1)
+        estimator.observe_success(make_task(), 1.0, Resources(50_000, 50_000))
+    assert estimator.estimate_demand(make_task(), (4000, 6000, 0, 8)) == (4000, 6000, 0, 1)
 
 
-def test_one_wild_observation_does_not_move_the_estimate():
+def test_single_outlier_does_not_change_the_estimate():
     estimator = Estimator()
-    estimator.observe_success(task(), 1.0, Resources(10, 10))
-    assert estimator.estimate_demand(task(), (8000, 8000, 0, 8)) == (1000, 1000, 0, 1)
+    estimator.observe_success(make_task(), 1.0, Resources(10, 10))
+    assert estimator.estimate_demand(make_task(), (8000, 8000, 0, 8)) == (1000, 1000, 0, 1)
 
 
-def test_estimates_of_many_teams_stay_bounded():
+def test_number_of_histories_is_bounded():
     estimator = Estimator()
     for n in range(MAX_HISTORIES + 10):
-        estimator.observe_success(task(team=f"team{n}"), 1.0, None)
+        estimator.observe_success(make_task(team=f"team{n}"), 1.0, None)
     assert len(estimator.histories) == MAX_HISTORIES
 
 
-def fail_everything(health, worker, jobs, now=0.0):
+def fail_jobs_until_quarantined(health, worker, jobs, now=0.0):
     for n in range(jobs):
         health.record_failure(f"t{worker}{n}", f"j{worker}{n}", worker, now, 10)
         if health.quarantine_if_suspect(worker, 10, now):
@@ -76,10 +76,10 @@
 
 
 def test_worker_that_fails_different_jobs_is_quarantined():
-    assert fail_everything(HealthTracker(), "w0", 3)
+    assert fail_jobs_until_quarantined(HealthTracker(), "w0", 3)
 
 
-def test_job_that_fails_everywhere_is_given_up_and_no_worker_blamed():
+def test_job_that_fails_everywhere_is_given_up_without_quarantine():
     health, verdicts = HealthTracker(), []
     for n in range(30):
         verdicts.append(health.record_failure(f"t{n // 3}", "bad", f"w{n % 10}", 0.0, 10))
@@ -87,7 +87,7 @@
     assert verdicts.count(Verdict.GIVE_UP) == 30 // MAX_FAILED_WORKERS
 
 
-def test_one_queue_is_enough_to_tell_a_failing_worker():
+def test_failures_in_one_queue_suffice_to_quarantine_a_worker():
     health = HealthTracker()
     health.record_success("t", "q", "w1")
     for n in range(3):
@@ -95,15 +95,15 @@
     assert health.quarantine_if_suspect("w0", 4, 0.0)
 
 
-def test_common_cause_does_not_empty_the_shard():
+def test_common_fault_does_not_quarantine_the_whole_shard():
     health = HealthTracker()
-    quarantined = [name for name in "abcdefghij" if fail_everything(health, name, 5)]
+    quarantined = [name for name in "abcdefghij" if fail_jobs_until_quarantined(health, name, 5)]
     assert len(quarantined) == 2
 
 
-def test_probes_end_a_quarantine_and_failed_ones_space_out():
+def test_probes_end_a_quarantine_and_back_off_after_failures():
     health = HealthTracker()
-    fail_everything(health, "w0", 3)
+    fail_jobs_until_quarantined(health, "w0", 3)
     assert not health.workers_due_for_probe(
         INITIAL_PROBE_INTERVAL_S - 1
     ) and health.workers_due_for_probe(INITIAL_PROBE_INTERVAL_S) == ["w0"]
