--- a/baobabhoist/scheduling/capacity.py
+++ b/baobabhoist/scheduling/capacity.py
@@ -138,7 +138,7 @@
         self._rebuild()
 
     def could_ever_fit(self, demand: ResourceVector) -> bool:
-        """Return whether the demand fits in the total capacity of any worker."""
+        """Return whether the demand fits on any worker when it is idle."""
         return any(fits(demand, capacity) for capacity in self._capacity_counts)
 
     def might_fit(self, demand: ResourceVector) -> bool:
--- a/baobabhoist/scheduling/explain.py
+++ b/baobabhoist/scheduling/explain.py
@@ -49,9 +49,9 @@
             WaitReason.SHARE,
             f"other work goes first; team {team} uses {ratio:.0%} of its share",
         )
-    if _fits_quarantined(scheduler, demand):
+    if _fits_on_quarantined_worker(scheduler, demand):
         return WaitReason.QUARANTINE, "the task fits only on quarantined workers"
-    if scheduler.reservations.pending_by_worker and _fits_pending(scheduler, demand):
+    if scheduler.reservations.pending_by_worker and _fits_on_pending_worker(scheduler, demand):
         return WaitReason.HOLD, "the free capacity is reserved for other work"
     failed = scheduler.health.excluded_workers(entry.task.task_id)
     failures = f"; the task failed on {', '.join(failed)}" if failed else ""
@@ -61,11 +61,11 @@
     )
 
 
-def _fits_quarantined(scheduler: Scheduler, demand: ResourceVector) -> bool:
+def _fits_on_quarantined_worker(scheduler: Scheduler, demand: ResourceVector) -> bool:
     names = scheduler.health.quarantined
     return any(fits(demand, scheduler.index.workers[name].free) for name in names)
 
 
-def _fits_pending(scheduler: Scheduler, demand: ResourceVector) -> bool:
+def _fits_on_pending_worker(scheduler: Scheduler, demand: ResourceVector) -> bool:
     names = scheduler.reservations.pending_by_worker
     return any(fits(demand, scheduler.index.workers[name].free) for name in names)
--- a/baobabhoist/scheduling/health.py
+++ b/baobabhoist/scheduling/health.py
@@ -13,8 +13,8 @@
 # succeeded elsewhere counts once, because the job itself may be at fault.
 SUSPECT_FAILURES = 3
 # A task that failed on this many different healthy workers is assumed to fail everywhere.
-MAX_FAILED_WORKERS = 3
-MAX_TASK_ATTEMPTS = 6
+MAX_FAILED_WORKERS_PER_TASK = 3
+MAX_ATTEMPTS_PER_TASK = 6
 # A fault that all workers have in common fails tasks on each of them; it must not put the whole
 # shard into quarantine.
 MAX_QUARANTINED_FRACTION = 0.25
@@ -81,11 +81,11 @@
         return False
 
     def record_failure(
-        self, task_id: str, job: str, worker: str, now: float, usable: int
+        self, task_id: str, job: str, worker: str, now: float, usable_count: int
     ) -> Verdict:
         """Record a failure, and return whether to retry the task on another worker.
 
-        `usable` is the number of workers that may be given work.
+        `usable_count` is the number of workers that may be given work.
         """
         history = self.history(worker)
         history.failed_jobs[job] += 1
@@ -103,17 +103,17 @@
                 entries.popitem(last=False)
         healthy = {name for name in attempts if name not in self.quarantined}
         if (
-            len(healthy) >= min(MAX_FAILED_WORKERS, max(1, usable))
-            or len(attempts) >= MAX_TASK_ATTEMPTS
+            len(healthy) >= min(MAX_FAILED_WORKERS_PER_TASK, max(1, usable_count))
+            or len(attempts) >= MAX_ATTEMPTS_PER_TASK
         ):
             self.failed_workers_by_task.pop(task_id, None)
             return Verdict.GIVE_UP
         return Verdict.RETRY
 
-    def quarantine_if_suspect(self, worker: str, total: int, now: float) -> bool:
+    def quarantine_if_suspect(self, worker: str, worker_count: int, now: float) -> bool:
         """Quarantine a worker that fails jobs which do not fail elsewhere.
 
-        Return whether the worker was quarantined now. `total` is the number of workers.
+        Return whether the worker was quarantined now. `worker_count` is the size of the shard.
         """
         history = self.history(worker)
         if history.state is not WorkerHealth.GOOD:
@@ -121,11 +121,11 @@
         attributed_failures = sum(
             failures if job in self.last_success_by_job else 1
             for job, failures in history.failed_jobs.items()
-            if self._count_other_failing(job, worker) < 2
+            if self._count_other_failing_workers(job, worker) < 2
         )
         if (
             attributed_failures < SUSPECT_FAILURES
-            or len(self.quarantined) + 1 > MAX_QUARANTINED_FRACTION * total
+            or len(self.quarantined) + 1 > MAX_QUARANTINED_FRACTION * worker_count
         ):
             return False
         history.state = WorkerHealth.QUARANTINED
@@ -157,7 +157,7 @@
         self.workers.pop(worker, None)
         self.quarantined.discard(worker)
 
-    def _count_other_failing(self, job: str, worker: str) -> int:
+    def _count_other_failing_workers(self, job: str, worker: str) -> int:
         return len(self.failed_workers_by_job.get(job, set()) - {worker} - self.quarantined)
 
     def _end_quarantine(self, worker: str, history: WorkerHistory) -> None:
--- a/baobabhoist/scheduling/placement.py
+++ b/baobabhoist/scheduling/placement.py
@@ -12,8 +12,8 @@
 
 # Scoring more workers improves packing little and costs time in every decision.
 MAX_CANDIDATES = 4
-# Weight of a worker's speed in its score: a worker at half speed scores as badly as one for which
-# the unused fractions and their imbalance add up to half of this more.
+# Weight of a worker's speed in its score: a worker at half speed scores as badly as one at full
+# speed that is left with a further eighth of its capacity unused.
 SPEED_WEIGHT = 0.5
 # Weight of a new sample in the moving average of a worker's speed.
 SPEED_SMOOTHING = 0.1
@@ -68,11 +68,14 @@
     The score adds the unused fractions of processors and memory and their imbalance, and subtracts
     the weighted speed.
     """
-    capacity, room = worker.capacity, worker.allocatable
-    cpu = (room[0] - demand[0]) / (capacity[0] or 1)
-    memory = (room[1] - demand[1]) / (capacity[1] or 1)
-    # cpu + memory + abs(cpu - memory) is twice the larger of the two.
-    return 2.0 * (cpu if cpu > memory else memory) - SPEED_WEIGHT * worker.speed
+    capacity, allocatable = worker.capacity, worker.allocatable
+    unused_cpu = (allocatable[0] - demand[0]) / (capacity[0] or 1)
+    unused_memory = (allocatable[1] - demand[1]) / (capacity[1] or 1)
+    # The sum of both and of their difference is twice the larger one.
+    return (
+        2.0 * (unused_cpu if unused_cpu > unused_memory else unused_memory)
+        - SPEED_WEIGHT * worker.speed
+    )
 
 
 def update_speed(worker: WorkerState, expected_s: float, run_s: float) -> None:
--- a/baobabhoist/scheduling/queues.py
+++ b/baobabhoist/scheduling/queues.py
@@ -143,6 +143,7 @@
         self.is_class_full: Callable[[str, WorkKind], bool] = lambda team, kind: False
         self._rank = rank
         self._by_deadline: list[tuple[float, int, QueueEntry]] = []
+        # Heap of the first ranked subqueue of each size class that is not blocked.
         self._active: list[RankedSubqueue] = []
         self._teams_to_refresh: list[str] = []
         self._rank_version = 0
--- a/baobabhoist/scheduling/reservations.py
+++ b/baobabhoist/scheduling/reservations.py
@@ -101,9 +101,9 @@
         members: list[ReservedTask] = []
         start_at = now
         for task, demand in sorted(tasks, key=lambda item: item[1], reverse=True):
-            found = self._index.find_workers(demand, 1)
-            if found:
-                worker, at = found[0], now
+            candidates = self._index.find_workers(demand, 1)
+            if candidates:
+                worker, at = candidates[0], now
             elif immediate_only:
                 worker, at = None, inf
             else:
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -111,19 +111,28 @@
     def adopt(self, worker: str, running: Iterable[RunningTask], now: float) -> None:
         """Count the tasks that a worker already runs; call it before `worker_up`.
 
-        No places are acquired for adopted tasks: `task_ended` leaves them to the caller too.
+        Places are not acquired here. The end of an adopted task is reported with `task_ended`,
+        which leaves the release of its place to the caller.
         """
-        state = self.index.workers[worker]
-        for item in running:
-            if item.task_id in self.running:
+        worker_state = self.index.workers[worker]
+        for reported in running:
+            if reported.task_id in self.running:
                 continue
-            task = Task(item.task_id, item.team, "", WorkKind.BATCH, item.resources, now, now)
-            demand = to_vector(item.resources)
-            self.index.adopt(state, demand, item.task_id)
-            self.fairness.add_usage(item.team, demand)
+            task = Task(
+                reported.task_id, reported.team, "", WorkKind.BATCH, reported.resources, now, now
+            )
+            demand = to_vector(reported.resources)
+            self.index.adopt(worker_state, demand, reported.task_id)
+            self.fairness.add_usage(reported.team, demand)
             placement = Placement(task, worker, now)
-            self.running[item.task_id] = PlacedTask(
-                placement, task, demand, state, task.expected_run_s, task.expected_run_s, True
+            self.running[reported.task_id] = PlacedTask(
+                placement,
+                task,
+                demand,
+                worker_state,
+                task.expected_run_s,
+                task.expected_run_s,
+                True,
             )
 
     def set_policies(
@@ -208,10 +217,10 @@
         )
 
     def _set_availability(self, worker: str, availability: Availability) -> None:
-        state = self.index.workers.get(worker)
-        if state is not None:
-            state.availability = availability
-            self.index.update(state)
+        worker_state = self.index.workers.get(worker)
+        if worker_state is not None:
+            worker_state.availability = availability
+            self.index.update(worker_state)
 
     def _queue_policy(self, name: str) -> QueuePolicy:
         return self._queue_policies.get(name, _DEFAULT_QUEUE_POLICY)
--- a/baobabhoist/tests/test_scheduling_components.py
+++ b/baobabhoist/tests/test_scheduling_components.py
@@ -7,7 +7,7 @@
 from baobabhoist.scheduling.estimates import MAX_HISTORIES, Estimator
 from baobabhoist.scheduling.health import (
     INITIAL_PROBE_INTERVAL_S,
-    MAX_FAILED_WORKERS,
+    MAX_FAILED_WORKERS_PER_TASK,
     HealthTracker,
 )
 from baobabhoist.scheduling.results import Verdict
@@ -84,7 +84,7 @@
     for n in range(30):
         verdicts.append(health.record_failure(f"t{n // 3}", "bad", f"w{n % 10}", 0.0, 10))
         assert not health.quarantine_if_suspect(f"w{n % 10}", 10, 0.0)
-    assert verdicts.count(Verdict.GIVE_UP) == 30 // MAX_FAILED_WORKERS
+    assert verdicts.count(Verdict.GIVE_UP) == 30 // MAX_FAILED_WORKERS_PER_TASK
 
 
 def test_failures_in_one_queue_suffice_to_quarantine_a_worker():
