--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -38,7 +38,7 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.observability.metrics import Metrics
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ClaimTimes, ShardState
+from baobabhoist.ownership.events import ClaimState, ClaimTiming
 from baobabhoist.ownership.keys import Result
 from baobabhoist.peer.mesh import Mesh, PeerAddress
 from baobabhoist.peer.messages import (
@@ -122,9 +122,7 @@
             self.shards,
             self.mesh,
             self._make_owner,
-            times=ClaimTimes(
-                membership_lag_s=cfg.membership_lag_s, longest_lease_s=cfg.task_lease_s
-            ),
+            times=ClaimTiming(membership_lag_s=cfg.membership_lag_s, max_lease_s=cfg.task_lease_s),
         )
         self.router = RequestRouter(self.owners.owners, self.mesh, self.shards.data_centre_of)
         self.jobs = Jobs(self)
@@ -241,12 +239,12 @@
     def owned_shards(self) -> list[str]:
         """Return the shards that this instance owns fully."""
         owners = self.owners.owners.items()
-        return [name for name, owner in owners if owner.claim.state is ShardState.OWNED]
+        return [name for name, owner in owners if owner.claim.state is ClaimState.OWNED]
 
     def local_shard(self, shard: str) -> ShardJobs | None:
         """Return a shard that this instance owns fully, or None."""
         owner = self.owners.owners.get(shard)
-        if owner is None or owner.claim.state is not ShardState.OWNED:
+        if owner is None or owner.claim.state is not ClaimState.OWNED:
             return None
         return ShardJobs(owner)
 
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -180,7 +180,7 @@
         return PlacesGiven(wanted.team, places if given else 0)
 
     def _usable(self) -> list[ShardOwner]:
-        return [owner for owner in self._instance.busy_owners() if owner.claim.escrow_usable]
+        return [owner for owner in self._instance.busy_owners() if owner.claim.can_use_full_escrow]
 
     def _account(self, owner: ShardOwner) -> Account:
         known = self._accounts.get(owner.shard)
@@ -252,7 +252,7 @@
 
     def _sync(self, account: Account) -> None:
         owner = account.owner
-        if not owner.claim.escrow_usable:
+        if not owner.claim.can_use_full_escrow:
             return
         held = {team: known.row.held(owner.shard) for team, known in self.known.items()}
         arrived = owner.quota.cap is not None
--- a/baobabhoist/daemon/fencing.py
+++ b/baobabhoist/daemon/fencing.py
@@ -16,20 +16,21 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import (
-    Action,
     AdvanceEpoch,
-    ClaimWanted,
+    ClaimAction,
+    ClaimEvent,
+    ClaimRequested,
+    ClaimState,
     EpochConflict,
     EpochGranted,
     EpochUnavailable,
     FenceRefused,
+    HandOverAccepted,
     HandOverRefused,
-    HandOverTaken,
-    HandOverWanted,
+    HandOverRequested,
     PresentToken,
-    ReleaseWanted,
+    ReleaseRequested,
     SendQueue,
-    ShardState,
     StateChanged,
     Tick,
     WorkerConfirmed,
@@ -40,7 +41,6 @@
     WorkerReportedLive,
     WorkersChanged,
 )
-from baobabhoist.ownership.events import Event as ClaimEvent
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.store.table import Committed, Table, Transaction, within
 from baobabhoist.upstream.messages import (
@@ -67,7 +67,7 @@
 CONFIRM_ATTEMPTS = 3
 CONFIRM_SAMPLE = 3
 
-ENDED_STATES = (ShardState.LOST, ShardState.IDLE)
+ENDED_STATES = (ClaimState.LOST, ClaimState.IDLE)
 
 # These arrive once a second for each worker. Unless the claim asks for an action, they change
 # which workers are usable only while some worker still has to be verified.
@@ -77,7 +77,7 @@
 class Holder(Protocol):
     """Be told by the fencing what changes for the shard."""
 
-    def state_changed(self, state: ShardState) -> None:
+    def state_changed(self, state: ClaimState) -> None:
         """Take the new state of the claim."""
 
     def inventory(self, worker: str, running: list[RunningTask], ended: list[EndedTask]) -> None:
@@ -154,7 +154,7 @@
 
     async def release(self) -> None:
         """Give the shard up."""
-        await self.apply(ReleaseWanted())
+        await self.apply(ReleaseRequested())
 
     async def hand_over(self, successor: str) -> bool:
         """Stop dispatch, send the queue to the successor; tell whether the shard was given up.
@@ -162,8 +162,8 @@
         The claim ends a hand-over by itself when its deadline passes.
         """
         self._settled.clear()
-        await self.apply(HandOverWanted(successor))
-        if self.claim.state is ShardState.HANDING_OVER:
+        await self.apply(HandOverRequested(successor))
+        if self.claim.state is ClaimState.HANDING_OVER:
             await self._settled.wait()
         return self.ended.is_set()
 
@@ -174,10 +174,10 @@
     async def confirmed(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; may ask workers."""
         for _ in range(CONFIRM_ATTEMPTS):
-            if self.claim.confirmed_after(at) or self.ended.is_set():
+            if self.claim.is_confirmed_since(at) or self.ended.is_set():
                 break
             await asyncio.wait((self.confirm_soon(),))
-        return self.claim.confirmed_after(at)
+        return self.claim.is_confirmed_since(at)
 
     def confirm_soon(self) -> asyncio.Task[None]:
         """Ask some workers to confirm the token; calls at the same time share one round."""
@@ -186,7 +186,7 @@
         return self._confirming
 
     async def _ask_workers(self) -> None:
-        workers = [name for name in self.claim.fenced if self._pool.connected(name)]
+        workers = [name for name in self.claim.fenced_workers if self._pool.connected(name)]
         chosen = workers[:CONFIRM_SAMPLE]
         await asyncio.gather(*(self._renew_worker(worker) for worker in chosen))
 
@@ -219,7 +219,7 @@
         """
         if self.ended.is_set():
             return
-        unverified = bool(self.claim.unverified)
+        unverified = bool(self.claim.unverified_workers)
         try:
             actions = self.claim.step(event, self._clock())
         except InvariantBreachError:
@@ -235,7 +235,7 @@
         if self._began and self.claim.state in ENDED_STATES:
             self.ended.set()
 
-    async def _perform(self, action: Action) -> None:
+    async def _perform(self, action: ClaimAction) -> None:
         match action:
             case AdvanceEpoch(expected, target):
                 await self.apply(await self._advance(expected, target))
@@ -246,7 +246,7 @@
             case StateChanged(state):
                 shard, token = self.claim.shard, self.claim.token
                 emit(log, Event.SHARD_STATE, shard=shard, state=state.value, token=token)
-                if state is not ShardState.HANDING_OVER:
+                if state is not ClaimState.HANDING_OVER:
                     self._settled.set()
                 self._holder.state_changed(state)
 
@@ -257,7 +257,7 @@
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
             epoch = None
-        await self.apply(ClaimWanted(epoch))
+        await self.apply(ClaimRequested(epoch))
 
     async def _advance(
         self, expected: int, target: int
@@ -288,18 +288,18 @@
         """Advance the epoch once the table answers again after a claim by round."""
         while True:
             await asyncio.sleep(CONFIRM_INTERVAL_S)
-            if self.claim.confirmed:
+            if self.claim.is_epoch_committed:
                 continue
             try:
                 epoch = _epoch_of((await self._table.read(self._row_key)).value)
             except PlatformError:
                 continue
-            await self.apply(ClaimWanted(epoch))
+            await self.apply(ClaimRequested(epoch))
 
     async def _send_queue(self, successor: str, token: Token) -> None:
         taken = await self._holder.send_queue(successor, token)
         if taken is not None:
-            await self.apply(HandOverTaken() if taken else HandOverRefused())
+            await self.apply(HandOverAccepted() if taken else HandOverRefused())
 
     async def _tick(self) -> None:
         while True:
@@ -361,7 +361,7 @@
     async def _renew(self) -> None:
         while True:
             await asyncio.sleep(RENEW_INTERVAL_S)
-            for worker in list(self.claim.fenced):
+            for worker in list(self.claim.fenced_workers):
                 if self._pool.connected(worker):
                     self._spawn(self._renew_worker(worker))
 
@@ -379,7 +379,7 @@
         self._silent.pop(worker, None)
         if isinstance(reply, TokenRefused):
             await self.refused(worker, reply.highest)
-        elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced:
+        elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced_workers:
             await self.apply(WorkerConfirmed(worker, token, sent_at))
             self._holder.leases_renewed(worker, reply, mark)
 
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -19,8 +19,8 @@
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ClaimTimes, ShardState
-from baobabhoist.ownership.rendezvous import Candidate, rank
+from baobabhoist.ownership.events import ClaimState, ClaimTiming
+from baobabhoist.ownership.rendezvous import OwnerCandidate, rank_owners
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS
 from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
 
@@ -41,7 +41,7 @@
 # A better-placed instance must have been there this long before a shard moves to it.
 REBALANCE_AFTER_S = 20.0
 
-BUSY_STATES = (ShardState.PARTIAL, ShardState.OWNED, ShardState.HANDING_OVER)
+BUSY_STATES = (ClaimState.PARTIAL, ClaimState.OWNED, ClaimState.HANDING_OVER)
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
         peers: Peers,
         make_owner: MakeOwner,
         *,
-        times: ClaimTimes | None = None,
+        times: ClaimTiming | None = None,
         clock: Callable[[], float] = time.time,
         reach: Callable[[list[WorkerSpec]], Any] = reachable,
     ) -> None:
@@ -118,7 +118,7 @@
         self._shards = shards
         self._peers = peers
         self._make_owner = make_owner
-        self._times = times or ClaimTimes()
+        self._times = times or ClaimTiming()
         self._clock = clock
         self._reach = reach
         # Two processes that present equal tokens would both be obeyed, so each start of an
@@ -167,9 +167,9 @@
         names = tuple(spec.name for spec in workers)
         claim = self._claims.get(shard)
         if claim is None or claim.state in BUSY_STATES:
-            seen = claim.highest_seen if claim is not None else None
+            seen = claim.highest_token_seen if claim is not None else None
             claim = ShardClaim(shard, self._claimant, names, times=self._times)
-            claim.highest_seen = seen or claim.highest_seen
+            claim.highest_token_seen = seen or claim.highest_token_seen
             self._claims[shard] = claim
         claim.workers = names
         owner = self._make_owner(claim, workers, inherited)
@@ -262,14 +262,14 @@
 
     def _ranked(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
-            Candidate(beat.instance_id, beat.data_centre, beat.weight)
+            OwnerCandidate(beat.instance_id, beat.data_centre, beat.weight)
             for beat in self._peers.beats()
             if not beat.draining
         ]
         if not others_only:
             place = self._place
-            candidates.append(Candidate(place.instance_id, place.data_centre, place.weight))
-        return rank(shard, self._shards.data_centre_of(shard), candidates)
+            candidates.append(OwnerCandidate(place.instance_id, place.data_centre, place.weight))
+        return rank_owners(shard, self._shards.data_centre_of(shard), candidates)
 
     def _consider_moving(self, shard: str, now: float) -> None:
         """Hand a shard to an instance that has been better placed for a while, one at a time."""
@@ -282,7 +282,7 @@
             self._better_since[shard] = (better, now)
             return
         owner = self.owners[shard]
-        settled = owner.claim.state is ShardState.OWNED
+        settled = owner.claim.state is ClaimState.OWNED
         if settled and now - since > REBALANCE_AFTER_S and self._moving is None:
             self._moving = shard
             del self._better_since[shard]
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -42,7 +42,7 @@
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ShardState
+from baobabhoist.ownership.events import ClaimState
 from baobabhoist.ownership.keys import Join, KeyLedger, Reply, Result
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver
@@ -58,7 +58,7 @@
 
 TICK_INTERVAL_S = 0.1
 BATCH = 32
-USABLE_STATES = (ShardState.PARTIAL, ShardState.OWNED)
+USABLE_STATES = (ClaimState.PARTIAL, ClaimState.OWNED)
 
 
 class ShardOwner:
@@ -152,7 +152,7 @@
 
     def owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; if not, find out."""
-        if self.claim.confirmed_after(at):
+        if self.claim.is_confirmed_since(at):
             return True
         self.fencing.confirm_soon()
         return False
@@ -162,7 +162,7 @@
         if not self.usable:
             return not_owner(self.shard)
         now = self._clock()
-        if self.claim.state is not ShardState.OWNED and not req.first_attempt:
+        if self.claim.state is not ClaimState.OWNED and not req.first_attempt:
             # Only the inventories of all workers tell whether this key has run.
             return not_owner(self.shard)
         if req.request_id in self.barred:
@@ -222,7 +222,7 @@
     def start(self, placement: Placement, now: float) -> None:
         """Send a placed task to its worker."""
         task, worker = placement.task, placement.worker
-        if not (self.claim.may_dispatch(worker) and self.pool.connected(worker)):
+        if not (self.claim.can_dispatch_to(worker) and self.pool.connected(worker)):
             self.take_back(task.task_id, now)
             self._worker_down(worker)
             self._enqueue_again(task, now)
@@ -305,9 +305,9 @@
 
     # What the fencing reports.
 
-    def state_changed(self, state: ShardState) -> None:
+    def state_changed(self, state: ClaimState) -> None:
         """Take the new state of the claim."""
-        if state is ShardState.OWNED and not self._owned_before:
+        if state is ClaimState.OWNED and not self._owned_before:
             self._owned_before = True
             self._begin_ownership()
         self.refresh_places()
@@ -333,7 +333,7 @@
         """Compare the workers that may get work with those that do."""
         for worker in self.claim.workers:
             usable = (
-                self.claim.may_dispatch(worker)
+                self.claim.can_dispatch_to(worker)
                 and self.pool.connected(worker)
                 and worker not in self.leaving
             )
@@ -376,7 +376,7 @@
 
     def refresh_places(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
-        if self.quota.cap is not None and self.claim.escrow_usable:
+        if self.quota.cap is not None and self.claim.can_use_full_escrow:
             places = self._escrow(self.shard)
             if places is not None:
                 self.use_escrow(places)
--- a/baobabhoist/ownership/checks.py
+++ b/baobabhoist/ownership/claim_invariants.py
@@ -6,35 +6,35 @@
 
 from baobabhoist.invariants import Invariant, check
 from baobabhoist.ownership.events import (
-    ACTIVE,
+    ACTIVE_STATES,
     CLAIMING,
     HANDING_OVER,
     IDLE,
     LOST,
     OWNED,
     PARTIAL,
-    ShardState,
+    ClaimState,
 )
 from baobabhoist.ownership.tokens import Token
 
 if TYPE_CHECKING:
     from baobabhoist.ownership.claim import ShardClaim
 
-TRANSITIONS: frozenset[tuple[ShardState, ShardState]] = frozenset(
+ALLOWED_TRANSITIONS: frozenset[tuple[ClaimState, ClaimState]] = frozenset(
     [(state, CLAIMING) for state in (IDLE, LOST, PARTIAL)]
     + [(CLAIMING, PARTIAL)]
     + [(state, OWNED) for state in (IDLE, LOST, CLAIMING, PARTIAL, HANDING_OVER)]
     + [(OWNED, HANDING_OVER)]
-    + [(state, state_after) for state in ACTIVE for state_after in (IDLE, LOST)]
+    + [(state, state_after) for state in ACTIVE_STATES for state_after in (IDLE, LOST)]
     + [(LOST, IDLE)]
 )
 """List the transitions of a whole step; a claim on a shard without workers owns at once."""
 
 
-def check_step(claim: ShardClaim, state: ShardState, token: Token) -> None:
+def check_transition(claim: ShardClaim, state: ClaimState, token: Token) -> None:
     """Compare a claim with its state and token before the step; raises on a breach."""
     check(
-        state == claim.state or (state, claim.state) in TRANSITIONS,
+        state == claim.state or (state, claim.state) in ALLOWED_TRANSITIONS,
         Invariant.CLAIM_TRANSITION,
         "shard %s: no transition leads from %s to %s",
         claim.shard,
@@ -51,7 +51,7 @@
         token,
     )
     gained = claim.state is OWNED and state not in (OWNED, HANDING_OVER)
-    unresolved = claim.unresolved() if gained else set()
+    unresolved = claim.unresolved_workers() if gained else set()
     check(
         not unresolved,
         Invariant.CLAIM_OWNED_RESOLVED,
@@ -59,12 +59,12 @@
         claim.shard,
         unresolved,
     )
-    held = claim.state in ACTIVE and not claim.awaiting_epoch
+    held = claim.state in ACTIVE_STATES and not claim.awaiting_epoch
     check(
-        claim.fenced.issubset(claim.workers) and (held or not claim.fenced),
+        claim.fenced_workers.issubset(claim.workers) and (held or not claim.fenced_workers),
         Invariant.CLAIM_FENCED_KNOWN,
         "shard %s: %s are fenced in state %s",
         claim.shard,
-        claim.fenced,
+        claim.fenced_workers,
         claim.state,
     )
--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -10,7 +10,7 @@
 from baobabhoist.ownership.tokens import Token
 
 
-class ShardState(enum.StrEnum):
+class ClaimState(enum.StrEnum):
     """Name the states of a claim."""
 
     IDLE = "idle"
@@ -21,34 +21,34 @@
     LOST = "lost"
 
 
-IDLE = ShardState.IDLE
-CLAIMING = ShardState.CLAIMING
-PARTIAL = ShardState.PARTIAL
-OWNED = ShardState.OWNED
-HANDING_OVER = ShardState.HANDING_OVER
-LOST = ShardState.LOST
+IDLE = ClaimState.IDLE
+CLAIMING = ClaimState.CLAIMING
+PARTIAL = ClaimState.PARTIAL
+OWNED = ClaimState.OWNED
+HANDING_OVER = ClaimState.HANDING_OVER
+LOST = ClaimState.LOST
 
-ACTIVE = (CLAIMING, PARTIAL, OWNED, HANDING_OVER)
+ACTIVE_STATES = (CLAIMING, PARTIAL, OWNED, HANDING_OVER)
 
 
 @attrs.frozen
-class ClaimTimes:
+class ClaimTiming:
     """Hold the periods of a claim in seconds."""
 
     membership_lag_s: float = 3.0
-    longest_lease_s: float = 10.0
+    max_lease_s: float = 10.0
     backoff_min_s: float = 0.05
     backoff_max_s: float = 0.5
-    hand_over_s: float = 5.0
+    hand_over_timeout_s: float = 5.0
 
     @property
-    def gone_s(self) -> float:
+    def worker_gone_after_s(self) -> float:
         """Return how long a worker must be reported gone until nothing can run there."""
-        return self.membership_lag_s + self.longest_lease_s
+        return self.membership_lag_s + self.max_lease_s
 
 
 @attrs.frozen
-class ClaimWanted:
+class ClaimRequested:
     """Ask for the shard; `epoch` is the row's epoch, or None while the table is down.
 
     While the shard is owned under a round, an epoch asks the table to confirm the ownership.
@@ -88,7 +88,7 @@
     token: Token
     running: tuple[RunningTask, ...] = ()
     ended: tuple[EndedTask, ...] = ()
-    previous: Token | None = None
+    previous_token: Token | None = None
     sent_at: float | None = None
 
 
@@ -106,7 +106,7 @@
     """Report that a worker refused a call and which token it holds."""
 
     worker: str
-    highest: Token
+    highest_token: Token
 
 
 @attrs.frozen
@@ -150,14 +150,14 @@
 
 
 @attrs.frozen
-class HandOverWanted:
+class HandOverRequested:
     """Ask to hand the shard to another instance."""
 
     successor: str
 
 
 @attrs.frozen
-class HandOverTaken:
+class HandOverAccepted:
     """Report that the successor has the queue."""
 
 
@@ -167,12 +167,12 @@
 
 
 @attrs.frozen
-class ReleaseWanted:
+class ReleaseRequested:
     """Ask to give the shard up."""
 
 
-Event = (
-    ClaimWanted
+ClaimEvent = (
+    ClaimRequested
     | EpochGranted
     | EpochUnavailable
     | EpochConflict
@@ -185,10 +185,10 @@
     | WorkerReportedLive
     | WorkersChanged
     | Tick
-    | HandOverWanted
-    | HandOverTaken
+    | HandOverRequested
+    | HandOverAccepted
     | HandOverRefused
-    | ReleaseWanted
+    | ReleaseRequested
 )
 
 
@@ -220,11 +220,11 @@
 class StateChanged:
     """Report the new state of the claim."""
 
-    state: ShardState
+    state: ClaimState
 
 
 @attrs.frozen
-class TakeInventory:
+class ApplyInventory:
     """Take a worker's report into the keys and the quota before any later action.
 
     A report that the claim does not accept (of an earlier token) must not be counted.
@@ -235,4 +235,4 @@
     ended: tuple[EndedTask, ...]
 
 
-Action = AdvanceEpoch | PresentToken | TakeInventory | SendQueue | StateChanged
+ClaimAction = AdvanceEpoch | PresentToken | ApplyInventory | SendQueue | StateChanged
--- a/baobabhoist/ownership/fence.py
+++ b/baobabhoist/ownership/fence.py
@@ -11,15 +11,15 @@
 class Fence:
     """Admit calls under the highest token presented and refuse all lower ones."""
 
-    highest: Token = NO_TOKEN
+    highest_token: Token = NO_TOKEN
 
-    def present(self, token: Token) -> bool:
+    def accept(self, token: Token) -> bool:
         """Take the token if it is at least the highest one; tell whether it was taken."""
-        if token < self.highest:
+        if token < self.highest_token:
             return False
-        self.highest = token
+        self.highest_token = token
         return True
 
     def allows(self, token: Token) -> bool:
         """Tell whether a call under this token may have an effect."""
-        return token == self.highest
+        return token == self.highest_token
--- a/baobabhoist/ownership/rendezvous.py
+++ b/baobabhoist/ownership/rendezvous.py
@@ -8,11 +8,11 @@
 
 import attrs
 
-HASH_SPAN = float(2**64)
+HASH_RANGE = float(2**64)
 
 
 @attrs.frozen
-class Candidate:
+class OwnerCandidate:
     """Describe an instance that may own shards; `weight` grows with the VM's size."""
 
     instance_id: str
@@ -20,10 +20,10 @@
     weight: float = 1.0
 
 
-def rank(shard: str, data_centre: str, candidates: Sequence[Candidate]) -> list[str]:
+def rank_owners(shard: str, data_centre: str, candidates: Sequence[OwnerCandidate]) -> list[str]:
     """Return instance ids, best owner first; those in the shard's data centre lead."""
 
-    def order(candidate: Candidate) -> tuple[bool, float, str]:
+    def order(candidate: OwnerCandidate) -> tuple[bool, float, str]:
         remote = candidate.data_centre != data_centre
         return remote, -_score(shard, candidate), candidate.instance_id
 
@@ -35,10 +35,10 @@
     return max(shards, key=lambda shard: (_unit(f"{key}\x00{shard}"), shard))
 
 
-def _score(shard: str, candidate: Candidate) -> float:
+def _score(shard: str, candidate: OwnerCandidate) -> float:
     return -candidate.weight / math.log(_unit(f"{shard}\x00{candidate.instance_id}"))
 
 
 def _unit(text: str) -> float:
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
-    return (int.from_bytes(digest) + 1) / (HASH_SPAN + 2)
+    return (int.from_bytes(digest) + 1) / (HASH_RANGE + 2)
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -130,7 +130,7 @@
         if isinstance(message, FenceWorker):
             return self._present(message)
         if not self.fence.allows(message.token):
-            return TokenRefused(self.fence.highest)
+            return TokenRefused(self.fence.highest_token)
         match message:
             case RunTask():
                 return await self._run(message)
@@ -167,9 +167,9 @@
             self._usage.popleft()
 
     def _present(self, call: FenceWorker) -> Any:
-        previous = self.fence.highest
-        if not self.fence.present(call.token):
-            return TokenRefused(self.fence.highest)
+        previous = self.fence.highest_token
+        if not self.fence.accept(call.token):
+            return TokenRefused(self.fence.highest_token)
         self._events.write("fenced", self.name, token=attrs.astuple(call.token))
         self._reported = [*self._inventory(), *map(without_large_body, self.ended.values())]
         return self._page(0, previous)
@@ -205,7 +205,7 @@
         self.ended[task.task_id] = EndedTask(task.task_id, task.team, succeeded, body)
         self._ended_at.append((time.time(), task.task_id))
         self._log_task("stopped" if execution.stopped else "ended", call, reason=execution.reason)
-        return TaskEnded(task.task_id, succeeded, body, self.fence.highest)
+        return TaskEnded(task.task_id, succeeded, body, self.fence.highest_token)
 
     def _reason_to_refuse(self, call: RunTask) -> str | None:
         task = call.task
--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shards.py
@@ -9,7 +9,7 @@
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ClaimTimes, ShardState
+from baobabhoist.ownership.events import ClaimState, ClaimTiming
 from baobabhoist.testing.worker import Worker
 from baobabhoist.upstream.messages import QueryOutcome, RunTask
 
@@ -110,7 +110,7 @@
             return links[spec.name]
 
         claim = ShardClaim(
-            self.shard, name, tuple(self.workers), times=ClaimTimes(0.05, 0.05, 0.01, 0.05)
+            self.shard, name, tuple(self.workers), times=ClaimTiming(0.05, 0.05, 0.01, 0.05)
         )
         owner = ShardOwner(
             claim,
@@ -137,7 +137,7 @@
         """Start an owner and wait until it owns the shard."""
         owner, links = self.owner(name, **options)
         self.start(owner)
-        await until(lambda: owner.claim.state is ShardState.OWNED)
+        await until(lambda: owner.claim.state is ClaimState.OWNED)
         return owner, links
 
     async def close(self):
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -22,7 +22,7 @@
 from baobabhoist.quota.ledger import QuotaLedger
 
 SHARD, TEAM, LIMIT = "rack-1", "roster", 2
-TIMES = oc.ClaimTimes(membership_lag_s=3.0, longest_lease_s=10.0)
+TIMES = oc.ClaimTiming(membership_lag_s=3.0, max_lease_s=10.0)
 # Half of the allowed skew on each side keeps the clocks of two processes within it.
 CLOCK_OFFSETS_S = (0.0, 0.24, -0.24)
 
@@ -88,7 +88,7 @@
     # Claims.
 
     def want(self, inst):
-        event = oc.ClaimWanted(self.epoch if self.table_up else None)
+        event = oc.ClaimRequested(self.epoch if self.table_up else None)
         self.apply(inst, event)
 
     def apply(self, inst, event):
@@ -101,7 +101,7 @@
             self._to_worker(inst, action.worker, "fence", call)
         elif isinstance(action, oc.AdvanceEpoch):
             self._advance_epoch(inst, action)
-        elif isinstance(action, oc.TakeInventory):
+        elif isinstance(action, oc.ApplyInventory):
             self._take_inventory(inst, action)
         elif isinstance(action, oc.StateChanged):
             self._state_changed(inst, action.state)
@@ -116,12 +116,12 @@
             self._to_instance(inst, "event", oc.EpochGranted(action.target))
 
     def _state_changed(self, inst, state):
-        if state is oc.ShardState.CLAIMING:
+        if state is oc.ClaimState.CLAIMING:
             inst.quota.begin_takeover()
-        elif state is oc.ShardState.OWNED:
+        elif state is oc.ClaimState.OWNED:
             inst.keys.take_over(inst.claim.owned_since)
             self._accept_queue(inst)
-        elif state in (oc.ShardState.LOST, oc.ShardState.IDLE):
+        elif state in (oc.ClaimState.LOST, oc.ClaimState.IDLE):
             for request_id, result in inst.keys.drop(self.clock(inst)):
                 self._answer(request_id, result)
             inst.queue.clear()
@@ -129,17 +129,17 @@
 
     def hand_over(self, inst, successor):
         """Send the queue to a successor, whose answer may be lost."""
-        self.apply(inst, oc.HandOverWanted(successor.claim.instance_id))
-        if inst.claim.state is oc.ShardState.HANDING_OVER:
+        self.apply(inst, oc.HandOverRequested(successor.claim.instance_id))
+        if inst.claim.state is oc.ClaimState.HANDING_OVER:
             content = (inst.claim.token, inst.keys.hand_over(), inst)
             self._to_instance(successor, "queue", content)
 
     def _on_queue(self, inst, worker, content):
         token, keys, sender = content
-        taken = inst.claim.state not in oc.ACTIVE
+        taken = inst.claim.state not in oc.ACTIVE_STATES
         if taken:
             inst.inherited = (token, keys)
-        reply = oc.HandOverTaken() if taken else oc.HandOverRefused()
+        reply = oc.HandOverAccepted() if taken else oc.HandOverRefused()
         self._to_instance(sender, "event", reply)
 
     def _accept_queue(self, inst):
@@ -147,7 +147,7 @@
             return
         token, keys = inst.inherited
         inst.inherited = None
-        if inst.claim.follows(token):
+        if inst.claim.directly_succeeds(token):
             for request_id in inst.keys.accept(keys, self.clock(inst)):
                 inst.queue[request_id] = True
 
@@ -156,8 +156,8 @@
         if inst.claim.awaiting_epoch:
             self.apply(inst, oc.EpochUnavailable())
         for worker in self.workers.values():
-            waits = inst.claim.state in oc.ACTIVE and not inst.claim.awaiting_epoch
-            if worker.up and waits and not inst.claim.may_dispatch(worker.name):
+            waits = inst.claim.state in oc.ACTIVE_STATES and not inst.claim.awaiting_epoch
+            if worker.up and waits and not inst.claim.can_dispatch_to(worker.name):
                 self._perform(inst, oc.PresentToken(worker.name, inst.claim.token))
 
     def read_members(self, inst, lag):
@@ -228,8 +228,8 @@
 
     def _worker_fence(self, inst, worker, call):
         token, sent_at, mark = call
-        previous = worker.fence.highest
-        if not worker.fence.present(token):
+        previous = worker.fence.highest_token
+        if not worker.fence.accept(token):
             self._to_instance(inst, "event", oc.FenceRefused(worker.name, previous), worker)
             return
         running = tuple(RunningTask(t, TEAM, Resources()) for t in worker.running)
@@ -241,7 +241,7 @@
     def _worker_run(self, inst, worker, call):
         token, task_id = call
         if not worker.fence.allows(token):
-            refusal = oc.FenceRefused(worker.name, worker.fence.highest)
+            refusal = oc.FenceRefused(worker.name, worker.fence.highest_token)
             self._to_instance(inst, "event", refusal, worker)
         elif task_id not in worker.running and task_id not in worker.ended:
             self.runs[task_id] = self.runs.get(task_id, 0) + 1
@@ -252,7 +252,7 @@
         if worker.fence.allows(token):
             self._to_instance(inst, "renewed", (token, sent_at, mark), worker)
         else:
-            refusal = oc.FenceRefused(worker.name, worker.fence.highest)
+            refusal = oc.FenceRefused(worker.name, worker.fence.highest_token)
             self._to_instance(inst, "event", refusal, worker)
 
     def _on_event(self, inst, worker, event):
@@ -282,8 +282,8 @@
             inst.keys.answered(task_id, Answer(task_id, 200, b""))
 
     def _on_request(self, inst, worker, req):
-        if not inst.claim.owns_keys and not (
-            inst.claim.state is oc.ShardState.PARTIAL and req.first_attempt
+        if not inst.claim.is_fully_owned and not (
+            inst.claim.state is oc.ClaimState.PARTIAL and req.first_attempt
         ):
             return
         decision = inst.keys.admit(req, self.clock(inst))
@@ -308,7 +308,7 @@
             for worker in self.workers.values():
                 if request_id in inst.refused_at:
                     continue
-                if not inst.claim.may_dispatch(worker.name, keyed):
+                if not inst.claim.can_dispatch_to(worker.name, keyed):
                     continue
                 if inst.quota.start(TEAM, request_id, worker.name) is None:
                     inst.keys.dispatched(request_id, worker.name)
@@ -322,7 +322,7 @@
         for request_id, entry in list(inst.keys.entries.items()):
             if request_id in inst.queue:
                 at = inst.refused_at.setdefault(request_id, self.clock(inst))
-                if entry.sole or inst.claim.confirmed_after(at):
+                if entry.sole or inst.claim.is_confirmed_since(at):
                     del inst.queue[request_id]
                     refusal = Refusal("queue_full", "full")
                     self._answer(request_id, inst.keys.not_run(request_id, refusal))
@@ -333,7 +333,7 @@
 
     def renew(self, inst):
         """Send a call to every fenced worker."""
-        for name in sorted(inst.claim.fenced):
+        for name in sorted(inst.claim.fenced_workers):
             call = (inst.claim.token, self.clock(inst), inst.quota.mark())
             self._to_worker(inst, name, "renew", call)
 
@@ -345,15 +345,15 @@
         starter = worker.running.pop(task_id)
         worker.ended[task_id] = EndedTask(task_id, TEAM, True)
         for inst in self.instances:
-            if inst.claim.instance_id in (starter, worker.fence.highest.instance_id):
-                content = (task_id, worker.fence.highest)
+            if inst.claim.instance_id in (starter, worker.fence.highest_token.instance_id):
+                content = (task_id, worker.fence.highest_token)
                 self._to_instance(inst, "ended", content, worker)
 
     # Quota.
 
     def move_places(self, inst, places):
         """Take the full escrow, give a place to the pool or take one from it."""
-        current = inst.claim.escrow_usable and inst.claim.token.epoch == self.epoch
+        current = inst.claim.can_use_full_escrow and inst.claim.token.epoch == self.epoch
         if not (self.table_up and current):
             return
         epoch = inst.claim.token.epoch
@@ -411,6 +411,7 @@
             owners = [
                 inst.claim.instance_id
                 for inst in self.instances
-                if inst.claim.may_dispatch(worker.name) and worker.fence.allows(inst.claim.token)
+                if inst.claim.can_dispatch_to(worker.name)
+                and worker.fence.allows(inst.claim.token)
             ]
             assert len(owners) <= 1, f"{owners} both own {worker.name}"
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -10,7 +10,7 @@
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.gateway.drain import OpenRequests
 from baobabhoist.model import Resources, WorkerSpec
-from baobabhoist.ownership.events import ShardState
+from baobabhoist.ownership.events import ClaimState
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
 
@@ -62,7 +62,7 @@
     def __init__(self, claim, inherited):
         self.shard, self.claim, self.inherited = "s1", claim, inherited
         self.fencing = FakeFencing(claim)
-        claim.state = ShardState.OWNED
+        claim.state = ClaimState.OWNED
 
     async def run(self):
         await self.fencing.ended.wait()
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -5,7 +5,7 @@
 
 from baobabhoist.daemon.owners import LISTEN_S, Owners, Place, reachable
 from baobabhoist.model import Resources, WorkerSpec
-from baobabhoist.ownership.rendezvous import Candidate, rank
+from baobabhoist.ownership.rendezvous import OwnerCandidate, rank_owners
 from baobabhoist.testing.cluster import free_port
 
 WORKERS = [WorkerSpec("w1", "127.0.0.1", 1, "r", Resources())]
@@ -14,7 +14,8 @@
 BETTER = next(
     {"instance_id": name, "data_centre": "south", "weight": 1.0, "draining": False}
     for name in ("n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9")
-    if rank("s", "south", [Candidate("n1", "south"), Candidate(name, "south")])[0] == name
+    if rank_owners("s", "south", [OwnerCandidate("n1", "south"), OwnerCandidate(name, "south")])[0]
+    == name
 )
 
 
--- a/baobabhoist/tests/test_daemon_shard.py
+++ b/baobabhoist/tests/test_daemon_shard.py
@@ -9,7 +9,7 @@
 from baobabhoist.daemon.preemption import preempt
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome
-from baobabhoist.ownership.events import ShardState
+from baobabhoist.ownership.events import ClaimState
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.results import Preemption
@@ -64,7 +64,7 @@
     await higher_token(rack)
     refusal = await queued
     assert (refusal.kind, refusal.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
-    assert owner.claim.state is ShardState.LOST
+    assert owner.claim.state is ClaimState.LOST
     # The open call is answered by the worker, under whatever token.
     assert isinstance(await dispatched, Answer)
     await asyncio.wait_for(rack.tasks[0], 5)
@@ -136,9 +136,9 @@
     await until(lambda: old.running_on("long"))
     rack.table.down = True
     new, _ = rack.owner("b")
-    new.claim.highest_seen = old.claim.token
+    new.claim.highest_token_seen = old.claim.token
     rack.start(new)
-    await until(lambda: new.claim.state is ShardState.OWNED)
+    await until(lambda: new.claim.state is ClaimState.OWNED)
     assert new.quota.allowed("team") == 1
     waiting = asyncio.ensure_future(new.submit(request("next")))
     await asyncio.sleep(0.1)
@@ -146,7 +146,7 @@
     rack.table.down = False
     # The table confirms the epoch later, and the full escrow returns without a gap in ownership.
     assert isinstance(await asyncio.wait_for(waiting, 5), Answer)
-    assert new.claim.confirmed
+    assert new.claim.is_epoch_committed
     assert new.quota.allowed("team") == 8
     assert rack.table.rows["shard/r"].value["epoch"] == new.claim.token.epoch
 
@@ -162,23 +162,23 @@
             while True:
                 owner = claimants[name]
                 others = [other for other in claimants.values() if other is not owner]
-                if not any(other.claim.state is ShardState.OWNED for other in others):
+                if not any(other.claim.state is ClaimState.OWNED for other in others):
                     task = rack.start(owner)
                     await owner.fencing.ended.wait()
                     await asyncio.wait((task,), timeout=0.1)
-                    seen = owner.claim.highest_seen
+                    seen = owner.claim.highest_token_seen
                     owner, _ = rack.owner(owner.claim.instance_id)
-                    owner.claim.highest_seen = seen
+                    owner.claim.highest_token_seen = seen
                     claimants[name] = owner
                 # Each claimant waits a random time of its own after a loss.
                 await asyncio.sleep(owner.claim.rng.uniform(0.01, 0.05))
 
         tasks = [asyncio.ensure_future(contend(name)) for name in claimants]
         await until(
-            lambda c=claimants: sum(o.claim.state is ShardState.OWNED for o in c.values()) == 1
+            lambda c=claimants: sum(o.claim.state is ClaimState.OWNED for o in c.values()) == 1
         )
-        (winner,) = (o for o in claimants.values() if o.claim.state is ShardState.OWNED)
-        assert all(w.fence.highest == winner.claim.token for w in rack.workers.values())
+        (winner,) = (o for o in claimants.values() if o.claim.state is ClaimState.OWNED)
+        assert all(w.fence.highest_token == winner.claim.token for w in rack.workers.values())
         for task in tasks:
             task.cancel()
         await rack.close()
@@ -247,7 +247,7 @@
     rack.workers["w3"] = Worker("w3", CAPACITY)
     spec = attrs.evolve(rack.specs[0], name="w3")
     await owner.set_workers([spec])
-    await until(lambda: owner.claim.may_dispatch("w3") and links["w3"].connected)
+    await until(lambda: owner.claim.can_dispatch_to("w3") and links["w3"].connected)
     await owner.submit(request("new"))
     assert isinstance(links["w3"].calls[0], FenceWorker)
     assert len(links["w3"].sent(RunTask)) == 1
@@ -386,7 +386,7 @@
     second = rack.begin(owner.submit(request("second")))
     await until(owner.forwarder.out)
     await higher_token(rack)
-    await until(lambda: owner.claim.state is ShardState.LOST)
+    await until(lambda: owner.claim.state is ClaimState.LOST)
     await asyncio.sleep(0.02)
     assert not second.done()
     answered.set()
--- a/baobabhoist/tests/test_ownership_machine.py
+++ b/baobabhoist/tests/test_ownership_machine.py
@@ -29,7 +29,9 @@
 
     def owner(self, index):
         """Prefer an instance that may dispatch: work for the others is refused at once."""
-        able = [inst for inst in self.system.instances if inst.claim.fenced and not inst.paused]
+        able = [
+            inst for inst in self.system.instances if inst.claim.fenced_workers and not inst.paused
+        ]
         return able[index % len(able)] if able else self.running(index)
 
     @rule(index=INSTANCES, key=st.integers(-3, 5), send=st.booleans())
