--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -72,7 +72,7 @@
         # Open calls report their own end; taking it twice would break the keys' states.
         foreign = [done for done in ended if done.task_id not in owner.in_flight]
         owner.book.answers.inherit(worker, foreign)
-        for request_id, result in owner.keys.inherit(worker, adopted, foreign, now):
+        for request_id, result in owner.keys.apply_inventory(worker, adopted, foreign, now):
             owner.spawn(owner.book.give_whole(request_id, result))
         for task_id in self._adopted.missing(worker, [task.task_id for task in running]):
             if self._adopted.remove(worker, task_id):
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.daemon.dispatch import Ended, Fate, outcome_unknown, result_of_end
 from baobabhoist.model import Answer, EndedTask, Request
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 
 # A worker stores its answers anyway; whole ones kept here for the ten minutes of a key's
 # longest window would fill the memory of a small VM.
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -39,7 +39,7 @@
 from baobabhoist.observability.metrics import Metrics
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import ClaimState, ClaimTiming
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 from baobabhoist.peer.mesh import Mesh, PeerAddress
 from baobabhoist.peer.messages import (
     Ack,
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -12,7 +12,7 @@
 
 from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome, Task
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.upstream.messages import (
     OutcomeReport,
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -10,7 +10,7 @@
 
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Outcome, Request, Task, WorkKind
-from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
+from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
 # Work that starts within this time is not worth a forward.
 FORWARD_AFTER_S = 0.05
@@ -41,10 +41,10 @@
     target: str = ""
 
 
-def is_queued(keys: KeyLedger, entry: Open) -> bool:
+def is_queued(keys: RequestKeyLedger, entry: Open) -> bool:
     """Tell whether a request waits in the queue of this shard."""
     known = keys.entries.get(entry.req.request_id)
-    return known is not None and known.state is KeyState.QUEUED and not entry.forwarding
+    return known is not None and known.state is RequestKeyState.QUEUED and not entry.forwarding
 
 
 class Queue(Protocol):
@@ -61,7 +61,7 @@
     """Be the shard that keeps the state of the keys of forwarded requests."""
 
     open: dict[str, Open]
-    keys: KeyLedger
+    keys: RequestKeyLedger
 
     @property
     def usable(self) -> bool:
@@ -139,8 +139,8 @@
         """Count what other shards have as dispatched, before the queue is given up."""
         for entry in self._home.open.values():
             known = self._home.keys.entries.get(entry.req.request_id)
-            if entry.forwarding and known is not None and known.state is KeyState.QUEUED:
-                self._home.keys.dispatched(entry.req.request_id)
+            if entry.forwarding and known is not None and known.state is RequestKeyState.QUEUED:
+                self._home.keys.record_dispatch(entry.req.request_id)
 
     async def _await(self, entry: Open, running: Awaitable[Result]) -> None:
         """Take the result of the other shard; what it certainly did not run waits here again."""
@@ -157,5 +157,5 @@
                 return
             result = refusal
         elif queued and not not_run:
-            home.keys.dispatched(entry.req.request_id)
+            home.keys.record_dispatch(entry.req.request_id)
         home.finish(entry.req.request_id, result)
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -10,18 +10,18 @@
 from baobabhoist.daemon.forwarding import FORWARD_AFTER_S, Open
 from baobabhoist.errors import InvariantBreachError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
-from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
+from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
 # asyncio takes no infinite timeout; work without a deadline waits again after this time.
 LONGEST_WAIT_S = 86400.0
-FINAL_STATES = (KeyState.ANSWERED, KeyState.NOT_RUN)
+FINAL_STATES = (RequestKeyState.ANSWERED, RequestKeyState.NOT_RUN)
 
 
 class RequestBook:
     """Give each request one result, however many callers wait for it."""
 
     def __init__(
-        self, shard: str, keys: KeyLedger, resolve: Resolve, clock: Callable[[], float]
+        self, shard: str, keys: RequestKeyLedger, resolve: Resolve, clock: Callable[[], float]
     ) -> None:
         self.open: dict[str, Open] = {}
         self.keys = keys
@@ -60,7 +60,7 @@
         elif known is not None:
             try:
                 kept = self.answers.trim(request_id, result, known.worker)
-                stored = self.keys.answered(request_id, kept)
+                stored = self.keys.record_result(request_id, kept)
                 result = result if stored is kept else stored
             except InvariantBreachError:
                 result = outcome_unknown("the owner holds no consistent state for the request")
@@ -84,7 +84,7 @@
 
         After a move the next owner may run the queue, so nothing is called not run.
         """
-        for request_id, result in self.keys.drop(self._clock()):
+        for request_id, result in self.keys.settle_open_keys(self._clock()):
             if request_id in elsewhere:
                 continue
             certain = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -19,7 +19,7 @@
     Refusal,
 )
 from baobabhoist.model import Outcome, Request, Task, WorkKind
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, RelayRequest, ShardDigest
 from baobabhoist.quota.classes import class_key
 
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -43,7 +43,7 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import ClaimState
-from baobabhoist.ownership.keys import Join, KeyLedger, Reply, Result
+from baobabhoist.ownership.request_keys import JoinExisting, ReplyNow, RequestKeyLedger, Result
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver
 from baobabhoist.quota.ledger import QuotaLedger
@@ -85,7 +85,7 @@
         self.claim = claim
         self.quota = QuotaLedger(claim.shard)
         self.quota.begin_takeover()
-        self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
+        self.keys = RequestKeyLedger(clock_skew_s=times.clock_skew_s)
         self.places = ShardPlaces(self.quota, self._kind_of)
         self.scheduler = Scheduler.over(specs, self.places)
         self.scheduler.lines.is_full = self.places.is_full
@@ -179,10 +179,10 @@
 
     async def _submit(self, req: Request, forwarded: bool, now: float) -> Result:
         decision = self.keys.admit(req, now)
-        if isinstance(decision, Reply):
+        if isinstance(decision, ReplyNow):
             return await self.book.answers.whole(req, decision.result)
         entry = self.book.entry(req, now)
-        if not isinstance(decision, Join):
+        if not isinstance(decision, JoinExisting):
             entry.forwarded = forwarded
             refusal = self.places.never_starts(req.task) or self.scheduler.enqueue(req.task, now)
             if refusal is not None:
@@ -228,7 +228,7 @@
             self._enqueue_again(task, now)
             return
         try:
-            self.keys.dispatched(task.task_id, worker)
+            self.keys.record_dispatch(task.task_id, worker)
         except InvariantBreachError:
             self.take_back(task.task_id, now)
             return
@@ -274,7 +274,9 @@
             stopped = task.task_id in self.stopping and not succeeded
             self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
         self.stopping.discard(task.task_id)
-        if isinstance(fate, Lost) and self.keys.retry(task.task_id, task.deadline, now):
+        if isinstance(fate, Lost) and self.keys.requeue_for_retry(
+            task.task_id, task.deadline, now
+        ):
             self._enqueue_again(task, now)
         else:
             ended = isinstance(fate, Ended)
@@ -285,7 +287,7 @@
     def _superseded(self, task_id: str, fate: Superseded) -> None:
         """Let the entry instance ask the new owner; the place is the new owner's to count."""
         known = self.keys.entries.get(task_id)
-        once = known is not None and known.dispatches <= 1
+        once = known is not None and known.dispatch_count <= 1
         outcome = Outcome.NOT_RUN if once and not fate.sent else Outcome.UNKNOWN
         self.book.give(task_id, not_owner(self.shard, outcome))
 
@@ -450,7 +452,7 @@
 
     def _begin_ownership(self) -> None:
         """Decide from when on keys are known: a planned hand-over leaves no gap."""
-        self.keys.take_over(self._known_since())
+        self.keys.begin_ownership(self._known_since())
         message, self._inherited = self._inherited, None
         if message is not None:
             self._take_queue(message)
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -8,7 +8,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.jobs.messages import HoldReply, TasksReport
 from baobabhoist.model import Request, Task
-from baobabhoist.ownership.keys import Run
+from baobabhoist.ownership.request_keys import RunNew
 from baobabhoist.upstream.messages import StopTask
 
 # A cancelled id that has not arrived yet is refused for as long as a message may take.
@@ -83,7 +83,7 @@
         for placement in placements:
             task = placement.task
             req = Request(task.task_id, owner.shard, task.submitted_at, task, True)
-            if isinstance(owner.keys.admit(req, now), Run):
+            if isinstance(owner.keys.admit(req, now), RunNew):
                 owner.book.entry(req, now)
                 owner.start(placement, now)
             else:
--- a/baobabhoist/gateway/context.py
+++ b/baobabhoist/gateway/context.py
@@ -14,7 +14,7 @@
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Request, WorkKind
 from baobabhoist.observability.metrics import Metrics
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 from baobabhoist.records.kinds import Queue
 from baobabhoist.records.view import RecordView
 
--- a/baobabhoist/ownership/keys.py
+++ b/baobabhoist/ownership/request_keys.py
@@ -17,7 +17,7 @@
 HTTP_OK = 200
 
 
-class KeyState(enum.StrEnum):
+class RequestKeyState(enum.StrEnum):
     """Name the states of a request key."""
 
     QUEUED = "queued"
@@ -28,41 +28,48 @@
 
 
 # A late report of the worker may still replace `unknown`; the other results are final.
-NEXT_STATES: dict[KeyState, frozenset[KeyState]] = {
-    KeyState.QUEUED: frozenset({KeyState.DISPATCHED, KeyState.UNKNOWN, KeyState.NOT_RUN}),
-    KeyState.DISPATCHED: frozenset(
-        {KeyState.QUEUED, KeyState.ANSWERED, KeyState.UNKNOWN, KeyState.NOT_RUN}
+ALLOWED_TRANSITIONS: dict[RequestKeyState, frozenset[RequestKeyState]] = {
+    RequestKeyState.QUEUED: frozenset(
+        {RequestKeyState.DISPATCHED, RequestKeyState.UNKNOWN, RequestKeyState.NOT_RUN}
     ),
-    KeyState.UNKNOWN: frozenset({KeyState.ANSWERED}),
-    KeyState.ANSWERED: frozenset(),
-    KeyState.NOT_RUN: frozenset(),
+    RequestKeyState.DISPATCHED: frozenset(
+        {
+            RequestKeyState.QUEUED,
+            RequestKeyState.ANSWERED,
+            RequestKeyState.UNKNOWN,
+            RequestKeyState.NOT_RUN,
+        }
+    ),
+    RequestKeyState.UNKNOWN: frozenset({RequestKeyState.ANSWERED}),
+    RequestKeyState.ANSWERED: frozenset(),
+    RequestKeyState.NOT_RUN: frozenset(),
 }
 
-OPEN_STATES = frozenset({KeyState.QUEUED, KeyState.DISPATCHED})
+OPEN_STATES = frozenset({RequestKeyState.QUEUED, RequestKeyState.DISPATCHED})
 
 
 @attrs.frozen
-class Run:
+class RunNew:
     """Decide that the request is new and may run."""
 
 
 @attrs.frozen
-class Join:
+class JoinExisting:
     """Decide that the request waits for the result of an earlier one."""
 
 
 @attrs.frozen
-class Reply:
+class ReplyNow:
     """Decide that the result is known already."""
 
     result: Result
 
 
-KeyDecision = Run | Join | Reply
+AdmitDecision = RunNew | JoinExisting | ReplyNow
 
 
 @attrs.define
-class KeyEntry:
+class RequestKeyEntry:
     """Hold the state of one key; `forget_at` is in Unix seconds.
 
     `sole` is true while only this owner can have seen the id, so that a queued request which
@@ -70,28 +77,28 @@
     `outlived` is true once the key was still open at `forget_at`.
     """
 
-    state: KeyState
-    forget_at: float
+    state: RequestKeyState
+    expires_at: float
     idempotent: bool
     result: Result | None = None
     worker: str = ""
-    dispatches: int = 0
-    sole: bool = False
+    dispatch_count: int = 0
+    seen_only_here: bool = False
     handed_over: bool = False
-    outlived: bool = False
+    was_open_at_expiry: bool = False
 
 
 @attrs.frozen
-class QueuedKey:
+class QueuedRequestKey:
     """Describe a queued request to the successor of a planned hand-over."""
 
     request_id: str
-    forget_at: float
+    expires_at: float
     idempotent: bool
 
 
 @attrs.define
-class KeyLedger:
+class RequestKeyLedger:
     """Decide for each arriving key whether it runs, joins or is answered at once.
 
     Times are Unix seconds. `taken_over_at` is when this owner became the only effective one.
@@ -100,17 +107,17 @@
 
     clock_skew_s: float = 0.5
     taken_over_at: float = 0.0
-    entries: dict[str, KeyEntry] = attrs.Factory(dict)
+    entries: dict[str, RequestKeyEntry] = attrs.Factory(dict)
     max_window_s: float = 600.0
     max_entries: int = 1_000_000
-    expiry: list[tuple[float, str]] = attrs.Factory(list)
+    expiry_heap: list[tuple[float, str]] = attrs.Factory(list)
 
-    def admit(self, req: Request, now: float) -> KeyDecision:
+    def admit(self, req: Request, now: float) -> AdmitDecision:
         """Decide what happens to an arriving request."""
         entry = self.entries.get(req.request_id)
         if entry is not None:
-            entry.sole = False
-            return Reply(entry.result) if entry.result is not None else Join()
+            entry.seen_only_here = False
+            return ReplyNow(entry.result) if entry.result is not None else JoinExisting()
         refusal = self._refuse_deadline(req, now) or self._refuse_after_takeover(req)
         if refusal is None and len(self.entries) >= self.max_entries:
             refusal = Refusal(
@@ -120,45 +127,45 @@
                 retry_after_s=1.0,
             )
         if refusal is not None:
-            return Reply(self._remember_refusal(req, refusal, now))
+            return ReplyNow(self._remember_refusal(req, refusal, now))
         self._add(
             req.request_id,
-            KeyEntry(
-                KeyState.QUEUED,
+            RequestKeyEntry(
+                RequestKeyState.QUEUED,
                 min(req.task.deadline, now + self.max_window_s) + self.clock_skew_s,
                 req.task.idempotent,
-                sole=req.first_attempt,
+                seen_only_here=req.first_attempt,
             ),
         )
-        return Run()
+        return RunNew()
 
-    def dispatched(self, request_id: str, worker: str = "") -> None:
+    def record_dispatch(self, request_id: str, worker: str = "") -> None:
         """Record that the request is about to be sent to a worker."""
         entry = self._entry(request_id)
         check(
-            entry.dispatches == 0 or (entry.idempotent and entry.dispatches == 1),
+            entry.dispatch_count == 0 or (entry.idempotent and entry.dispatch_count == 1),
             Invariant.KEY_DISPATCHED_ONCE,
             "request %s was dispatched %d times",
             request_id,
-            entry.dispatches,
+            entry.dispatch_count,
         )
-        self._move(request_id, entry, KeyState.DISPATCHED)
+        self._move(request_id, entry, RequestKeyState.DISPATCHED)
         entry.worker = worker
-        entry.dispatches += 1
+        entry.dispatch_count += 1
 
-    def answered(self, request_id: str, result: Result) -> Result:
+    def record_result(self, request_id: str, result: Result) -> Result:
         """Store the result of a request in the state that its outcome names.
 
         Returns the result to give to callers, which is `unknown` in place of a `not_run` that
         would not be certain.
         """
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
-            return self.not_run(request_id, result)
+            return self.record_not_run(request_id, result)
         if isinstance(result, Refusal) and result.outcome is Outcome.UNKNOWN:
-            return self.unknown(request_id, result)
-        return self._finish(request_id, KeyState.ANSWERED, result)
+            return self.record_unknown(request_id, result)
+        return self._finish(request_id, RequestKeyState.ANSWERED, result)
 
-    def not_run(self, request_id: str, refusal: Refusal) -> Result:
+    def record_not_run(self, request_id: str, refusal: Refusal) -> Result:
         """Store that the request was not run and never will be under this id.
 
         After a dispatch the caller must hold the worker's report under the owner's token.
@@ -173,34 +180,38 @@
         )
         # The successor of a hand-over may run the copy that it was sent, and a retried request
         # may have run on its first worker.
-        if entry.handed_over or entry.dispatches > 1:
-            return self.unknown(request_id, outcome_unknown("the request may run elsewhere"))
-        return self._finish(request_id, KeyState.NOT_RUN, refusal)
+        if entry.handed_over or entry.dispatch_count > 1:
+            return self.record_unknown(
+                request_id, unknown_outcome_refusal("the request may run elsewhere")
+            )
+        return self._finish(request_id, RequestKeyState.NOT_RUN, refusal)
 
-    def unknown(self, request_id: str, refusal: Refusal | None = None) -> Result:
+    def record_unknown(self, request_id: str, refusal: Refusal | None = None) -> Result:
         """Store that nobody can tell whether the request ran."""
         text = "the worker did not report what became of the task"
-        return self._finish(request_id, KeyState.UNKNOWN, refusal or outcome_unknown(text))
+        return self._finish(
+            request_id, RequestKeyState.UNKNOWN, refusal or unknown_outcome_refusal(text)
+        )
 
-    def may_retry(self, request_id: str, deadline: float, now: float) -> bool:
+    def can_retry(self, request_id: str, deadline: float, now: float) -> bool:
         """Tell whether a dispatched request may be sent to another worker."""
         entry = self.entries.get(request_id)
         return (
             entry is not None
-            and entry.state is KeyState.DISPATCHED
+            and entry.state is RequestKeyState.DISPATCHED
             and entry.idempotent
-            and entry.dispatches == 1
+            and entry.dispatch_count == 1
             and now < deadline
         )
 
-    def retry(self, request_id: str, deadline: float, now: float) -> bool:
+    def requeue_for_retry(self, request_id: str, deadline: float, now: float) -> bool:
         """Queue an idempotent request for its second and last dispatch; tell whether it is."""
-        if not self.may_retry(request_id, deadline, now):
+        if not self.can_retry(request_id, deadline, now):
             return False
-        self._move(request_id, self._entry(request_id), KeyState.QUEUED)
+        self._move(request_id, self._entry(request_id), RequestKeyState.QUEUED)
         return True
 
-    def inherit(
+    def apply_inventory(
         self,
         worker: str,
         running: Iterable[RunningTask],
@@ -221,46 +232,50 @@
                 results.append((done.task_id, result))
         return results
 
-    def take_over(self, at: float) -> None:
+    def begin_ownership(self, at: float) -> None:
         """Start a new ownership: keys that may have been sent earlier are `unknown`."""
         self.taken_over_at = max(self.taken_over_at, at)
 
-    def drop(self, now: float) -> list[tuple[str, Result]]:
+    def settle_open_keys(self, now: float) -> list[tuple[str, Result]]:
         """Settle every open key because the shard is lost; returns their results."""
         results = []
         for request_id, entry in self.entries.items():
-            if entry.state is KeyState.QUEUED and entry.sole and entry.dispatches == 0:
+            if (
+                entry.state is RequestKeyState.QUEUED
+                and entry.seen_only_here
+                and entry.dispatch_count == 0
+            ):
                 refusal = Refusal(
                     ErrorKind.SHARD_UNAVAILABLE,
                     "the shard has a new owner",
                     remedy="send the request again under a new key",
                     retry_after_s=0.5,
                 )
-                results.append((request_id, self.not_run(request_id, refusal)))
-            elif entry.state in (KeyState.QUEUED, KeyState.DISPATCHED):
-                lost = outcome_unknown("the shard has a new owner")
-                results.append((request_id, self.unknown(request_id, lost)))
+                results.append((request_id, self.record_not_run(request_id, refusal)))
+            elif entry.state in (RequestKeyState.QUEUED, RequestKeyState.DISPATCHED):
+                lost = unknown_outcome_refusal("the shard has a new owner")
+                results.append((request_id, self.record_unknown(request_id, lost)))
         return results
 
-    def hand_over(self) -> list[QueuedKey]:
+    def export_queued(self) -> list[QueuedRequestKey]:
         """Return the queued keys for the successor; they cannot be called not run after this."""
         keys = []
         for request_id, entry in self.entries.items():
-            if entry.state is KeyState.QUEUED and entry.dispatches == 0:
+            if entry.state is RequestKeyState.QUEUED and entry.dispatch_count == 0:
                 entry.handed_over = True
-                keys.append(QueuedKey(request_id, entry.forget_at, entry.idempotent))
+                keys.append(QueuedRequestKey(request_id, entry.expires_at, entry.idempotent))
         return keys
 
-    def accept(self, keys: Iterable[QueuedKey], now: float) -> list[str]:
+    def import_queued(self, keys: Iterable[QueuedRequestKey], now: float) -> list[str]:
         """Take the queued keys of a predecessor, and return the ids that may run here.
 
         Call it after the workers were fenced, so that their inventories are known.
         """
         accepted = []
         for key in keys:
-            if key.request_id in self.entries or key.forget_at <= now:
+            if key.request_id in self.entries or key.expires_at <= now:
                 continue
-            entry = KeyEntry(KeyState.QUEUED, key.forget_at, key.idempotent)
+            entry = RequestKeyEntry(RequestKeyState.QUEUED, key.expires_at, key.idempotent)
             self._add(key.request_id, entry)
             accepted.append(key.request_id)
         return accepted
@@ -272,16 +287,16 @@
         of a job may run for days, and its coordinator may ask for it again afterwards.
         """
         forgotten = 0
-        while self.expiry and self.expiry[0][0] <= now:
-            _, request_id = heapq.heappop(self.expiry)
+        while self.expiry_heap and self.expiry_heap[0][0] <= now:
+            _, request_id = heapq.heappop(self.expiry_heap)
             entry = self.entries.get(request_id)
-            if entry is None or entry.forget_at > now:
+            if entry is None or entry.expires_at > now:
                 continue
             is_open = entry.state in OPEN_STATES
-            if is_open or entry.outlived:
-                entry.outlived = is_open
-                entry.forget_at = now + self.max_window_s + self.clock_skew_s
-                heapq.heappush(self.expiry, (entry.forget_at, request_id))
+            if is_open or entry.was_open_at_expiry:
+                entry.was_open_at_expiry = is_open
+                entry.expires_at = now + self.max_window_s + self.clock_skew_s
+                heapq.heappush(self.expiry_heap, (entry.expires_at, request_id))
                 continue
             del self.entries[request_id]
             forgotten += 1
@@ -315,60 +330,66 @@
     def _refuse_after_takeover(self, req: Request) -> Refusal | None:
         if req.task.job_id and not req.first_attempt and not req.task.idempotent:
             # A job outlives the window, so that an absent id may have run and been forgotten.
-            return outcome_unknown("the owner does not remember whether the task was started")
+            return unknown_outcome_refusal(
+                "the owner does not remember whether the task was started"
+            )
         if self._is_after_takeover(req) or req.first_attempt or req.task.idempotent:
             return None
-        return outcome_unknown("the shard changed hands after this key may first have been sent")
+        return unknown_outcome_refusal(
+            "the shard changed hands after this key may first have been sent"
+        )
 
     def _remember_refusal(self, req: Request, refusal: Refusal, now: float) -> Refusal:
         """Keep the refused id, so that a copy of the request cannot run later."""
         if refusal.outcome is not Outcome.NOT_RUN or req.task.deadline <= now:
             return refusal
         if len(self.entries) >= 2 * self.max_entries:
-            return outcome_unknown("the owner remembers too many request keys")
+            return unknown_outcome_refusal("the owner remembers too many request keys")
         # A later copy with the same distant deadline is the caller's own decision.
-        forget_at = min(req.task.deadline, now + 2 * self.max_window_s) + self.clock_skew_s
-        entry = KeyEntry(KeyState.NOT_RUN, forget_at, req.task.idempotent, refusal)
+        expires_at = min(req.task.deadline, now + 2 * self.max_window_s) + self.clock_skew_s
+        entry = RequestKeyEntry(RequestKeyState.NOT_RUN, expires_at, req.task.idempotent, refusal)
         self._add(req.request_id, entry)
         return refusal
 
     def _inherit_running(self, worker: str, request_id: str, now: float) -> None:
         entry = self.entries.get(request_id)
         if entry is None:
-            entry = KeyEntry(KeyState.QUEUED, now + self.max_window_s + self.clock_skew_s, False)
+            entry = RequestKeyEntry(
+                RequestKeyState.QUEUED, now + self.max_window_s + self.clock_skew_s, False
+            )
             self._add(request_id, entry)
-        if entry.state is not KeyState.QUEUED:
+        if entry.state is not RequestKeyState.QUEUED:
             return
-        self._move(request_id, entry, KeyState.DISPATCHED)
+        self._move(request_id, entry, RequestKeyState.DISPATCHED)
         entry.worker = worker
-        entry.dispatches += 1
+        entry.dispatch_count += 1
 
     def _inherit_ended(self, worker: str, done: EndedTask, now: float) -> Result | None:
         self._inherit_running(worker, done.task_id, now)
         entry = self.entries[done.task_id]
-        if entry.state not in (KeyState.DISPATCHED, KeyState.UNKNOWN):
+        if entry.state not in (RequestKeyState.DISPATCHED, RequestKeyState.UNKNOWN):
             return None
-        return self._finish(done.task_id, KeyState.ANSWERED, result_of(done))
+        return self._finish(done.task_id, RequestKeyState.ANSWERED, result_from_report(done))
 
-    def _finish(self, request_id: str, state: KeyState, result: Result) -> Result:
+    def _finish(self, request_id: str, state: RequestKeyState, result: Result) -> Result:
         entry = self._entry(request_id)
         self._move(request_id, entry, state)
         entry.result = result
         return result
 
-    def _entry(self, request_id: str) -> KeyEntry:
+    def _entry(self, request_id: str) -> RequestKeyEntry:
         entry = self.entries.get(request_id)
         check(entry is not None, Invariant.KEY_KNOWN, "request %s is not known", request_id)
         assert entry is not None
         return entry
 
-    def _add(self, request_id: str, entry: KeyEntry) -> None:
+    def _add(self, request_id: str, entry: RequestKeyEntry) -> None:
         self.entries[request_id] = entry
-        heapq.heappush(self.expiry, (entry.forget_at, request_id))
+        heapq.heappush(self.expiry_heap, (entry.expires_at, request_id))
 
-    def _move(self, request_id: str, entry: KeyEntry, state: KeyState) -> None:
+    def _move(self, request_id: str, entry: RequestKeyEntry, state: RequestKeyState) -> None:
         check(
-            state in NEXT_STATES[entry.state],
+            state in ALLOWED_TRANSITIONS[entry.state],
             Invariant.KEY_TRANSITION,
             "request %s cannot go from %s to %s",
             request_id,
@@ -378,7 +399,7 @@
         entry.state = state
 
 
-def outcome_unknown(message: str) -> Refusal:
+def unknown_outcome_refusal(message: str) -> Refusal:
     """Return the refusal for a request of which nobody can tell whether it ran."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
@@ -388,7 +409,7 @@
     )
 
 
-def result_of(done: EndedTask) -> Result:
+def result_from_report(done: EndedTask) -> Result:
     """Return the result of a request from the worker's report of its end."""
     if done.succeeded:
         return Answer(done.task_id, HTTP_OK, done.body)
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -17,7 +17,7 @@
 )
 from baobabhoist.ownership import claim as oc
 from baobabhoist.ownership.fence import Fence
-from baobabhoist.ownership.keys import KeyLedger, KeyState, Run
+from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, RunNew
 from baobabhoist.quota import escrow
 from baobabhoist.quota.ledger import QuotaLedger
 
@@ -50,7 +50,7 @@
 class SimInstance:
     index: int
     claim: oc.ShardClaim
-    keys: KeyLedger = attrs.Factory(KeyLedger)
+    keys: RequestKeyLedger = attrs.Factory(RequestKeyLedger)
     quota: QuotaLedger = attrs.Factory(lambda: QuotaLedger(SHARD))
     queue: dict = attrs.Factory(dict)
     inherited: tuple | None = None
@@ -119,10 +119,10 @@
         if state is oc.ClaimState.CLAIMING:
             inst.quota.begin_takeover()
         elif state is oc.ClaimState.OWNED:
-            inst.keys.take_over(inst.claim.owned_since)
+            inst.keys.begin_ownership(inst.claim.owned_since)
             self._accept_queue(inst)
         elif state in (oc.ClaimState.LOST, oc.ClaimState.IDLE):
-            for request_id, result in inst.keys.drop(self.clock(inst)):
+            for request_id, result in inst.keys.settle_open_keys(self.clock(inst)):
                 self._answer(request_id, result)
             inst.queue.clear()
             inst.refused_at.clear()
@@ -131,7 +131,7 @@
         """Send the queue to a successor, whose answer may be lost."""
         self.apply(inst, oc.HandOverRequested(successor.claim.instance_id))
         if inst.claim.state is oc.ClaimState.HANDING_OVER:
-            content = (inst.claim.token, inst.keys.hand_over(), inst)
+            content = (inst.claim.token, inst.keys.export_queued(), inst)
             self._to_instance(successor, "queue", content)
 
     def _on_queue(self, inst, worker, content):
@@ -148,7 +148,7 @@
         token, keys = inst.inherited
         inst.inherited = None
         if inst.claim.directly_succeeds(token):
-            for request_id in inst.keys.accept(keys, self.clock(inst)):
+            for request_id in inst.keys.import_queued(keys, self.clock(inst)):
                 inst.queue[request_id] = True
 
     def time_out(self, inst):
@@ -263,7 +263,7 @@
 
     def _take_inventory(self, inst, action):
         inst.quota.adopt(action.worker, action.running)
-        inst.keys.inherit(action.worker, action.running, action.ended, self.clock(inst))
+        inst.keys.apply_inventory(action.worker, action.running, action.ended, self.clock(inst))
         for task in (*action.running, *action.ended):
             inst.queue.pop(task.task_id, None)
 
@@ -278,8 +278,11 @@
         if task_id in inst.quota.running:
             inst.quota.ended(task_id, confirmed=held == inst.claim.token)
         entry = inst.keys.entries.get(task_id)
-        if entry is not None and entry.state in (KeyState.DISPATCHED, KeyState.UNKNOWN):
-            inst.keys.answered(task_id, Answer(task_id, 200, b""))
+        if entry is not None and entry.state in (
+            RequestKeyState.DISPATCHED,
+            RequestKeyState.UNKNOWN,
+        ):
+            inst.keys.record_result(task_id, Answer(task_id, 200, b""))
 
     def _on_request(self, inst, worker, req):
         if not inst.claim.is_fully_owned and not (
@@ -287,7 +290,7 @@
         ):
             return
         decision = inst.keys.admit(req, self.clock(inst))
-        if isinstance(decision, Run):
+        if isinstance(decision, RunNew):
             inst.queue[req.request_id] = not req.first_attempt
 
     # Work.
@@ -311,7 +314,7 @@
                 if not inst.claim.can_dispatch_to(worker.name, keyed):
                     continue
                 if inst.quota.start(TEAM, request_id, worker.name) is None:
-                    inst.keys.dispatched(request_id, worker.name)
+                    inst.keys.record_dispatch(request_id, worker.name)
                     del inst.queue[request_id]
                     call = (inst.claim.token, request_id)
                     self._to_worker(inst, worker.name, "run", call)
@@ -322,10 +325,10 @@
         for request_id, entry in list(inst.keys.entries.items()):
             if request_id in inst.queue:
                 at = inst.refused_at.setdefault(request_id, self.clock(inst))
-                if entry.sole or inst.claim.is_confirmed_since(at):
+                if entry.seen_only_here or inst.claim.is_confirmed_since(at):
                     del inst.queue[request_id]
                     refusal = Refusal("queue_full", "full")
-                    self._answer(request_id, inst.keys.not_run(request_id, refusal))
+                    self._answer(request_id, inst.keys.record_not_run(request_id, refusal))
 
     def _answer(self, request_id, result):
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
--- a/baobabhoist/tests/test_ownership_keys.py
+++ b/baobabhoist/tests/test_ownership_request_keys.py
@@ -13,7 +13,14 @@
     Task,
     WorkKind,
 )
-from baobabhoist.ownership.keys import Join, KeyLedger, KeyState, Reply, Run, outcome_unknown
+from baobabhoist.ownership.request_keys import (
+    JoinExisting,
+    ReplyNow,
+    RequestKeyLedger,
+    RequestKeyState,
+    RunNew,
+    unknown_outcome_refusal,
+)
 
 NOW = 1000.0
 FULL = Refusal(ErrorKind.QUEUE_FULL, "the queue is full")
@@ -27,45 +34,45 @@
 
 
 def dispatched(**fields):
-    keys = KeyLedger()
-    assert keys.admit(request(**fields), NOW) == Run()
-    keys.dispatched("k", "w1")
+    keys = RequestKeyLedger()
+    assert keys.admit(request(**fields), NOW) == RunNew()
+    keys.record_dispatch("k", "w1")
     return keys
 
 
 def outcome(decision):
-    assert isinstance(decision, Reply) and isinstance(decision.result, Refusal)
+    assert isinstance(decision, ReplyNow) and isinstance(decision.result, Refusal)
     return decision.result.outcome
 
 
 def test_duplicate_waits_and_then_gets_the_stored_answer():
     """Guard against a second run of a key that is sent twice."""
     keys = dispatched()
-    assert keys.admit(request(), NOW) == Join()
+    assert keys.admit(request(), NOW) == JoinExisting()
     answer = Answer("k", 200, b"body")
-    keys.answered("k", answer)
-    assert keys.admit(request(), NOW) == Reply(answer)
+    keys.record_result("k", answer)
+    assert keys.admit(request(), NOW) == ReplyNow(answer)
 
 
 @pytest.mark.parametrize("deadline", [NOW + 600.6, NOW - 0.1])
 def test_refused_id_never_runs_later(deadline):
     """Guard against a copy of a refused request that runs after the caller was told not_run."""
-    keys = KeyLedger()
+    keys = RequestKeyLedger()
     assert outcome(keys.admit(request(deadline=deadline), NOW)) is Outcome.NOT_RUN
     for later in (1.0, 300.0):
-        assert isinstance(keys.admit(request(deadline=deadline), NOW + later), Reply)
-    keys = KeyLedger()
+        assert isinstance(keys.admit(request(deadline=deadline), NOW + later), ReplyNow)
+    keys = RequestKeyLedger()
     keys.admit(request(), NOW)
-    assert keys.not_run("k", FULL) == FULL
-    assert keys.admit(request(), NOW + 1) == Reply(FULL)
+    assert keys.record_not_run("k", FULL) == FULL
+    assert keys.admit(request(), NOW + 1) == ReplyNow(FULL)
     with pytest.raises(InvariantBreachError):
-        keys.dispatched("k", "w1")
+        keys.record_dispatch("k", "w1")
 
 
 def test_passed_deadline_of_a_key_that_may_be_forgotten_is_unknown():
     """Guard against not_run for a key that ran and was forgotten since."""
     keys = dispatched()
-    keys.answered("k", Answer("k", 200, b""))
+    keys.record_result("k", Answer("k", 200, b""))
     assert keys.expire(NOW + 60.5) == 1
     assert outcome(keys.admit(request(), NOW + 61)) is Outcome.UNKNOWN
     assert outcome(keys.admit(request(first=True), NOW + 61)) is Outcome.NOT_RUN
@@ -82,78 +89,78 @@
 )
 def test_after_a_takeover_only_keys_that_no_other_owner_can_have_run_are_run(fields, runs):
     """Guard against a second run of a key whose first run the new owner cannot see."""
-    keys = KeyLedger()
-    keys.take_over(NOW)
+    keys = RequestKeyLedger()
+    keys.begin_ownership(NOW)
     decision = keys.admit(request(**fields), NOW + 1)
-    assert (decision == Run()) == runs
+    assert (decision == RunNew()) == runs
     assert runs or outcome(decision) is Outcome.UNKNOWN
 
 
 def test_inventory_sets_the_states_of_inherited_keys():
     """Guard against running a key again that a worker runs or has run."""
-    keys = KeyLedger()
+    keys = RequestKeyLedger()
     keys.admit(request("running"), NOW)
     keys.admit(request("ended"), NOW)
     running = [RunningTask("running", "roster", Resources())]
     ended = [EndedTask("ended", "roster", True, b"x"), EndedTask("other", "roster", False)]
-    results = dict(keys.inherit("w1", running, ended, NOW))
+    results = dict(keys.apply_inventory("w1", running, ended, NOW))
     assert results["ended"] == Answer("ended", 200, b"x")
-    assert keys.entries["running"].state is KeyState.DISPATCHED
+    assert keys.entries["running"].state is RequestKeyState.DISPATCHED
     assert outcome(keys.admit(request("other"), NOW)) is Outcome.RAN
-    assert keys.inherit("w1", running, ended, NOW) == []
+    assert keys.apply_inventory("w1", running, ended, NOW) == []
 
 
 def test_idempotent_work_is_retried_once_and_other_work_never():
     """Guard against a third run, a retry after the deadline and any retry of other work."""
     keys = dispatched()
-    assert not keys.retry("k", NOW + 60, NOW)
+    assert not keys.requeue_for_retry("k", NOW + 60, NOW)
     keys = dispatched(idempotent=True)
-    assert not keys.retry("k", NOW + 60, NOW + 60)
-    assert keys.retry("k", NOW + 60, NOW)
-    keys.dispatched("k", "w2")
-    assert not keys.retry("k", NOW + 60, NOW)
-    assert keys.not_run("k", FULL) != FULL
+    assert not keys.requeue_for_retry("k", NOW + 60, NOW + 60)
+    assert keys.requeue_for_retry("k", NOW + 60, NOW)
+    keys.record_dispatch("k", "w2")
+    assert not keys.requeue_for_retry("k", NOW + 60, NOW)
+    assert keys.record_not_run("k", FULL) != FULL
 
 
 def test_late_report_of_the_worker_replaces_unknown_only():
     """Guard against an answer that changes after a caller has received it."""
     keys = dispatched()
-    keys.unknown("k")
+    keys.record_unknown("k")
     answer = Answer("k", 200, b"")
-    assert keys.answered("k", answer) == answer
+    assert keys.record_result("k", answer) == answer
     with pytest.raises(InvariantBreachError):
-        keys.answered("k", outcome_unknown("late"))
+        keys.record_result("k", unknown_outcome_refusal("late"))
     assert keys.entries["k"].result == answer
 
 
 def test_lost_shard_answers_unknown_unless_nobody_else_can_have_the_key():
     """Guard against not_run for a key of which a copy may be with the new owner."""
-    keys = KeyLedger()
+    keys = RequestKeyLedger()
     for key, first in (("sole", True), ("copied", True), ("callers", False), ("sent", True)):
         keys.admit(request(key, first=first), NOW)
     keys.admit(request("copied"), NOW)
-    keys.dispatched("sent", "w1")
-    outcomes = {key: result.outcome for key, result in keys.drop(NOW)}
+    keys.record_dispatch("sent", "w1")
+    outcomes = {key: result.outcome for key, result in keys.settle_open_keys(NOW)}
     assert outcomes.pop("sole") is Outcome.NOT_RUN
     assert set(outcomes.values()) == {Outcome.UNKNOWN}
 
 
 def test_handed_over_key_runs_at_the_successor_and_is_not_called_not_run():
     """Guard against not_run for a request that the successor runs."""
-    keys, successor = KeyLedger(), KeyLedger()
+    keys, successor = RequestKeyLedger(), RequestKeyLedger()
     keys.admit(request(), NOW)
-    sent = keys.hand_over()
-    assert outcome(Reply(keys.not_run("k", FULL))) is Outcome.UNKNOWN
-    successor.inherit("w1", [RunningTask("ran", "roster", Resources())], [], NOW)
-    assert successor.accept(sent, NOW) == ["k"]
-    assert successor.accept(sent, NOW) == []
+    sent = keys.export_queued()
+    assert outcome(ReplyNow(keys.record_not_run("k", FULL))) is Outcome.UNKNOWN
+    successor.apply_inventory("w1", [RunningTask("ran", "roster", Resources())], [], NOW)
+    assert successor.import_queued(sent, NOW) == ["k"]
+    assert successor.import_queued(sent, NOW) == []
 
 
 def test_memory_is_bounded_and_a_refusal_that_cannot_be_kept_is_unknown():
     """Guard against memory that grows with refused requests, or a refusal that is forgotten."""
-    keys = KeyLedger(max_entries=2)
+    keys = RequestKeyLedger(max_entries=2)
     decisions = [keys.admit(request(str(n)), NOW) for n in range(6)]
-    assert decisions[:2] == [Run(), Run()]
+    assert decisions[:2] == [RunNew(), RunNew()]
     assert [outcome(decision) for decision in decisions[2:4]] == [Outcome.NOT_RUN] * 2
     assert [outcome(decision) for decision in decisions[4:]] == [Outcome.UNKNOWN] * 2
     assert len(keys.entries) == 4
@@ -162,10 +169,10 @@
 @pytest.mark.parametrize(
     "step",
     [
-        lambda keys: keys.dispatched("absent"),
-        lambda keys: keys.dispatched("k", "w2"),
-        lambda keys: keys.not_run("k", outcome_unknown("?")),
-        lambda keys: keys._move("k", keys.entries["k"], KeyState.DISPATCHED),
+        lambda keys: keys.record_dispatch("absent"),
+        lambda keys: keys.record_dispatch("k", "w2"),
+        lambda keys: keys.record_not_run("k", unknown_outcome_refusal("?")),
+        lambda keys: keys._move("k", keys.entries["k"], RequestKeyState.DISPATCHED),
     ],
 )
 def test_step_that_breaks_an_invariant_is_refused(step):
