--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -13,8 +13,10 @@
 from baobabhoist.errors import ErrorKind, LinkClosedError, PlatformError, Refusal
 from baobabhoist.jobs.coordinator import JobCoordinator
 from baobabhoist.jobs.messages import (
+    CancelTasks,
+    CancelTasksReply,
+    HoldAck,
     HoldCommit,
-    HoldDone,
     HoldRelease,
     HoldReply,
     HoldRequest,
@@ -23,19 +25,17 @@
     JobsQuery,
     JobsReport,
     JobVerb,
-    TasksCancelled,
-    TasksCancelWanted,
     TasksQuery,
     TasksReport,
 )
 from baobabhoist.jobs.rows import (
-    ACTIVE_PREFIX,
-    active_key,
-    home_of,
+    UNFINISHED_PREFIX,
+    home_shard_of,
     job_id_of,
     job_key,
-    job_row,
-    team_key,
+    job_to_row,
+    team_job_key,
+    unfinished_job_key,
 )
 from baobabhoist.jobs.state import JobRun
 from baobabhoist.model import (
@@ -136,11 +136,11 @@
     def __init__(self, node: Node) -> None:
         self._node = node
 
-    async def run(self, req: Request) -> Answer | Refusal:
+    async def run_task(self, req: Request) -> Answer | Refusal:
         """Run a task and return its result."""
         return await self._node.route(req)
 
-    async def query(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
+    async def query_tasks(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
         """Return which tasks run and why the others wait, also of those forwarded from here."""
         reply = await self.call(shard, TasksQuery(shard, task_ids))
         if not isinstance(reply, TasksReport):
@@ -156,30 +156,30 @@
             waiting.update(found.waiting)
         return TasksReport(tuple(running), waiting)
 
-    async def cancel(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
+    async def cancel_tasks(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
         """Cancel tasks; a refusal means that the shard could not be asked."""
-        reply = await self.call(shard, TasksCancelWanted(shard, task_ids))
-        if not isinstance(reply, TasksCancelled):
+        reply = await self.call(shard, CancelTasks(shard, task_ids))
+        if not isinstance(reply, CancelTasksReply):
             return _unreachable(shard)
         for target, names in _by_shard(reply.elsewhere).items():
-            found = await self.call(target, TasksCancelWanted(target, names))
-            if not isinstance(found, TasksCancelled):
+            found = await self.call(target, CancelTasks(target, names))
+            if not isinstance(found, CancelTasksReply):
                 return _unreachable(target)
         return None
 
-    async def hold(
+    async def hold_capacity(
         self, shard: str, job_id: str, tasks: tuple[Task, ...], deadline: float
     ) -> HoldReply:
         """Hold capacity for as many of the tasks as the shard can."""
         reply = await self.call(shard, HoldRequest(shard, job_id, tasks, deadline))
         return reply if isinstance(reply, HoldReply) else HoldReply(())
 
-    async def commit(self, shard: str, job_id: str) -> bool:
+    async def commit_hold(self, shard: str, job_id: str) -> bool:
         """Start the tasks of a hold; tell whether the hold still stood."""
         reply = await self.call(shard, HoldCommit(shard, job_id))
-        return isinstance(reply, HoldDone) and reply.done
+        return isinstance(reply, HoldAck) and reply.done
 
-    async def release(self, shard: str, job_id: str) -> None:
+    async def release_hold(self, shard: str, job_id: str) -> None:
         """Give a hold back."""
         await self.call(shard, HoldRelease(shard, job_id))
 
@@ -200,15 +200,15 @@
     match message:
         case TasksQuery(_, task_ids):
             return shard.report_tasks(task_ids, now)
-        case TasksCancelWanted(_, task_ids):
-            return TasksCancelled(await shard.cancel_tasks(task_ids))
+        case CancelTasks(_, task_ids):
+            return CancelTasksReply(await shard.cancel_tasks(task_ids))
         case HoldRequest(_, job_id, tasks, deadline):
             return shard.hold(job_id, tasks, deadline, now)
         case HoldCommit(_, job_id):
-            return HoldDone(await shard.commit_hold(job_id, now))
+            return HoldAck(await shard.commit_hold(job_id, now))
         case HoldRelease(_, job_id):
             shard.release_hold(job_id)
-            return HoldDone(True)
+            return HoldAck(True)
     return None
 
 
@@ -240,9 +240,9 @@
         txn = Transaction(
             checks={job_key(spec.job_id): 0},
             writes={
-                job_key(spec.job_id): job_row(run),
-                active_key(run.home, spec.job_id): entry,
-                team_key(spec.team, spec.job_id): entry,
+                job_key(spec.job_id): job_to_row(run),
+                unfinished_job_key(run.home, spec.job_id): entry,
+                team_job_key(spec.team, spec.job_id): entry,
             },
         )
         try:
@@ -282,7 +282,9 @@
         try:
             rows = await self._scan(prefix, LIST_MAX)
             # A job that ends between the two scans is read from the table, with its last state.
-            homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
+            homes = {
+                job_id_of(row): home_shard_of(row) for row in await self._scan(UNFINISHED_PREFIX)
+            }
             wanted = [job_id_of(row) for row in rows]
             found = await self._ask_homes([name for name in wanted if name in homes], homes)
             for job_id in wanted:
@@ -298,7 +300,7 @@
         """Return the ids of all unfinished jobs of a queue, from the rows that mark them."""
         found = []
         try:
-            for row in await self._scan(ACTIVE_PREFIX):
+            for row in await self._scan(UNFINISHED_PREFIX):
                 name = row.value.get("queue")
                 if name is None:
                     # Earlier releases wrote the row without the queue.
@@ -354,7 +356,7 @@
 
     def _stored_status(self, run: JobRun) -> JobStatus:
         status = run.status()
-        if run.finished:
+        if run.is_finished:
             return status
         reason = f"the owner of shard {run.home} did not answer; this is the last stored state"
         return attrs.evolve(status, reason=reason)
@@ -381,7 +383,7 @@
             return JobReply(refusal=_platform_down(exc))
         if run is None or team not in (None, run.spec.team):
             return JobReply(refusal=_not_found(job_id))
-        if run.finished:
+        if run.is_finished:
             return await self._perform(run, verb)
         call = JobCall(run.home, job_id, verb)
         if self._node.local_shard(run.home) is not None:
@@ -408,7 +410,7 @@
                 return _platform_down(exc)
             if run is None:
                 return _not_found(job_id)
-            if not run.finished:
+            if not run.is_finished:
                 if not new or run.revision:
                     run.resume()
                 self._coordinator.adopt(run)
@@ -418,13 +420,13 @@
     async def _perform(self, run: JobRun, verb: JobVerb) -> JobReply:
         if verb is JobVerb.EXPLAIN:
             return JobReply(explanation=await self._coordinator.explain(run))
-        if verb is JobVerb.CANCEL and not run.finished:
+        if verb is JobVerb.CANCEL and not run.is_finished:
             return JobReply(status=await self._coordinator.cancel(run))
         return JobReply(status=await self._coordinator.status(run))
 
     async def _follow_ownership(self) -> None:
         while True:
-            self._coordinator.own(self._node.owned_shards())
+            self._coordinator.set_owned_shards(self._node.owned_shards())
             await asyncio.sleep(OWNED_INTERVAL_S)
 
 
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -63,7 +63,7 @@
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
         self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
-        for number, count in invariants.breaches.items():
+        for number, count in invariants.breach_counts.items():
             for _ in range(count - self._breaches_seen.get(number, 0)):
                 self._metrics.invariant_breached(str(number))
             self._breaches_seen[number] = count
--- a/baobabhoist/invariants.py
+++ b/baobabhoist/invariants.py
@@ -32,7 +32,7 @@
     SCHEDULER = 9501
 
 
-breaches: Counter[int] = Counter()
+breach_counts: Counter[int] = Counter()
 """Count the breaches of this process by event number; read by the metrics."""
 
 
@@ -43,7 +43,7 @@
     """
     if condition:
         return
-    breaches[int(event)] += 1
+    breach_counts[int(event)] += 1
     message = detail % args if args else detail
     emit(log, Event.INVARIANT_BREACH, invariant=int(event), detail=message)
     raise InvariantBreachError(f"event {int(event)}: {message}")
--- a/baobabhoist/jobs/coordinator.py
+++ b/baobabhoist/jobs/coordinator.py
@@ -11,11 +11,11 @@
 from baobabhoist.errors import PlatformError, Refusal
 from baobabhoist.jobs.messages import HoldReply, TasksReport
 from baobabhoist.jobs.rows import (
-    ACTIVE_PREFIX,
-    active_key,
+    UNFINISHED_PREFIX,
+    job_from_row,
     job_key,
     progress_key,
-    run_of,
+    unfinished_job_key,
 )
 from baobabhoist.jobs.state import JobRun
 from baobabhoist.model import (
@@ -32,42 +32,42 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 # Progress of many tasks goes into one write; a successor asks again for what it missed.
 FLUSH_INTERVAL_S = 2.0
 RESCAN_INTERVAL_S = 15.0
 # One job may not fill a shard's queue in one step.
-SEND_BATCH = 200
-CANCEL_BATCH = 500
+SEND_BATCH_TASKS = 200
+CANCEL_BATCH_TASKS = 500
 # Running tasks may have to end before a hold is complete; others wait for its capacity.
-HOLD_S = 20.0
-HOLD_POLL_S = 0.25
-SCAN_PAGE = 500
+HOLD_TIMEOUT_S = 20.0
+HOLD_POLL_INTERVAL_S = 0.25
+SCAN_PAGE_ROWS = 500
 # A finished job is served from memory this long; later its rows answer.
-KEEP_FINISHED_S = 60.0
+FINISHED_JOB_RETENTION_S = 60.0
 
 
-class Shards(Protocol):
+class ShardClient(Protocol):
     """Reach the owner of a shard, wherever it is."""
 
-    async def run(self, req: Request) -> Answer | Refusal:
+    async def run_task(self, req: Request) -> Answer | Refusal:
         """Run a task and return its result."""
 
-    async def query(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
+    async def query_tasks(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
         """Return which tasks run and why the others wait."""
 
-    async def cancel(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
+    async def cancel_tasks(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
         """Cancel tasks; a refusal means that the shard could not be asked."""
 
-    async def hold(
+    async def hold_capacity(
         self, shard: str, job_id: str, tasks: tuple[Task, ...], deadline: float
     ) -> HoldReply:
         """Hold capacity for as many of the tasks as the shard can."""
 
-    async def commit(self, shard: str, job_id: str) -> bool:
+    async def commit_hold(self, shard: str, job_id: str) -> bool:
         """Start the tasks of a hold; tell whether the hold still stood."""
 
-    async def release(self, shard: str, job_id: str) -> None:
+    async def release_hold(self, shard: str, job_id: str) -> None:
         """Give a hold back."""
 
 
@@ -79,7 +79,10 @@
     """Own the progress of the jobs of some shards."""
 
     def __init__(
-        self, table: Table, shards: Shards, policy_of: Callable[[str], Policy] = _default_policy
+        self,
+        table: Table,
+        shards: ShardClient,
+        policy_of: Callable[[str], Policy] = _default_policy,
     ) -> None:
         self.runs: dict[str, JobRun] = {}
         self._table = table
@@ -107,9 +110,9 @@
                 self._flush_at = now + FLUSH_INTERVAL_S
                 await self._flush()
             self._forget(now)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def own(self, homes: Iterable[str]) -> None:
+    def set_owned_shards(self, homes: Iterable[str]) -> None:
         """Take over the jobs of newly owned shards and drop those of lost ones."""
         wanted = set(homes)
         for home in wanted - set(self._homes):
@@ -130,7 +133,7 @@
         if row.value is None:
             return None
         progress = await self._table.read(progress_key(job_id))
-        run = run_of(row.value, progress.value["tasks"] if progress.value else None)
+        run = job_from_row(row.value, progress.value["tasks"] if progress.value else None)
         run.revision = progress.revision
         if progress.value and progress.value["cancel_wanted"]:
             run.cancel()
@@ -167,48 +170,48 @@
         return await self.status(run)
 
     async def _advance(self, run: JobRun, now: float) -> None:
-        run.expire(now)
-        if run.cancel_wanted:
-            if not run.finished and run.spec.job_id not in self._cancelling:
+        run.expire_waiting_tasks(now)
+        if run.cancel_requested:
+            if not run.is_finished and run.spec.job_id not in self._cancelling:
                 self._spawn(self._cancel_open(run))
             return
         if run.spec.job_id in self._holding:
             # The tasks have their shards before the hold is committed; sent now, each of them
             # would start without the others.
             return
-        if run.spec.kind is WorkKind.GANG and not run.placed:
-            if run.due(now, 1):
+        if run.spec.kind is WorkKind.GANG and not run.is_placed:
+            if run.due_tasks(now, 1):
                 self._spawn(self._start_gang(run))
             return
-        due = run.due(now, SEND_BATCH)
-        marks = [index for index in due if run.needs_mark(index)]
-        if marks and not await self._store_marks(run, marks):
-            due = [index for index in due if not run.needs_mark(index)]
+        due = run.due_tasks(now, SEND_BATCH_TASKS)
+        marks = [index for index in due if run.needs_intent(index)]
+        if marks and not await self._store_intents(run, marks):
+            due = [index for index in due if not run.needs_intent(index)]
         for index in due:
             self._send(run, index)
 
-    async def _store_marks(self, run: JobRun, indexes: list[int]) -> bool:
+    async def _store_intents(self, run: JobRun, indexes: list[int]) -> bool:
         for index in indexes:
-            run.mark(index)
+            run.set_intent(index)
         if await self._store([run]):
             return True
         for index in indexes:
-            run.unmark(index)
+            run.clear_intent(index)
         return False
 
     def _send(self, run: JobRun, index: int) -> None:
-        req = run.request(index, time.time())
-        run.sent(index)
+        req = run.build_request(index, time.time())
+        run.record_sent(index)
         task = self._spawn(self._run_task(run, index, req))
         sent = self._in_flight.setdefault(run.spec.job_id, set())
         sent.add(task)
         task.add_done_callback(sent.discard)
 
     async def _run_task(self, run: JobRun, index: int, req: Request) -> None:
-        result = await self._shards.run(req)
+        result = await self._shards.run_task(req)
         if run.task_id(index) == req.request_id and run.is_open(index):
             run.retries = self._policy_of(run.spec.queue).retries
-            run.result(index, result, time.time())
+            run.apply_result(index, result, time.time())
 
     async def _start_gang(self, run: JobRun) -> None:
         job_id = run.spec.job_id
@@ -220,7 +223,7 @@
             run.place_gang(held)
             if not await self._store([run]):
                 await self._release(job_id, set(held.values()))
-                run.clear_places(time.time())
+                run.clear_placement(time.time())
                 return
             await self._commit(run, sorted(set(held.values())))
         finally:
@@ -228,7 +231,7 @@
 
     async def _hold_all(self, run: JobRun) -> dict[int, str] | None:
         """Hold capacity for every task, in shard order, or for none."""
-        deadline = time.time() + HOLD_S
+        deadline = time.time() + HOLD_TIMEOUT_S
         held: dict[int, str] = {}
         waiting: set[str] = set()
         # Every coordinator takes shards in the same order, so that two gangs which need the
@@ -240,7 +243,7 @@
         if len(held) == len(run.open_tasks()) and await self._ready(run, held, waiting, deadline):
             return held
         await self._release(run.spec.job_id, set(held.values()) | waiting)
-        run.wait_for_capacity(time.time())
+        run.retry_gang_later(time.time())
         return None
 
     async def _hold_some(
@@ -253,8 +256,8 @@
     ) -> bool:
         """Add what a shard holds; tell whether nothing there still has to become free."""
         names = {run.task_id(index): index for index in indexes}
-        tasks = tuple(run.request(index, time.time()).task for index in indexes)
-        reply = await self._shards.hold(shard, run.spec.job_id, tasks, deadline)
+        tasks = tuple(run.build_request(index, time.time()).task for index in indexes)
+        reply = await self._shards.hold_capacity(shard, run.spec.job_id, tasks, deadline)
         held.update({names[task_id]: shard for task_id in reply.held if task_id in names})
         return reply.ready or not reply.held
 
@@ -262,8 +265,8 @@
         self, run: JobRun, held: dict[int, str], waiting: set[str], deadline: float
     ) -> bool:
         """Wait until every hold is complete; tell whether that was before the deadline."""
-        while waiting and not run.cancel_wanted and time.time() < deadline:
-            await asyncio.sleep(HOLD_POLL_S)
+        while waiting and not run.cancel_requested and time.time() < deadline:
+            await asyncio.sleep(HOLD_POLL_INTERVAL_S)
             for shard in sorted(waiting):
                 indexes = [index for index, where in held.items() if where == shard]
                 again: dict[int, str] = {}
@@ -271,38 +274,40 @@
                     if len(again) < len(indexes):
                         return False
                     waiting.discard(shard)
-        return not waiting and not run.cancel_wanted
+        return not waiting and not run.cancel_requested
 
     async def _commit(self, run: JobRun, shards: list[str]) -> None:
         job_id = run.spec.job_id
-        committed = [await self._shards.commit(job_id=job_id, shard=shard) for shard in shards]
+        committed = [
+            await self._shards.commit_hold(job_id=job_id, shard=shard) for shard in shards
+        ]
         if all(committed):
             for index in run.open_tasks():
                 self._send(run, index)
             return
         for shard, done in zip(shards, committed, strict=True):
             if done:
-                ids = tuple(run.task_id(i) for i in run.tasks_at(shard))
-                await self._shards.cancel(shard, ids)
+                ids = tuple(run.task_id(i) for i in run.tasks_of_shard(shard))
+                await self._shards.cancel_tasks(shard, ids)
         await self._release(job_id, set(shards))
-        run.abandon_attempt(time.time())
+        run.abandon_gang_attempt(time.time())
 
     async def _release(self, job_id: str, shards: set[str]) -> None:
         for shard in sorted(shards):
-            await self._shards.release(shard, job_id)
+            await self._shards.release_hold(shard, job_id)
 
     async def _cancel_open(self, run: JobRun) -> None:
         job_id = run.spec.job_id
         self._cancelling.add(job_id)
         try:
-            for shard, indexes in run.by_shard(run.to_cancel()).items():
-                for start in range(0, len(indexes), CANCEL_BATCH):
-                    batch = indexes[start : start + CANCEL_BATCH]
+            for shard, indexes in run.group_by_shard(run.tasks_to_cancel()).items():
+                for start in range(0, len(indexes), CANCEL_BATCH_TASKS):
+                    batch = indexes[start : start + CANCEL_BATCH_TASKS]
                     ids = tuple(run.task_id(index) for index in batch)
-                    if await self._shards.cancel(shard, ids) is None:
+                    if await self._shards.cancel_tasks(shard, ids) is None:
                         for index in batch:
-                            run.cancelled_at_shard(index)
-            await asyncio.sleep(TICK_S)
+                            run.record_cancelled(index)
+            await asyncio.sleep(TICK_INTERVAL_S)
         finally:
             self._cancelling.discard(job_id)
 
@@ -310,9 +315,9 @@
         """Return what the shards report of the jobs' tasks, and the shards without a report."""
         asked: dict[str, list[str]] = {}
         for run in runs:
-            for shard, indexes in run.by_shard(run.attempted_tasks()).items():
+            for shard, indexes in run.group_by_shard(run.possibly_sent_tasks()).items():
                 asked.setdefault(shard, []).extend(run.task_id(index) for index in indexes)
-        calls = [self._shards.query(shard, tuple(ids)) for shard, ids in asked.items()]
+        calls = [self._shards.query_tasks(shard, tuple(ids)) for shard, ids in asked.items()]
         running: list[str] = []
         waiting: dict[str, str] = {}
         silent = set()
@@ -325,14 +330,14 @@
         return TasksReport(tuple(running), waiting), frozenset(silent)
 
     async def _scan(self, home: str) -> None:
-        prefix = f"{ACTIVE_PREFIX}{home}/"
+        prefix = f"{UNFINISHED_PREFIX}{home}/"
         after = ""
         try:
             while True:
-                rows = await self._table.scan(prefix, after=after, limit=SCAN_PAGE)
+                rows = await self._table.scan(prefix, after=after, limit=SCAN_PAGE_ROWS)
                 for row in rows:
                     await self._resume(home, row)
-                if len(rows) < SCAN_PAGE:
+                if len(rows) < SCAN_PAGE_ROWS:
                     return
                 after = rows[-1].key
         except PlatformError as exc:
@@ -364,11 +369,11 @@
             job_id = run.spec.job_id
             checks[progress_key(job_id)] = run.revision
             writes[progress_key(job_id)] = {
-                "tasks": run.as_row(),
-                "cancel_wanted": run.cancel_wanted,
+                "tasks": run.progress_to_row(),
+                "cancel_wanted": run.cancel_requested,
             }
-            if run.finished:
-                writes[active_key(run.home, job_id)] = None
+            if run.is_finished:
+                writes[unfinished_job_key(run.home, job_id)] = None
                 finished.append(job_id)
         try:
             outcome = await self._table.commit(Transaction(checks, writes))
@@ -383,7 +388,7 @@
         for run in runs:
             run.revision = outcome.revisions[progress_key(run.spec.job_id)]
         for job_id in finished:
-            self._forget_at[job_id] = time.time() + KEEP_FINISHED_S
+            self._forget_at[job_id] = time.time() + FINISHED_JOB_RETENTION_S
         return True
 
     async def _find_conflicts(self, runs: list[JobRun]) -> None:
--- a/baobabhoist/jobs/messages.py
+++ b/baobabhoist/jobs/messages.py
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class TasksCancelWanted:
+class CancelTasks:
     """Ask a shard's owner to cancel tasks, whether queued, running or not yet arrived."""
 
     shard: str
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class TasksCancelled:
+class CancelTasksReply:
     """Confirm that no cancelled task starts here any more.
 
     `elsewhere` names the shard that each forwarded task was sent to, where it has to be
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen
-class HoldDone:
+class HoldAck:
     """Report whether a hold still stood when it was committed or released."""
 
     done: bool
@@ -143,13 +143,13 @@
     JobReply,
     TasksQuery,
     TasksReport,
-    TasksCancelWanted,
-    TasksCancelled,
+    CancelTasks,
+    CancelTasksReply,
     HoldRequest,
     HoldReply,
     HoldCommit,
     HoldRelease,
-    HoldDone,
+    HoldAck,
     JobsQuery,
     JobsReport,
 )
--- a/baobabhoist/jobs/rows.py
+++ b/baobabhoist/jobs/rows.py
@@ -18,7 +18,7 @@
 )
 from baobabhoist.store.table import Row
 
-ACTIVE_PREFIX = "active/"
+UNFINISHED_PREFIX = "active/"
 
 
 def job_key(job_id: str) -> str:
@@ -26,12 +26,12 @@
     return f"job/{job_id}"
 
 
-def active_key(home: str, job_id: str) -> str:
+def unfinished_job_key(home: str, job_id: str) -> str:
     """Return the row key that marks a job as unfinished at its home shard."""
-    return f"{ACTIVE_PREFIX}{home}/{job_id}"
+    return f"{UNFINISHED_PREFIX}{home}/{job_id}"
 
 
-def home_of(row: Row) -> str:
+def home_shard_of(row: Row) -> str:
     """Return the home shard in a row that marks a job as unfinished."""
     return row.key.split("/")[1]
 
@@ -46,12 +46,12 @@
     return f"progress/{job_id}"
 
 
-def team_key(team: str, job_id: str) -> str:
+def team_job_key(team: str, job_id: str) -> str:
     """Return the row key by which the jobs of a team are listed."""
     return f"team_job/{team}/{job_id}"
 
 
-def job_row(run: JobRun) -> dict[str, Any]:
+def job_to_row(run: JobRun) -> dict[str, Any]:
     """Return the row that holds a job's specification."""
     spec = run.spec
     return {
@@ -77,7 +77,7 @@
     }
 
 
-def run_of(row: dict[str, Any], progress: list[list[Any]] | None) -> JobRun:
+def job_from_row(row: dict[str, Any], progress: list[list[Any]] | None) -> JobRun:
     """Return the job in a row, with its stored progress."""
     tasks = tuple(
         TaskSpec(base64.b64decode(payload), Resources(*resources), expected_run_s)
@@ -95,5 +95,5 @@
     )
     run = JobRun(spec, row["home"], tuple(row["shards"]), row["submitted_at"])
     if progress is not None:
-        run.restore(progress)
+        run.restore_progress(progress)
     return run
--- a/baobabhoist/jobs/state.py
+++ b/baobabhoist/jobs/state.py
@@ -25,11 +25,11 @@
 from baobabhoist.ownership.rendezvous import home_shard
 from baobabhoist.records.view import DEFAULT_POLICY
 
-RETRY_DELAY_S = 0.5
-RETRY_DELAY_MAX_S = 30.0
+RETRY_BACKOFF_MIN_S = 0.5
+RETRY_BACKOFF_MAX_S = 30.0
 
 
-class Attempt(enum.StrEnum):
+class AttemptState(enum.StrEnum):
     """Name the states of a task of a job as its coordinator sees them."""
 
     WAITING = "waiting"
@@ -40,24 +40,24 @@
     UNKNOWN = "unknown"
 
 
-OPEN_ATTEMPTS = frozenset({Attempt.WAITING, Attempt.SENT})
+OPEN_ATTEMPTS = frozenset({AttemptState.WAITING, AttemptState.SENT})
 
 # The worst task decides a finished job, in this order. An unknown outcome fails the job,
 # because its submitter has to check what became of the task.
 _VERDICTS = (
-    (Attempt.UNKNOWN, JobState.FAILED),
-    (Attempt.FAILED, JobState.FAILED),
-    (Attempt.CANCELLED, JobState.CANCELLED),
-    (Attempt.SUCCEEDED, JobState.SUCCEEDED),
+    (AttemptState.UNKNOWN, JobState.FAILED),
+    (AttemptState.FAILED, JobState.FAILED),
+    (AttemptState.CANCELLED, JobState.CANCELLED),
+    (AttemptState.SUCCEEDED, JobState.SUCCEEDED),
 )
 
 _REPORTED = {
-    Attempt.WAITING: TaskState.QUEUED,
-    Attempt.SENT: TaskState.QUEUED,
-    Attempt.SUCCEEDED: TaskState.SUCCEEDED,
-    Attempt.FAILED: TaskState.FAILED,
-    Attempt.CANCELLED: TaskState.CANCELLED,
-    Attempt.UNKNOWN: TaskState.UNKNOWN,
+    AttemptState.WAITING: TaskState.QUEUED,
+    AttemptState.SENT: TaskState.QUEUED,
+    AttemptState.SUCCEEDED: TaskState.SUCCEEDED,
+    AttemptState.FAILED: TaskState.FAILED,
+    AttemptState.CANCELLED: TaskState.CANCELLED,
+    AttemptState.UNKNOWN: TaskState.UNKNOWN,
 }
 
 # Refusals that no later attempt can change.
@@ -82,13 +82,13 @@
     hold chose the shard.
     """
 
-    state: Attempt = Attempt.WAITING
+    state: AttemptState = AttemptState.WAITING
     generation: int = 0
     failures: int = 0
-    refusals: int = 0
+    backoffs: int = 0
     not_before: float = 0.0
-    marked: bool = False
-    attempted: bool = False
+    has_intent: bool = False
+    possibly_sent: bool = False
     shard: str = ""
     reason: str = ""
 
@@ -106,7 +106,7 @@
     submitted_at: float
     tasks: list[TaskProgress] = attrs.field()
     retries: int = DEFAULT_POLICY.retries
-    cancel_wanted: bool = False
+    cancel_requested: bool = False
     revision: int = 0
     dirty: bool = False
     _first_open: int = 0
@@ -127,14 +127,14 @@
         """
         return self.tasks[index].shard or home_shard(self.task_id(index), self.shards)
 
-    def due(self, now: float, limit: int) -> list[int]:
+    def due_tasks(self, now: float, limit: int) -> list[int]:
         """Return the tasks to send now."""
-        if self.cancel_wanted:
+        if self.cancel_requested:
             return []
         found = []
         for index in self._open_tasks():
             task = self.tasks[index]
-            if task.state is Attempt.WAITING and task.not_before <= now:
+            if task.state is AttemptState.WAITING and task.not_before <= now:
                 found.append(index)
                 if len(found) == limit:
                     break
@@ -144,46 +144,46 @@
         """Record the shards that hold capacity for the tasks of a gang."""
         for index, shard in shards.items():
             self.tasks[index].shard = shard
-            self.mark(index)
+            self.set_intent(index)
 
-    def clear_places(self, now: float) -> None:
+    def clear_placement(self, now: float) -> None:
         """Forget the shards of a gang whose placement could not be stored."""
         for task in self.tasks:
             task.shard = ""
-            task.marked = False
-        self.wait_for_capacity(now)
+            task.has_intent = False
+        self.retry_gang_later(now)
 
-    def wait_for_capacity(self, now: float) -> None:
+    def retry_gang_later(self, now: float) -> None:
         """Let a gang try again later, under the same ids."""
         for index in self._open_tasks():
             self.tasks[index].reason = "not enough free capacity for all tasks at once"
             self._wait(self.tasks[index], now)
 
-    def abandon_attempt(self, now: float) -> None:
+    def abandon_gang_attempt(self, now: float) -> None:
         """Give every open task of a gang a new id after a commit that failed in part."""
         for index in self._open_tasks():
             self._next_generation(self.tasks[index], now)
         self.dirty = True
 
-    def needs_mark(self, index: int) -> bool:
+    def needs_intent(self, index: int) -> bool:
         """Tell whether the table must know of this attempt before it is sent.
 
         Without the mark a successor would repeat a task that may run only once, or use an
         earlier id while a later one runs.
         """
         task = self.tasks[index]
-        return not task.marked and (not self.spec.idempotent or task.generation > 0)
+        return not task.has_intent and (not self.spec.idempotent or task.generation > 0)
 
-    def mark(self, index: int) -> None:
+    def set_intent(self, index: int) -> None:
         """Record that the table knows of the attempt."""
-        self.tasks[index].marked = True
+        self.tasks[index].has_intent = True
         self.dirty = True
 
-    def unmark(self, index: int) -> None:
+    def clear_intent(self, index: int) -> None:
         """Record that the mark could not be stored; the task waits for the table."""
-        self.tasks[index].marked = False
+        self.tasks[index].has_intent = False
 
-    def request(self, index: int, now: float) -> Request:
+    def build_request(self, index: int, now: float) -> Request:
         """Return the request that runs a task."""
         spec = self.spec.tasks[index]
         progress = self.tasks[index]
@@ -206,21 +206,21 @@
             self.shard_of(index),
             self.submitted_at,
             task,
-            first_attempt=not progress.attempted,
+            first_attempt=not progress.possibly_sent,
         )
 
-    def sent(self, index: int) -> None:
+    def record_sent(self, index: int) -> None:
         """Record that a task is on its way."""
-        self.tasks[index].state = Attempt.SENT
-        self.tasks[index].attempted = True
+        self.tasks[index].state = AttemptState.SENT
+        self.tasks[index].possibly_sent = True
 
-    def result(self, index: int, result: Answer | Refusal, now: float) -> None:
+    def apply_result(self, index: int, result: Answer | Refusal, now: float) -> None:
         """Apply the result of an attempt."""
         task = self.tasks[index]
         self.dirty = True
         if isinstance(result, Answer):
             self._ended(task, now, succeeded=True, reason="")
-        elif result.kind is ErrorKind.PREEMPTED and self._may_retry and not self.cancel_wanted:
+        elif result.kind is ErrorKind.PREEMPTED and self._may_retry and not self.cancel_requested:
             # The owner stopped the task, which says nothing about the task itself.
             task.reason = result.message
             self._next_generation(task, now)
@@ -232,40 +232,40 @@
             # The same id goes to the same shard, whose owner knows whether the task runs.
             self._wait(task, now)
         else:
-            task.state = Attempt.UNKNOWN
+            task.state = AttemptState.UNKNOWN
             task.reason = result.message
 
     def cancel(self) -> None:
         """Stop sending tasks; those that were never sent are cancelled at once."""
-        self.cancel_wanted = True
+        self.cancel_requested = True
         self.dirty = True
         for task in self.tasks:
-            if task.state is Attempt.WAITING and not task.attempted:
-                task.state = Attempt.CANCELLED
+            if task.state is AttemptState.WAITING and not task.possibly_sent:
+                task.state = AttemptState.CANCELLED
 
-    def to_cancel(self) -> list[int]:
+    def tasks_to_cancel(self) -> list[int]:
         """Return the tasks that their shards still have to cancel."""
-        return list(self._open_tasks()) if self.cancel_wanted else []
+        return list(self._open_tasks()) if self.cancel_requested else []
 
-    def cancelled_at_shard(self, index: int) -> None:
+    def record_cancelled(self, index: int) -> None:
         """Record that a shard will never run a task whose request has no reply pending."""
         task = self.tasks[index]
-        if task.state is Attempt.WAITING:
-            task.state = Attempt.CANCELLED
+        if task.state is AttemptState.WAITING:
+            task.state = AttemptState.CANCELLED
             self.dirty = True
 
-    def expire(self, now: float) -> None:
+    def expire_waiting_tasks(self, now: float) -> None:
         """Give up the waiting tasks of a job whose deadline has passed."""
         if now < self.spec.deadline:
             return
         for task in self.tasks:
-            if task.state is Attempt.WAITING:
-                task.state = Attempt.UNKNOWN if task.attempted else Attempt.FAILED
+            if task.state is AttemptState.WAITING:
+                task.state = AttemptState.UNKNOWN if task.possibly_sent else AttemptState.FAILED
                 task.reason = "the deadline of the job has passed"
                 self.dirty = True
 
     @property
-    def placed(self) -> bool:
+    def is_placed(self) -> bool:
         """Tell whether a hold has chosen the shards of a gang's open tasks."""
         return all(self.tasks[index].shard for index in self._open_tasks())
 
@@ -277,15 +277,15 @@
         """Return the tasks that may still change."""
         return list(self._open_tasks())
 
-    def attempted_tasks(self) -> list[int]:
+    def possibly_sent_tasks(self) -> list[int]:
         """Return the tasks that were or may have been sent and have no result."""
-        return [i for i in self._open_tasks() if self.tasks[i].attempted]
+        return [i for i in self._open_tasks() if self.tasks[i].possibly_sent]
 
-    def tasks_at(self, shard: str) -> list[int]:
+    def tasks_of_shard(self, shard: str) -> list[int]:
         """Return the tasks that belong to a shard."""
         return [index for index in range(len(self.tasks)) if self.shard_of(index) == shard]
 
-    def by_shard(self, indexes: list[int]) -> dict[str, list[int]]:
+    def group_by_shard(self, indexes: list[int]) -> dict[str, list[int]]:
         """Group tasks by their shard."""
         groups: dict[str, list[int]] = {}
         for index in indexes:
@@ -296,13 +296,13 @@
     def state(self) -> JobState:
         """Return the state of the job."""
         if any(True for _ in self._open_tasks()):
-            started = any(task.state is not Attempt.WAITING for task in self.tasks)
+            started = any(task.state is not AttemptState.WAITING for task in self.tasks)
             return JobState.RUNNING if started else JobState.QUEUED
         states = {task.state for task in self.tasks}
         return next(verdict for state, verdict in _VERDICTS if state in states)
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether no task can change any more."""
         return self.state in FINAL_JOB_STATES
 
@@ -319,7 +319,7 @@
             runs = task.state in OPEN_ATTEMPTS and self.task_id(index) in (running or ())
             counts[TaskState.RUNNING if runs else _REPORTED[task.state]] += 1
         state, reason = self.state, next((task.reason for task in self.tasks if task.reason), "")
-        mine = {self.shard_of(index) for index in self.attempted_tasks()} & silent
+        mine = {self.shard_of(index) for index in self.possibly_sent_tasks()} & silent
         if mine:
             reason = f"the owner of shard {min(mine)} did not report which tasks run"
         elif running is not None and state not in FINAL_JOB_STATES:
@@ -338,7 +338,7 @@
         )
 
     def _refusal(self) -> Refusal | None:
-        unknown = sum(task.state is Attempt.UNKNOWN for task in self.tasks)
+        unknown = sum(task.state is AttemptState.UNKNOWN for task in self.tasks)
         if not unknown:
             return None
         return Refusal(
@@ -348,25 +348,25 @@
             "check the effect of these tasks before submitting them again",
         )
 
-    def as_row(self) -> list[list[Any]]:
+    def progress_to_row(self) -> list[list[Any]]:
         """Return the progress as it is stored in the table."""
         return [
             [
                 task.state.value,
                 task.generation,
                 task.failures,
-                task.marked,
+                task.has_intent,
                 task.shard,
                 task.reason,
             ]
             for task in self.tasks
         ]
 
-    def restore(self, row: list[list[Any]]) -> None:
+    def restore_progress(self, row: list[list[Any]]) -> None:
         """Take over the stored progress; attempts that may be under way are asked again."""
         for task, stored in zip(self.tasks, row, strict=True):
-            task.state = Attempt(stored[0])
-            task.generation, task.failures, task.marked, task.shard, task.reason = stored[1:]
+            task.state = AttemptState(stored[0])
+            task.generation, task.failures, task.has_intent, task.shard, task.reason = stored[1:]
 
     def resume(self) -> None:
         """Prepare to ask for the outcome of each attempt that may be under way.
@@ -376,12 +376,14 @@
         """
         for index in self._open_tasks():
             task = self.tasks[index]
-            task.attempted = (
-                task.marked or task.state is Attempt.SENT or self._sent_without_mark(task)
+            task.possibly_sent = (
+                task.has_intent
+                or task.state is AttemptState.SENT
+                or self._sent_without_intent(task)
             )
-            task.state = Attempt.WAITING
+            task.state = AttemptState.WAITING
 
-    def _sent_without_mark(self, task: TaskProgress) -> bool:
+    def _sent_without_intent(self, task: TaskProgress) -> bool:
         gang = self.spec.kind is WorkKind.GANG
         return self.spec.idempotent and task.generation == 0 and not gang
 
@@ -394,19 +396,19 @@
                 self._first_open += 1
 
     def _ended(self, task: TaskProgress, now: float, succeeded: bool, reason: str) -> None:
-        task.reason = "" if self.cancel_wanted else reason
-        if self.cancel_wanted:
-            task.state = Attempt.SUCCEEDED if succeeded else Attempt.CANCELLED
+        task.reason = "" if self.cancel_requested else reason
+        if self.cancel_requested:
+            task.state = AttemptState.SUCCEEDED if succeeded else AttemptState.CANCELLED
         elif self.spec.kind is WorkKind.SERVICE:
             self._next_generation(task, now)
         elif succeeded:
-            task.state = Attempt.SUCCEEDED
+            task.state = AttemptState.SUCCEEDED
         else:
             task.failures += 1
             if self._may_retry and task.failures <= self.retries:
                 self._next_generation(task, now)
             else:
-                task.state = Attempt.FAILED
+                task.state = AttemptState.FAILED
 
     @property
     def _may_retry(self) -> bool:
@@ -415,22 +417,22 @@
 
     def _refused(self, task: TaskProgress, refusal: Refusal, now: float) -> None:
         task.reason = refusal.message
-        if self.cancel_wanted or refusal.kind is ErrorKind.CANCELLED:
-            task.state = Attempt.CANCELLED
+        if self.cancel_requested or refusal.kind is ErrorKind.CANCELLED:
+            task.state = AttemptState.CANCELLED
         elif refusal.kind in _HOPELESS or self.spec.kind is WorkKind.GANG:
-            task.state = Attempt.FAILED
+            task.state = AttemptState.FAILED
         else:
             self._next_generation(task, now)
 
     def _next_generation(self, task: TaskProgress, now: float) -> None:
         task.generation += 1
-        task.marked = False
-        task.attempted = False
+        task.has_intent = False
+        task.possibly_sent = False
         task.shard = ""
         self._wait(task, now)
 
     def _wait(self, task: TaskProgress, now: float) -> None:
-        task.refusals += 1
-        delay = min(RETRY_DELAY_S * 2 ** min(task.refusals - 1, 10), RETRY_DELAY_MAX_S)
-        task.state = Attempt.WAITING
+        task.backoffs += 1
+        delay = min(RETRY_BACKOFF_MIN_S * 2 ** min(task.backoffs - 1, 10), RETRY_BACKOFF_MAX_S)
+        task.state = AttemptState.WAITING
         task.not_before = now + delay
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -107,7 +107,7 @@
             jobs, others = Jobs(here), Jobs(there)
             there.other = jobs
             running = asyncio.create_task(jobs.run())
-            jobs._coordinator.own(here.owned)
+            jobs._coordinator.set_owned_shards(here.owned)
             try:
                 await scenario(here, jobs, there, others)
             finally:
@@ -138,7 +138,7 @@
         here.shards["rack-1"].placed.clear()
         await jobs.cancel("j1", "roster")
         here.finish.set()
-        await until(lambda: jobs._coordinator.runs["j1"].finished)
+        await until(lambda: jobs._coordinator.runs["j1"].is_finished)
         # The table does not know of the end yet.
         assert (await here.table.read("active/rack-1/j1")).value is not None
         await seen(JobState.SUCCEEDED, succeeded=2)
@@ -199,12 +199,12 @@
 
 def test_the_policy_of_the_queue_bounds_the_retries_of_failed_tasks(two, monkeypatch):
     """Guard against a policy whose number of retries has no effect on jobs."""
-    monkeypatch.setattr(state, "RETRY_DELAY_S", 0.001)
+    monkeypatch.setattr(state, "RETRY_BACKOFF_MIN_S", 0.001)
 
     async def scenario(here, jobs, there, others):
         here.fails, here.retries["entries"] = True, 3
         await jobs.submit(spec(kind=WorkKind.BATCH, tasks=1))
-        await until(lambda: jobs._coordinator.runs["j1"].finished)
+        await until(lambda: jobs._coordinator.runs["j1"].is_finished)
         assert len({req.request_id for req in here.sent}) == len(here.sent) == 4
 
     two(scenario)
--- a/baobabhoist/tests/test_jobs_coordinator.py
+++ b/baobabhoist/tests/test_jobs_coordinator.py
@@ -9,7 +9,7 @@
 from baobabhoist.jobs import coordinator
 from baobabhoist.jobs.coordinator import JobCoordinator
 from baobabhoist.jobs.messages import HoldReply, TasksReport
-from baobabhoist.jobs.rows import active_key, job_key, job_row, progress_key
+from baobabhoist.jobs.rows import job_key, job_to_row, progress_key, unfinished_job_key
 from baobabhoist.jobs.state import JobRun
 from baobabhoist.model import Answer, JobSpec, JobState, Resources, TaskSpec, WorkKind
 from baobabhoist.store.table import Committed, Row
@@ -59,29 +59,29 @@
         self.refuse_commit = set()
         self.finish = asyncio.Event()
 
-    async def run(self, req):
+    async def run_task(self, req):
         self.ran.append((req.shard, req.request_id))
         await self.finish.wait()
         if req.request_id in self.cancelled:
             return Refusal(ErrorKind.CANCELLED, "cancelled")
         return Answer(req.request_id, 200, b"")
 
-    async def query(self, shard, task_ids):
+    async def query_tasks(self, shard, task_ids):
         return TasksReport(task_ids, {})
 
-    async def cancel(self, shard, task_ids):
+    async def cancel_tasks(self, shard, task_ids):
         self.cancelled.update(task_ids)
         return None
 
-    async def hold(self, shard, job_id, tasks, deadline):
+    async def hold_capacity(self, shard, job_id, tasks, deadline):
         ids = tuple(task.task_id for task in tasks[: self.room[shard]])
         self.held[shard][job_id] = ids
         return HoldReply(ids, ready=True)
 
-    async def commit(self, shard, job_id):
+    async def commit_hold(self, shard, job_id):
         return shard not in self.refuse_commit
 
-    async def release(self, shard, job_id):
+    async def release_hold(self, shard, job_id):
         self.released.append(shard)
 
 
@@ -92,8 +92,8 @@
 
 
 def stored(table, run):
-    table.rows[job_key("j1")] = (1, job_row(run))
-    table.rows[active_key("rack-1", "j1")] = (1, {"job_id": "j1"})
+    table.rows[job_key("j1")] = (1, job_to_row(run))
+    table.rows[unfinished_job_key("rack-1", "j1")] = (1, {"job_id": "j1"})
 
 
 async def until(condition):
@@ -103,13 +103,13 @@
 
 
 def drive(scenario, monkeypatch):
-    monkeypatch.setattr(coordinator, "TICK_S", 0.01)
+    monkeypatch.setattr(coordinator, "TICK_INTERVAL_S", 0.01)
     monkeypatch.setattr(coordinator, "FLUSH_INTERVAL_S", 0.05)
 
     async def main():
         table, shards = FakeTable(), FakeShards()
         jobs = JobCoordinator(table, shards)
-        jobs.own(["rack-1"])
+        jobs.set_owned_shards(["rack-1"])
         running = asyncio.create_task(jobs.run())
         try:
             await scenario(jobs, table, shards)
@@ -208,9 +208,9 @@
     async def scenario(jobs, table, shards):
         shards.finish.set()
         stored(table, job(WorkKind.BATCH, 3))
-        jobs.own([])
-        jobs.own(["rack-1"])
-        await until(lambda: table.rows[active_key("rack-1", "j1")][1] is None)
+        jobs.set_owned_shards([])
+        jobs.set_owned_shards(["rack-1"])
+        await until(lambda: table.rows[unfinished_job_key("rack-1", "j1")][1] is None)
         assert jobs.runs["j1"].state is JobState.SUCCEEDED
 
     drive(scenario, monkeypatch)
--- a/baobabhoist/tests/test_jobs_state.py
+++ b/baobabhoist/tests/test_jobs_state.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.daemon.preemption import PREEMPTED
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.jobs.rows import job_row, run_of
+from baobabhoist.jobs.rows import job_from_row, job_to_row
 from baobabhoist.jobs.state import JobRun
 from baobabhoist.model import (
     Answer,
@@ -33,16 +33,16 @@
 
 def send_all(run, now):
     requests = []
-    for index in run.due(now, 100):
-        if run.needs_mark(index):
-            run.mark(index)
-        requests.append(run.request(index, now))
-        run.sent(index)
+    for index in run.due_tasks(now, 100):
+        if run.needs_intent(index):
+            run.set_intent(index)
+        requests.append(run.build_request(index, now))
+        run.record_sent(index)
     return requests
 
 
 def successor_of(run):
-    successor = run_of(job_row(run), run.as_row())
+    successor = job_from_row(job_to_row(run), run.progress_to_row())
     successor.resume()
     return successor
 
@@ -57,7 +57,7 @@
         assert run.state is not JobState.FAILED
         (req,) = send_all(run, attempt * 100.0)
         ids.add(req.request_id)
-        run.result(0, FAILED, attempt * 100.0)
+        run.apply_result(0, FAILED, attempt * 100.0)
     assert len(ids) == retries + 1
     assert run.state is JobState.FAILED
 
@@ -66,8 +66,8 @@
     """Guard against running a non-idempotent task a second time."""
     run = job(tasks=1, idempotent=False)
     send_all(run, 0.0)
-    run.result(0, UNKNOWN, 1.0)
-    assert run.due(100.0, 10) == []
+    run.apply_result(0, UNKNOWN, 1.0)
+    assert run.due_tasks(100.0, 10) == []
     assert run.state is JobState.FAILED
     assert run.status().refusal.outcome is Outcome.UNKNOWN
 
@@ -76,7 +76,7 @@
     """Guard against a second copy of a task that still runs in its first shard."""
     run = job(tasks=1)
     (first,) = send_all(run, 0.0)
-    run.result(0, UNKNOWN, 1.0)
+    run.apply_result(0, UNKNOWN, 1.0)
     (again,) = send_all(run, 100.0)
     assert (again.request_id, again.shard) == (first.request_id, first.shard)
     assert not again.first_attempt
@@ -86,8 +86,8 @@
     """Guard against a successor using the old id while the new one runs."""
     run = job(tasks=1)
     (first,) = send_all(run, 0.0)
-    run.result(0, NO_ROOM, 1.0)
-    assert run.needs_mark(0)
+    run.apply_result(0, NO_ROOM, 1.0)
+    assert run.needs_intent(0)
     (second,) = send_all(run, 100.0)
     assert second.request_id != first.request_id
 
@@ -97,7 +97,7 @@
     """Guard against a change of coordinator starting running tasks again."""
     run = job(tasks=3, idempotent=idempotent)
     sent = send_all(run, 0.0)
-    run.result(0, Answer(sent[0].request_id, 200, b"done"), 1.0)
+    run.apply_result(0, Answer(sent[0].request_id, 200, b"done"), 1.0)
     requests = send_all(successor_of(run), 2.0)
     assert {req.request_id for req in requests} == {req.request_id for req in sent[1:]}
     assert not any(req.first_attempt for req in requests)
@@ -113,12 +113,12 @@
 def test_cancel_keeps_tasks_open_that_may_run():
     """Guard against reporting a task as cancelled while it runs."""
     run = job(tasks=2)
-    (index, *_) = run.due(0.0, 1)
-    run.sent(index)
+    (index, *_) = run.due_tasks(0.0, 1)
+    run.record_sent(index)
     run.cancel()
-    assert run.to_cancel() == [index]
+    assert run.tasks_to_cancel() == [index]
     assert run.status().counts == {TaskState.QUEUED: 1, TaskState.CANCELLED: 1}
-    run.result(index, Refusal(ErrorKind.CANCELLED, "cancelled"), 1.0)
+    run.apply_result(index, Refusal(ErrorKind.CANCELLED, "cancelled"), 1.0)
     assert run.state is JobState.CANCELLED
 
 
@@ -126,9 +126,9 @@
     """Guard against a false "failed" for a task whose outcome nobody reported."""
     run = job(tasks=2)
     send_all(run, 0.0)
-    run.result(0, UNKNOWN, 1.0)
-    run.result(1, NO_ROOM, 1.0)
-    run.expire(1000.0)
+    run.apply_result(0, UNKNOWN, 1.0)
+    run.apply_result(1, NO_ROOM, 1.0)
+    run.expire_waiting_tasks(1000.0)
     assert run.status().counts == {TaskState.UNKNOWN: 1, TaskState.FAILED: 1}
 
 
@@ -136,20 +136,20 @@
     """Guard against a service that loses replicas for good."""
     run = job(kind=WorkKind.SERVICE, tasks=1, deadline=math.inf)
     (first,) = send_all(run, 0.0)
-    run.result(0, Answer(first.request_id, 200, b""), 1.0)
+    run.apply_result(0, Answer(first.request_id, 200, b""), 1.0)
     (second,) = send_all(run, 100.0)
     assert second.request_id != first.request_id
-    assert run_of(job_row(run), run.as_row()).spec.deadline == math.inf
+    assert job_from_row(job_to_row(run), run.progress_to_row()).spec.deadline == math.inf
 
 
 def test_gang_whose_commit_failed_in_part_gets_new_ids_and_shards():
     """Guard against a gang that runs with a part of its tasks."""
     run = job(kind=WorkKind.GANG, tasks=2)
     run.place_gang({0: "rack-1", 1: "rack-2"})
-    assert run.placed
+    assert run.is_placed
     old = [run.task_id(index) for index in range(2)]
-    run.abandon_attempt(1.0)
-    assert not run.placed
+    run.abandon_gang_attempt(1.0)
+    assert not run.is_placed
     assert not set(old) & {run.task_id(index) for index in range(2)}
 
 
@@ -159,9 +159,9 @@
     run.retries = 0
     for attempt in range(5):
         send_all(run, attempt * 100.0)
-        run.result(0, PREEMPTED, attempt * 100.0)
+        run.apply_result(0, PREEMPTED, attempt * 100.0)
     assert run.state is JobState.QUEUED
     run = job(tasks=1, idempotent=False)
     send_all(run, 0.0)
-    run.result(0, PREEMPTED, 1.0)
+    run.apply_result(0, PREEMPTED, 1.0)
     assert run.state is JobState.FAILED
--- a/baobabhoist/tests/test_ownership_claim.py
+++ b/baobabhoist/tests/test_ownership_claim.py
@@ -279,12 +279,12 @@
 
     claim = owned()
     before = attrs.asdict(claim)
-    counted = invariants.breaches[event]
+    counted = invariants.breach_counts[event]
     monkeypatch.setitem(oc.TRANSITION_HANDLERS, (ClaimState.OWNED, oc.Tick), faulty)
     with pytest.raises(InvariantBreachError, match=str(int(event))):
         claim.step(oc.Tick(), NOW)
     assert attrs.asdict(claim) == before
-    assert invariants.breaches[event] == counted + 1
+    assert invariants.breach_counts[event] == counted + 1
 
 
 @pytest.mark.parametrize(
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -127,11 +127,11 @@
     """Guard against a place that is counted twice or given away in use."""
     quota = ledger(1)
     quota.start("roster", "a", "w1")
-    before, counted = repr(quota), invariants.breaches[event]
+    before, counted = repr(quota), invariants.breach_counts[event]
     with pytest.raises(InvariantBreachError):
         step(quota)
     assert repr(quota) == before
-    assert invariants.breaches[event] == counted + 1
+    assert invariants.breach_counts[event] == counted + 1
 
 
 def test_start_beyond_the_places_is_refused_even_if_the_search_errs(monkeypatch):
