--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -33,11 +33,11 @@
 
 
 @attrs.define
-class SimWorker:
+class SimulatedWorker:
     name: str
     fence: Fence = attrs.Factory(Fence)
     up: bool = True
-    boot: int = 0
+    incarnation: int = 0
     running: dict = attrs.Factory(dict)
     ended: dict = attrs.Factory(dict)
     history: list = attrs.Factory(lambda: [(0.0, True)])
@@ -47,7 +47,7 @@
 
 
 @attrs.define
-class SimInstance:
+class SimulatedInstance:
     index: int
     claim: oc.ShardClaim
     keys: RequestKeyLedger = attrs.Factory(RequestKeyLedger)
@@ -58,12 +58,12 @@
     paused: bool = False
 
 
-class System:
+class SimulatedShard:
     """Hold everything; each public method is one event of the environment."""
 
     def __init__(self, instances=2, workers=2):
         self.now = 1000.0
-        self.workers = {f"w{n}": SimWorker(f"w{n}") for n in range(workers)}
+        self.workers = {f"w{n}": SimulatedWorker(f"w{n}") for n in range(workers)}
         self.starts = 0
         self.instances = [self._new_instance(n) for n in range(instances)]
         self.table_up = True
@@ -71,7 +71,7 @@
         self.row = escrow.initial(LIMIT, [SHARD])
         self.messages = []
         # Pairs of an instance's index and a worker that cannot reach each other.
-        self.cut = set()
+        self.unreachable_pairs = set()
         self.first_sent = {}
         self.runs = {}
         self.told_not_run = set()
@@ -80,18 +80,20 @@
     def _new_instance(self, index):
         self.starts += 1
         name = f"i{index}-{self.starts}"
-        return SimInstance(index, oc.ShardClaim(SHARD, name, tuple(self.workers), times=TIMES))
+        return SimulatedInstance(
+            index, oc.ShardClaim(SHARD, name, tuple(self.workers), times=TIMES)
+        )
 
     def clock(self, inst):
         return self.now + CLOCK_OFFSETS_S[inst.index]
 
     # Claims.
 
-    def want(self, inst):
+    def request_claim(self, inst):
         event = oc.ClaimRequested(self.epoch if self.table_up else None)
-        self.apply(inst, event)
+        self.apply_event(inst, event)
 
-    def apply(self, inst, event):
+    def apply_event(self, inst, event):
         for action in inst.claim.step(event, self.clock(inst)):
             self._perform(inst, action)
 
@@ -108,7 +110,7 @@
 
     def _advance_epoch(self, inst, action):
         if not self.table_up:
-            self.apply(inst, oc.EpochUnavailable())
+            self.apply_event(inst, oc.EpochUnavailable())
         elif self.epoch != action.expected:
             self._to_instance(inst, "event", oc.EpochConflict(self.epoch))
         else:
@@ -129,7 +131,7 @@
 
     def hand_over(self, inst, successor):
         """Send the queue to a successor, whose answer may be lost."""
-        self.apply(inst, oc.HandOverRequested(successor.claim.instance_id))
+        self.apply_event(inst, oc.HandOverRequested(successor.claim.instance_id))
         if inst.claim.state is oc.ClaimState.HANDING_OVER:
             content = (inst.claim.token, inst.keys.export_queued(), inst)
             self._to_instance(successor, "queue", content)
@@ -151,10 +153,10 @@
             for request_id in inst.keys.import_queued(keys, self.clock(inst)):
                 inst.queue[request_id] = True
 
-    def time_out(self, inst):
+    def handle_timeouts(self, inst):
         """Give up waiting for the table and present again what was not answered."""
         if inst.claim.awaiting_epoch:
-            self.apply(inst, oc.EpochUnavailable())
+            self.apply_event(inst, oc.EpochUnavailable())
         for worker in self.workers.values():
             waits = inst.claim.state in oc.ACTIVE_STATES and not inst.claim.awaiting_epoch
             if worker.up and waits and not inst.claim.can_dispatch_to(worker.name):
@@ -165,16 +167,16 @@
         for worker in self.workers.values():
             gone = not worker.was_up(self.now - lag)
             event = oc.WorkerReportedGone if gone else oc.WorkerReportedLive
-            self.apply(inst, event(worker.name))
-        self.apply(inst, oc.Tick())
+            self.apply_event(inst, event(worker.name))
+        self.apply_event(inst, oc.Tick())
 
-    def settle(self, inst, rounds=8):
+    def run_until_owned(self, inst, rounds=8):
         """Let one instance claim and own the shard without any fault."""
-        self.want(inst)
+        self.request_claim(inst)
         for _ in range(rounds):
             while self.messages:
                 self.deliver(0)
-            self.time_out(inst)
+            self.handle_timeouts(inst)
             self.move_places(inst, 0)
 
     # Messages. A message belongs to a connection, which ends when either side restarts.
@@ -182,12 +184,12 @@
     def _to_worker(self, inst, worker, kind, content):
         target = self.workers[worker]
         if target.up:
-            link = (inst.claim.instance_id, worker, target.boot)
+            link = (inst.claim.instance_id, worker, target.incarnation)
             self.messages.append(("worker", link, kind, content))
 
     def _to_instance(self, inst, kind, content, worker=None):
-        boot = worker.boot if worker else 0
-        link = (inst.claim.instance_id, worker.name if worker else "", boot)
+        incarnation = worker.incarnation if worker else 0
+        link = (inst.claim.instance_id, worker.name if worker else "", incarnation)
         self.messages.append(("instance", link, kind, content))
 
     def deliver(self, index, keep=False):
@@ -195,12 +197,12 @@
         message = self.messages[index]
         if not keep:
             del self.messages[index]
-        to, (instance_id, name, boot), kind, content = message
+        to, (instance_id, name, incarnation), kind, content = message
         worker = self.workers.get(name)
         inst = next((i for i in self.instances if i.claim.instance_id == instance_id), None)
-        if inst is None or (worker and (worker.boot != boot or not worker.up)):
+        if inst is None or (worker and (worker.incarnation != incarnation or not worker.up)):
             return
-        if (inst.paused and to == "instance") or (inst.index, name) in self.cut:
+        if (inst.paused and to == "instance") or (inst.index, name) in self.unreachable_pairs:
             if not keep:
                 self.messages.append(message)
         elif to == "worker":
@@ -208,7 +210,7 @@
         else:
             getattr(self, f"_on_{kind}")(inst, worker, content)
 
-    def exchange(self, inst, kinds=()):
+    def deliver_all(self, inst, kinds=()):
         """Deliver all messages of one instance, in order, until none is left."""
         while True:
             index = next(
@@ -218,7 +220,7 @@
                     if link[0] == inst.claim.instance_id
                     and (not kinds or kind in kinds)
                     and not (inst.paused and to == "instance")
-                    and (inst.index, link[1]) not in self.cut
+                    and (inst.index, link[1]) not in self.unreachable_pairs
                 ),
                 None,
             )
@@ -256,10 +258,10 @@
             self._to_instance(inst, "event", refusal, worker)
 
     def _on_event(self, inst, worker, event):
-        self.apply(inst, event)
+        self.apply_event(inst, event)
 
     def _on_fenced(self, inst, worker, content):
-        self.apply(inst, content[0])
+        self.apply_event(inst, content[0])
 
     def _take_inventory(self, inst, action):
         inst.quota.adopt(action.worker, action.running)
@@ -271,7 +273,7 @@
         token, sent_at, mark = content
         if token == inst.claim.token:
             inst.quota.worker_confirmed(worker.name, mark)
-            self.apply(inst, oc.WorkerConfirmed(worker.name, token, sent_at))
+            self.apply_event(inst, oc.WorkerConfirmed(worker.name, token, sent_at))
 
     def _on_ended(self, inst, worker, content):
         task_id, held = content
@@ -320,7 +322,7 @@
                     self._to_worker(inst, worker.name, "run", call)
                     return
 
-    def refuse(self, inst):
+    def refuse_queued(self, inst):
         """Refuse queued requests; `not_run` waits until the ownership is confirmed."""
         for request_id, entry in list(inst.keys.entries.items()):
             if request_id in inst.queue:
@@ -334,7 +336,7 @@
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
             self.told_not_run.add(request_id)
 
-    def renew(self, inst):
+    def renew_leases(self, inst):
         """Send a call to every fenced worker."""
         for name in sorted(inst.claim.fenced_workers):
             call = (inst.claim.token, self.clock(inst), inst.quota.mark())
@@ -387,12 +389,12 @@
         if not worker.up:
             return
         worker.up = False
-        worker.boot += 1
+        worker.incarnation += 1
         worker.running.clear()
         worker.ended.clear()
         worker.history.append((self.now, False))
         for inst in self.instances:
-            self.apply(inst, oc.WorkerDisconnected(worker.name))
+            self.apply_event(inst, oc.WorkerDisconnected(worker.name))
 
     def restart_worker(self, worker):
         if worker.up:
@@ -401,9 +403,9 @@
         worker.history.append((self.now, True))
         for inst in self.instances:
             if not inst.paused:
-                self.apply(inst, oc.WorkerConnected(worker.name))
+                self.apply_event(inst, oc.WorkerConnected(worker.name))
 
-    def check(self):
+    def check_guarantees(self):
         """Assert the guarantees; the pool counts as used by other shards."""
         twice = [key for key, n in self.runs.items() if n > 1]
         assert not twice, f"{twice} ran more than once"
--- a/baobabhoist/tests/test_ownership_machine.py
+++ b/baobabhoist/tests/test_ownership_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from baobabhoist.tests.simulated_shard import System
+from baobabhoist.tests.simulated_shard import SimulatedShard
 
 INSTANCES = st.integers(0, 2)
 WORKERS = st.sampled_from(["w0", "w1", "w2"])
@@ -17,8 +17,8 @@
 
     @initialize(workers=st.integers(1, 3))
     def start(self, workers):
-        self.system = System(3, workers)
-        self.system.settle(self.system.instances[0])
+        self.system = SimulatedShard(3, workers)
+        self.system.run_until_owned(self.system.instances[0])
 
     def running(self, index):
         inst = self.system.instances[index]
@@ -40,10 +40,10 @@
         inst = self.owner(index)
         if inst is not None:
             self.system.send_request(inst, f"key-{key}" if key >= 0 else None)
-            self.system.exchange(inst, ("request",))
+            self.system.deliver_all(inst, ("request",))
             self.system.dispatch(inst)
             if send:
-                self.system.exchange(inst, ("run",))
+                self.system.deliver_all(inst, ("run",))
 
     @rule(key=st.integers(0, 5))
     def copy_key(self, key):
@@ -55,16 +55,16 @@
         worker = self.worker(name)
         if worker is not None:
             self.system.end_task(worker)
-            self.system.exchange(self.system.instances[index], ("ended",))
+            self.system.deliver_all(self.system.instances[index], ("ended",))
 
     @rule(index=INSTANCES)
     def take_over(self, index):
         inst = self.running(index)
         if inst is not None:
-            self.system.want(inst)
-            self.system.exchange(inst, FENCING)
-            self.system.time_out(inst)
-            self.system.exchange(inst, FENCING)
+            self.system.request_claim(inst)
+            self.system.deliver_all(inst, FENCING)
+            self.system.handle_timeouts(inst)
+            self.system.deliver_all(inst, FENCING)
             self.system.move_places(inst, 0)
 
     @rule(index=INSTANCES, other=INSTANCES)
@@ -72,11 +72,11 @@
         inst, successor = self.owner(index), self.system.instances[other]
         if inst is not None and inst is not successor:
             self.system.hand_over(inst, successor)
-            self.system.exchange(successor, ("queue",))
+            self.system.deliver_all(successor, ("queue",))
 
     @rule(index=INSTANCES, kinds=KINDS)
     def exchange(self, index, kinds):
-        self.system.exchange(self.system.instances[index], kinds)
+        self.system.deliver_all(self.system.instances[index], kinds)
 
     @rule(position=st.integers(0, 30), keep=st.booleans())
     def deliver_out_of_order(self, position, keep):
@@ -88,7 +88,10 @@
         if self.system.messages:
             del self.system.messages[position % len(self.system.messages)]
 
-    @rule(index=INSTANCES, step=st.sampled_from(["renew", "refuse", "time_out", "dispatch"]))
+    @rule(
+        index=INSTANCES,
+        step=st.sampled_from(["renew_leases", "refuse_queued", "handle_timeouts", "dispatch"]),
+    )
     def owner_step(self, index, step):
         inst = self.owner(index)
         if inst is not None:
@@ -119,9 +122,9 @@
     @rule(index=INSTANCES, name=WORKERS, cut=st.booleans())
     def partition(self, index, name, cut):
         if cut:
-            self.system.cut.add((index, name))
+            self.system.unreachable_pairs.add((index, name))
         else:
-            self.system.cut.clear()
+            self.system.unreachable_pairs.clear()
 
     @rule(index=INSTANCES)
     def crash_instance(self, index):
@@ -140,7 +143,7 @@
     @invariant()
     def guarantees_hold(self):
         if hasattr(self, "system"):
-            self.system.check()
+            self.system.check_guarantees()
 
 
 TestShardMachine = ShardMachine.TestCase
--- a/specs/check.py
+++ b/specs/check.py
@@ -10,10 +10,10 @@
 from minicheck import Protocol, check_safety
 
 from specs.core_protocol import (
-    ONCE,
-    OWNER,
-    TRUE_NOT_RUN,
-    WITHIN_LIMIT,
+    KEY_RUNS_ONCE,
+    NOT_RUN_IS_TRUE,
+    SINGLE_OWNER,
+    TEAM_WITHIN_LIMIT,
     Bounds,
     CoreProtocol,
     Rules,
@@ -26,10 +26,10 @@
 OUTAGE = Bounds("outage", key=True, claims=2, pauses=True, confirmed=False)
 QUOTA = Bounds("quota", limit=2, running=(1, 0), claims=1, starts=2)
 QUOTA_CRASH = Bounds("quota_crash", limit=1, running=(1, 0), claims=1, starts=1, worker_crashes=1)
-BOTH = Bounds("both", key=True, limit=1, claims=1, starts=1)
-BOUNDS = (KEYS, CRASHES, OUTAGE, QUOTA, QUOTA_CRASH, BOTH)
+KEYS_AND_QUOTA = Bounds("both", key=True, limit=1, claims=1, starts=1)
+BOUNDS = (KEYS, CRASHES, OUTAGE, QUOTA, QUOTA_CRASH, KEYS_AND_QUOTA)
 # Checked by `python -m specs.check` only, to keep the tests short.
-LARGER = (
+EXTENDED_BOUNDS = (
     attrs.evolve(KEYS, name="keys_2", claims=2),
     attrs.evolve(QUOTA, name="quota_2", claims=2),
     attrs.evolve(QUOTA_CRASH, name="quota_crash_2", claims=2),
@@ -39,22 +39,22 @@
 
 # Each rule with bounds and an invariant that is violated when the rule is off.
 COUNTEREXAMPLES = (
-    ("fencing", KEYS, OWNER),
-    ("fencing", KEYS, ONCE),
-    ("fencing", QUOTA, WITHIN_LIMIT),
-    ("wait_for_unresolved", KEYS, ONCE),
-    ("wait_for_unresolved", QUOTA, WITHIN_LIMIT),
-    ("takeover_cap", QUOTA, WITHIN_LIMIT),
-    ("confirmed_release", QUOTA, WITHIN_LIMIT),
-    ("keys_after_takeover", KEYS, ONCE),
-    ("verify_returned", KEYS, ONCE),
-    ("verify_returned", QUOTA_CRASH, WITHIN_LIMIT),
-    ("confirm_before_not_run", KEYS, TRUE_NOT_RUN),
-    ("continuity", OUTAGE, TRUE_NOT_RUN),
+    ("fencing", KEYS, SINGLE_OWNER),
+    ("fencing", KEYS, KEY_RUNS_ONCE),
+    ("fencing", QUOTA, TEAM_WITHIN_LIMIT),
+    ("wait_for_unresolved", KEYS, KEY_RUNS_ONCE),
+    ("wait_for_unresolved", QUOTA, TEAM_WITHIN_LIMIT),
+    ("takeover_cap", QUOTA, TEAM_WITHIN_LIMIT),
+    ("confirmed_release", QUOTA, TEAM_WITHIN_LIMIT),
+    ("keys_after_takeover", KEYS, KEY_RUNS_ONCE),
+    ("verify_returned", KEYS, KEY_RUNS_ONCE),
+    ("verify_returned", QUOTA_CRASH, TEAM_WITHIN_LIMIT),
+    ("confirm_before_not_run", KEYS, NOT_RUN_IS_TRUE),
+    ("continuity", OUTAGE, NOT_RUN_IS_TRUE),
 )
 
 
-def run(
+def check_model(
     rules: Rules, bounds: Bounds, only: str = "", max_states: int = 1_000_000
 ) -> dict[str, Any]:
     """Return minicheck's result; `only` names an invariant whose violation ends the search."""
@@ -89,7 +89,7 @@
     return dict(check_safety(model, max_states))
 
 
-def violated(result: dict[str, Any]) -> dict[str, list[str]]:
+def violated_invariants(result: dict[str, Any]) -> dict[str, list[str]]:
     """Return the steps of the counterexample of each violated invariant."""
     return {
         name: [str(step["label"]) for step in found["counterexample"][1:]]
@@ -100,20 +100,20 @@
 
 def main() -> None:
     """Print the number of states with all rules on, and the effect of each rule off."""
-    for bounds in BOUNDS + LARGER:
+    for bounds in BOUNDS + EXTENDED_BOUNDS:
         started = time.perf_counter()
-        result = run(Rules(), bounds)
+        result = check_model(Rules(), bounds)
         print(bounds)
         print(
             f"  all rules on: {result['reachable_states']} states, exhaustive:"
             f" {result['exhaustive']}, {time.perf_counter() - started:.1f} s"
         )
-        for name, steps in violated(result).items():
+        for name, steps in violated_invariants(result).items():
             print(f"  violated: {name}", *steps, sep="\n      ")
         sys.stdout.flush()
     for rule, bounds, name in COUNTEREXAMPLES:
-        result = run(attrs.evolve(Rules(), **{rule: False}), bounds, only=name)
-        for steps in violated(result).values():
+        result = check_model(attrs.evolve(Rules(), **{rule: False}), bounds, only=name)
+        for steps in violated_invariants(result).values():
             states = result["reachable_states"]
             print(f"{rule} off, {bounds.name}: {name}: {len(steps)} steps, {states} states")
             if "-v" in sys.argv:
