--- a/baobabhoist/ownership/__init__.py
+++ b/baobabhoist/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which instance owns a shard, with fencing tokens."""
+"""Elect the owner of each shard and protect the shard by fencing tokens."""
--- a/baobabhoist/ownership/claim_invariants.py
+++ b/baobabhoist/ownership/claim_invariants.py
@@ -1,4 +1,4 @@
-"""Check the invariants of a claim after each step."""
+"""Check the invariants of a shard claim after each transition."""
 
 from __future__ import annotations
 
@@ -25,33 +25,39 @@
     + [(CLAIMING, PARTIAL)]
     + [(state, OWNED) for state in (IDLE, LOST, CLAIMING, PARTIAL, HANDING_OVER)]
     + [(OWNED, HANDING_OVER)]
-    + [(state, state_after) for state in ACTIVE_STATES for state_after in (IDLE, LOST)]
+    + [(state, next_state) for state in ACTIVE_STATES for next_state in (IDLE, LOST)]
     + [(LOST, IDLE)]
 )
-"""List the transitions of a whole step; a claim on a shard without workers owns at once."""
+"""List the state changes that one step may make.
 
+A step may pass through CLAIMING to OWNED, because a shard without workers is owned at once.
+"""
 
-def check_transition(claim: ShardClaim, state: ClaimState, token: Token) -> None:
-    """Compare a claim with its state and token before the step; raises on a breach."""
+
+def check_transition(claim: ShardClaim, previous_state: ClaimState, previous_token: Token) -> None:
+    """Compare a claim with its state and token before the step.
+
+    Raises InvariantBreachError if an invariant is violated.
+    """
     check(
-        state == claim.state or (state, claim.state) in ALLOWED_TRANSITIONS,
+        previous_state == claim.state or (previous_state, claim.state) in ALLOWED_TRANSITIONS,
         Invariant.CLAIM_TRANSITION,
         "shard %s: no transition leads from %s to %s",
         claim.shard,
-        state,
+        previous_state,
         claim.state,
     )
-    raised = claim.token > token and claim.token.instance_id == claim.instance_id
+    is_raised = claim.token > previous_token and claim.token.instance_id == claim.instance_id
     check(
-        claim.token == token or raised,
+        claim.token == previous_token or is_raised,
         Invariant.CLAIM_TOKEN_RISES,
         "shard %s: token %s does not follow %s",
         claim.shard,
         claim.token,
-        token,
+        previous_token,
     )
-    gained = claim.state is OWNED and state not in (OWNED, HANDING_OVER)
-    unresolved = claim.unresolved_workers() if gained else set()
+    is_gained = claim.state is OWNED and previous_state not in (OWNED, HANDING_OVER)
+    unresolved = claim.unresolved_workers() if is_gained else set()
     check(
         not unresolved,
         Invariant.CLAIM_OWNED_RESOLVED,
@@ -59,9 +65,10 @@
         claim.shard,
         unresolved,
     )
-    held = claim.state in ACTIVE_STATES and not claim.awaiting_epoch
+    may_have_fenced = claim.state in ACTIVE_STATES and not claim.awaiting_epoch
     check(
-        claim.fenced_workers.issubset(claim.workers) and (held or not claim.fenced_workers),
+        claim.fenced_workers.issubset(claim.workers)
+        and (may_have_fenced or not claim.fenced_workers),
         Invariant.CLAIM_FENCED_KNOWN,
         "shard %s: %s are fenced in state %s",
         claim.shard,
--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -1,4 +1,4 @@
-"""Define the states, periods, events and actions of a claim on a shard."""
+"""Define the states, timing, events and actions of a shard claim."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Name the states of a claim."""
+    """List the states of a shard claim."""
 
     IDLE = "idle"
     CLAIMING = "claiming"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class ClaimTiming:
-    """Hold the periods of a claim in seconds."""
+    """Hold the time limits of a claim in seconds."""
 
     membership_lag_s: float = 3.0
     max_lease_s: float = 10.0
@@ -43,15 +43,15 @@
 
     @property
     def worker_gone_after_s(self) -> float:
-        """Return how long a worker must be reported gone until nothing can run there."""
+        """Return how long a worker must be reported gone until all its leases have expired."""
         return self.membership_lag_s + self.max_lease_s
 
 
 @attrs.frozen
 class ClaimRequested:
-    """Ask for the shard; `epoch` is the row's epoch, or None while the table is down.
+    """Request the shard; `epoch` is the epoch in the row, or None while the table is down.
 
-    While the shard is owned under a round, an epoch asks the table to confirm the ownership.
+    If the shard is already owned under a round, request that its epoch be committed.
     """
 
     epoch: int | None
@@ -59,29 +59,29 @@
 
 @attrs.frozen
 class EpochGranted:
-    """Report that the table holds the new epoch under this instance's name."""
+    """Report that the new epoch is committed to the table under this instance's id."""
 
     epoch: int
 
 
 @attrs.frozen
 class EpochUnavailable:
-    """Report that the table did not answer; the write may have taken effect."""
+    """Report that the table did not answer; the write may still have taken effect."""
 
 
 @attrs.frozen
 class EpochConflict:
-    """Report that another instance advanced the row to this epoch."""
+    """Report that another instance has advanced the row to this epoch."""
 
     epoch: int
 
 
 @attrs.frozen
 class WorkerFenced:
-    """Report that a worker holds a token, with its inventory.
+    """Report that a worker has accepted a token, with its inventory of tasks.
 
-    `previous` is the token that the worker held before, None if it did not report one;
-    `sent_at` is when the token was sent (Unix seconds), None if that is this moment.
+    `previous_token` is the token that the worker held before, or None if it reported none.
+    `sent_at` is the time at which the token was sent (Unix seconds), or None for the present.
     """
 
     worker: str
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class WorkerConfirmed:
-    """Report that a worker accepted a call under this token that was sent at `sent_at`."""
+    """Report that a worker accepted a call which was sent under this token at `sent_at`."""
 
     worker: str
     token: Token
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class FenceRefused:
-    """Report that a worker refused a call and which token it holds."""
+    """Report that a worker refused a call, and the token that it holds."""
 
     worker: str
     highest_token: Token
@@ -111,64 +111,64 @@
 
 @attrs.frozen
 class WorkerConnected:
-    """Report a new connection to a worker, which may have restarted."""
+    """Report a new connection to a worker, which may have restarted since the last one."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerDisconnected:
-    """Report that the connection to a worker ended."""
+    """Report that the connection to a worker was closed."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerReportedGone:
-    """Report that the membership list shows a worker as gone; repeat on each reading."""
+    """Report on each reading of the membership list that shows a worker as gone."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerReportedLive:
-    """Report that the membership list shows a worker as live."""
+    """Report on each reading of the membership list that shows a worker as live."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkersChanged:
-    """Report the workers that the shard's record names now."""
+    """Report the workers that are now listed in the shard's record."""
 
     workers: tuple[str, ...]
 
 
 @attrs.frozen
 class Tick:
-    """Let the claim compare its stored deadlines with the time."""
+    """Trigger the check of stored deadlines."""
 
 
 @attrs.frozen
 class HandOverRequested:
-    """Ask to hand the shard to another instance."""
+    """Request that the shard be handed over to another instance."""
 
     successor: str
 
 
 @attrs.frozen
 class HandOverAccepted:
-    """Report that the successor has the queue."""
+    """Report that the successor has accepted the queue."""
 
 
 @attrs.frozen
 class HandOverRefused:
-    """Report that the successor refused the queue and will not use it."""
+    """Report that the successor refused the queue and will not run any of it."""
 
 
 @attrs.frozen
 class ReleaseRequested:
-    """Ask to give the shard up."""
+    """Request that the shard be released."""
 
 
 ClaimEvent = (
@@ -194,7 +194,7 @@
 
 @attrs.frozen
 class AdvanceEpoch:
-    """Set the row's epoch to `target` under this instance's name if it is `expected`."""
+    """Set the row's epoch to `target` under this instance's id if it is still `expected`."""
 
     expected: int
     target: int = 0
@@ -202,7 +202,7 @@
 
 @attrs.frozen
 class PresentToken:
-    """Present the token to a worker until it answers or the token changes."""
+    """Send the token to a worker, with retries until it answers or the token changes."""
 
     worker: str
     token: Token
@@ -210,7 +210,7 @@
 
 @attrs.frozen
 class SendQueue:
-    """Send the queue and the queued keys to the successor."""
+    """Send the queued requests and their keys to the successor."""
 
     successor: str
     token: Token
@@ -225,9 +225,9 @@
 
 @attrs.frozen
 class ApplyInventory:
-    """Take a worker's report into the keys and the quota before any later action.
+    """Apply a worker's inventory to the request keys and the quota before any later action.
 
-    A report that the claim does not accept (of an earlier token) must not be counted.
+    An inventory that was reported under an earlier token must not be applied.
     """
 
     worker: str
--- a/baobabhoist/ownership/fence.py
+++ b/baobabhoist/ownership/fence.py
@@ -1,4 +1,4 @@
-"""Keep the highest fencing token that a worker has seen."""
+"""Enforce fencing tokens on a worker."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @attrs.define
 class Fence:
-    """Admit calls under the highest token presented and refuse all lower ones."""
+    """Allow only calls under the highest token that the worker has accepted."""
 
     highest_token: Token = NO_TOKEN
 
     def accept(self, token: Token) -> bool:
-        """Take the token if it is at least the highest one; tell whether it was taken."""
+        """Accept a token unless it is below the highest one; return whether it was accepted."""
         if token < self.highest_token:
             return False
         self.highest_token = token
         return True
 
     def allows(self, token: Token) -> bool:
-        """Tell whether a call under this token may have an effect."""
+        """Return whether a call under this token may take effect."""
         return token == self.highest_token
--- a/baobabhoist/ownership/tokens.py
+++ b/baobabhoist/ownership/tokens.py
@@ -1,4 +1,4 @@
-"""Define the fencing token of a shard's owner."""
+"""Define the fencing token of a shard owner."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen(order=True)
 class Token:
-    """Order the claims on a shard; a worker obeys the highest token it has seen.
+    """Order the claims on a shard; a worker obeys only the highest token that it has accepted.
 
-    `epoch` is advanced by compare-and-set on the shard's row in the table; `round` is
-    advanced without the table while it does not answer.
+    `epoch` is advanced by compare-and-set on the shard's row in the table. `round` is advanced
+    locally while the table is unavailable.
     """
 
     epoch: int
