--- a/baobabhoist/ownership/request_keys.py
+++ b/baobabhoist/ownership/request_keys.py
@@ -1,4 +1,4 @@
-"""Remember what became of each request key."""
+"""Deduplicate requests by their keys and store the outcome of each."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RequestKeyState(enum.StrEnum):
-    """Name the states of a request key."""
+    """List the states of a request key."""
 
     QUEUED = "queued"
     DISPATCHED = "dispatched"
@@ -27,7 +27,7 @@
     NOT_RUN = "not_run"
 
 
-# A late report of the worker may still replace `unknown`; the other results are final.
+# A late report from the worker may still replace the outcome `unknown`; other results are final.
 ALLOWED_TRANSITIONS: dict[RequestKeyState, frozenset[RequestKeyState]] = {
     RequestKeyState.QUEUED: frozenset(
         {RequestKeyState.DISPATCHED, RequestKeyState.UNKNOWN, RequestKeyState.NOT_RUN}
@@ -50,17 +50,17 @@
 
 @attrs.frozen
 class RunNew:
-    """Decide that the request is new and may run."""
+    """Run the request, which is new."""
 
 
 @attrs.frozen
 class JoinExisting:
-    """Decide that the request waits for the result of an earlier one."""
+    """Wait for the result of an earlier request with the same key."""
 
 
 @attrs.frozen
 class ReplyNow:
-    """Decide that the result is known already."""
+    """Reply with a result that is known already."""
 
     result: Result
 
@@ -70,11 +70,11 @@
 
 @attrs.define
 class RequestKeyEntry:
-    """Hold the state of one key; `forget_at` is in Unix seconds.
+    """Hold the state of one request key; `expires_at` is in Unix seconds.
 
-    `sole` is true while only this owner can have seen the id, so that a queued request which
-    is given up was certainly not run. `dispatches` counts the workers it was sent to.
-    `outlived` is true once the key was still open at `forget_at`.
+    While `seen_only_here` is true, no other owner can have the request, so a queued one that is
+    dropped was certainly not run. `dispatch_count` counts the workers to which it was sent.
+    `was_open_at_expiry` is true if the key had no result yet when it reached `expires_at`.
     """
 
     state: RequestKeyState
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class QueuedRequestKey:
-    """Describe a queued request to the successor of a planned hand-over."""
+    """Describe a queued request to the next owner in a planned hand-over."""
 
     request_id: str
     expires_at: float
@@ -99,10 +99,10 @@
 
 @attrs.define
 class RequestKeyLedger:
-    """Decide for each arriving key whether it runs, joins or is answered at once.
+    """Decide for each arriving request whether to run it, join an earlier one or reply at once.
 
-    Times are Unix seconds. `taken_over_at` is when this owner became the only effective one.
-    At most `max_entries` keys are kept, and as many refused ones.
+    Times are in Unix seconds. `taken_over_at` is the time from which on no other owner can have
+    run a request. At most `max_entries` keys are stored, and as many again of refused requests.
     """
 
     clock_skew_s: float = 0.5
@@ -113,21 +113,21 @@
     expiry_heap: list[tuple[float, str]] = attrs.Factory(list)
 
     def admit(self, req: Request, now: float) -> AdmitDecision:
-        """Decide what happens to an arriving request."""
+        """Decide how to handle an arriving request."""
         entry = self.entries.get(req.request_id)
         if entry is not None:
             entry.seen_only_here = False
             return ReplyNow(entry.result) if entry.result is not None else JoinExisting()
-        refusal = self._refuse_deadline(req, now) or self._refuse_after_takeover(req)
+        refusal = self._check_deadline(req, now) or self._check_takeover(req)
         if refusal is None and len(self.entries) >= self.max_entries:
             refusal = Refusal(
                 ErrorKind.QUEUE_FULL,
-                "the owner remembers too many request keys",
+                "the shard owner has reached its limit of stored request keys",
                 remedy="send the request again later under a new key",
                 retry_after_s=1.0,
             )
         if refusal is not None:
-            return ReplyNow(self._remember_refusal(req, refusal, now))
+            return ReplyNow(self._store_refusal(req, refusal, now))
         self._add(
             req.request_id,
             RequestKeyEntry(
@@ -140,7 +140,7 @@
         return RunNew()
 
     def record_dispatch(self, request_id: str, worker: str = "") -> None:
-        """Record that the request is about to be sent to a worker."""
+        """Record that a request is about to be sent to a worker."""
         entry = self._entry(request_id)
         check(
             entry.dispatch_count == 0 or (entry.idempotent and entry.dispatch_count == 1),
@@ -149,26 +149,26 @@
             request_id,
             entry.dispatch_count,
         )
-        self._move(request_id, entry, RequestKeyState.DISPATCHED)
+        self._change_state(request_id, entry, RequestKeyState.DISPATCHED)
         entry.worker = worker
         entry.dispatch_count += 1
 
     def record_result(self, request_id: str, result: Result) -> Result:
-        """Store the result of a request in the state that its outcome names.
+        """Store the result of a request and set the state that matches its outcome.
 
-        Returns the result to give to callers, which is `unknown` in place of a `not_run` that
-        would not be certain.
+        Returns the result for the callers. Its outcome is `unknown` instead of `not_run` if it is
+        not certain that the request did not run.
         """
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
             return self.record_not_run(request_id, result)
         if isinstance(result, Refusal) and result.outcome is Outcome.UNKNOWN:
             return self.record_unknown(request_id, result)
-        return self._finish(request_id, RequestKeyState.ANSWERED, result)
+        return self._store_result(request_id, RequestKeyState.ANSWERED, result)
 
     def record_not_run(self, request_id: str, refusal: Refusal) -> Result:
-        """Store that the request was not run and never will be under this id.
+        """Record that a request was not run and never will be under this id.
 
-        After a dispatch the caller must hold the worker's report under the owner's token.
+        After a dispatch, call this only on a worker's report under the current owner's token.
         """
         entry = self._entry(request_id)
         check(
@@ -178,23 +178,23 @@
             request_id,
             refusal.outcome,
         )
-        # The successor of a hand-over may run the copy that it was sent, and a retried request
+        # After a hand-over the next owner may run its copy of the request, and a retried request
         # may have run on its first worker.
         if entry.handed_over or entry.dispatch_count > 1:
             return self.record_unknown(
-                request_id, unknown_outcome_refusal("the request may run elsewhere")
+                request_id, unknown_outcome_refusal("another owner or worker may run the request")
             )
-        return self._finish(request_id, RequestKeyState.NOT_RUN, refusal)
+        return self._store_result(request_id, RequestKeyState.NOT_RUN, refusal)
 
     def record_unknown(self, request_id: str, refusal: Refusal | None = None) -> Result:
-        """Store that nobody can tell whether the request ran."""
-        text = "the worker did not report what became of the task"
-        return self._finish(
-            request_id, RequestKeyState.UNKNOWN, refusal or unknown_outcome_refusal(text)
+        """Record that it cannot be determined whether the request ran."""
+        reason = "the worker did not report the outcome of the task"
+        return self._store_result(
+            request_id, RequestKeyState.UNKNOWN, refusal or unknown_outcome_refusal(reason)
         )
 
     def can_retry(self, request_id: str, deadline: float, now: float) -> bool:
-        """Tell whether a dispatched request may be sent to another worker."""
+        """Return whether a dispatched request may be sent to another worker."""
         entry = self.entries.get(request_id)
         return (
             entry is not None
@@ -205,10 +205,10 @@
         )
 
     def requeue_for_retry(self, request_id: str, deadline: float, now: float) -> bool:
-        """Queue an idempotent request for its second and last dispatch; tell whether it is."""
+        """Queue a request for its second and last dispatch if it can be retried; return whether."""
         if not self.can_retry(request_id, deadline, now):
             return False
-        self._move(request_id, self._entry(request_id), RequestKeyState.QUEUED)
+        self._change_state(request_id, self._entry(request_id), RequestKeyState.QUEUED)
         return True
 
     def apply_inventory(
@@ -218,26 +218,26 @@
         ended: Iterable[EndedTask],
         now: float,
     ) -> list[tuple[str, Result]]:
-        """Take the states that a worker reports when it is fenced.
+        """Apply the inventory that a worker reports when it is fenced.
 
-        Returns the results of requests that were still open here. An id that is absent from
-        the report keeps its state: the report may be older than the dispatch.
+        Returns the results of requests that were still open here. A request that is absent from
+        the inventory keeps its state, because the inventory may be older than the dispatch.
         """
         for task in running:
-            self._inherit_running(worker, task.task_id, now)
+            self._apply_running(worker, task.task_id, now)
         results = []
-        for done in ended:
-            result = self._inherit_ended(worker, done, now)
+        for ended_task in ended:
+            result = self._apply_ended(worker, ended_task, now)
             if result is not None:
-                results.append((done.task_id, result))
+                results.append((ended_task.task_id, result))
         return results
 
     def begin_ownership(self, at: float) -> None:
-        """Start a new ownership: keys that may have been sent earlier are `unknown`."""
+        """Begin an ownership; requests that may have been sent earlier are then `unknown`."""
         self.taken_over_at = max(self.taken_over_at, at)
 
     def settle_open_keys(self, now: float) -> list[tuple[str, Result]]:
-        """Settle every open key because the shard is lost; returns their results."""
+        """Settle every open key because the shard is lost; return the results by request id."""
         results = []
         for request_id, entry in self.entries.items():
             if (
@@ -253,12 +253,12 @@
                 )
                 results.append((request_id, self.record_not_run(request_id, refusal)))
             elif entry.state in (RequestKeyState.QUEUED, RequestKeyState.DISPATCHED):
-                lost = unknown_outcome_refusal("the shard has a new owner")
-                results.append((request_id, self.record_unknown(request_id, lost)))
+                refusal = unknown_outcome_refusal("the shard has a new owner")
+                results.append((request_id, self.record_unknown(request_id, refusal)))
         return results
 
     def export_queued(self) -> list[QueuedRequestKey]:
-        """Return the queued keys for the successor; they cannot be called not run after this."""
+        """Return the queued keys for the next owner; `not_run` is not certain for them after this."""
         keys = []
         for request_id, entry in self.entries.items():
             if entry.state is RequestKeyState.QUEUED and entry.dispatch_count == 0:
@@ -267,26 +267,26 @@
         return keys
 
     def import_queued(self, keys: Iterable[QueuedRequestKey], now: float) -> list[str]:
-        """Take the queued keys of a predecessor, and return the ids that may run here.
+        """Add the queued keys of the previous owner and return the ids that may run here.
 
-        Call it after the workers were fenced, so that their inventories are known.
+        Call this after the workers were fenced, when their inventories have been applied.
         """
-        accepted = []
+        accepted_ids = []
         for key in keys:
             if key.request_id in self.entries or key.expires_at <= now:
                 continue
             entry = RequestKeyEntry(RequestKeyState.QUEUED, key.expires_at, key.idempotent)
             self._add(key.request_id, entry)
-            accepted.append(key.request_id)
-        return accepted
+            accepted_ids.append(key.request_id)
+        return accepted_ids
 
     def expire(self, now: float) -> int:
-        """Forget the keys whose time has passed and return their number.
+        """Remove expired keys and return their number.
 
-        An open key stays, and is kept for another window after it was last seen open: a task
-        of a job may run for days, and its coordinator may ask for it again afterwards.
+        An open key stays, and is kept for another window after it was last found open: a task
+        of a job may run for days, and its coordinator may send the same request again afterwards.
         """
-        forgotten = 0
+        removed = 0
         while self.expiry_heap and self.expiry_heap[0][0] <= now:
             _, request_id = heapq.heappop(self.expiry_heap)
             entry = self.entries.get(request_id)
@@ -299,24 +299,24 @@
                 heapq.heappush(self.expiry_heap, (entry.expires_at, request_id))
                 continue
             del self.entries[request_id]
-            forgotten += 1
-        return forgotten
+            removed += 1
+        return removed
 
-    def _refuse_deadline(self, req: Request, now: float) -> Refusal | None:
+    def _check_deadline(self, req: Request, now: float) -> Refusal | None:
         deadline = req.task.deadline
         if deadline <= now:
-            # A key that may have been sent before can have run and been forgotten since.
-            certain = req.first_attempt or (
-                self._is_after_takeover(req) and now < deadline + self.clock_skew_s
+            # A key that may have been sent before may have run and expired since.
+            is_certain = req.first_attempt or (
+                self._was_first_sent_after_takeover(req) and now < deadline + self.clock_skew_s
             )
             return Refusal(
                 ErrorKind.DEADLINE_PASSED,
                 "the deadline has passed",
-                Outcome.NOT_RUN if certain else Outcome.UNKNOWN,
+                Outcome.NOT_RUN if is_certain else Outcome.UNKNOWN,
                 remedy="send the request under a new key with a later deadline",
             )
-        too_far = deadline > now + self.max_window_s + self.clock_skew_s
-        if too_far and not req.task.job_id:
+        is_too_far = deadline > now + self.max_window_s + self.clock_skew_s
+        if is_too_far and not req.task.job_id:
             return Refusal(
                 ErrorKind.DEADLINE_TOO_FAR,
                 f"the deadline is more than {self.max_window_s:g} s ahead",
@@ -324,34 +324,36 @@
             )
         return None
 
-    def _is_after_takeover(self, req: Request) -> bool:
+    def _was_first_sent_after_takeover(self, req: Request) -> bool:
         return req.first_sent_at > self.taken_over_at + self.clock_skew_s
 
-    def _refuse_after_takeover(self, req: Request) -> Refusal | None:
+    def _check_takeover(self, req: Request) -> Refusal | None:
         if req.task.job_id and not req.first_attempt and not req.task.idempotent:
-            # A job outlives the window, so that an absent id may have run and been forgotten.
+            # A job may last longer than the window, so a missing key may have run and expired.
             return unknown_outcome_refusal(
-                "the owner does not remember whether the task was started"
+                "the owner has no record of whether the task was started"
             )
-        if self._is_after_takeover(req) or req.first_attempt or req.task.idempotent:
+        if self._was_first_sent_after_takeover(req) or req.first_attempt or req.task.idempotent:
             return None
         return unknown_outcome_refusal(
-            "the shard changed hands after this key may first have been sent"
+            "the shard got a new owner after this key may first have been sent"
         )
 
-    def _remember_refusal(self, req: Request, refusal: Refusal, now: float) -> Refusal:
-        """Keep the refused id, so that a copy of the request cannot run later."""
+    def _store_refusal(self, req: Request, refusal: Refusal, now: float) -> Refusal:
+        """Store the refusal, so that a copy of the request cannot run later."""
         if refusal.outcome is not Outcome.NOT_RUN or req.task.deadline <= now:
             return refusal
         if len(self.entries) >= 2 * self.max_entries:
-            return unknown_outcome_refusal("the owner remembers too many request keys")
-        # A later copy with the same distant deadline is the caller's own decision.
+            return unknown_outcome_refusal(
+                "the shard owner has reached its limit of stored request keys"
+            )
+        # A copy that is sent after that with the same distant deadline is the caller's own choice.
         expires_at = min(req.task.deadline, now + 2 * self.max_window_s) + self.clock_skew_s
         entry = RequestKeyEntry(RequestKeyState.NOT_RUN, expires_at, req.task.idempotent, refusal)
         self._add(req.request_id, entry)
         return refusal
 
-    def _inherit_running(self, worker: str, request_id: str, now: float) -> None:
+    def _apply_running(self, worker: str, request_id: str, now: float) -> None:
         entry = self.entries.get(request_id)
         if entry is None:
             entry = RequestKeyEntry(
@@ -360,20 +362,20 @@
             self._add(request_id, entry)
         if entry.state is not RequestKeyState.QUEUED:
             return
-        self._move(request_id, entry, RequestKeyState.DISPATCHED)
+        self._change_state(request_id, entry, RequestKeyState.DISPATCHED)
         entry.worker = worker
         entry.dispatch_count += 1
 
-    def _inherit_ended(self, worker: str, done: EndedTask, now: float) -> Result | None:
-        self._inherit_running(worker, done.task_id, now)
-        entry = self.entries[done.task_id]
+    def _apply_ended(self, worker: str, task: EndedTask, now: float) -> Result | None:
+        self._apply_running(worker, task.task_id, now)
+        entry = self.entries[task.task_id]
         if entry.state not in (RequestKeyState.DISPATCHED, RequestKeyState.UNKNOWN):
             return None
-        return self._finish(done.task_id, RequestKeyState.ANSWERED, result_from_report(done))
+        return self._store_result(task.task_id, RequestKeyState.ANSWERED, result_from_report(task))
 
-    def _finish(self, request_id: str, state: RequestKeyState, result: Result) -> Result:
+    def _store_result(self, request_id: str, state: RequestKeyState, result: Result) -> Result:
         entry = self._entry(request_id)
-        self._move(request_id, entry, state)
+        self._change_state(request_id, entry, state)
         entry.result = result
         return result
 
@@ -387,7 +389,9 @@
         self.entries[request_id] = entry
         heapq.heappush(self.expiry_heap, (entry.expires_at, request_id))
 
-    def _move(self, request_id: str, entry: RequestKeyEntry, state: RequestKeyState) -> None:
+    def _change_state(
+        self, request_id: str, entry: RequestKeyEntry, state: RequestKeyState
+    ) -> None:
         check(
             state in ALLOWED_TRANSITIONS[entry.state],
             Invariant.KEY_TRANSITION,
@@ -400,7 +404,7 @@
 
 
 def unknown_outcome_refusal(message: str) -> Refusal:
-    """Return the refusal for a request of which nobody can tell whether it ran."""
+    """Return the refusal for a request that may or may not have run."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
         message,
@@ -409,8 +413,8 @@
     )
 
 
-def result_from_report(done: EndedTask) -> Result:
-    """Return the result of a request from the worker's report of its end."""
-    if done.succeeded:
-        return Answer(done.task_id, HTTP_OK, done.body)
+def result_from_report(task: EndedTask) -> Result:
+    """Return the result of a request from the worker's report of its completion."""
+    if task.succeeded:
+        return Answer(task.task_id, HTTP_OK, task.body)
     return Refusal(ErrorKind.TASK_FAILED, "the task failed on its worker", Outcome.RAN)
--- a/baobabhoist/tests/test_ownership_request_keys.py
+++ b/baobabhoist/tests/test_ownership_request_keys.py
@@ -172,7 +172,7 @@
         lambda keys: keys.record_dispatch("absent"),
         lambda keys: keys.record_dispatch("k", "w2"),
         lambda keys: keys.record_not_run("k", unknown_outcome_refusal("?")),
-        lambda keys: keys._move("k", keys.entries["k"], RequestKeyState.DISPATCHED),
+        lambda keys: keys._change_state("k", keys.entries["k"], RequestKeyState.DISPATCHED),
     ],
 )
 def test_step_that_breaks_an_invariant_is_refused(step):
