--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -25,21 +25,21 @@
     make_stream,
 )
 from baobabhoist.benchmarks.figures import quantile
-from baobabhoist.cell.cell import Cell, Takeover
-from baobabhoist.cell.decide import Decisions
-from baobabhoist.cell.jobs import LATE_FACTOR, StepState
+from baobabhoist.cell.jobs import LATE_LIMIT_FACTOR, StepState
 from baobabhoist.cell.model import (
-    AskAdvice,
     Command,
-    EndKind,
+    CommandOutcome,
     JobPhase,
-    OrderOutcome,
+    RequestAdvice,
+    RunOutcome,
     StartTask,
     StopTask,
     TaskKey,
     WorkerInfo,
 )
-from baobabhoist.cell.order import Band, Rank
+from baobabhoist.cell.placer import TaskPlacer
+from baobabhoist.cell.ranking import Rank, Timeliness
+from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import WorkerState
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
 
@@ -60,25 +60,25 @@
 DRAIN_S = 20.0
 
 
-class FirstFit(Decisions):
+class FirstFit(TaskPlacer):
     """Take steps in the order of their arrival and the first workers with room."""
 
     def _rank(self, step: StepState, now: float) -> Rank:
-        return Rank(Band.IN_TIME, 0, step.job.accepted_at_ms, step.job.accepted_at_ms)
+        return Rank(Timeliness.ON_TIME, 0, step.job.accepted_local_ms, step.job.accepted_local_ms)
 
-    def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return 0.0
 
 
 class BestFit(FirstFit):
     """Take steps in the order of their arrival and the fullest workers with room."""
 
-    def _cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
+    def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return float(worker.free_cpu)
 
 
-POLICIES: dict[str, type[Decisions]] = {
-    "baobabhoist": Decisions,
+POLICIES: dict[str, type[TaskPlacer]] = {
+    "baobabhoist": TaskPlacer,
     "first fit": FirstFit,
     "best fit": BestFit,
 }
@@ -89,8 +89,8 @@
     """Hold the state of one run; times are in ms."""
 
     stream: Stream
-    policy: type[Decisions]
-    cell: Cell = attrs.field(init=False)
+    policy: type[TaskPlacer]
+    cell: CellScheduler = attrs.field(init=False)
     workers: dict[str, StandInWorker] = attrs.field(init=False)
     arrivals: dict[str, Arrival] = attrs.field(init=False)
     now: float = 0.0
@@ -103,14 +103,14 @@
 
     def __attrs_post_init__(self) -> None:
         """Make the cell and its workers."""
-        self.cell = Cell(self.stream.rules, Takeover(0, 0), LEASE_MS)
-        self.cell.decisions = self.policy(self.cell.board, advisers=ADVISERS)
+        self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
+        self.cell.placer = self.policy(self.cell.state, max_advice_requests=ADVISERS)
         self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
         self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
         for number, name in enumerate(self.workers):
             rack = f"r{number // WORKERS_A_RACK}"
-            info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), born_ms=1)
-            self.cell.worker_listed(info, 0.0)
+            info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), started_unix_ms=1)
+            self.cell.update_worker(info, 0.0)
 
     def run(self, seconds: float) -> None:
         """Play the stream and let what it left drain."""
@@ -135,7 +135,7 @@
     def _decide(self) -> None:
         self._kicked = False
         began_s = time.perf_counter()
-        commands = self.cell.decide(self.now, True)
+        commands = self.cell.schedule(self.now, True)
         self.call_s.append(time.perf_counter() - began_s)
         for command in commands:
             _ORDERS[type(command)](self, command)
@@ -148,16 +148,16 @@
     # Callers and advice.
 
     def _arrive(self, arrival: Arrival) -> None:
-        self.cell.job_accepted(arrival.job, self.now, self.now, self.now)
+        self.cell.add_job(arrival.job, self.now, self.now, self.now)
         if arrival.cancel_ms is not None:
             self._at(arrival.cancel_ms, lambda: self._cancel(arrival.job.job_id))
         self._kick()
 
     def _cancel(self, job_id: str) -> None:
-        self.cell.job_cancelled(job_id, self.now)
+        self.cell.cancel_job(job_id, self.now)
         self._kick()
 
-    def _ask(self, question: AskAdvice) -> None:
+    def _ask(self, question: RequestAdvice) -> None:
         def answer() -> None:
             key = question.step
             tickets = {
@@ -166,7 +166,7 @@
                 if zlib.crc32(f"{key}{name}".encode()) % 100 < APPROVED_OF_100
             }
             valid = self.now + VALID_MS
-            self.cell.advice_answered(key, question.workers, tickets, valid)
+            self.cell.handle_advice(key, question.workers, tickets, valid)
             self._kick()
 
         self._at(self.now + question.cost_ms, answer)
@@ -176,11 +176,11 @@
     def _start(self, order: StartTask) -> None:
         def start() -> None:
             worker = self._worker(order.worker_id)
-            if not self.cell.still_wanted(order):
+            if not self.cell.should_send_start(order):
                 return
             outcome = worker.start(1, order, self._deadline(order.worker_id) or 0)
-            self.cell.start_answered(order, outcome, self.now)
-            if outcome is OrderOutcome.OK:
+            self.cell.handle_start_result(order, outcome, self.now)
+            if outcome is CommandOutcome.OK:
                 ends_ms = self.now + self._run_ms(order)
                 self.spans[order.task] = (self.now, ends_ms)
                 self._at(ends_ms, lambda: self._end(order))
@@ -197,7 +197,7 @@
         return declared * arrival.actual * slowness
 
     def _gang_slowness(self, task: TaskKey, number: int) -> float:
-        step = self.cell.board.jobs[task.job_id].step_of(task)
+        step = self.cell.state.jobs[task.job_id].find_step(task)
         members = step.tasks if step is not None else []
         used = [m.run.worker_id for m in members if m.run is not None and m.run.number == number]
         return max((self.stream.slowness(name, self.now) for name in used), default=1.0)
@@ -210,16 +210,16 @@
         arrival = self.arrivals[order.task.job_id]
         fails = self.stream.fails(order.worker_id, self.now)
         fails = fails or order.run <= arrival.failures
-        worker.end(order.task, EndKind.FAILED if fails else EndKind.DONE)
+        worker.end(order.task, RunOutcome.FAILED if fails else RunOutcome.DONE)
         if fails and arrival.job.spec.steps[order.task.step].gang:
-            for name in end_gang(self.workers, order.task, order.run, EndKind.BROKEN):
+            for name in end_gang(self.workers, order.task, order.run, RunOutcome.BROKEN):
                 self._report_soon(name)
         self._report_soon(order.worker_id)
 
     def _stop(self, order: StopTask) -> None:
         def stop() -> None:
             worker = self._worker(order.worker_id)
-            self.cell.stop_answered(order, worker.stop(1, order), self.now)
+            self.cell.handle_stop_result(order, worker.stop(1, order), self.now)
             self._report_soon(order.worker_id)
 
         self._at(self.now + STOP_MS, stop)
@@ -230,20 +230,20 @@
         return worker
 
     def _deadline(self, name: str) -> int | None:
-        return self.cell.board.workers[name].lease.next_deadline(self.now, LEASE_MS)
+        return self.cell.state.workers[name].lease.extend_deadline(self.now, LEASE_MS)
 
     def _report_soon(self, name: str) -> None:
         self._at(self.now + REPORT_MS, lambda: self._renew(name))
 
     def _renew(self, name: str, again: bool = False) -> None:
-        worker, state = self._worker(name), self.cell.board.workers[name]
-        state.acked_end = state.seen_end
+        worker, state = self._worker(name), self.cell.state.workers[name]
+        state.last_acked_end = state.last_seen_end
         for key, held in worker.runs.items():
             began, ends = self.spans[key]
             held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
-        report = worker.renew(1, state.acked_end, self._deadline(name))
-        if not isinstance(report, OrderOutcome):
-            self.cell.reported(name, report, self.now - REPORT_MS, self.now)
+        report = worker.renew(1, state.last_acked_end, self._deadline(name))
+        if not isinstance(report, CommandOutcome):
+            self.cell.handle_report(name, report, self.now - REPORT_MS, self.now)
         self._kick()
         if again:
             self._at(self.now + RENEW_MS, lambda: self._renew(name, again=True))
@@ -255,7 +255,7 @@
         owed: dict[str, float] = defaultdict(float)
         earned: dict[str, float] = defaultdict(float)
         for job_id, arrival in self.arrivals.items():
-            job = self.cell.board.jobs[job_id]
+            job = self.cell.state.jobs[job_id]
             if arrival.cancel_ms is not None:
                 continue
             for name in (arrival.kind.queue.name, "all"):
@@ -268,18 +268,18 @@
         wanted = JobPhase.FAILED if hopeless else JobPhase.COMPLETED
         if phase is not wanted:
             return 0.0
-        job = self.cell.board.jobs[arrival.job.job_id]
-        patience = job.objective_ms - job.accepted_at_ms
-        took = ended_ms - job.accepted_at_ms
+        job = self.cell.state.jobs[arrival.job.job_id]
+        patience = job.objective_ms - job.accepted_local_ms
+        took = ended_ms - job.accepted_local_ms
         if took <= patience:
             return 1.0
-        return LATE_WORTH if took <= LATE_FACTOR * patience else 0.0
+        return LATE_WORTH if took <= LATE_LIMIT_FACTOR * patience else 0.0
 
 
 _ORDERS: dict[type[Command], Callable[[CellReplay, Any], None]] = {
     StartTask: CellReplay._start,
     StopTask: CellReplay._stop,
-    AskAdvice: CellReplay._ask,
+    RequestAdvice: CellReplay._ask,
 }
 
 
@@ -288,7 +288,7 @@
     # The logs of simulated runs would cost more than the decisions.
     logging.getLogger("baobabhoist").setLevel(logging.CRITICAL)
     names = [load] if load else list(LOADS)
-    chosen = POLICIES if baselines else {"baobabhoist": Decisions}
+    chosen = POLICIES if baselines else {"baobabhoist": TaskPlacer}
     report: dict[str, Any] = {"workers": workers, "seed": seed, "loads": {}}
     for name in names:
         stream = make_stream(LOADS[name], workers, seconds, seed)
@@ -296,7 +296,7 @@
     return report
 
 
-def _measure(stream: Stream, policy: type[Decisions], seconds: float) -> dict[str, Any]:
+def _measure(stream: Stream, policy: type[TaskPlacer], seconds: float) -> dict[str, Any]:
     replay = CellReplay(stream, policy)
     gc.collect()
     gc.freeze()
--- /dev/null
+++ b/baobabhoist/cell/periodic_checks.py
@@ -0,0 +1,97 @@
+"""Detect expired leases, stalled runs, unanswered stops and broken gangs, and open occurrences."""
+
+from __future__ import annotations
+
+import logging
+
+from baobabhoist.cell.jobs import Run, RunPhase, StepState
+from baobabhoist.cell.run_ends import RunEndHandler, close_lost_run
+from baobabhoist.cell.state import CellState
+from baobabhoist.cell.workers import WorkerState
+from baobabhoist.observability.events import Event, emit
+
+log = logging.getLogger(__name__)
+
+STOP_RETRY_INTERVAL_MS = 400.0
+# A run without progress for this long is stopped and started on another worker.
+STALL_TIMEOUT_MS = 3_000.0
+# Live workers are listed in the directory again within this time after a store outage.
+DIRECTORY_RECOVERY_MS = 2_500.0
+
+
+class PeriodicChecks:
+    """Run the checks that depend on time; all times are on the owner's clock, in ms."""
+
+    def __init__(self, state: CellState, run_ends: RunEndHandler) -> None:
+        self._state = state
+        self._run_ends = run_ends
+
+    def tick(self, now: float, unix_ms: float) -> None:
+        """Run all checks once."""
+        for worker in list(self._state.workers.values()):
+            self._check_lease(worker, now)
+            for run in list(worker.runs.values()):
+                self._check_run(worker, run, now)
+        self._repair_gangs(now)
+        self._open_occurrences(now, unix_ms)
+
+    def _check_lease(self, worker: WorkerState, now: float) -> None:
+        expiry_ms = (
+            worker.lease.expiry_ms()
+            if worker.lease.is_clock_known
+            else worker.inherited_lease_expiry_ms
+        )
+        if now > expiry_ms:
+            for run in list(worker.runs.values()):
+                close_lost_run(
+                    self._state, self._run_ends, run, now, "the lease of its worker has lapsed"
+                )
+        is_gone = not worker.is_listed and now > worker.unlisted_since_ms + DIRECTORY_RECOVERY_MS
+        if is_gone and not worker.runs:
+            emit(log, Event.WORKER_GONE, worker=worker.worker_id)
+            del self._state.workers[worker.worker_id]
+
+    def _check_run(self, worker: WorkerState, run: Run, now: float) -> None:
+        is_stopping = run.phase in (RunPhase.STOPPING, RunPhase.UNSURE)
+        if (
+            is_stopping
+            and not run.stop_answered_ms
+            and now - run.stop_sent_ms > STOP_RETRY_INTERVAL_MS
+        ):
+            self._state.stop_run(run, now)
+        is_stalled = (
+            run.phase is RunPhase.RUNNING
+            and not run.task.step.spec.lasting
+            and now - run.last_progress_ms > STALL_TIMEOUT_MS
+            and worker.last_report_ms > run.last_progress_ms + STALL_TIMEOUT_MS
+            and run.percent < 100
+        )
+        if is_stalled:
+            if worker.health.record_stall(now):
+                emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="stalled")
+            emit(
+                log,
+                Event.RUN_STALLED,
+                task=run.task.key.to_text(),
+                run=run.number,
+                worker=run.worker_id,
+                percent=run.percent,
+            )
+            self._state.stop_run(run, now)
+
+    def _repair_gangs(self, now: float) -> None:
+        """Stop the remaining members of gangs that lost some under an earlier owner."""
+        for step in list(self._state.ready_steps.values()):
+            if step.spec.gang and 0 < step.idle_count < step.pending_count:
+                self._stop_members(step, now)
+
+    def _stop_members(self, step: StepState, now: float) -> None:
+        for task in step.tasks:
+            run = task.run
+            if run is not None and run.phase in (RunPhase.RUNNING, RunPhase.STARTING):
+                self._state.stop_run(run, now)
+
+    def _open_occurrences(self, now: float, unix_ms: float) -> None:
+        for job in list(self._state.jobs.values()):
+            if not job.is_final and job.open_due_occurrences(unix_ms):
+                self._state.update_ready_steps(job, now)
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist.cell.model import CellRules, JobPhase, Queue
-from baobabhoist.cell.progress import Progress, encode
+from baobabhoist.cell.progress_rows import JobProgress, encode
 from baobabhoist.control import frontdesk as frontdesk_module
 from baobabhoist.control.accept import Acceptor
 from baobabhoist.control.clock import SharedClock
@@ -66,7 +66,7 @@
         queue = Queue("q", "svc")
         routes = (
             Route("h", "/q/", queue),
-            Route("h", "/open/", Queue("o", "svc", open_to_all=True)),
+            Route("h", "/open/", Queue("o", "svc", is_public=True)),
         )
         rules = CellRules(version, {"q": queue}, {})
         keys = {"k": "team"} if keys is None else keys
@@ -134,7 +134,7 @@
     desk.submit()
     admitted = desk.admit()
     assert asyncio.run(desk.front.state(admitted)) == "queued"
-    done = encode(Progress(JobPhase.COMPLETED))
+    done = encode(JobProgress(JobPhase.COMPLETED))
     desk.rows.apply(RowsTxn({}, {progress_row(ID): done}))
     assert asyncio.run(desk.front.state(admitted)) == "completed"
 
