--- a/baobabhoist/ownership/request_keys.py
+++ b/baobabhoist/ownership/request_keys.py
@@ -205,7 +205,7 @@
         )
 
     def requeue_for_retry(self, request_id: str, deadline: float, now: float) -> bool:
-        """Queue a request for its second and last dispatch if it can be retried; return whether."""
+        """Queue a request for its second and last dispatch; return whether it can be retried."""
         if not self.can_retry(request_id, deadline, now):
             return False
         self._change_state(request_id, self._entry(request_id), RequestKeyState.QUEUED)
@@ -258,7 +258,7 @@
         return results
 
     def export_queued(self) -> list[QueuedRequestKey]:
-        """Return the queued keys for the next owner; `not_run` is not certain for them after this."""
+        """Return the queued keys for the next owner; none of them is `not_run` for certain then."""
         keys = []
         for request_id, entry in self.entries.items():
             if entry.state is RequestKeyState.QUEUED and entry.dispatch_count == 0:
