--- a/baobabhoist/invariants.py
+++ b/baobabhoist/invariants.py
@@ -1,4 +1,4 @@
-"""Check invariants in production: a step that would break one is refused."""
+"""Check invariants at run time and abort a step that would violate one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Invariant(enum.IntEnum):
-    """Number the invariants; the number is the event number in the log."""
+    """List the invariants; each value is the event number in the log."""
 
     CLAIM_TRANSITION = 9101
     CLAIM_TOKEN_RISES = 9102
@@ -33,13 +33,13 @@
 
 
 breach_counts: Counter[int] = Counter()
-"""Count the breaches of this process by event number; read by the metrics."""
+"""Count the violations in this process by event number, for the metrics."""
 
 
 def check(condition: bool, event: int, detail: str, *args: object) -> None:
-    """Refuse the step unless the condition holds; raises InvariantBreachError.
+    """Count, log and raise InvariantBreachError unless the condition holds.
 
-    `detail` is a logging format for `args`, which is only formatted on a breach.
+    `detail` is a logging format for `args`, which is formatted only on a violation.
     """
     if condition:
         return
--- a/baobabhoist/jobs/__init__.py
+++ b/baobabhoist/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Carry jobs to their end: which task is sent where, retried, cancelled or given up."""
+"""Run jobs to completion: send, retry and cancel their tasks."""
--- a/baobabhoist/jobs/messages.py
+++ b/baobabhoist/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between instances that concern jobs."""
+"""Define the messages about jobs that instances exchange."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class JobVerb(enum.StrEnum):
-    """Name what the owner of a job's home shard is asked to do."""
+    """List the operations on a job that its coordinator supports."""
 
     ADOPT = "adopt"
     STATUS = "status"
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class JobCall:
-    """Ask the owner of a job's home shard about the job."""
+    """Request an operation on a job from the owner of its home shard."""
 
     home: str
     job_id: str
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class JobReply:
-    """Answer a call about a job; exactly one field is set."""
+    """Reply to a call about a job; exactly one field is set."""
 
     status: JobStatus | None = None
     explanation: JobExplanation | None = None
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class TasksQuery:
-    """Ask a shard's owner which of these tasks run on workers now."""
+    """Ask the owner of a shard which of these tasks are running on workers."""
 
     shard: str
     task_ids: tuple[str, ...]
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class TasksReport:
-    """Report the tasks that run on workers, and why each other one waits.
+    """Report the tasks that are running on workers, and why each of the others is waiting.
 
     `elsewhere` names the shard that each forwarded task was sent to.
     """
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class CancelTasks:
-    """Ask a shard's owner to cancel tasks, whether queued, running or not yet arrived."""
+    """Ask the owner of a shard to cancel tasks that are queued, running or yet to arrive."""
 
     shard: str
     task_ids: tuple[str, ...]
@@ -67,9 +67,9 @@
 
 @attrs.frozen
 class CancelTasksReply:
-    """Confirm that no cancelled task starts here any more.
+    """Confirm that none of the cancelled tasks will start in this shard.
 
-    `elsewhere` names the shard that each forwarded task was sent to, where it has to be
+    `elsewhere` names the shard that each forwarded task was sent to, where it must be
     cancelled as well.
     """
 
@@ -80,7 +80,7 @@
 class HoldRequest:
     """Ask a shard to hold capacity for as many of these tasks as it can before the deadline.
 
-    A repeated request returns the state of the hold that stands.
+    A repeated request returns the state of the existing hold.
     """
 
     shard: str
@@ -93,7 +93,7 @@
 class HoldReply:
     """Report the tasks that a hold covers until its deadline.
 
-    While `ready` is false their capacity is still in use and is collected as tasks end.
+    While `ready` is false, some of the capacity is still in use and is added as tasks end.
     """
 
     held: tuple[str, ...]
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class HoldRelease:
-    """Give the capacity of a hold back."""
+    """Release the capacity of a hold."""
 
     shard: str
     job_id: str
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class HoldAck:
-    """Report whether a hold still stood when it was committed or released."""
+    """Report whether a hold still existed when it was committed or released."""
 
     done: bool
 
@@ -133,7 +133,7 @@
 
 @attrs.frozen
 class JobsReport:
-    """Report the states of jobs; those without a readable state are left out."""
+    """Report the states of jobs, without those whose state could not be read."""
 
     statuses: tuple[JobStatus, ...]
 
--- a/baobabhoist/jobs/rows.py
+++ b/baobabhoist/jobs/rows.py
@@ -1,4 +1,4 @@
-"""Convert jobs to rows of the table and back."""
+"""Convert jobs to rows of the table and back again."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def team_job_key(team: str, job_id: str) -> str:
-    """Return the row key by which the jobs of a team are listed."""
+    """Return the row key that lists a job under its team."""
     return f"team_job/{team}/{job_id}"
 
 
@@ -60,7 +60,7 @@
         "queue": spec.queue,
         "kind": spec.kind.value,
         "idempotent": spec.idempotent,
-        # JSON has no infinity, which stands for a service without a deadline.
+        # JSON has no infinity, which is the deadline of a service without one.
         "deadline": None if math.isinf(spec.deadline) else spec.deadline,
         "urgency": spec.urgency.value,
         "home": run.home,
@@ -78,7 +78,7 @@
 
 
 def job_from_row(row: dict[str, Any], progress: list[list[Any]] | None) -> JobRun:
-    """Return the job in a row, with its stored progress."""
+    """Return the job from its row and its stored progress."""
     tasks = tuple(
         TaskSpec(base64.b64decode(payload), Resources(*resources), expected_run_s)
         for payload, resources, expected_run_s in row["tasks"]
--- a/baobabhoist/ownership/request_keys.py
+++ b/baobabhoist/ownership/request_keys.py
@@ -258,7 +258,7 @@
         return results
 
     def export_queued(self) -> list[QueuedRequestKey]:
-        """Return the queued keys for the next owner; none of them is `not_run` for certain then."""
+        """Return the queued keys for the next owner; `not_run` is then uncertain for them."""
         keys = []
         for request_id, entry in self.entries.items():
             if entry.state is RequestKeyState.QUEUED and entry.dispatch_count == 0:
