--- a/specs/__init__.py
+++ b/specs/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the model specifications of the core protocol."""
+"""Specify the core protocol as a model and check it."""
--- a/specs/check.py
+++ b/specs/check.py
@@ -1,4 +1,4 @@
-"""Check the model of the core protocol: `python -m specs.check` prints all results."""
+"""Check the model of the core protocol; run `python -m specs.check` to print all results."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 QUOTA_CRASH = Bounds("quota_crash", limit=1, running=(1, 0), claims=1, starts=1, worker_crashes=1)
 KEYS_AND_QUOTA = Bounds("both", key=True, limit=1, claims=1, starts=1)
 BOUNDS = (KEYS, CRASHES, OUTAGE, QUOTA, QUOTA_CRASH, KEYS_AND_QUOTA)
-# Checked by `python -m specs.check` only, to keep the tests short.
+# Checked by `python -m specs.check` but not by the tests, to keep them short.
 EXTENDED_BOUNDS = (
     attrs.evolve(KEYS, name="keys_2", claims=2),
     attrs.evolve(QUOTA, name="quota_2", claims=2),
@@ -37,7 +37,7 @@
 )
 
 
-# Each rule with bounds and an invariant that is violated when the rule is off.
+# Each rule with the bounds and an invariant that is violated if the rule is disabled.
 COUNTEREXAMPLES = (
     ("fencing", KEYS, SINGLE_OWNER),
     ("fencing", KEYS, KEY_RUNS_ONCE),
@@ -57,17 +57,17 @@
 def check_model(
     rules: Rules, bounds: Bounds, only: str = "", max_states: int = 1_000_000
 ) -> dict[str, Any]:
-    """Return minicheck's result; `only` names an invariant whose violation ends the search."""
+    """Return the result of minicheck, or for the invariant `only` up to its first violation."""
     core = CoreProtocol(rules, bounds)
     invariants = core.invariants()
     if not only:
         return _check(core, core.transitions, invariants, max_states)
     stopped = False
 
-    def holds(d: dict[str, Any]) -> bool:
+    def holds(fields: dict[str, Any]) -> bool:
         nonlocal stopped
-        stopped = stopped or not invariants[only](d)
-        return bool(invariants[only](d))
+        stopped = stopped or not invariants[only](fields)
+        return bool(invariants[only](fields))
 
     def transitions(state: tuple[Any, ...]) -> list[Step]:
         return [] if stopped else core.transitions(state)
@@ -90,7 +90,7 @@
 
 
 def violated_invariants(result: dict[str, Any]) -> dict[str, list[str]]:
-    """Return the steps of the counterexample of each violated invariant."""
+    """Return the steps of the counterexample for each violated invariant."""
     return {
         name: [str(step["label"]) for step in found["counterexample"][1:]]
         for name, found in result["properties"].items()
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    """Print the number of states with all rules on, and the effect of each rule off."""
+    """Print the results with all rules enabled, and with each rule disabled."""
     for bounds in BOUNDS + EXTENDED_BOUNDS:
         started = time.perf_counter()
         result = check_model(Rules(), bounds)
