--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -1,4 +1,4 @@
-"""Drive the real claim, keys and quota code with simulated instances, workers and a table."""
+"""Simulate instances, workers and a table around the real claim, request-key and quota code."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     Task,
     WorkKind,
 )
-from baobabhoist.ownership import claim as oc
+from baobabhoist.ownership import claim as shard_claim
+from baobabhoist.ownership import events
 from baobabhoist.ownership.fence import Fence
 from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, RunNew
 from baobabhoist.quota import escrow
 from baobabhoist.quota.ledger import QuotaLedger
 
 SHARD, TEAM, LIMIT = "rack-1", "roster", 2
-TIMES = oc.ClaimTiming(membership_lag_s=3.0, max_lease_s=10.0)
-# Half of the allowed skew on each side keeps the clocks of two processes within it.
+TIMES = events.ClaimTiming(membership_lag_s=3.0, max_lease_s=10.0)
+# Each clock is off by less than half of the allowed skew, so any two clocks are within it.
 CLOCK_OFFSETS_S = (0.0, 0.24, -0.24)
 
 
@@ -36,52 +37,52 @@
 class SimulatedWorker:
     name: str
     fence: Fence = attrs.Factory(Fence)
-    up: bool = True
+    is_up: bool = True
     incarnation: int = 0
     running: dict = attrs.Factory(dict)
     ended: dict = attrs.Factory(dict)
-    history: list = attrs.Factory(lambda: [(0.0, True)])
+    up_history: list = attrs.Factory(lambda: [(0.0, True)])
 
     def was_up(self, at):
-        return [up for since, up in self.history if since <= at][-1]
+        return [up for since, up in self.up_history if since <= at][-1]
 
 
 @attrs.define
 class SimulatedInstance:
     index: int
-    claim: oc.ShardClaim
+    claim: shard_claim.ShardClaim
     keys: RequestKeyLedger = attrs.Factory(RequestKeyLedger)
     quota: QuotaLedger = attrs.Factory(lambda: QuotaLedger(SHARD))
     queue: dict = attrs.Factory(dict)
     inherited: tuple | None = None
     refused_at: dict = attrs.Factory(dict)
-    paused: bool = False
+    is_paused: bool = False
 
 
 class SimulatedShard:
-    """Hold everything; each public method is one event of the environment."""
+    """Simulate one shard; each public method is an event in its environment."""
 
     def __init__(self, instances=2, workers=2):
         self.now = 1000.0
-        self.workers = {f"w{n}": SimulatedWorker(f"w{n}") for n in range(workers)}
-        self.starts = 0
-        self.instances = [self._new_instance(n) for n in range(instances)]
-        self.table_up = True
+        self.workers = {f"w{index}": SimulatedWorker(f"w{index}") for index in range(workers)}
+        self.start_count = 0
+        self.instances = [self._new_instance(index) for index in range(instances)]
+        self.is_table_up = True
         self.epoch = 0
-        self.row = escrow.initial(LIMIT, [SHARD])
+        self.escrow_row = escrow.initial(LIMIT, [SHARD])
         self.messages = []
-        # Pairs of an instance's index and a worker that cannot reach each other.
+        # Pairs of an instance index and a worker that cannot reach each other.
         self.unreachable_pairs = set()
         self.first_sent = {}
-        self.runs = {}
+        self.run_counts = {}
         self.told_not_run = set()
-        self.tasks = 0
+        self.generated_count = 0
 
     def _new_instance(self, index):
-        self.starts += 1
-        name = f"i{index}-{self.starts}"
+        self.start_count += 1
+        name = f"i{index}-{self.start_count}"
         return SimulatedInstance(
-            index, oc.ShardClaim(SHARD, name, tuple(self.workers), times=TIMES)
+            index, shard_claim.ShardClaim(SHARD, name, tuple(self.workers), times=TIMES)
         )
 
     def clock(self, inst):
@@ -90,7 +91,7 @@
     # Claims.
 
     def request_claim(self, inst):
-        event = oc.ClaimRequested(self.epoch if self.table_up else None)
+        event = events.ClaimRequested(self.epoch if self.is_table_up else None)
         self.apply_event(inst, event)
 
     def apply_event(self, inst, event):
@@ -98,50 +99,50 @@
             self._perform(inst, action)
 
     def _perform(self, inst, action):
-        if isinstance(action, oc.PresentToken):
+        if isinstance(action, events.PresentToken):
             call = (action.token, self.clock(inst), inst.quota.mark())
             self._to_worker(inst, action.worker, "fence", call)
-        elif isinstance(action, oc.AdvanceEpoch):
+        elif isinstance(action, events.AdvanceEpoch):
             self._advance_epoch(inst, action)
-        elif isinstance(action, oc.ApplyInventory):
+        elif isinstance(action, events.ApplyInventory):
             self._take_inventory(inst, action)
-        elif isinstance(action, oc.StateChanged):
+        elif isinstance(action, events.StateChanged):
             self._state_changed(inst, action.state)
 
     def _advance_epoch(self, inst, action):
-        if not self.table_up:
-            self.apply_event(inst, oc.EpochUnavailable())
+        if not self.is_table_up:
+            self.apply_event(inst, events.EpochUnavailable())
         elif self.epoch != action.expected:
-            self._to_instance(inst, "event", oc.EpochConflict(self.epoch))
+            self._to_instance(inst, "event", events.EpochConflict(self.epoch))
         else:
             self.epoch = action.target
-            self._to_instance(inst, "event", oc.EpochGranted(action.target))
+            self._to_instance(inst, "event", events.EpochGranted(action.target))
 
     def _state_changed(self, inst, state):
-        if state is oc.ClaimState.CLAIMING:
+        if state is events.ClaimState.CLAIMING:
             inst.quota.begin_takeover()
-        elif state is oc.ClaimState.OWNED:
+        elif state is events.ClaimState.OWNED:
             inst.keys.begin_ownership(inst.claim.owned_since)
             self._accept_queue(inst)
-        elif state in (oc.ClaimState.LOST, oc.ClaimState.IDLE):
+        elif state in (events.ClaimState.LOST, events.ClaimState.IDLE):
             for request_id, result in inst.keys.settle_open_keys(self.clock(inst)):
                 self._answer(request_id, result)
             inst.queue.clear()
             inst.refused_at.clear()
 
     def hand_over(self, inst, successor):
-        """Send the queue to a successor, whose answer may be lost."""
-        self.apply_event(inst, oc.HandOverRequested(successor.claim.instance_id))
-        if inst.claim.state is oc.ClaimState.HANDING_OVER:
+        """Send the queue to the next owner, whose reply may be lost."""
+        self.apply_event(inst, events.HandOverRequested(successor.claim.instance_id))
+        if inst.claim.state is events.ClaimState.HANDING_OVER:
             content = (inst.claim.token, inst.keys.export_queued(), inst)
             self._to_instance(successor, "queue", content)
 
     def _on_queue(self, inst, worker, content):
         token, keys, sender = content
-        taken = inst.claim.state not in oc.ACTIVE_STATES
-        if taken:
+        is_accepted = inst.claim.state not in events.ACTIVE_STATES
+        if is_accepted:
             inst.inherited = (token, keys)
-        reply = oc.HandOverAccepted() if taken else oc.HandOverRefused()
+        reply = events.HandOverAccepted() if is_accepted else events.HandOverRefused()
         self._to_instance(sender, "event", reply)
 
     def _accept_queue(self, inst):
@@ -154,73 +155,76 @@
                 inst.queue[request_id] = True
 
     def handle_timeouts(self, inst):
-        """Give up waiting for the table and present again what was not answered."""
+        """Time out the call to the table and resend the token to workers without a reply."""
         if inst.claim.awaiting_epoch:
-            self.apply_event(inst, oc.EpochUnavailable())
+            self.apply_event(inst, events.EpochUnavailable())
         for worker in self.workers.values():
-            waits = inst.claim.state in oc.ACTIVE_STATES and not inst.claim.awaiting_epoch
-            if worker.up and waits and not inst.claim.can_dispatch_to(worker.name):
-                self._perform(inst, oc.PresentToken(worker.name, inst.claim.token))
+            is_active = inst.claim.state in events.ACTIVE_STATES and not inst.claim.awaiting_epoch
+            if worker.is_up and is_active and not inst.claim.can_dispatch_to(worker.name):
+                self._perform(inst, events.PresentToken(worker.name, inst.claim.token))
 
     def read_members(self, inst, lag):
-        """Read the membership list, which shows the state of some seconds ago."""
+        """Read the membership list, which shows the state `lag` seconds ago."""
         for worker in self.workers.values():
-            gone = not worker.was_up(self.now - lag)
-            event = oc.WorkerReportedGone if gone else oc.WorkerReportedLive
+            is_gone = not worker.was_up(self.now - lag)
+            event = events.WorkerReportedGone if is_gone else events.WorkerReportedLive
             self.apply_event(inst, event(worker.name))
-        self.apply_event(inst, oc.Tick())
+        self.apply_event(inst, events.Tick())
 
     def run_until_owned(self, inst, rounds=8):
-        """Let one instance claim and own the shard without any fault."""
+        """Let one instance claim the shard without faults until it owns it."""
         self.request_claim(inst)
         for _ in range(rounds):
             while self.messages:
                 self.deliver(0)
             self.handle_timeouts(inst)
-            self.move_places(inst, 0)
+            self.transfer_places(inst, 0)
 
-    # Messages. A message belongs to a connection, which ends when either side restarts.
+    # Messages. Each belongs to a connection, which is closed when either side restarts.
 
     def _to_worker(self, inst, worker, kind, content):
         target = self.workers[worker]
-        if target.up:
-            link = (inst.claim.instance_id, worker, target.incarnation)
-            self.messages.append(("worker", link, kind, content))
+        if target.is_up:
+            connection = (inst.claim.instance_id, worker, target.incarnation)
+            self.messages.append(("worker", connection, kind, content))
 
     def _to_instance(self, inst, kind, content, worker=None):
         incarnation = worker.incarnation if worker else 0
-        link = (inst.claim.instance_id, worker.name if worker else "", incarnation)
-        self.messages.append(("instance", link, kind, content))
+        connection = (inst.claim.instance_id, worker.name if worker else "", incarnation)
+        self.messages.append(("instance", connection, kind, content))
 
-    def deliver(self, index, keep=False):
-        """Deliver one message; `keep` leaves a copy that is delivered again later."""
+    def deliver(self, index, duplicate=False):
+        """Deliver one message; `duplicate` keeps a copy for a second delivery."""
         message = self.messages[index]
-        if not keep:
+        if not duplicate:
             del self.messages[index]
-        to, (instance_id, name, incarnation), kind, content = message
+        receiver, (instance_id, name, incarnation), kind, content = message
         worker = self.workers.get(name)
         inst = next((i for i in self.instances if i.claim.instance_id == instance_id), None)
-        if inst is None or (worker and (worker.incarnation != incarnation or not worker.up)):
+        if inst is None or (worker and (worker.incarnation != incarnation or not worker.is_up)):
             return
-        if (inst.paused and to == "instance") or (inst.index, name) in self.unreachable_pairs:
-            if not keep:
+        if (inst.is_paused and receiver == "instance") or (
+            inst.index,
+            name,
+        ) in self.unreachable_pairs:
+            if not duplicate:
                 self.messages.append(message)
-        elif to == "worker":
+        elif receiver == "worker":
             getattr(self, f"_worker_{kind}")(inst, worker, content)
         else:
             getattr(self, f"_on_{kind}")(inst, worker, content)
 
     def deliver_all(self, inst, kinds=()):
-        """Deliver all messages of one instance, in order, until none is left."""
+        """Deliver all messages of one instance in order, with those that they cause."""
         while True:
             index = next(
                 (
                     n
-                    for n, (to, link, kind, _) in enumerate(self.messages)
-                    if link[0] == inst.claim.instance_id
+                    for n, (receiver, connection, kind, _) in enumerate(self.messages)
+                    if connection[0] == inst.claim.instance_id
                     and (not kinds or kind in kinds)
-                    and not (inst.paused and to == "instance")
-                    and (inst.index, link[1]) not in self.unreachable_pairs
+                    and not (inst.is_paused and receiver == "instance")
+                    and (inst.index, connection[1]) not in self.unreachable_pairs
                 ),
                 None,
             )
@@ -232,10 +236,10 @@
         token, sent_at, mark = call
         previous = worker.fence.highest_token
         if not worker.fence.accept(token):
-            self._to_instance(inst, "event", oc.FenceRefused(worker.name, previous), worker)
+            self._to_instance(inst, "event", events.FenceRefused(worker.name, previous), worker)
             return
         running = tuple(RunningTask(t, TEAM, Resources()) for t in worker.running)
-        event = oc.WorkerFenced(
+        event = events.WorkerFenced(
             worker.name, token, running, tuple(worker.ended.values()), previous, sent_at
         )
         self._to_instance(inst, "fenced", (event, mark), worker)
@@ -243,10 +247,10 @@
     def _worker_run(self, inst, worker, call):
         token, task_id = call
         if not worker.fence.allows(token):
-            refusal = oc.FenceRefused(worker.name, worker.fence.highest_token)
+            refusal = events.FenceRefused(worker.name, worker.fence.highest_token)
             self._to_instance(inst, "event", refusal, worker)
         elif task_id not in worker.running and task_id not in worker.ended:
-            self.runs[task_id] = self.runs.get(task_id, 0) + 1
+            self.run_counts[task_id] = self.run_counts.get(task_id, 0) + 1
             worker.running[task_id] = inst.claim.instance_id
 
     def _worker_renew(self, inst, worker, call):
@@ -254,7 +258,7 @@
         if worker.fence.allows(token):
             self._to_instance(inst, "renewed", (token, sent_at, mark), worker)
         else:
-            refusal = oc.FenceRefused(worker.name, worker.fence.highest_token)
+            refusal = events.FenceRefused(worker.name, worker.fence.highest_token)
             self._to_instance(inst, "event", refusal, worker)
 
     def _on_event(self, inst, worker, event):
@@ -273,12 +277,12 @@
         token, sent_at, mark = content
         if token == inst.claim.token:
             inst.quota.worker_confirmed(worker.name, mark)
-            self.apply_event(inst, oc.WorkerConfirmed(worker.name, token, sent_at))
+            self.apply_event(inst, events.WorkerConfirmed(worker.name, token, sent_at))
 
     def _on_ended(self, inst, worker, content):
-        task_id, held = content
+        task_id, worker_token = content
         if task_id in inst.quota.running:
-            inst.quota.ended(task_id, confirmed=held == inst.claim.token)
+            inst.quota.ended(task_id, confirmed=worker_token == inst.claim.token)
         entry = inst.keys.entries.get(task_id)
         if entry is not None and entry.state in (
             RequestKeyState.DISPATCHED,
@@ -288,7 +292,7 @@
 
     def _on_request(self, inst, worker, req):
         if not inst.claim.is_fully_owned and not (
-            inst.claim.state is oc.ClaimState.PARTIAL and req.first_attempt
+            inst.claim.state is events.ClaimState.PARTIAL and req.first_attempt
         ):
             return
         decision = inst.keys.admit(req, self.clock(inst))
@@ -298,17 +302,17 @@
     # Work.
 
     def send_request(self, inst, request_id=None):
-        """Send a generated id once, or a caller's key, of which copies may follow."""
+        """Send a request with a generated id once, or one with a key that may be sent again."""
         if request_id is None:
-            self.tasks += 1
-            generated = request(f"generated-{self.tasks}", self.clock(inst), True)
+            self.generated_count += 1
+            generated = request(f"generated-{self.generated_count}", self.clock(inst), True)
             self._to_instance(inst, "request", generated)
         else:
             sent_at = self.first_sent.setdefault(request_id, self.clock(inst))
             self._to_instance(inst, "request", request(request_id, sent_at))
 
     def dispatch(self, inst):
-        """Send the first queued request to the first worker that may take it."""
+        """Dispatch the first queued request to the first worker that may run it."""
         for request_id, keyed in list(inst.queue.items()):
             for worker in self.workers.values():
                 if request_id in inst.refused_at:
@@ -323,7 +327,7 @@
                     return
 
     def refuse_queued(self, inst):
-        """Refuse queued requests; `not_run` waits until the ownership is confirmed."""
+        """Refuse queued requests once `not_run` is certain because the ownership is confirmed."""
         for request_id, entry in list(inst.keys.entries.items()):
             if request_id in inst.queue:
                 at = inst.refused_at.setdefault(request_id, self.clock(inst))
@@ -337,13 +341,13 @@
             self.told_not_run.add(request_id)
 
     def renew_leases(self, inst):
-        """Send a call to every fenced worker."""
+        """Send a lease renewal to every fenced worker."""
         for name in sorted(inst.claim.fenced_workers):
             call = (inst.claim.token, self.clock(inst), inst.quota.mark())
             self._to_worker(inst, name, "renew", call)
 
     def end_task(self, worker):
-        """End the oldest task and report it to its starter and to the token's holder."""
+        """End the oldest task; report it to the instance that started it and the current owner."""
         if not worker.running:
             return
         task_id = next(iter(worker.running))
@@ -356,26 +360,26 @@
 
     # Quota.
 
-    def move_places(self, inst, places):
-        """Take the full escrow, give a place to the pool or take one from it."""
-        current = inst.claim.can_use_full_escrow and inst.claim.token.epoch == self.epoch
-        if not (self.table_up and current):
+    def transfer_places(self, inst, places):
+        """Take the full escrow, give places to the pool or take some from it."""
+        is_current = inst.claim.can_use_full_escrow and inst.claim.token.epoch == self.epoch
+        if not (self.is_table_up and is_current):
             return
         epoch = inst.claim.token.epoch
         if inst.quota.cap is not None:
-            self.row = escrow.confirm_epoch(self.row, SHARD, epoch)
-            inst.quota.uncap({TEAM: self.row.held(SHARD)})
+            self.escrow_row = escrow.confirm_epoch(self.escrow_row, SHARD, epoch)
+            inst.quota.uncap({TEAM: self.escrow_row.held(SHARD)})
             return
         if places == 0 or (places < 0 and not inst.quota.giveable(TEAM)):
             return
         if places < 0:
             inst.quota.take_out(TEAM, 1)
-        moved = escrow.move(TEAM, self.row, [escrow.Move(SHARD, epoch, places)])
-        if isinstance(moved, Refusal):
+        transferred = escrow.move(TEAM, self.escrow_row, [escrow.Move(SHARD, epoch, places)])
+        if isinstance(transferred, Refusal):
             if places < 0:
                 inst.quota.put_in(TEAM, 1)
             return
-        self.row = moved
+        self.escrow_row = transferred
         if places > 0:
             inst.quota.put_in(TEAM, 1)
 
@@ -385,33 +389,35 @@
         self.instances[index] = self._new_instance(index)
 
     def crash_worker(self, worker):
-        """Lose tasks, remembered ids and connections; the fence is kept with the leases."""
-        if not worker.up:
+        """Drop the tasks, records of ids and connections of a worker; its fence persists."""
+        if not worker.is_up:
             return
-        worker.up = False
+        worker.is_up = False
         worker.incarnation += 1
         worker.running.clear()
         worker.ended.clear()
-        worker.history.append((self.now, False))
+        worker.up_history.append((self.now, False))
         for inst in self.instances:
-            self.apply_event(inst, oc.WorkerDisconnected(worker.name))
+            self.apply_event(inst, events.WorkerDisconnected(worker.name))
 
     def restart_worker(self, worker):
-        if worker.up:
+        if worker.is_up:
             return
-        worker.up = True
-        worker.history.append((self.now, True))
+        worker.is_up = True
+        worker.up_history.append((self.now, True))
         for inst in self.instances:
-            if not inst.paused:
-                self.apply_event(inst, oc.WorkerConnected(worker.name))
+            if not inst.is_paused:
+                self.apply_event(inst, events.WorkerConnected(worker.name))
 
     def check_guarantees(self):
-        """Assert the guarantees; the pool counts as used by other shards."""
-        twice = [key for key, n in self.runs.items() if n > 1]
-        assert not twice, f"{twice} ran more than once"
-        assert not self.told_not_run & set(self.runs), "not_run was told of a request that ran"
+        """Assert the guarantees; places in the pool count as used by other shards."""
+        run_twice = [key for key, n in self.run_counts.items() if n > 1]
+        assert not run_twice, f"{run_twice} ran more than once"
+        assert not self.told_not_run & set(self.run_counts), (
+            "not_run was reported for a request that ran"
+        )
         running = sum(len(worker.running) for worker in self.workers.values())
-        assert running + self.row.pool <= LIMIT, "the team exceeds its limit"
+        assert running + self.escrow_row.pool <= LIMIT, "the team exceeds its limit"
         for worker in self.workers.values():
             owners = [
                 inst.claim.instance_id
--- a/baobabhoist/tests/test_jobs_coordinator.py
+++ b/baobabhoist/tests/test_jobs_coordinator.py
@@ -1,4 +1,4 @@
-"""Test the coordinator of jobs against shards and a table that fail."""
+"""Test the job coordinator with faults of the shards and the table."""
 
 import asyncio
 from collections import defaultdict
@@ -15,19 +15,19 @@
 from baobabhoist.store.table import Committed, Row
 
 SHARDS = ("rack-1", "rack-2")
-GIVE_UP_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class FakeTable:
     def __init__(self):
         self.rows = {}
-        self.down = False
-        self.answers = asyncio.Event()
-        self.answers.set()
+        self.is_down = False
+        self.is_answering = asyncio.Event()
+        self.is_answering.set()
 
     def _check_up(self):
-        if self.down:
-            raise PlatformError("the table is down")
+        if self.is_down:
+            raise PlatformError("the table is unavailable")
 
     async def read(self, key):
         self._check_up()
@@ -39,7 +39,7 @@
         return [Row(key, *self.rows[key]) for key in keys[:limit]]
 
     async def commit(self, txn):
-        await self.answers.wait()
+        await self.is_answering.wait()
         self._check_up()
         for key, revision in txn.checks.items():
             if self.rows.get(key, (0, None))[0] != revision:
@@ -50,17 +50,17 @@
 
 
 class FakeShards:
-    def __init__(self, room=4):
-        self.room = dict.fromkeys(SHARDS, room)
+    def __init__(self, free_slots=4):
+        self.free_slots = dict.fromkeys(SHARDS, free_slots)
         self.held = defaultdict(dict)
-        self.ran = []
+        self.sent = []
         self.cancelled = set()
         self.released = []
-        self.refuse_commit = set()
+        self.shards_refusing_commit = set()
         self.finish = asyncio.Event()
 
     async def run_task(self, req):
-        self.ran.append((req.shard, req.request_id))
+        self.sent.append((req.shard, req.request_id))
         await self.finish.wait()
         if req.request_id in self.cancelled:
             return Refusal(ErrorKind.CANCELLED, "cancelled")
@@ -74,35 +74,35 @@
         return None
 
     async def hold_capacity(self, shard, job_id, tasks, deadline):
-        ids = tuple(task.task_id for task in tasks[: self.room[shard]])
+        ids = tuple(task.task_id for task in tasks[: self.free_slots[shard]])
         self.held[shard][job_id] = ids
         return HoldReply(ids, ready=True)
 
     async def commit_hold(self, shard, job_id):
-        return shard not in self.refuse_commit
+        return shard not in self.shards_refusing_commit
 
     async def release_hold(self, shard, job_id):
         self.released.append(shard)
 
 
-def job(kind, tasks, idempotent=True):
+def new_run(kind, tasks, idempotent=True):
     specs = tuple(TaskSpec(b"x", Resources(slots=1)) for _ in range(tasks))
     spec = JobSpec("j1", "roster", "nightly", kind, specs, idempotent, 9e9)
     return JobRun(spec, "rack-1", SHARDS, 0.0)
 
 
-def stored(table, run):
+def store_run(table, run):
     table.rows[job_key("j1")] = (1, job_to_row(run))
     table.rows[unfinished_job_key("rack-1", "j1")] = (1, {"job_id": "j1"})
 
 
-async def until(condition):
-    async with asyncio.timeout(GIVE_UP_S):
+async def wait_until(condition):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def drive(scenario, monkeypatch):
+def run_scenario(scenario, monkeypatch):
     monkeypatch.setattr(coordinator, "TICK_INTERVAL_S", 0.01)
     monkeypatch.setattr(coordinator, "FLUSH_INTERVAL_S", 0.05)
 
@@ -119,113 +119,115 @@
     asyncio.run(main())
 
 
-def test_gang_larger_than_one_shard_starts_in_both(monkeypatch):
+def test_gang_larger_than_one_shard_starts_across_shards(monkeypatch):
     """Guard against a gang that never starts because no single shard is large enough."""
 
     async def scenario(jobs, table, shards):
-        jobs.adopt(job(WorkKind.GANG, 6))
-        await until(lambda: len(shards.ran) == 6)
-        assert {shard for shard, _ in shards.ran} == set(SHARDS)
+        jobs.adopt(new_run(WorkKind.GANG, 6))
+        await wait_until(lambda: len(shards.sent) == 6)
+        assert {shard for shard, _ in shards.sent} == set(SHARDS)
         shards.finish.set()
-        await until(lambda: jobs.runs["j1"].state is JobState.SUCCEEDED)
+        await wait_until(lambda: jobs.runs["j1"].state is JobState.SUCCEEDED)
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
 def test_gang_is_not_sent_while_the_table_is_slow_to_store_its_placement(monkeypatch):
     """Guard against tasks of a gang that start one by one before the hold is committed."""
 
     async def scenario(jobs, table, shards):
-        table.answers.clear()
-        jobs.adopt(job(WorkKind.GANG, 6))
-        await until(lambda: len(shards.held) == 2)
+        table.is_answering.clear()
+        jobs.adopt(new_run(WorkKind.GANG, 6))
+        await wait_until(lambda: len(shards.held) == 2)
         await asyncio.sleep(0.2)
-        assert shards.ran == []
-        table.answers.set()
-        await until(lambda: len(shards.ran) == 6)
+        assert shards.sent == []
+        table.is_answering.set()
+        await wait_until(lambda: len(shards.sent) == 6)
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
-def test_gang_without_room_for_all_runs_nothing_and_gives_all_back(monkeypatch):
-    """Guard against a gang that runs in part or keeps capacity that it cannot use."""
+def test_gang_without_capacity_for_all_tasks_runs_none_and_releases_its_holds(monkeypatch):
+    """Guard against a gang that runs in part or holds capacity that it cannot use."""
 
     async def scenario(jobs, table, shards):
-        jobs.adopt(job(WorkKind.GANG, 9))
-        await until(lambda: set(shards.released) == set(SHARDS))
-        assert shards.ran == []
+        jobs.adopt(new_run(WorkKind.GANG, 9))
+        await wait_until(lambda: set(shards.released) == set(SHARDS))
+        assert shards.sent == []
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
-def test_gang_whose_commit_fails_in_one_shard_cancels_the_other(monkeypatch):
-    """Guard against half a gang running after an owner died between hold and commit."""
+def test_gang_whose_commit_fails_in_one_shard_is_cancelled_in_the_other(monkeypatch):
+    """Guard against half a gang running after an owner crashed between hold and commit."""
 
     async def scenario(jobs, table, shards):
-        shards.refuse_commit = {"rack-2"}
-        run = job(WorkKind.GANG, 6)
+        shards.shards_refusing_commit = {"rack-2"}
+        run = new_run(WorkKind.GANG, 6)
         jobs.adopt(run)
-        await until(lambda: len(shards.cancelled) == 4)
-        await until(lambda: run.tasks[0].generation == 1)
-        assert shards.ran == []
+        await wait_until(lambda: len(shards.cancelled) == 4)
+        await wait_until(lambda: run.tasks[0].generation == 1)
+        assert shards.sent == []
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
-@pytest.mark.parametrize(("idempotent", "sent"), [(True, 3), (False, 0)])
-def test_table_outage_holds_back_only_tasks_that_may_run_once(monkeypatch, idempotent, sent):
-    """Guard against an unmarked single-run start, and against a halt of all batch work."""
+@pytest.mark.parametrize(("idempotent", "sent_during_outage"), [(True, 3), (False, 0)])
+def test_table_outage_delays_only_tasks_that_are_not_idempotent(
+    monkeypatch, idempotent, sent_during_outage
+):
+    """Guard against a start without a stored intent, and against delaying idempotent tasks."""
 
     async def scenario(jobs, table, shards):
-        table.down = True
-        jobs.adopt(job(WorkKind.BATCH, 3, idempotent))
+        table.is_down = True
+        jobs.adopt(new_run(WorkKind.BATCH, 3, idempotent))
         await asyncio.sleep(0.2)
-        assert len(shards.ran) == sent
-        table.down = False
-        await until(lambda: len(shards.ran) == 3)
-        assert len({request_id for _, request_id in shards.ran}) == 3
+        assert len(shards.sent) == sent_during_outage
+        table.is_down = False
+        await wait_until(lambda: len(shards.sent) == 3)
+        assert len({request_id for _, request_id in shards.sent}) == 3
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
-def test_coordinator_drops_a_job_that_another_one_has_written(monkeypatch):
+def test_coordinator_stops_a_job_that_another_one_has_written(monkeypatch):
     """Guard against two coordinators that overwrite each other's progress."""
 
     async def scenario(jobs, table, shards):
-        jobs.adopt(job(WorkKind.BATCH, 2))
-        await until(lambda: len(shards.ran) == 2)
+        jobs.adopt(new_run(WorkKind.BATCH, 2))
+        await wait_until(lambda: len(shards.sent) == 2)
         table.rows[progress_key("j1")] = (7, {"tasks": [], "cancel_wanted": False})
         shards.finish.set()
-        await until(lambda: "j1" not in jobs.runs)
+        await wait_until(lambda: "j1" not in jobs.runs)
         assert table.rows[progress_key("j1")][0] == 7
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
-def test_new_owner_finds_the_jobs_of_its_shard_and_finishes_them(monkeypatch):
-    """Guard against accepted jobs that are forgotten when their coordinator dies."""
+def test_new_owner_resumes_the_unfinished_jobs_of_its_shard(monkeypatch):
+    """Guard against losing accepted jobs when their coordinator crashes."""
 
     async def scenario(jobs, table, shards):
         shards.finish.set()
-        stored(table, job(WorkKind.BATCH, 3))
+        store_run(table, new_run(WorkKind.BATCH, 3))
         jobs.set_owned_shards([])
         jobs.set_owned_shards(["rack-1"])
-        await until(lambda: table.rows[unfinished_job_key("rack-1", "j1")][1] is None)
+        await wait_until(lambda: table.rows[unfinished_job_key("rack-1", "j1")][1] is None)
         assert jobs.runs["j1"].state is JobState.SUCCEEDED
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
 
 
 def test_cancel_reaches_the_shards_of_all_sent_tasks(monkeypatch):
-    """Guard against a cancelled job that goes on running."""
+    """Guard against a cancelled job that continues to run."""
 
     async def scenario(jobs, table, shards):
-        run = job(WorkKind.BATCH, 5)
+        run = new_run(WorkKind.BATCH, 5)
         jobs.adopt(run)
-        await until(lambda: len(shards.ran) == 5)
+        await wait_until(lambda: len(shards.sent) == 5)
         await jobs.cancel(run)
         shards.finish.set()
-        await until(lambda: run.state is JobState.CANCELLED)
-        assert shards.cancelled == {request_id for _, request_id in shards.ran}
+        await wait_until(lambda: run.state is JobState.CANCELLED)
+        assert shards.cancelled == {request_id for _, request_id in shards.sent}
 
-    drive(scenario, monkeypatch)
+    run_scenario(scenario, monkeypatch)
--- a/baobabhoist/tests/test_jobs_state.py
+++ b/baobabhoist/tests/test_jobs_state.py
@@ -1,4 +1,4 @@
-"""Test the progress of a job: retries, unknown outcomes, cancellation, succession."""
+"""Test the progress of a job: retries, unknown outcomes, cancellation, resumption."""
 
 import math
 
@@ -21,11 +21,11 @@
 
 UNKNOWN = Refusal(ErrorKind.OUTCOME_UNKNOWN, "no report", Outcome.UNKNOWN)
 FAILED = Refusal(ErrorKind.TASK_FAILED, "exit 1", Outcome.RAN)
-NO_ROOM = Refusal(ErrorKind.NO_CAPACITY, "full")
+NO_CAPACITY = Refusal(ErrorKind.NO_CAPACITY, "full")
 SHARDS = ("rack-1", "rack-2", "rack-3")
 
 
-def job(kind=WorkKind.BATCH, tasks=2, idempotent=True, deadline=1000.0):
+def new_run(kind=WorkKind.BATCH, tasks=2, idempotent=True, deadline=1000.0):
     specs = tuple(TaskSpec(b"x", Resources(slots=1)) for _ in range(tasks))
     spec = JobSpec("roster.j1", "roster", "nightly", kind, specs, idempotent, deadline)
     return JobRun(spec, "rack-1", SHARDS, 0.0)
@@ -41,16 +41,16 @@
     return requests
 
 
-def successor_of(run):
-    successor = job_from_row(job_to_row(run), run.progress_to_row())
-    successor.resume()
-    return successor
+def resumed_run(run):
+    resumed = job_from_row(job_to_row(run), run.progress_to_row())
+    resumed.resume()
+    return resumed
 
 
 @pytest.mark.parametrize("retries", [0, 1, 4])
-def test_failed_idempotent_task_is_given_up_after_the_retries_of_its_policy(retries):
-    """Guard against a job that fails everywhere being retried for ever."""
-    run = job(tasks=1)
+def test_failed_idempotent_task_is_retried_as_often_as_its_policy_allows(retries):
+    """Guard against endless retries of a job that fails on every worker."""
+    run = new_run(tasks=1)
     run.retries = retries
     ids = set()
     for attempt in range(retries + 1):
@@ -62,9 +62,9 @@
     assert run.state is JobState.FAILED
 
 
-def test_unknown_outcome_of_a_task_that_may_run_once_is_final():
+def test_unknown_outcome_of_a_task_that_is_not_idempotent_is_final():
     """Guard against running a non-idempotent task a second time."""
-    run = job(tasks=1, idempotent=False)
+    run = new_run(tasks=1, idempotent=False)
     send_all(run, 0.0)
     run.apply_result(0, UNKNOWN, 1.0)
     assert run.due_tasks(100.0, 10) == []
@@ -72,9 +72,9 @@
     assert run.status().refusal.outcome is Outcome.UNKNOWN
 
 
-def test_unknown_outcome_of_an_idempotent_task_is_asked_under_the_same_id_and_shard():
-    """Guard against a second copy of a task that still runs in its first shard."""
-    run = job(tasks=1)
+def test_unknown_outcome_of_an_idempotent_task_is_retried_under_the_same_id_and_shard():
+    """Guard against a second copy of a task that is still running in its first shard."""
+    run = new_run(tasks=1)
     (first,) = send_all(run, 0.0)
     run.apply_result(0, UNKNOWN, 1.0)
     (again,) = send_all(run, 100.0)
@@ -82,37 +82,37 @@
     assert not again.first_attempt
 
 
-def test_refused_task_gets_a_new_id_that_needs_a_mark():
-    """Guard against a successor using the old id while the new one runs."""
-    run = job(tasks=1)
+def test_refused_task_gets_a_new_id_that_needs_a_stored_intent():
+    """Guard against a new coordinator that sends the old id while the new one is running."""
+    run = new_run(tasks=1)
     (first,) = send_all(run, 0.0)
-    run.apply_result(0, NO_ROOM, 1.0)
+    run.apply_result(0, NO_CAPACITY, 1.0)
     assert run.needs_intent(0)
     (second,) = send_all(run, 100.0)
     assert second.request_id != first.request_id
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_successor_never_sends_an_attempt_under_way_as_a_first_one(idempotent):
-    """Guard against a change of coordinator starting running tasks again."""
-    run = job(tasks=3, idempotent=idempotent)
+def test_resumed_run_never_sends_an_attempt_in_flight_as_a_first_one(idempotent):
+    """Guard against restarting running tasks after a change of coordinator."""
+    run = new_run(tasks=3, idempotent=idempotent)
     sent = send_all(run, 0.0)
     run.apply_result(0, Answer(sent[0].request_id, 200, b"done"), 1.0)
-    requests = send_all(successor_of(run), 2.0)
+    requests = send_all(resumed_run(run), 2.0)
     assert {req.request_id for req in requests} == {req.request_id for req in sent[1:]}
     assert not any(req.first_attempt for req in requests)
 
 
-def test_successor_starts_an_unmarked_single_run_task_as_a_first_attempt():
-    """Guard against calling a task unknown that was certainly never sent."""
-    run = job(tasks=1, idempotent=False)
-    (req,) = send_all(successor_of(run), 1.0)
+def test_resumed_run_sends_a_task_without_stored_intent_as_a_first_attempt():
+    """Guard against an unknown outcome of a task that was certainly never sent."""
+    run = new_run(tasks=1, idempotent=False)
+    (req,) = send_all(resumed_run(run), 1.0)
     assert req.first_attempt
 
 
-def test_cancel_keeps_tasks_open_that_may_run():
-    """Guard against reporting a task as cancelled while it runs."""
-    run = job(tasks=2)
+def test_cancel_keeps_possibly_running_tasks_open():
+    """Guard against reporting a task as cancelled while it is running."""
+    run = new_run(tasks=2)
     (index, *_) = run.due_tasks(0.0, 1)
     run.record_sent(index)
     run.cancel()
@@ -123,18 +123,18 @@
 
 
 def test_deadline_leaves_a_possibly_running_task_unknown():
-    """Guard against a false "failed" for a task whose outcome nobody reported."""
-    run = job(tasks=2)
+    """Guard against reporting a task as failed whose outcome was not reported."""
+    run = new_run(tasks=2)
     send_all(run, 0.0)
     run.apply_result(0, UNKNOWN, 1.0)
-    run.apply_result(1, NO_ROOM, 1.0)
+    run.apply_result(1, NO_CAPACITY, 1.0)
     run.expire_waiting_tasks(1000.0)
     assert run.status().counts == {TaskState.UNKNOWN: 1, TaskState.FAILED: 1}
 
 
-def test_service_replica_that_ended_is_started_again():
-    """Guard against a service that loses replicas for good."""
-    run = job(kind=WorkKind.SERVICE, tasks=1, deadline=math.inf)
+def test_service_replica_that_ended_is_restarted():
+    """Guard against a service that never replaces a lost replica."""
+    run = new_run(kind=WorkKind.SERVICE, tasks=1, deadline=math.inf)
     (first,) = send_all(run, 0.0)
     run.apply_result(0, Answer(first.request_id, 200, b""), 1.0)
     (second,) = send_all(run, 100.0)
@@ -142,9 +142,9 @@
     assert job_from_row(job_to_row(run), run.progress_to_row()).spec.deadline == math.inf
 
 
-def test_gang_whose_commit_failed_in_part_gets_new_ids_and_shards():
-    """Guard against a gang that runs with a part of its tasks."""
-    run = job(kind=WorkKind.GANG, tasks=2)
+def test_partly_committed_gang_gets_new_ids_and_shards():
+    """Guard against a gang of which only some tasks run."""
+    run = new_run(kind=WorkKind.GANG, tasks=2)
     run.place_gang({0: "rack-1", 1: "rack-2"})
     assert run.is_placed
     old = [run.task_id(index) for index in range(2)]
@@ -154,14 +154,14 @@
 
 
 def test_a_preempted_task_runs_again_without_using_up_its_retries():
-    """Guard against a job that fails because its owner stopped its tasks too often."""
-    run = job(tasks=1)
+    """Guard against a job that fails because its tasks were preempted too often."""
+    run = new_run(tasks=1)
     run.retries = 0
     for attempt in range(5):
         send_all(run, attempt * 100.0)
         run.apply_result(0, PREEMPTED, attempt * 100.0)
     assert run.state is JobState.QUEUED
-    run = job(tasks=1, idempotent=False)
+    run = new_run(tasks=1, idempotent=False)
     send_all(run, 0.0)
     run.apply_result(0, PREEMPTED, 1.0)
     assert run.state is JobState.FAILED
--- a/baobabhoist/tests/test_ownership_machine.py
+++ b/baobabhoist/tests/test_ownership_machine.py
@@ -1,4 +1,4 @@
-"""Drive the real claim, keys and ledger code through faults in any order."""
+"""Test the claim, request-key and quota code with faults in any order."""
 
 import hypothesis.strategies as st
 from hypothesis import HealthCheck, settings
@@ -8,35 +8,39 @@
 
 INSTANCES = st.integers(0, 2)
 WORKERS = st.sampled_from(["w0", "w1", "w2"])
-FENCING = ("fence", "fenced", "event")
-KINDS = st.sampled_from([(), FENCING, ("run",), ("ended",), ("renew", "renewed"), ("request",)])
+FENCING_KINDS = ("fence", "fenced", "event")
+MESSAGE_KINDS = st.sampled_from(
+    [(), FENCING_KINDS, ("run",), ("ended",), ("renew", "renewed"), ("request",)]
+)
 
 
 class ShardMachine(RuleBasedStateMachine):
-    """Let instances compete for a shard while messages, processes and the table fail."""
+    """Generate faults of messages, processes and the table while instances compete for a shard."""
 
     @initialize(workers=st.integers(1, 3))
     def start(self, workers):
         self.system = SimulatedShard(3, workers)
         self.system.run_until_owned(self.system.instances[0])
 
-    def running(self, index):
+    def active_instance(self, index):
         inst = self.system.instances[index]
-        return None if inst.paused else inst
+        return None if inst.is_paused else inst
 
     def worker(self, name):
         return self.system.workers.get(name)
 
     def owner(self, index):
-        """Prefer an instance that may dispatch: work for the others is refused at once."""
-        able = [
-            inst for inst in self.system.instances if inst.claim.fenced_workers and not inst.paused
+        """Prefer an instance with fenced workers, because all others refuse work at once."""
+        owners = [
+            inst
+            for inst in self.system.instances
+            if inst.claim.fenced_workers and not inst.is_paused
         ]
-        return able[index % len(able)] if able else self.running(index)
+        return owners[index % len(owners)] if owners else self.active_instance(index)
 
     @rule(index=INSTANCES, key=st.integers(-3, 5), send=st.booleans())
     def work(self, index, key, send):
-        """Send a generated id or a copy of a key to an owner, which dispatches it."""
+        """Send a generated id or a copy of a keyed request to an owner, which dispatches it."""
         inst = self.owner(index)
         if inst is not None:
             self.system.send_request(inst, f"key-{key}" if key >= 0 else None)
@@ -59,13 +63,13 @@
 
     @rule(index=INSTANCES)
     def take_over(self, index):
-        inst = self.running(index)
+        inst = self.active_instance(index)
         if inst is not None:
             self.system.request_claim(inst)
-            self.system.deliver_all(inst, FENCING)
+            self.system.deliver_all(inst, FENCING_KINDS)
             self.system.handle_timeouts(inst)
-            self.system.deliver_all(inst, FENCING)
-            self.system.move_places(inst, 0)
+            self.system.deliver_all(inst, FENCING_KINDS)
+            self.system.transfer_places(inst, 0)
 
     @rule(index=INSTANCES, other=INSTANCES)
     def hand_over(self, index, other):
@@ -74,14 +78,14 @@
             self.system.hand_over(inst, successor)
             self.system.deliver_all(successor, ("queue",))
 
-    @rule(index=INSTANCES, kinds=KINDS)
+    @rule(index=INSTANCES, kinds=MESSAGE_KINDS)
     def exchange(self, index, kinds):
         self.system.deliver_all(self.system.instances[index], kinds)
 
-    @rule(position=st.integers(0, 30), keep=st.booleans())
-    def deliver_out_of_order(self, position, keep):
+    @rule(position=st.integers(0, 30), is_duplicated=st.booleans())
+    def deliver_out_of_order(self, position, is_duplicated):
         if self.system.messages:
-            self.system.deliver(position % len(self.system.messages), keep)
+            self.system.deliver(position % len(self.system.messages), is_duplicated)
 
     @rule(position=st.integers(0, 30))
     def lose(self, position):
@@ -101,7 +105,7 @@
     def move_places(self, index, places):
         inst = self.owner(index)
         if inst is not None:
-            self.system.move_places(inst, places)
+            self.system.transfer_places(inst, places)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 1.0, 5.0]))
     def pass_time(self, seconds):
@@ -109,19 +113,19 @@
 
     @rule(index=INSTANCES, lag=st.sampled_from([0.0, 3.0]))
     def read_members_for_a_long_time(self, index, lag):
-        inst = self.running(index)
+        inst = self.active_instance(index)
         if inst is not None:
             for pause_s in (14.0, 3.0, 0.0):
                 self.system.read_members(inst, lag)
                 self.system.now += pause_s
 
-    @rule(index=INSTANCES, paused=st.booleans())
-    def pause(self, index, paused):
-        self.system.instances[index].paused = paused
+    @rule(index=INSTANCES, is_paused=st.booleans())
+    def pause(self, index, is_paused):
+        self.system.instances[index].is_paused = is_paused
 
-    @rule(index=INSTANCES, name=WORKERS, cut=st.booleans())
-    def partition(self, index, name, cut):
-        if cut:
+    @rule(index=INSTANCES, name=WORKERS, is_cut=st.booleans())
+    def partition(self, index, name, is_cut):
+        if is_cut:
             self.system.unreachable_pairs.add((index, name))
         else:
             self.system.unreachable_pairs.clear()
@@ -138,7 +142,7 @@
 
     @rule()
     def toggle_table(self):
-        self.system.table_up = not self.system.table_up
+        self.system.is_table_up = not self.system.is_table_up
 
     @invariant()
     def guarantees_hold(self):
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -123,7 +123,7 @@
         (lambda quota: quota._less_unconfirmed("roster", 1), invariants.Invariant.QUOTA_COUNTS),
     ],
 )
-def test_step_that_breaks_an_invariant_is_refused_and_counted(step, event):
+def test_step_that_violates_an_invariant_is_rolled_back_and_counted(step, event):
     """Guard against a place that is counted twice or given away in use."""
     quota = ledger(1)
     quota.start("roster", "a", "w1")
