--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -87,8 +87,8 @@
         self.quota.begin_takeover()
         self.keys = RequestKeyLedger(clock_skew_s=times.clock_skew_s)
         self.places = ShardPlaces(self.quota, self._kind_of)
-        self.scheduler = Scheduler.over(specs, self.places)
-        self.scheduler.lines.is_full = self.places.is_full
+        self.scheduler = Scheduler.for_workers(specs, self.places)
+        self.scheduler.queues.is_class_full = self.places.is_full
         self.leaving: set[str] = set()
         self.barred: dict[str, float] = {}
         # Tasks that a worker was asked to end; their end says nothing about health or size.
@@ -248,7 +248,7 @@
     def take_back(self, task_id: str, now: float) -> None:
         """Free what a placed task holds that was not sent."""
         self.places.confirmed.add(task_id)
-        self.scheduler.ended(task_id, False, now, preempted=True)
+        self.scheduler.task_ended(task_id, False, now, preempted=True)
 
     async def _execute(self, placement: Placement) -> None:
         task, worker = placement.task, placement.worker
@@ -272,7 +272,7 @@
             if isinstance(fate, Ended) and fate.confirmed:
                 self.places.confirmed.add(task.task_id)
             stopped = task.task_id in self.stopping and not succeeded
-            self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
+            self.scheduler.task_ended(task.task_id, succeeded, now, preempted=stopped)
         self.stopping.discard(task.task_id)
         if isinstance(fate, Lost) and self.keys.requeue_for_retry(
             task.task_id, task.deadline, now
@@ -320,7 +320,7 @@
 
     def leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Compare a worker's report with the tasks that were adopted."""
-        self.places.worker_confirmed(worker, mark)
+        self.places.confirm_ends(worker, mark)
         self.adoption.reported(worker, reply.running)
 
     def worker_restarted(self, worker: str) -> None:
@@ -329,7 +329,7 @@
 
     def renewal_mark(self) -> int:
         """Return the number of the last end that is known before a renewal is sent."""
-        return self.quota.mark()
+        return self.quota.end_watermark()
 
     def usable_workers_changed(self) -> None:
         """Compare the workers that may get work with those that do."""
@@ -378,14 +378,14 @@
 
     def refresh_places(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
-        if self.quota.cap is not None and self.claim.can_use_full_escrow:
+        if self.quota.takeover_cap is not None and self.claim.can_use_full_escrow:
             places = self._escrow(self.shard)
             if places is not None:
                 self.use_escrow(places)
 
     def use_escrow(self, places: Mapping[str, int]) -> None:
         """End the takeover cap; the places were read after the table confirmed the epoch."""
-        self.quota.uncap(dict(places))
+        self.quota.lift_takeover_cap(dict(places))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
@@ -483,9 +483,9 @@
         for task in self.scheduler.expire(now):
             late = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
             self.finish(task.task_id, late)
-        for task, refusal in self.scheduler.given_up():
+        for task, refusal in self.scheduler.take_refused():
             self.finish(task.task_id, refusal)
-        for preemption in self.scheduler.preemptions():
+        for preemption in self.scheduler.take_preemptions():
             self.spawn(preempt(self, preemption))
         self.refresh_places()
         self.dispatch(now)
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -69,7 +69,7 @@
         self.instances = [self._new_instance(index) for index in range(instances)]
         self.is_table_up = True
         self.epoch = 0
-        self.escrow_row = escrow.initial(LIMIT, [SHARD])
+        self.escrow_row = escrow.initial_row(LIMIT, [SHARD])
         self.messages = []
         # Pairs of an instance index and a worker that cannot reach each other.
         self.unreachable_pairs = set()
@@ -100,7 +100,7 @@
 
     def _perform(self, inst, action):
         if isinstance(action, events.PresentToken):
-            call = (action.token, self.clock(inst), inst.quota.mark())
+            call = (action.token, self.clock(inst), inst.quota.end_watermark())
             self._to_worker(inst, action.worker, "fence", call)
         elif isinstance(action, events.AdvanceEpoch):
             self._advance_epoch(inst, action)
@@ -233,7 +233,7 @@
             self.deliver(index)
 
     def _worker_fence(self, inst, worker, call):
-        token, sent_at, mark = call
+        token, sent_at, watermark = call
         previous = worker.fence.highest_token
         if not worker.fence.accept(token):
             self._to_instance(inst, "event", events.FenceRefused(worker.name, previous), worker)
@@ -242,7 +242,7 @@
         event = events.WorkerFenced(
             worker.name, token, running, tuple(worker.ended.values()), previous, sent_at
         )
-        self._to_instance(inst, "fenced", (event, mark), worker)
+        self._to_instance(inst, "fenced", (event, watermark), worker)
 
     def _worker_run(self, inst, worker, call):
         token, task_id = call
@@ -254,9 +254,9 @@
             worker.running[task_id] = inst.claim.instance_id
 
     def _worker_renew(self, inst, worker, call):
-        token, sent_at, mark = call
+        token, sent_at, watermark = call
         if worker.fence.allows(token):
-            self._to_instance(inst, "renewed", (token, sent_at, mark), worker)
+            self._to_instance(inst, "renewed", (token, sent_at, watermark), worker)
         else:
             refusal = events.FenceRefused(worker.name, worker.fence.highest_token)
             self._to_instance(inst, "event", refusal, worker)
@@ -274,15 +274,15 @@
             inst.queue.pop(task.task_id, None)
 
     def _on_renewed(self, inst, worker, content):
-        token, sent_at, mark = content
+        token, sent_at, watermark = content
         if token == inst.claim.token:
-            inst.quota.worker_confirmed(worker.name, mark)
+            inst.quota.confirm_ends(worker.name, watermark)
             self.apply_event(inst, events.WorkerConfirmed(worker.name, token, sent_at))
 
     def _on_ended(self, inst, worker, content):
         task_id, worker_token = content
         if task_id in inst.quota.running:
-            inst.quota.ended(task_id, confirmed=worker_token == inst.claim.token)
+            inst.quota.release(task_id, confirmed=worker_token == inst.claim.token)
         entry = inst.keys.entries.get(task_id)
         if entry is not None and entry.state in (
             RequestKeyState.DISPATCHED,
@@ -319,7 +319,7 @@
                     continue
                 if not inst.claim.can_dispatch_to(worker.name, keyed):
                     continue
-                if inst.quota.start(TEAM, request_id, worker.name) is None:
+                if inst.quota.acquire(TEAM, request_id, worker.name) is None:
                     inst.keys.record_dispatch(request_id, worker.name)
                     del inst.queue[request_id]
                     call = (inst.claim.token, request_id)
@@ -343,7 +343,7 @@
     def renew_leases(self, inst):
         """Send a lease renewal to every fenced worker."""
         for name in sorted(inst.claim.fenced_workers):
-            call = (inst.claim.token, self.clock(inst), inst.quota.mark())
+            call = (inst.claim.token, self.clock(inst), inst.quota.end_watermark())
             self._to_worker(inst, name, "renew", call)
 
     def end_task(self, worker):
@@ -366,22 +366,24 @@
         if not (self.is_table_up and is_current):
             return
         epoch = inst.claim.token.epoch
-        if inst.quota.cap is not None:
+        if inst.quota.takeover_cap is not None:
             self.escrow_row = escrow.confirm_epoch(self.escrow_row, SHARD, epoch)
-            inst.quota.uncap({TEAM: self.escrow_row.held(SHARD)})
+            inst.quota.lift_takeover_cap({TEAM: self.escrow_row.held(SHARD)})
             return
-        if places == 0 or (places < 0 and not inst.quota.giveable(TEAM)):
+        if places == 0 or (places < 0 and not inst.quota.transferable(TEAM)):
             return
         if places < 0:
-            inst.quota.take_out(TEAM, 1)
-        transferred = escrow.move(TEAM, self.escrow_row, [escrow.Move(SHARD, epoch, places)])
+            inst.quota.withdraw(TEAM, 1)
+        transferred = escrow.apply_moves(
+            TEAM, self.escrow_row, [escrow.PlaceMove(SHARD, epoch, places)]
+        )
         if isinstance(transferred, Refusal):
             if places < 0:
-                inst.quota.put_in(TEAM, 1)
+                inst.quota.deposit(TEAM, 1)
             return
         self.escrow_row = transferred
         if places > 0:
-            inst.quota.put_in(TEAM, 1)
+            inst.quota.deposit(TEAM, 1)
 
     # Faults.
 
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -9,7 +9,7 @@
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
 from baobabhoist.peer.messages import PlacesWanted
-from baobabhoist.quota.escrow import decode
+from baobabhoist.quota.escrow import decode_row
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.shards import Rack, quicken, request, until
 from baobabhoist.tests.tables import MemoryTable
@@ -77,7 +77,7 @@
         return self.nodes[number].owners[0]
 
     def row(self):
-        return decode("team", self.table.rows["escrow/team"].value)
+        return decode_row("team", self.table.rows["escrow/team"].value)
 
     def held(self):
         return [self.owner(number).quota.escrow.get("team", 0) for number in (0, 1)]
@@ -141,7 +141,7 @@
 async def test_a_waiting_team_starts_in_the_cycle_that_brings_its_places(pair):
     """Guard against urgent work that waits for the next upkeep although its place has come."""
     owner = pair.owner(0)
-    owner.scheduler._unlimit_at = float("inf")
+    owner.scheduler._limited_teams_retry_at = float("inf")
     for number in range(3):
         pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota.used["team"] == 2)
