--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -42,8 +42,8 @@
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ShardState
-from baobabhoist.ownership.keys import Join, KeyLedger, Reply, Result
+from baobabhoist.ownership.events import ClaimState
+from baobabhoist.ownership.request_keys import JoinExisting, ReplyNow, RequestKeyLedger, Result
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver
 from baobabhoist.quota.ledger import QuotaLedger
@@ -58,7 +58,7 @@
 
 TICK_INTERVAL_S = 0.1
 BATCH = 32
-USABLE_STATES = (ShardState.PARTIAL, ShardState.OWNED)
+USABLE_STATES = (ClaimState.PARTIAL, ClaimState.OWNED)
 
 
 class ShardOwner:
@@ -85,7 +85,7 @@
         self.claim = claim
         self.quota = QuotaLedger(claim.shard)
         self.quota.begin_takeover()
-        self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
+        self.keys = RequestKeyLedger(clock_skew_s=times.clock_skew_s)
         self.places = ShardPlaces(self.quota, self._kind_of)
         self.scheduler = Scheduler.for_workers(specs, self.places)
         self.scheduler.queues.is_class_full = self.places.is_full
@@ -152,7 +152,7 @@
 
     def owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; if not, find out."""
-        if self.claim.confirmed_after(at):
+        if self.claim.is_confirmed_since(at):
             return True
         self.fencing.confirm_soon()
         return False
@@ -162,7 +162,7 @@
         if not self.usable:
             return not_owner(self.shard)
         now = self._clock()
-        if self.claim.state is not ShardState.OWNED and not req.first_attempt:
+        if self.claim.state is not ClaimState.OWNED and not req.first_attempt:
             # Only the inventories of all workers tell whether this key has run.
             return not_owner(self.shard)
         if req.request_id in self.barred:
@@ -179,10 +179,10 @@
 
     async def _submit(self, req: Request, forwarded: bool, now: float) -> Result:
         decision = self.keys.admit(req, now)
-        if isinstance(decision, Reply):
+        if isinstance(decision, ReplyNow):
             return await self.book.answers.whole(req, decision.result)
         entry = self.book.entry(req, now)
-        if not isinstance(decision, Join):
+        if not isinstance(decision, JoinExisting):
             entry.forwarded = forwarded
             refusal = self.places.never_starts(req.task) or self.scheduler.enqueue(req.task, now)
             if refusal is not None:
@@ -222,13 +222,13 @@
     def start(self, placement: Placement, now: float) -> None:
         """Send a placed task to its worker."""
         task, worker = placement.task, placement.worker
-        if not (self.claim.may_dispatch(worker) and self.pool.connected(worker)):
+        if not (self.claim.can_dispatch_to(worker) and self.pool.connected(worker)):
             self.take_back(task.task_id, now)
             self._worker_down(worker)
             self._enqueue_again(task, now)
             return
         try:
-            self.keys.dispatched(task.task_id, worker)
+            self.keys.record_dispatch(task.task_id, worker)
         except InvariantBreachError:
             self.take_back(task.task_id, now)
             return
@@ -274,7 +274,9 @@
             stopped = task.task_id in self.stopping and not succeeded
             self.scheduler.task_ended(task.task_id, succeeded, now, preempted=stopped)
         self.stopping.discard(task.task_id)
-        if isinstance(fate, Lost) and self.keys.retry(task.task_id, task.deadline, now):
+        if isinstance(fate, Lost) and self.keys.requeue_for_retry(
+            task.task_id, task.deadline, now
+        ):
             self._enqueue_again(task, now)
         else:
             ended = isinstance(fate, Ended)
@@ -285,7 +287,7 @@
     def _superseded(self, task_id: str, fate: Superseded) -> None:
         """Let the entry instance ask the new owner; the place is the new owner's to count."""
         known = self.keys.entries.get(task_id)
-        once = known is not None and known.dispatches <= 1
+        once = known is not None and known.dispatch_count <= 1
         outcome = Outcome.NOT_RUN if once and not fate.sent else Outcome.UNKNOWN
         self.book.give(task_id, not_owner(self.shard, outcome))
 
@@ -305,9 +307,9 @@
 
     # What the fencing reports.
 
-    def state_changed(self, state: ShardState) -> None:
+    def state_changed(self, state: ClaimState) -> None:
         """Take the new state of the claim."""
-        if state is ShardState.OWNED and not self._owned_before:
+        if state is ClaimState.OWNED and not self._owned_before:
             self._owned_before = True
             self._begin_ownership()
         self.refresh_places()
@@ -333,7 +335,7 @@
         """Compare the workers that may get work with those that do."""
         for worker in self.claim.workers:
             usable = (
-                self.claim.may_dispatch(worker)
+                self.claim.can_dispatch_to(worker)
                 and self.pool.connected(worker)
                 and worker not in self.leaving
             )
@@ -376,7 +378,7 @@
 
     def refresh_places(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
-        if self.quota.takeover_cap is not None and self.claim.escrow_usable:
+        if self.quota.takeover_cap is not None and self.claim.can_use_full_escrow:
             places = self._escrow(self.shard)
             if places is not None:
                 self.use_escrow(places)
@@ -450,7 +452,7 @@
 
     def _begin_ownership(self) -> None:
         """Decide from when on keys are known: a planned hand-over leaves no gap."""
-        self.keys.take_over(self._known_since())
+        self.keys.begin_ownership(self._known_since())
         message, self._inherited = self._inherited, None
         if message is not None:
             self._take_queue(message)
