--- a/baobabhoist/platform/testing/fleet.py
+++ b/baobabhoist/platform/testing/fleet.py
@@ -18,7 +18,7 @@
 from baobabhoist.platform.main import SETTINGS_VARIABLE
 from baobabhoist.platform.testing.store import OUTSIDE_HEADER
 from baobabhoist.testing.cluster import Cluster, free_port, wait_for_port
-from baobabhoist.testing.soak_run import fetch
+from baobabhoist.testing.soak_driver import fetch
 
 HOST = "127.0.0.1"
 BOUNDS = {"lease_max_ms": 6_000, "revoke_ms": 5_000, "grace_s": 6, "job_kept_s": 120}
--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -19,9 +19,9 @@
 from baobabhoist.platform.testing.fleet import Fleet, repeat
 from baobabhoist.platform.testing.soak_faults import FAULTS
 from baobabhoist.platform.testing.soak_judge import REFUSED, JobNote, Judge, Team
-from baobabhoist.testing import soak_run
+from baobabhoist.testing import soak_driver
 from baobabhoist.testing.cluster import Cluster
-from baobabhoist.testing.soak_run import Driver
+from baobabhoist.testing.soak_driver import Driver
 
 FLAGS = flags.FLAGS
 
@@ -359,7 +359,7 @@
 def main(argv: list[str]) -> int:
     """Run one soak."""
     AsyncHTTPClient.configure(HTTP_CLIENT, max_clients=CLIENTS_MAX)
-    folder = soak_run.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
+    folder = soak_driver.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
     steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -15,7 +15,7 @@
 from tornado.web import Application, HTTPError, RequestHandler
 
 from baobabhoist.store.rows import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 FLAGS = flags.FLAGS
 
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -16,11 +16,11 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
 from baobabhoist.records.view import digest
-from baobabhoist.testing import soak_faults, soak_run
+from baobabhoist.testing import soak_driver, soak_faults
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster
+from baobabhoist.testing.soak_checker import Judge
+from baobabhoist.testing.soak_driver import Driver
 from baobabhoist.testing.soak_faults import DATA_CENTRES, FAULTS, MARKER, MEMBERS_LAG_S, TEAMS
-from baobabhoist.testing.soak_judge import Judge
-from baobabhoist.testing.soak_run import Driver
 
 FLAGS = flags.FLAGS
 
@@ -123,7 +123,7 @@
 
     async def fetch(self, url: str, timeout_s: float, **options: Any) -> HTTPResponse | str:
         """Return the response, or why there is none."""
-        return await soak_run.fetch(self.http, url, timeout_s, **options)
+        return await soak_driver.fetch(self.http, url, timeout_s, **options)
 
     async def until_done(self, work: Callable[..., Awaitable[Any]], *args: Any) -> Any:
         """Repeat a change until it is accepted."""
@@ -360,7 +360,7 @@
 def main(argv: list[str]) -> int:
     """Run one soak."""
     AsyncHTTPClient.configure(None, max_clients=1000)
-    folder = soak_run.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
+    folder = soak_driver.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
     steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults, FLAGS.longest_s)
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -18,7 +18,7 @@
 from baobabhoist.ownership.fence import Fence
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.link import Link
-from baobabhoist.testing.worker_log import EventLog
+from baobabhoist.testing.event_log import EventLog
 from baobabhoist.upstream.link import WORKER_OPTIONS
 from baobabhoist.upstream.messages import (
     CODEC,
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -14,7 +14,7 @@
     progress_row_key,
 )
 from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 DIRECTORY = "servers"
 JOB_ID = "a" + 15 * "0"
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -11,7 +11,7 @@
 from baobabhoist.control.links import Identity
 from baobabhoist.control.row_schema import HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.store.rows import RowsTxn
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
 
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -18,7 +18,7 @@
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.store.rows import RowsTxn
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 ID = "0123456789abcdef"
 JOB = orjson.dumps({"taskSpec": "x", "steps": [{"count": 1, "cpu": 10}]})
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -9,7 +9,7 @@
 from baobabhoist.control.job_writer import JobWriter, WriteStatus
 from baobabhoist.control.row_schema import job_row_key
 from baobabhoist.control.store_health import StoreHealth
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 ID = "0123456789abcdef"
 
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -17,7 +17,7 @@
     StoreRefusedError,
     StoreUnansweredError,
 )
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 KEY = RowKey("jobs", "0", "0123")
 TXN = RowsTxn({KEY: 0}, {KEY: b"value"})
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -8,7 +8,7 @@
 from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.store.rows import RowKey, RowsTxn
-from baobabhoist.testing.rows import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRows
 
 KEY = RowKey("t", "", "k")
 
--- a/baobabhoist/tests/test_testing_soak_judge.py
+++ b/baobabhoist/tests/test_testing_soak_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabhoist.testing.soak_judge import Judge
+from baobabhoist.testing.soak_checker import Judge
 
 CAPACITY = [4000, 1000, 0, 2]
 
--- a/baobabhoist/tests/test_testing_worker.py
+++ b/baobabhoist/tests/test_testing_worker.py
@@ -6,8 +6,8 @@
 
 from baobabhoist.model import Resources, Task, WorkKind
 from baobabhoist.ownership.tokens import Token
+from baobabhoist.testing.event_log import EventLog
 from baobabhoist.testing.worker import REMEMBER_S, Worker
-from baobabhoist.testing.worker_log import EventLog
 from baobabhoist.upstream.messages import (
     CheckpointTask,
     FenceWorker,
