--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -41,7 +41,7 @@
 from baobabhoist.cell.ranking import Rank, Timeliness
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import WorkerState
-from baobabhoist.testing.cell_worker import StandInWorker, end_gang
+from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang
 
 LEASE_MS = 5_000.0
 TICK_MS = 100.0
@@ -91,7 +91,7 @@
     stream: Stream
     policy: type[TaskPlacer]
     cell: CellScheduler = attrs.field(init=False)
-    workers: dict[str, StandInWorker] = attrs.field(init=False)
+    workers: dict[str, FakeCellWorker] = attrs.field(init=False)
     arrivals: dict[str, Arrival] = attrs.field(init=False)
     now: float = 0.0
     call_s: list[float] = attrs.Factory(list)
@@ -105,7 +105,7 @@
         """Make the cell and its workers."""
         self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
         self.cell.placer = self.policy(self.cell.state, max_advice_requests=ADVISERS)
-        self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
+        self.workers = {name: FakeCellWorker(name, WORKER) for name in self.stream.workers}
         self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
         for number, name in enumerate(self.workers):
             rack = f"r{number // WORKERS_A_RACK}"
@@ -224,7 +224,7 @@
 
         self._at(self.now + STOP_MS, stop)
 
-    def _worker(self, name: str) -> StandInWorker:
+    def _worker(self, name: str) -> FakeCellWorker:
         worker = self.workers[name]
         worker.now = self.now
         return worker
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -15,7 +15,7 @@
 from tornado.web import Application, HTTPError, RequestHandler
 
 from baobabhoist.store.rows import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 FLAGS = flags.FLAGS
 
@@ -31,7 +31,7 @@
 class StoreState:
     """Hold the rows and the fault in force: up, refuse, hang, slow, lose or late."""
 
-    rows: MemoryRows = attrs.Factory(MemoryRows)
+    rows: MemoryRowStore = attrs.Factory(MemoryRowStore)
     mode: str = "up"
     delay_s: float = 0.0
     began_s: float = attrs.Factory(time.monotonic)
--- a/baobabhoist/testing/cell_worker.py
+++ b/baobabhoist/testing/cell_worker.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class StandInRun:
+class FakeRun:
     """Hold a run on the worker."""
 
     task: TaskKey
@@ -32,7 +32,7 @@
 
 
 @attrs.define
-class StandInWorker:
+class FakeCellWorker:
     """Own a worker's state; `now` in ms is its own steady clock."""
 
     worker_id: str
@@ -43,7 +43,7 @@
     born_ms: int = 1
     token: int = 0
     lease_until: float = 0.0
-    runs: dict[TaskKey, StandInRun] = attrs.Factory(dict)
+    runs: dict[TaskKey, FakeRun] = attrs.Factory(dict)
     ends: list[EndedRun] = attrs.Factory(list)
     ended_runs: dict[TaskKey, int] = attrs.Factory(dict)
     count: int = 0
@@ -95,7 +95,7 @@
             return CommandOutcome.OK
         if run is not None or order.run <= self.ended_runs.get(order.task, 0):
             return CommandOutcome.OLD
-        self.runs[order.task] = StandInRun(order.task, order.run, checkpoint=order.checkpoint)
+        self.runs[order.task] = FakeRun(order.task, order.run, checkpoint=order.checkpoint)
         self.started.append((order.task, order.run))
         return CommandOutcome.OK
 
@@ -135,7 +135,7 @@
 
 
 def end_gang(
-    workers: Mapping[str, StandInWorker], task: TaskKey, number: int, kind: RunOutcome
+    workers: Mapping[str, FakeCellWorker], task: TaskKey, number: int, kind: RunOutcome
 ) -> list[str]:
     """End what is left of a gang's run; return the worker of each member that ended."""
     ended = []
--- a/baobabhoist/testing/memory_row_store.py
+++ b/baobabhoist/testing/memory_row_store.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class MemoryRows:
+class MemoryRowStore:
     """Keep rows in memory; `fail` decides for each transaction how it goes wrong, if at all."""
 
     rows: dict[RowKey, StoredRow] = attrs.Factory(dict)
--- a/baobabhoist/testing/platform.py
+++ b/baobabhoist/testing/platform.py
@@ -100,7 +100,7 @@
 
 
 @attrs.define
-class Platform:
+class FakePlatform:
     """Hold the whole state of the stand-in."""
 
     members: MemberList
@@ -113,7 +113,7 @@
 class PlatformHandler(RequestHandler):
     """Apply the fault in force before and after each call, and count calls."""
 
-    def initialize(self, platform: Platform) -> None:
+    def initialize(self, platform: FakePlatform) -> None:
         """Take the platform."""
         self.platform = platform
 
@@ -203,7 +203,7 @@
 class ControlHandler(RequestHandler):
     """Take commands of tests, which no injected fault touches."""
 
-    def initialize(self, platform: Platform) -> None:
+    def initialize(self, platform: FakePlatform) -> None:
         """Take the platform."""
         self.platform = platform
 
@@ -248,7 +248,7 @@
 
 def platform_app(members_lag_s: float = 0.0) -> Application:
     """Return the HTTP application of the stand-in."""
-    context = {"platform": Platform(MemberList(members_lag_s))}
+    context = {"platform": FakePlatform(MemberList(members_lag_s))}
     return Application(
         [
             (r"/table/([a-z]+)", TableHandler, context),
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -98,7 +98,7 @@
         return cls(default_run_s)
 
 
-class Worker:
+class FakeWorker:
     """Run tasks; the answer to a task is the worker's name and the payload."""
 
     def __init__(
@@ -313,7 +313,7 @@
 class ModeHandler(RequestHandler):
     """Take commands of tests: POST /workers/NAME {"mode": ...}."""
 
-    def initialize(self, workers: dict[str, Worker]) -> None:
+    def initialize(self, workers: dict[str, FakeWorker]) -> None:
         """Take the workers."""
         self.workers = workers
 
@@ -328,7 +328,7 @@
         self.finish({"mode": mode})
 
 
-async def serve_worker(worker: Worker, port: int) -> None:
+async def serve_worker(worker: FakeWorker, port: int) -> None:
     """Serve one worker until cancelled."""
 
     async def handle(conn: ServerConnection) -> None:
@@ -340,7 +340,7 @@
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
 
 
-async def run(workers: Sequence[tuple[Worker, int]], control_port: int) -> None:
+async def run(workers: Sequence[tuple[FakeWorker, int]], control_port: int) -> None:
     """Serve all workers of this process until cancelled."""
     if control_port:
         context = {"workers": {worker.name: worker for worker, _ in workers}}
@@ -374,7 +374,7 @@
     workers = []
     for text in named:
         name, _, port = text.rpartition(":")
-        worker = Worker(name, capacity, FLAGS.run_s, FLAGS.usage_lag_s, events, FLAGS.rack)
+        worker = FakeWorker(name, capacity, FLAGS.run_s, FLAGS.usage_lag_s, events, FLAGS.rack)
         workers.append((worker, int(port)))
     asyncio.run(run(workers, FLAGS.control_port))
 
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -19,7 +19,7 @@
     Team,
 )
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
-from baobabhoist.testing.cell_worker import StandInWorker
+from baobabhoist.testing.cell_worker import FakeCellWorker
 
 LEASE_MS = 5_000.0
 SMALL = Resources(1000, 512, 0)
@@ -60,7 +60,7 @@
 
     @classmethod
     def with_workers(cls, count=2, cell_rules=None, **options):
-        workers = {f"w{n}": StandInWorker(f"w{n}", **options) for n in range(count)}
+        workers = {f"w{n}": FakeCellWorker(f"w{n}", **options) for n in range(count)}
         harness = cls(workers, cell_rules or make_rules())
         harness.renew_all()
         return harness
--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shards.py
@@ -10,7 +10,7 @@
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import ClaimState, ClaimTiming
-from baobabhoist.testing.worker import Worker
+from baobabhoist.testing.worker import FakeWorker
 from baobabhoist.upstream.messages import QueryOutcome, RunTask
 
 WAIT_S = 10.0
@@ -96,7 +96,7 @@
     def __init__(self, table, names=("w1", "w2"), run_s=0.0, shard="r"):
         self.shard = shard
         self.table = table
-        self.workers = {name: Worker(name, CAPACITY, run_s) for name in names}
+        self.workers = {name: FakeWorker(name, CAPACITY, run_s) for name in names}
         self.specs = [WorkerSpec(name, "127.0.0.1", 1, "r", CAPACITY) for name in names]
         self.limit = {"team": 8}
         self.tasks = []
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -19,7 +19,7 @@
 )
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
-from baobabhoist.testing.cell_worker import StandInWorker, end_gang
+from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang
 from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, make_job, make_rules
 
 MAX_ATTEMPTS = 2
@@ -48,7 +48,7 @@
     def __init__(self):
         super().__init__()
         self.workers = {
-            f"w{n}": StandInWorker(f"w{n}", Resources(2000, 4096, 0)) for n in range(3)
+            f"w{n}": FakeCellWorker(f"w{n}", Resources(2000, 4096, 0)) for n in range(3)
         }
         self.now = 10_000.0
         self.token = 10
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -14,13 +14,13 @@
     progress_row_key,
 )
 from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 DIRECTORY = "servers"
 JOB_ID = "a" + 15 * "0"
 
 
-class FlakyRows(MemoryRows):
+class FlakyRows(MemoryRowStore):
     """Fail the first read of each partition of the jobs, and record the answered reads."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         return await super().read(table, part, first=first, last=last)
 
 
-def store_job_and_progress(rows: MemoryRows) -> None:
+def store_job_and_progress(rows: MemoryRowStore) -> None:
     """Store a job and its progress under a claim."""
     rows.apply(RowsTxn(puts={job_row_key(JOB_ID): b"job"}))
     rows.apply(RowsTxn(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"}))
@@ -58,7 +58,7 @@
 
 def test_tables_contain_the_rows_read() -> None:
     """Guard against a cell that lacks rows, or that follows the jobs from too late a version."""
-    rows = MemoryRows()
+    rows = MemoryRowStore()
     store_job_and_progress(rows)
     loader = CellLoader(rows, DIRECTORY)
     asyncio.run(loader.read_missing())
@@ -74,7 +74,7 @@
     in_flight = 0
     max_in_flight = 0
 
-    class CountingRows(MemoryRows):
+    class CountingRows(MemoryRowStore):
         async def read(
             self, table: str, part: str = "", *, first: str = "", last: str = ""
         ) -> Rows:
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -11,7 +11,7 @@
 from baobabhoist.control.links import Identity
 from baobabhoist.control.row_schema import HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
 from baobabhoist.store.rows import RowsTxn
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
 
@@ -37,7 +37,7 @@
         self.now = 100_000.0
         monkeypatch.setattr(election_module, "monotonic_ms", lambda: self.now)
         monkeypatch.setattr(election_module, "CLAIM_JITTER_S", 0.0)
-        self.store = MemoryRows()
+        self.store = MemoryRowStore()
         self.owner_router = SimpleNamespace(local_owner=None)
         self.owner_link = SimpleNamespace(
             state=OwnerLinkState.CONNECTED, connect_to=lambda claim: None
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -18,7 +18,7 @@
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.store.rows import RowsTxn
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 ID = "0123456789abcdef"
 JOB = orjson.dumps({"taskSpec": "x", "steps": [{"count": 1, "cpu": 10}]})
@@ -48,7 +48,7 @@
     def __init__(self, monkeypatch):
         self.now = 50_000.0
         monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
-        self.rows = MemoryRows()
+        self.rows = MemoryRowStore()
         self.owner_router = FakeOwnerRouter()
         self.config = ActiveConfig()
         self.job_api = JobApi(
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -7,14 +7,14 @@
 from baobabhoist.control.progress_writer import ProgressWriter
 from baobabhoist.control.row_schema import OWNER_ROW_KEY, progress_row_key
 from baobabhoist.store.rows import RowsTxn
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
 ID = "0" * 16
 
 
 def make_writer(**options):
-    rows = MemoryRows(**options)
+    rows = MemoryRowStore(**options)
     token = rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"me"})).version
     loss_reasons = []
     return rows, ProgressWriter(rows, token, loss_reasons.append), loss_reasons
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -17,13 +17,13 @@
     StoreRefusedError,
     StoreUnansweredError,
 )
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 KEY = RowKey("jobs", "0", "0123")
 TXN = RowsTxn({KEY: 0}, {KEY: b"value"})
 
 
-class StoreView(MemoryRows):
+class StoreView(MemoryRowStore):
     """Give one instance access to a shared store; `down` cuts this instance off."""
 
     def __init__(self, shared):
@@ -66,7 +66,7 @@
 
 
 def make_pair():
-    shared = MemoryRows()
+    shared = MemoryRowStore()
     _, peer = make_instance(shared)
     link = FakeLink(peer)
     view, store = make_instance(shared, link)
@@ -116,7 +116,7 @@
     """Guard against calls that circulate among instances which are all cut off."""
 
     async def run():
-        shared = MemoryRows()
+        shared = MemoryRowStore()
         peer_view, peer = make_instance(shared)
         view, store = make_instance(shared, FakeLink(peer))
         await cut_off(view, store)
@@ -135,7 +135,7 @@
     """
 
     async def run():
-        shared = MemoryRows()
+        shared = MemoryRowStore()
         cut_off_links = []
         for _ in range(7):
             peer_view, peer = make_instance(shared)
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -8,7 +8,7 @@
 from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.store.rows import RowKey, RowsTxn
-from baobabhoist.testing.memory_row_store import MemoryRows
+from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 KEY = RowKey("t", "", "k")
 
@@ -31,7 +31,7 @@
     """Run a test next to a follower, with the store, the rows seen and the follower."""
 
     async def run():
-        rows, seen = MemoryRows(), []
+        rows, seen = MemoryRowStore(), []
 
         def record(changed, is_snapshot):
             seen.extend((row.value, is_snapshot) for row in changed)
--- a/baobabhoist/tests/test_daemon_shard.py
+++ b/baobabhoist/tests/test_daemon_shard.py
@@ -13,7 +13,7 @@
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.results import Preemption
-from baobabhoist.testing.worker import Worker
+from baobabhoist.testing.worker import FakeWorker
 from baobabhoist.tests.shards import CAPACITY, Rack, queried, quicken, request, until
 from baobabhoist.tests.tables import MemoryTable
 from baobabhoist.upstream.messages import FenceWorker, RunTask
@@ -221,7 +221,7 @@
     result = asyncio.ensure_future(owner.submit(request("forgotten", LONG)))
     await until(lambda: owner.running_on("forgotten"))
     links["w1"].cut()
-    rack.workers["w1"] = Worker("w1", CAPACITY)
+    rack.workers["w1"] = FakeWorker("w1", CAPACITY)
     links["w1"].up = True
     assert (await result).outcome is Outcome.UNKNOWN
     assert isinstance(await owner.submit(request("next")), Answer)
@@ -244,7 +244,7 @@
 async def test_workers_are_added_and_removed_while_the_shard_is_owned(rack):
     """Guard against an added worker used before its fence, and a removed one used at all."""
     owner, links = await rack.owned("a")
-    rack.workers["w3"] = Worker("w3", CAPACITY)
+    rack.workers["w3"] = FakeWorker("w3", CAPACITY)
     spec = attrs.evolve(rack.specs[0], name="w3")
     await owner.set_workers([spec])
     await until(lambda: owner.claim.can_dispatch_to("w3") and links["w3"].connected)
--- a/baobabhoist/tests/test_testing_worker.py
+++ b/baobabhoist/tests/test_testing_worker.py
@@ -7,7 +7,7 @@
 from baobabhoist.model import Resources, Task, WorkKind
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.testing.event_log import EventLog
-from baobabhoist.testing.worker import REMEMBER_S, Worker
+from baobabhoist.testing.worker import REMEMBER_S, FakeWorker
 from baobabhoist.upstream.messages import (
     CheckpointTask,
     FenceWorker,
@@ -33,7 +33,7 @@
 
 
 async def fenced(**options):
-    worker = Worker("w1", CAPACITY, **options)
+    worker = FakeWorker("w1", CAPACITY, **options)
     await worker.handle(FenceWorker("s1", TOKEN))
     return worker
 
