--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -156,7 +156,7 @@
         self.state.mode = body["mode"]
         self.state.delay_s = float(body.get("delay_s", 0.0))
         if body.get("forget"):
-            self.state.rows.history_from = self.state.rows.version
+            self.state.rows.history_start_version = self.state.rows.version
         self.finish({})
 
 
--- a/baobabhoist/testing/memory_row_store.py
+++ b/baobabhoist/testing/memory_row_store.py
@@ -23,25 +23,25 @@
 
 @attrs.define
 class MemoryRowStore:
-    """Keep rows in memory; `fail` decides for each transaction how it goes wrong, if at all."""
+    """Keep rows in memory; `choose_failure` may inject a failure into each transaction."""
 
     rows: dict[RowKey, StoredRow] = attrs.Factory(dict)
     version: int = 1
     now_ms: int = 0
-    down: bool = False
-    history_from: int = 0
-    log: list[StoredRow] = attrs.Factory(list)
-    # Returns "", "refused", "lost" (done, not answered) or "late" (done by `deliver_late`).
-    fail: Callable[[RowsTxn], str] = lambda txn: ""
+    is_down: bool = False
+    history_start_version: int = 0
+    history: list[StoredRow] = attrs.Factory(list)
+    # Returns "", "refused", "lost" (done, not answered) or "late" (done by `apply_delayed`).
+    choose_failure: Callable[[RowsTxn], str] = lambda txn: ""
     # Transactions wait for ever while this is set.
-    hangs: bool = False
-    late: list[RowsTxn] = attrs.Factory(list)
-    commits: int = 0
+    commits_hang: bool = False
+    delayed: list[RowsTxn] = attrs.Factory(list)
+    commit_count: int = 0
     _ticks: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
         """Return the rows of a part in a range of keys."""
-        self._check_up()
+        self._raise_if_down()
         found = [
             row
             for key, row in self.rows.items()
@@ -54,33 +54,33 @@
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
         """Return what changed after a version, at once."""
-        self._check_up()
-        if after_version < self.history_from:
+        self._raise_if_down()
+        if after_version < self.history_start_version:
             raise HistoryLostError("the history was dropped")
         await asyncio.sleep(0)
-        found = [r for r in self.log if r.key.table == table and r.version > after_version]
+        found = [r for r in self.history if r.key.table == table and r.version > after_version]
         return Rows(tuple(found), self.version, self._clock())
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction, or fail in the way that was asked for."""
-        self._check_up()
-        self.commits += 1
-        if self.hangs:
+        self._raise_if_down()
+        self.commit_count += 1
+        if self.commits_hang:
             await asyncio.Event().wait()
-        how = self.fail(txn)
+        how = self.choose_failure(txn)
         if how == "refused":
             raise StoreRefusedError("the store is busy")
         if how == "late":
-            self.late.append(txn)
+            self.delayed.append(txn)
             raise StoreUnansweredError("no answer")
         outcome = self.apply(txn)
         if how == "lost":
             raise StoreUnansweredError("no answer")
         return outcome
 
-    def deliver_late(self) -> None:
+    def apply_delayed(self) -> None:
         """Carry out what was held up."""
-        held, self.late = self.late, []
+        held, self.delayed = self.delayed, []
         for txn in held:
             self.apply(txn)
 
@@ -96,15 +96,15 @@
             self._put(StoredRow(key, value, self.version))
         for key in txn.removes:
             self.rows.pop(key, None)
-            self.log.append(StoredRow(key, None, self.version))
+            self.history.append(StoredRow(key, None, self.version))
         return RowsCommitted(self.version, self._clock())
 
     def _put(self, row: StoredRow) -> None:
         self.rows[row.key] = row
-        self.log.append(row)
+        self.history.append(row)
 
-    def _check_up(self) -> None:
-        if self.down:
+    def _raise_if_down(self) -> None:
+        if self.is_down:
             raise StoreUnansweredError("the store is down")
 
     def _clock(self) -> int:
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -149,7 +149,7 @@
 def test_unreadable_state_is_not_reported_as_missing(harness):
     """Guard against a 410 for an accepted job while neither the owner nor the store answers."""
     harness.submit()
-    harness.rows.down = True
+    harness.rows.is_down = True
     refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -34,7 +34,7 @@
 
 def test_repeated_write_resolves_a_lost_answer():
     """Guard against a stored job that is reported to its caller as refused."""
-    rows = MemoryRowStore(fail=fail_in_turn("lost"))
+    rows = MemoryRowStore(choose_failure=fail_in_turn("lost"))
     assert store(rows).status is WriteStatus.NEW
     assert len(rows.rows) == 1
 
@@ -50,16 +50,16 @@
 def test_refusal_is_reported_only_if_no_late_write_is_possible(monkeypatch):
     """Guard against a refusal of a job whose earlier write the store applies late."""
     monkeypatch.setattr(job_writer, "REFUSED_RETRY_MS", 0.0)
-    rows = MemoryRowStore(fail=lambda txn: "refused")
+    rows = MemoryRowStore(choose_failure=lambda txn: "refused")
     assert store(rows, 50.0).status is WriteStatus.REFUSED
-    late_rows = MemoryRowStore(fail=fail_in_turn("late", *["refused"] * 10_000))
+    late_rows = MemoryRowStore(choose_failure=fail_in_turn("late", *["refused"] * 10_000))
     assert store(late_rows, 50.0).status is WriteStatus.UNKNOWN
-    late_rows.deliver_late()
+    late_rows.apply_delayed()
     assert job_row_key(ID) in late_rows.rows
 
 
 def test_outcome_is_unknown_while_the_store_is_silent():
     """Guard against a refusal after a write whose outcome is unknown."""
     rows = MemoryRowStore()
-    rows.down = True
+    rows.is_down = True
     assert store(rows, 30.0).status is WriteStatus.UNKNOWN
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -42,10 +42,10 @@
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
     worker = harness.cell.state.workers["w0"]
-    rows.down = True
+    rows.is_down = True
     assert not flush(writer, harness.cell)
     assert worker.last_acked_end == 0
-    rows.down = False
+    rows.is_down = False
     assert flush(writer, harness.cell)
     assert worker.last_acked_end == 1
     assert stored_done_tasks(rows) == (0,)
@@ -54,20 +54,22 @@
 def test_late_write_does_not_undo_a_newer_one():
     """Guard against older progress that replaces newer, already confirmed progress."""
     failures = ["late"]
-    rows, writer, _ = make_writer(fail=lambda txn: failures.pop() if failures else "")
+    rows, writer, _ = make_writer(choose_failure=lambda txn: failures.pop() if failures else "")
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
     assert not flush(writer, harness.cell)
     harness.end_run(make_task_key(index=1))
     assert flush(writer, harness.cell)
-    rows.deliver_late()
+    rows.apply_delayed()
     assert stored_done_tasks(rows) == (0, 1)
 
 
 def test_unanswered_write_does_not_block_the_next_one():
     """Guard against an owner that mistakes its own earlier write for that of another owner."""
     failures = ["lost"]
-    rows, writer, loss_reasons = make_writer(fail=lambda txn: failures.pop() if failures else "")
+    rows, writer, loss_reasons = make_writer(
+        choose_failure=lambda txn: failures.pop() if failures else ""
+    )
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
     outcomes = [flush(writer, harness.cell) for _ in range(3)]
@@ -94,13 +96,13 @@
         rows, writer, _ = make_writer()
         harness = make_harness_with_runs()
         harness.end_run(make_task_key(index=0), RunOutcome.DONE)
-        rows.hangs = True
+        rows.commits_hang = True
         flushing = asyncio.create_task(writer._flush(harness.cell))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         flushing.cancel()
         await asyncio.gather(flushing, return_exceptions=True)
-        rows.hangs = False
+        rows.commits_hang = False
         assert await writer.release(b"released", harness.cell)
         assert stored_done_tasks(rows) == (0,)
         return rows
@@ -118,10 +120,10 @@
     (command,) = harness.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(command))
-    rows.down = True
+    rows.is_down = True
     assert not flush(writer, harness.cell)
     assert sent == []
-    rows.down = False
+    rows.is_down = False
     assert flush(writer, harness.cell)
     assert sent == [command]
     (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -24,18 +24,18 @@
 
 
 class StoreView(MemoryRowStore):
-    """Give one instance access to a shared store; `down` cuts this instance off."""
+    """Give one instance access to a shared store; `is_down` cuts this instance off."""
 
     def __init__(self, shared):
-        super().__init__(rows=shared.rows, log=shared.log)
+        super().__init__(rows=shared.rows, history=shared.history)
         self.shared = shared
 
     async def commit(self, txn):
-        self._check_up()
+        self._raise_if_down()
         return await self.shared.commit(txn)
 
     async def follow(self, table, after_version, wait_ms):
-        self._check_up()
+        self._raise_if_down()
         return await self.shared.follow(table, after_version, wait_ms)
 
 
@@ -74,7 +74,7 @@
 
 
 async def cut_off(view, store):
-    view.down = True
+    view.is_down = True
     with pytest.raises(StoreUnansweredError):
         await store.commit(TXN)
 
@@ -160,7 +160,7 @@
     async def run():
         _, view, store, link = make_pair()
         await cut_off(view, store)
-        view.down = False
+        view.is_down = False
         await store.read("jobs", "0")
         assert link.calls == 1
         await asyncio.sleep(0)
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -61,8 +61,8 @@
 
     async def test(rows, seen, follower):
         put(rows, b"1")
-        rows.history_from = rows.version + 1
-        rows.log.clear()
+        rows.history_start_version = rows.version + 1
+        rows.history.clear()
         await run_event_loop()
         assert (b"1", True) in seen
 
@@ -73,14 +73,14 @@
     """Guard against a follower that stops at the first failed call."""
 
     async def test(rows, seen, follower):
-        rows.down = True
+        rows.is_down = True
         await run_event_loop()
         confirmed = follower.confirmed_ms
         put(rows, b"2")
         await run_event_loop()
         assert seen == []
         assert follower.confirmed_ms == confirmed
-        rows.down = False
+        rows.is_down = False
         await run_event_loop()
         assert seen == [(b"2", False)]
 
