--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -41,7 +41,7 @@
 from baobabhoist.cell.ranking import Rank, Timeliness
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import WorkerState
-from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang
+from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang_run
 
 LEASE_MS = 5_000.0
 TICK_MS = 100.0
@@ -210,9 +210,9 @@
         arrival = self.arrivals[order.task.job_id]
         fails = self.stream.fails(order.worker_id, self.now)
         fails = fails or order.run <= arrival.failures
-        worker.end(order.task, RunOutcome.FAILED if fails else RunOutcome.DONE)
+        worker.end_run(order.task, RunOutcome.FAILED if fails else RunOutcome.DONE)
         if fails and arrival.job.spec.steps[order.task.step].gang:
-            for name in end_gang(self.workers, order.task, order.run, RunOutcome.BROKEN):
+            for name in end_gang_run(self.workers, order.task, order.run, RunOutcome.BROKEN):
                 self._report_soon(name)
         self._report_soon(order.worker_id)
 
@@ -226,7 +226,7 @@
 
     def _worker(self, name: str) -> FakeCellWorker:
         worker = self.workers[name]
-        worker.now = self.now
+        worker.now_ms = self.now
         return worker
 
     def _deadline(self, name: str) -> int | None:
@@ -240,7 +240,7 @@
         state.last_acked_end = state.last_seen_end
         for key, held in worker.runs.items():
             began, ends = self.spans[key]
-            held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
+            held.progress_percent = 100.0 * (self.now - began) / max(1.0, ends - began)
         report = worker.renew(1, state.last_acked_end, self._deadline(name))
         if not isinstance(report, CommandOutcome):
             self.cell.handle_report(name, report, self.now - REPORT_MS, self.now)
--- a/baobabhoist/testing/cell_worker.py
+++ b/baobabhoist/testing/cell_worker.py
@@ -27,28 +27,28 @@
 
     task: TaskKey
     number: int
-    percent: float = 0.0
+    progress_percent: float = 0.0
     checkpoint: str = ""
 
 
 @attrs.define
 class FakeCellWorker:
-    """Own a worker's state; `now` in ms is its own steady clock."""
+    """Own a worker's state; `now_ms` is its own steady clock."""
 
     worker_id: str
     capacity: Resources = attrs.field(factory=lambda: Resources(4000, 4096, 0))
     labels: tuple[str, ...] = ("a", "r1-1")
     service: str = "svc"
-    now: float = 1_000.0
-    born_ms: int = 1
+    now_ms: float = 1_000.0
+    started_unix_ms: int = 1
     token: int = 0
-    lease_until: float = 0.0
+    lease_expires_ms: float = 0.0
     runs: dict[TaskKey, FakeRun] = attrs.Factory(dict)
-    ends: list[EndedRun] = attrs.Factory(list)
-    ended_runs: dict[TaskKey, int] = attrs.Factory(dict)
-    count: int = 0
+    unacked_ends: list[EndedRun] = attrs.Factory(list)
+    last_ended_runs: dict[TaskKey, int] = attrs.Factory(dict)
+    last_sequence_number: int = 0
     # Every start that took effect, for checks.
-    started: list[tuple[TaskKey, int]] = attrs.Factory(list)
+    started_runs: list[tuple[TaskKey, int]] = attrs.Factory(list)
 
     def info(self, **changes: Any) -> WorkerInfo:
         """Return the worker's entry in the directory."""
@@ -59,7 +59,7 @@
             "dc",
             self.capacity,
             self.labels,
-            started_unix_ms=self.born_ms,
+            started_unix_ms=self.started_unix_ms,
         )
         return attrs.evolve(entry, **changes)
 
@@ -71,32 +71,35 @@
             return CommandOutcome.FENCED
         self.token = token
         if deadline_ms is not None:
-            self.lease_until = max(self.lease_until, deadline_ms)
-        self.ends = [end for end in self.ends if end.sequence_number > acked_end]
+            self.lease_expires_ms = max(self.lease_expires_ms, deadline_ms)
+        self.unacked_ends = [end for end in self.unacked_ends if end.sequence_number > acked_end]
         return self.report()
 
     def report(self) -> WorkerReport:
         """Return the lists as they are now."""
         running = [
-            ActiveRun(r.task, r.number, r.checkpoint, r.percent) for r in self.runs.values()
+            ActiveRun(r.task, r.number, r.checkpoint, r.progress_percent)
+            for r in self.runs.values()
         ]
-        return WorkerReport(int(self.now), self.born_ms, tuple(running), tuple(self.ends))
+        return WorkerReport(
+            int(self.now_ms), self.started_unix_ms, tuple(running), tuple(self.unacked_ends)
+        )
 
     def start(self, token: int, order: StartTask, deadline_ms: int) -> CommandOutcome:
         """Carry out a start."""
         if token < self.token:
             return CommandOutcome.FENCED
         self.token = token
-        if deadline_ms <= self.now:
+        if deadline_ms <= self.now_ms:
             return CommandOutcome.LATE
-        self.lease_until = max(self.lease_until, deadline_ms)
+        self.lease_expires_ms = max(self.lease_expires_ms, deadline_ms)
         run = self.runs.get(order.task)
         if run is not None and run.number == order.run:
             return CommandOutcome.OK
-        if run is not None or order.run <= self.ended_runs.get(order.task, 0):
+        if run is not None or order.run <= self.last_ended_runs.get(order.task, 0):
             return CommandOutcome.OLD
         self.runs[order.task] = FakeRun(order.task, order.run, checkpoint=order.checkpoint)
-        self.started.append((order.task, order.run))
+        self.started_runs.append((order.task, order.run))
         return CommandOutcome.OK
 
     def stop(self, token: int, order: StopTask) -> CommandOutcome:
@@ -106,35 +109,37 @@
         self.token = token
         run = self.runs.get(order.task)
         if run is not None and run.number <= order.run:
-            self.end(order.task, RunOutcome.STOPPED)
-        self.ended_runs[order.task] = max(self.ended_runs.get(order.task, 0), order.run)
+            self.end_run(order.task, RunOutcome.STOPPED)
+        self.last_ended_runs[order.task] = max(self.last_ended_runs.get(order.task, 0), order.run)
         return CommandOutcome.OK
 
-    def end(self, task: TaskKey, kind: RunOutcome, checkpoint: str = "") -> None:
+    def end_run(self, task: TaskKey, kind: RunOutcome, checkpoint: str = "") -> None:
         """End a run."""
         run = self.runs.pop(task)
-        self.count += 1
+        self.last_sequence_number += 1
         saved = checkpoint or run.checkpoint
-        self.ends.append(EndedRun(self.count, task, run.number, kind, saved))
-        self.ended_runs[task] = max(self.ended_runs.get(task, 0), run.number)
+        self.unacked_ends.append(
+            EndedRun(self.last_sequence_number, task, run.number, kind, saved)
+        )
+        self.last_ended_runs[task] = max(self.last_ended_runs.get(task, 0), run.number)
 
     def advance(self, ms: float) -> None:
         """Let time pass; everything ends when the lease does."""
-        self.now += ms
-        if self.now >= self.lease_until:
+        self.now_ms += ms
+        if self.now_ms >= self.lease_expires_ms:
             for task in list(self.runs):
-                self.end(task, RunOutcome.LAPSED)
+                self.end_run(task, RunOutcome.LAPSED)
 
     def restart(self) -> None:
         """Begin a new lifetime under the same id."""
-        self.born_ms += 1
-        self.now, self.token, self.lease_until, self.count = 0.0, 0, 0.0, 0
+        self.started_unix_ms += 1
+        self.now_ms, self.token, self.lease_expires_ms, self.last_sequence_number = 0.0, 0, 0.0, 0
         self.runs.clear()
-        self.ends.clear()
-        self.ended_runs.clear()
+        self.unacked_ends.clear()
+        self.last_ended_runs.clear()
 
 
-def end_gang(
+def end_gang_run(
     workers: Mapping[str, FakeCellWorker], task: TaskKey, number: int, kind: RunOutcome
 ) -> list[str]:
     """End what is left of a gang's run; return the worker of each member that ended."""
@@ -142,6 +147,6 @@
     for name, worker in workers.items():
         for member, run in list(worker.runs.items()):
             if member.step_key == task.step_key and run.number == number:
-                worker.end(member, kind)
+                worker.end_run(member, kind)
                 ended.append(name)
     return ended
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -159,7 +159,7 @@
 
     def end_run(self, key, outcome=RunOutcome.DONE, checkpoint=""):
         worker = self.worker_running(key)
-        worker.end(key, outcome, checkpoint)
+        worker.end_run(key, outcome, checkpoint)
         self.settle()
 
     def worker_running(self, key):
--- a/baobabhoist/tests/test_cell_scheduler.py
+++ b/baobabhoist/tests/test_cell_scheduler.py
@@ -169,7 +169,7 @@
     harness.settle()
     (ended, _) = next(item for item in harness.running_tasks() if item[1] == "w0")
     saved = harness.save_progress()
-    harness.workers["w0"].end(ended, RunOutcome.DONE)
+    harness.workers["w0"].end_run(ended, RunOutcome.DONE)
     harness.take_over([accepted], saved)
     harness.renew("w0")
     starts = [c for c in harness.schedule() if isinstance(c, StartTask)]
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -19,7 +19,7 @@
 )
 from baobabhoist.cell.scheduler import CellScheduler, Takeover
 from baobabhoist.cell.workers import LEASE_MARGIN_MS, MAX_CLOCK_DRIFT
-from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang
+from baobabhoist.testing.cell_worker import FakeCellWorker, end_gang_run
 from baobabhoist.tests.cell_harness import LEASE_MS, SMALL, make_job, make_rules
 
 MAX_ATTEMPTS = 2
@@ -102,12 +102,12 @@
 
     def _end(self, worker, key, outcome):
         number = self.workers[worker].runs[key].number
-        self.workers[worker].end(key, outcome)
+        self.workers[worker].end_run(key, outcome)
         step = self.jobs[key.job_id].spec.steps[key.step]
         if not step.gang:
             return
         member_outcome = RunOutcome.DONE if outcome is RunOutcome.DONE else RunOutcome.BROKEN
-        end_gang(self.workers, key, number, member_outcome)
+        end_gang_run(self.workers, key, number, member_outcome)
 
     @rule(worker=WORKERS)
     def restart_worker(self, worker):
@@ -169,9 +169,9 @@
         """Check that a start which takes effect is not for a task that is done or has failed."""
         key, worker = sent.command.task, self.workers[sent.command.worker_id]
         runs = dict(worker.runs)
-        if worker.token > sent.token or sent.deadline_ms <= worker.now or key in runs:
+        if worker.token > sent.token or sent.deadline_ms <= worker.now_ms or key in runs:
             return
-        if sent.command.run <= worker.ended_runs.get(key, 0):
+        if sent.command.run <= worker.last_ended_runs.get(key, 0):
             return
         assert key not in self.stored_done, f"{key} starts after its end was stored"
         failures = self.stored_failures.get(key, set())
@@ -185,7 +185,9 @@
         deadline = state.lease.extend_deadline(self.now, LEASE_MS)
         stand_in = self.workers[worker]
         # A cursor of an earlier incarnation is never applied: calls name the incarnation.
-        acked = state.last_acked_end if state.started_unix_ms in (0, stand_in.born_ms) else 0
+        acked = (
+            state.last_acked_end if state.started_unix_ms in (0, stand_in.started_unix_ms) else 0
+        )
         report = stand_in.renew(self.token, acked, deadline)
         self.cell.handle_report(worker, report, self.now, self.now + 0.1)
         self.now += 0.2
@@ -205,9 +207,9 @@
 
     def _record_stored_ends(self, worker, number):
         state, stand_in = self.cell.state.workers[worker], self.workers[worker]
-        if state.started_unix_ms != stand_in.born_ms:
+        if state.started_unix_ms != stand_in.started_unix_ms:
             return
-        for ended_run in stand_in.ends:
+        for ended_run in stand_in.unacked_ends:
             if ended_run.sequence_number <= number:
                 self._record_stored_end(ended_run)
 
