--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -43,7 +43,7 @@
 MODES = ("normal", "fail", "slow", "hang", "leaving")
 SLOW_FACTOR = 10.0
 # A request key is remembered until its deadline, at most 10 minutes, plus the clock skew.
-REMEMBER_S = 660.0
+TASK_ID_RETENTION_S = 660.0
 LEASE_CHECK_INTERVAL_S = 0.1
 # Bounds of one page of an inventory and of a body inside it.
 PAGE_TASKS = 500
@@ -59,24 +59,24 @@
     call: RunTask
     lease_deadline: float
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
-    stopped: bool = False
-    reason: str = ""
-    percent: int = PERCENT
+    is_stopped: bool = False
+    stop_reason: str = ""
+    cpu_percent: int = PERCENT
 
     def end(self, reason: str) -> None:
         """Ask the task to stop."""
-        self.reason = self.reason or reason
-        self.stopped = True
+        self.stop_reason = self.stop_reason or reason
+        self.is_stopped = True
         self.changed.set()
 
     def throttle(self, percent: int) -> None:
         """Limit the task's use of processors to a percentage."""
-        self.percent = max(1, min(PERCENT, percent))
+        self.cpu_percent = max(1, min(PERCENT, percent))
         self.changed.set()
 
 
 @attrs.frozen
-class Orders:
+class PayloadOptions:
     """Hold what a payload asks of the stand-in; other payloads run for the default time."""
 
     run_s: float
@@ -85,8 +85,8 @@
     ref: str = ""
 
     @classmethod
-    def of(cls, payload: bytes, default_run_s: float) -> Orders:
-        """Read the orders in a payload that is a JSON object."""
+    def parse(cls, payload: bytes, default_run_s: float) -> PayloadOptions:
+        """Read the options in a payload that is a JSON object."""
         if payload.startswith(b"{"):
             try:
                 body = orjson.loads(payload)
@@ -116,7 +116,7 @@
         self.mode = "normal"
         self.running: dict[str, Execution] = {}
         self.ended: dict[str, EndedTask] = {}
-        self.voided: dict[str, float] = {}
+        self.rejected_ids: dict[str, float] = {}
         self._ended_at: deque[tuple[float, str]] = deque()
         self._reported: list[RunningTask | EndedTask] = []
         self._run_s = run_s
@@ -153,15 +153,18 @@
         self.mode = mode
         self._events.write("mode", self.name, mode=mode)
 
-    def check_leases(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Stop the tasks whose lease has lapsed and forget old task ids."""
         for execution in self.running.values():
             if execution.lease_deadline <= now:
                 execution.end("lease")
-        while self._ended_at and self._ended_at[0][0] <= now - REMEMBER_S:
+        while self._ended_at and self._ended_at[0][0] <= now - TASK_ID_RETENTION_S:
             del self.ended[self._ended_at.popleft()[1]]
-        while self.voided and next(iter(self.voided.values())) <= now - REMEMBER_S:
-            del self.voided[next(iter(self.voided))]
+        while (
+            self.rejected_ids
+            and next(iter(self.rejected_ids.values())) <= now - TASK_ID_RETENTION_S
+        ):
+            del self.rejected_ids[next(iter(self.rejected_ids))]
         self._usage.append((now, self._cpu_in_use()))
         while len(self._usage) > 1 and self._usage[1][0] <= now - self._usage_lag_s:
             self._usage.popleft()
@@ -201,17 +204,23 @@
         self._log_task("started", call)
         succeeded = await self._work(execution)
         del self.running[task.task_id]
-        body = f"{self.name}:".encode() + task.payload if succeeded else execution.reason.encode()
+        body = (
+            f"{self.name}:".encode() + task.payload
+            if succeeded
+            else execution.stop_reason.encode()
+        )
         self.ended[task.task_id] = EndedTask(task.task_id, task.team, succeeded, body)
         self._ended_at.append((time.time(), task.task_id))
-        self._log_task("stopped" if execution.stopped else "ended", call, reason=execution.reason)
+        self._log_task(
+            "stopped" if execution.is_stopped else "ended", call, reason=execution.stop_reason
+        )
         return TaskEnded(task.task_id, succeeded, body, self.fence.highest_token)
 
     def _reason_to_refuse(self, call: RunTask) -> str | None:
         task = call.task
         if task.task_id in self.running or task.task_id in self.ended:
             return "duplicate"
-        if task.task_id in self.voided:
+        if task.task_id in self.rejected_ids:
             return "void"
         if call.lease_deadline <= time.time():
             return "expired"
@@ -222,16 +231,16 @@
 
     async def _work(self, execution: Execution) -> bool:
         """Run a task to its end; tell whether it succeeded."""
-        orders = Orders.of(execution.call.task.payload, self._run_s)
-        if self.mode == "fail" or orders.fail:
-            execution.reason = "failed"
+        options = PayloadOptions.parse(execution.call.task.payload, self._run_s)
+        if self.mode == "fail" or options.fail:
+            execution.stop_reason = "failed"
             return False
-        left_s = orders.run_s * (SLOW_FACTOR if self.mode == "slow" else 1.0)
+        left_s = options.run_s * (SLOW_FACTOR if self.mode == "slow" else 1.0)
         if self.mode == "hang":
             left_s = float("inf")
         loop = asyncio.get_running_loop()
-        while left_s > 0 and not execution.stopped:
-            speed, began_at = execution.percent / PERCENT, loop.time()
+        while left_s > 0 and not execution.is_stopped:
+            speed, began_at = execution.cpu_percent / PERCENT, loop.time()
             execution.changed.clear()
             try:
                 async with asyncio.timeout(left_s / speed):
@@ -239,7 +248,7 @@
             except TimeoutError:
                 break
             left_s -= (loop.time() - began_at) * speed
-        return not execution.stopped
+        return not execution.is_stopped
 
     def _renew(self, call: RenewLeases) -> LeasesRenewed:
         for execution in self.running.values():
@@ -261,9 +270,9 @@
         total = 0
         for execution in self.running.values():
             task = execution.call.task
-            orders = Orders.of(task.payload, self._run_s)
-            actual = task.resources.cpu_milli if orders.cpu_milli is None else orders.cpu_milli
-            total += actual * execution.percent // PERCENT
+            options = PayloadOptions.parse(task.payload, self._run_s)
+            actual = task.resources.cpu_milli if options.cpu_milli is None else options.cpu_milli
+            total += actual * execution.cpu_percent // PERCENT
         return total
 
     def _inventory(self) -> tuple[RunningTask, ...]:
@@ -284,7 +293,7 @@
     def _void(self, task_id: str) -> None:
         """Refuse an id from now on, since its owner is told that it never runs here."""
         if task_id not in self.ended and task_id not in self.running:
-            self.voided[task_id] = time.time()
+            self.rejected_ids[task_id] = time.time()
 
     def _log_task(self, event: str, call: RunTask, **more: Any) -> None:
         task = call.task
@@ -295,7 +304,7 @@
             team=task.team,
             resources=attrs.astuple(task.resources),
             token=attrs.astuple(call.token),
-            ref=Orders.of(task.payload, 0.0).ref,
+            ref=PayloadOptions.parse(task.payload, 0.0).ref,
             kind=task.kind.value,
             urgency=task.urgency.value,
             submitted_at=task.submitted_at,
@@ -336,7 +345,7 @@
 
     async with serve(handle, "127.0.0.1", port, **WORKER_OPTIONS):
         while True:
-            worker.check_leases(time.time())
+            worker.tick(time.time())
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
 
 
--- a/baobabhoist/tests/test_testing_worker.py
+++ b/baobabhoist/tests/test_testing_worker.py
@@ -7,7 +7,7 @@
 from baobabhoist.model import Resources, Task, WorkKind
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.testing.event_log import EventLog
-from baobabhoist.testing.worker import REMEMBER_S, FakeWorker
+from baobabhoist.testing.worker import TASK_ID_RETENTION_S, FakeWorker
 from baobabhoist.upstream.messages import (
     CheckpointTask,
     FenceWorker,
@@ -83,9 +83,9 @@
         worker = await fenced()
         assert isinstance(await worker.handle(call("t1")), TaskEnded)
         assert await worker.handle(call("t1")) == TaskRefused("t1", "duplicate")
-        worker.check_leases(time.time() + REMEMBER_S / 2)
+        worker.tick(time.time() + TASK_ID_RETENTION_S / 2)
         assert "t1" in worker.ended
-        worker.check_leases(time.time() + REMEMBER_S + 1)
+        worker.tick(time.time() + TASK_ID_RETENTION_S + 1)
         return worker.ended
 
     assert asyncio.run(scenario()) == {}
@@ -109,10 +109,10 @@
         worker = await fenced(run_s=60.0)
         (task,) = await started(worker, call("t1", lease_s=5.0))
         await worker.handle(RenewLeases(TOKEN, time.time() + 20.0))
-        worker.check_leases(time.time() + 10.0)
+        worker.tick(time.time() + 10.0)
         await asyncio.sleep(0)
         assert not task.done()
-        worker.check_leases(time.time() + 21.0)
+        worker.tick(time.time() + 21.0)
         return await task
 
     assert asyncio.run(scenario()) == TaskEnded("t1", False, b"lease", TOKEN)
