--- a/baobabhoist/benchmarks/control.py
+++ b/baobabhoist/benchmarks/control.py
@@ -131,13 +131,13 @@
         cluster.start_platform()
         names = [f"worker-{number}" for number in range(workers)]
         ports = cluster.start_workers("workers", names)
-        cluster.plan_instances({"north": ["entry-1"]})
+        cluster.add_instances({"north": ["entry-1"]})
         cluster.start_instance("entry-1")
         cfg = cluster.instances["entry-1"]
         wait_for_port(cfg["admin_port"])
         path = Path(folder) / "records.yaml"
         path.write_text(yaml.safe_dump_all(_records(ports)), encoding="utf-8")
-        cluster.command_line("put", "record", str(path), instance="entry-1")
+        cluster.run_cli("put", "record", str(path), instance="entry-1")
         _wait_until_owned(cfg["admin_port"], (workers + RACK_SIZE - 1) // RACK_SIZE)
         time.sleep(SETTLE_S)
         pid = cluster.processes["entry-1"].pid
--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -215,14 +215,14 @@
             names = [f"{half}-{number}" for number in range(WORKERS // 2)]
             ports |= cluster.start_workers(f"workers-{half}", names, slots, "--cpu_milli=64000")
         direct = cluster.start_worker("direct", slots, "--cpu_milli=64000")
-        cluster.plan_instances({"north": ["entry-1", "entry-2"]})
+        cluster.add_instances({"north": ["entry-1", "entry-2"]})
         for name in cluster.instances:
             cluster.start_instance(name)
         for cfg in cluster.instances.values():
             wait_for_port(cfg["admin_port"])
         path = Path(folder) / "records.yaml"
         path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
-        cluster.command_line("put", "record", str(path), instance="entry-1")
+        cluster.run_cli("put", "record", str(path), instance="entry-1")
         owner = owner_of(cluster)
         (entry,) = set(cluster.instances) - {owner}
         pids = {"entry": cluster.processes[entry].pid, "owner": cluster.processes[owner].pid}
--- a/baobabhoist/platform/testing/fleet.py
+++ b/baobabhoist/platform/testing/fleet.py
@@ -59,7 +59,7 @@
 
     async def start(self, instances: int, workers: int, config: dict[str, Any]) -> None:
         """Start everything; the configuration is there before the instances are."""
-        self.cluster.start(
+        self.cluster.start_process(
             "store", "baobabhoist.platform.testing.store", f"--port={self.store_port}"
         )
         wait_for_port(self.store_port)
@@ -75,19 +75,19 @@
         for number in range(count):
             instance = Instance(f"edge-{number + 1}")
             name = instance.name
-            instance.store_relay = self.cluster.plan_relay(f"store:{name}", self.store_port)
-            instance.peer_relay = self.cluster.plan_relay(f"peer:{name}", instance.peers)
+            instance.store_relay = self.cluster.add_relay(f"store:{name}", self.store_port)
+            instance.peer_relay = self.cluster.add_relay(f"peer:{name}", instance.peers)
             self.instances[name] = instance
 
     def _start_workers(self, count: int) -> None:
         listed = []
         for number in range(count):
             name, port = f"w{number + 1}", free_port()
-            relay = self.cluster.plan_relay(f"worker:{name}", port)
+            relay = self.cluster.add_relay(f"worker:{name}", port)
             self.workers.append(name)
             listed.append(f"{name}:{port}:{relay}:r1-{number // RACK_SIZE}")
         self.cluster.control_ports["workers"] = free_port()
-        self.cluster.start(
+        self.cluster.start_process(
             "workers",
             "baobabhoist.platform.testing.workers",
             f"--workers={','.join(listed)}",
@@ -120,16 +120,16 @@
         path = self.cluster.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         env = {SETTINGS_VARIABLE: str(path)}
-        self.cluster.start(name, "baobabhoist.platform.main", env=env)
+        self.cluster.start_process(name, "baobabhoist.platform.main", env=env)
 
     def label_sources(self) -> None:
         """Tell the relays which instance is behind which process."""
         labels = {
             str(self.cluster.processes[name].pid): name
             for name in self.instances
-            if self.cluster.running(name)
+            if self.cluster.is_running(name)
         }
-        self.cluster.command("relays", "/sources", labels)
+        self.cluster.send_control_request("relays", "/sources", labels)
 
     # What the operator, the workers and the network do.
 
--- a/baobabhoist/testing/cluster.py
+++ b/baobabhoist/testing/cluster.py
@@ -28,21 +28,21 @@
 
 # Below the range from which the kernel takes the ports of outgoing connections: a port from
 # that range can be taken between its choice and the start of the process that listens on it.
-PORTS = range(12_000, 32_000)
+PORT_RANGE = range(12_000, 32_000)
 # Clusters that run beside each other take ports of different blocks.
-BLOCK_SIZE = 400
-_chosen: set[int] = set()
+PORTS_PER_BLOCK = 400
+_chosen_ports: set[int] = set()
 
 
 def free_port() -> int:
     """Return a port that is free now and that this process has not chosen before."""
-    blocks = len(PORTS) // BLOCK_SIZE
-    first = os.getpid() % blocks * BLOCK_SIZE
+    blocks = len(PORT_RANGE) // PORTS_PER_BLOCK
+    first = os.getpid() % blocks * PORTS_PER_BLOCK
     while True:
-        port = random.SystemRandom().choice(PORTS[first : first + BLOCK_SIZE])
+        port = random.SystemRandom().choice(PORT_RANGE[first : first + PORTS_PER_BLOCK])
         with socket.socket() as sock:
-            if port not in _chosen and sock.connect_ex(("127.0.0.1", port)) != 0:
-                _chosen.add(port)
+            if port not in _chosen_ports and sock.connect_ex(("127.0.0.1", port)) != 0:
+                _chosen_ports.add(port)
                 return port
 
 
@@ -75,7 +75,9 @@
                 except subprocess.TimeoutExpired:
                     process.kill()
 
-    def start(self, name: str, module: str, *args: str, env: dict[str, str] | None = None) -> None:
+    def start_process(
+        self, name: str, module: str, *args: str, env: dict[str, str] | None = None
+    ) -> None:
         """Start a module of the package as a process; its output goes to NAME.log."""
         log = (self.folder / f"{name}.log").open("ab")
         command = [sys.executable, "-m", module, *args]
@@ -104,20 +106,22 @@
         self.processes[name].terminate()
         return self.processes[name].wait(timeout_s)
 
-    def running(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Tell whether a process was started and has not ended."""
         return name in self.processes and self.processes[name].poll() is None
 
     def start_platform(self, *args: str) -> None:
         """Start the platform."""
         port = f"--port={self.platform_port}"
-        self.start("platform", "baobabhoist.testing.platform", port, *args)
+        self.start_process("platform", "baobabhoist.testing.platform", port, *args)
         wait_for_port(self.platform_port)
 
     def start_worker(self, name: str, *args: str) -> int:
         """Start a worker and return its port."""
         port = free_port()
-        self.start(name, "baobabhoist.testing.worker", f"--name={name}", f"--port={port}", *args)
+        self.start_process(
+            name, "baobabhoist.testing.worker", f"--name={name}", f"--port={port}", *args
+        )
         return port
 
     def start_workers(self, process: str, names: list[str], *args: str) -> dict[str, int]:
@@ -126,12 +130,14 @@
         self.control_ports[process] = free_port()
         listed = ",".join(f"{name}:{port}" for name, port in ports.items())
         control = f"--control_port={self.control_ports[process]}"
-        self.start(process, "baobabhoist.testing.worker", f"--workers={listed}", control, *args)
+        self.start_process(
+            process, "baobabhoist.testing.worker", f"--workers={listed}", control, *args
+        )
         for port in ports.values():
             wait_for_port(port)
         return ports
 
-    def plan_relay(self, name: str, target: int) -> int:
+    def add_relay(self, name: str, target: int) -> int:
         """Plan a relay to a port and return the relay's port; `start_relays` starts it."""
         port = free_port()
         self.relay_ports[name] = (port, target)
@@ -144,10 +150,12 @@
             f"{name}={port}:{target}" for name, (port, target) in self.relay_ports.items()
         )
         control = f"--control_port={self.control_ports['relays']}"
-        self.start("relays", "baobabhoist.testing.network", f"--relays={listed}", control)
+        self.start_process("relays", "baobabhoist.testing.network", f"--relays={listed}", control)
         wait_for_port(self.control_ports["relays"])
 
-    def command(self, process: str, path: str, body: dict[str, Any], method: str = "POST") -> None:
+    def send_control_request(
+        self, process: str, path: str, body: dict[str, Any], method: str = "POST"
+    ) -> None:
         """Send a command of tests to a stand-in; raises RuntimeError when it is refused."""
         port = self.platform_port if process == "platform" else self.control_ports[process]
         url = f"http://127.0.0.1:{port}{path}"
@@ -160,11 +168,11 @@
         labels = {
             str(self.processes[name].pid): cfg["data_centre"]
             for name, cfg in self.instances.items()
-            if self.running(name)
+            if self.is_running(name)
         }
-        self.command("relays", "/sources", labels)
+        self.send_control_request("relays", "/sources", labels)
 
-    def plan_instances(self, names_by_data_centre: dict[str, list[str]]) -> None:
+    def add_instances(self, names_by_data_centre: dict[str, list[str]]) -> None:
         """Choose the ports of the daemons."""
         for data_centre, names in names_by_data_centre.items():
             for name in names:
@@ -196,13 +204,13 @@
         ]
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(cfg), encoding="utf-8")
-        self.start(name, "baobabhoist.daemon.main", f"--config={path}")
+        self.start_process(name, "baobabhoist.daemon.main", f"--config={path}")
 
     def _peer_port(self, name: str, other: dict[str, Any]) -> int:
         relay = self.relay_ports.get(f"peer:{name}>{other['instance_id']}")
         return int(relay[0] if relay is not None else other["peer_port"])
 
-    def command_line(self, *args: str, instance: str) -> str:
+    def run_cli(self, *args: str, instance: str) -> str:
         """Run the command-line tool against an instance and return what it printed."""
         port = self.instances[instance]["admin_port"]
         command = [
--- a/baobabhoist/testing/demo.py
+++ b/baobabhoist/testing/demo.py
@@ -82,7 +82,7 @@
         self.cluster.start_platform()
         options = [f"--{name}={amount}" for name, amount in CAPACITY.items()]
         ports = self.cluster.start_workers("workers", ["worker-1", "worker-2"], *options)
-        self.cluster.plan_instances({"north": ["entry-1", "entry-2"]})
+        self.cluster.add_instances({"north": ["entry-1", "entry-2"]})
         for name in self.cluster.instances:
             self.cluster.start_instance(name)
         for cfg in self.cluster.instances.values():
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -59,25 +59,27 @@
     short_key: str = "short-key"
     http: AsyncHTTPClient = attrs.Factory(AsyncHTTPClient)
 
-    async def command(self, process: str, path: str, body: dict[str, Any]) -> None:
+    async def send_control_request(self, process: str, path: str, body: dict[str, Any]) -> None:
         """Send a command to a stand-in."""
-        await asyncio.to_thread(self.cluster.command, process, path, body)
+        await asyncio.to_thread(self.cluster.send_control_request, process, path, body)
 
     async def member(self, name: str, state: str, kind: str = "worker") -> None:
         """Change a VM in the platform's membership list."""
         body = {"state": state, "kind": kind, "data_centre": name.split("-")[0]}
-        await asyncio.to_thread(self.cluster.command, "platform", f"/members/{name}", body, "PUT")
+        await asyncio.to_thread(
+            self.cluster.send_control_request, "platform", f"/members/{name}", body, "PUT"
+        )
 
     async def start(self) -> None:
         """Start all processes and write the records."""
         self.cluster.start_platform(f"--members_lag_s={MEMBERS_LAG_S}")
-        self.cluster.plan_instances(INSTANCES)
+        self.cluster.add_instances(INSTANCES)
         shards = {shard: self._start_workers(shard) for shard in SHARDS}
         for name, cfg in self.cluster.instances.items():
-            self.cluster.plan_relay(f"platform:{name}", self.cluster.platform_port)
+            self.cluster.add_relay(f"platform:{name}", self.cluster.platform_port)
             for other in self.cluster.instances:
                 if other != name:
-                    self.cluster.plan_relay(f"peer:{other}>{name}", cfg["peer_port"])
+                    self.cluster.add_relay(f"peer:{other}>{name}", cfg["peer_port"])
         self.cluster.start_relays()
         for name in [*self.workers, *self.cluster.instances]:
             await self.member(name, "live", "worker" if name in self.workers else "entry")
@@ -103,7 +105,7 @@
             f"workers-{shard}", names, *options, log, f"--rack={shard}", "--usage_lag_s=2"
         )
         self.note("shard", shard=shard, workers=names)
-        relays = {name: self.cluster.plan_relay(f"worker:{name}", ports[name]) for name in names}
+        relays = {name: self.cluster.add_relay(f"worker:{name}", ports[name]) for name in names}
         address = {"host": "127.0.0.1", "rack": shard}
         return [{"name": n, "port": port, **address, **CAPACITY} for n, port in relays.items()]
 
--- a/baobabhoist/testing/soak_faults.py
+++ b/baobabhoist/testing/soak_faults.py
@@ -112,19 +112,21 @@
     async def fault(soak: Soak, step: Step, rng: random.Random, window: dict[str, Any]) -> None:
         if not reachable:
             window["instances"] = list(soak.cluster.instances)
-        await soak.command("platform", "/faults", choose(rng))
+        await soak.send_control_request("platform", "/faults", choose(rng))
         await asyncio.sleep(step.duration_s)
-        await soak.command("platform", "/faults", {"mode": "up"})
+        await soak.send_control_request("platform", "/faults", {"mode": "up"})
 
     return fault
 
 
 async def _relays(soak: Soak, step: Step, mode: str, *names: str, **extra: str) -> None:
     for name in names:
-        await soak.command("relays", "/relays", {"name": name, "mode": mode, **extra})
+        await soak.send_control_request("relays", "/relays", {"name": name, "mode": mode, **extra})
     await asyncio.sleep(step.duration_s)
     for name in names:
-        await soak.command("relays", "/relays", {"name": name, "mode": "pass", **extra})
+        await soak.send_control_request(
+            "relays", "/relays", {"name": name, "mode": "pass", **extra}
+        )
 
 
 async def _cut_platform(soak: Soak, step: Step, rng: random.Random, _: Any) -> None:
@@ -156,9 +158,9 @@
     async def fault(soak: Soak, step: Step, rng: random.Random, _: Any) -> None:
         worker = rng.choice(list(soak.workers))
         process, path = f"workers-{soak.workers[worker]}", f"/workers/{worker}"
-        await soak.command(process, path, {"mode": rng.choice(modes)})
+        await soak.send_control_request(process, path, {"mode": rng.choice(modes)})
         await asyncio.sleep(step.duration_s)
-        await soak.command(process, path, {"mode": "normal"})
+        await soak.send_control_request(process, path, {"mode": "normal"})
 
     return fault
 
--- a/baobabhoist/tests/test_daemon_app.py
+++ b/baobabhoist/tests/test_daemon_app.py
@@ -95,7 +95,7 @@
     files = {name: (tmp_path / f"{name}.pem", tmp_path / f"{name}.key") for name in PORTS[:2]}
     with Cluster(tmp_path) as cluster:
         cluster.start_platform()
-        cluster.plan_instances({"north": ["entry-1"]})
+        cluster.add_instances({"north": ["entry-1"]})
         cfg = cluster.instances["entry-1"]
         for name, (certificate, key) in files.items():
             authority.issue(f"first {name}", certificate, key)
--- a/baobabhoist/tests/test_daemon_takeover.py
+++ b/baobabhoist/tests/test_daemon_takeover.py
@@ -63,7 +63,7 @@
         found.start_platform()
         log = f"--log={tmp_path / 'events.jsonl'}"
         ports = found.start_workers("workers", ["w1", "w2"], log)
-        found.plan_instances({"north": ["entry-1", "entry-2"]})
+        found.add_instances({"north": ["entry-1", "entry-2"]})
         for name in found.instances:
             found.start_instance(name)
         for name, cfg in found.instances.items():
@@ -71,7 +71,7 @@
             wait_until_ready(found, name)
         path = tmp_path / "records.yaml"
         path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
-        found.command_line("put", "record", str(path), instance="entry-1")
+        found.run_cli("put", "record", str(path), instance="entry-1")
         yield found
 
 
--- a/baobabhoist/tests/test_whole_path.py
+++ b/baobabhoist/tests/test_whole_path.py
@@ -56,14 +56,14 @@
     with Cluster(tmp_path) as cluster:
         cluster.start_platform()
         ports = {f"worker-{n}": cluster.start_worker(f"worker-{n}") for n in range(4)}
-        cluster.plan_instances({"north": ["entry-1", "entry-2"]})
+        cluster.add_instances({"north": ["entry-1", "entry-2"]})
         for name in cluster.instances:
             cluster.start_instance(name)
         for cfg in cluster.instances.values():
             wait_for_port(cfg["admin_port"])
         path = tmp_path / "records.yaml"
         path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
-        printed = cluster.command_line("put", "record", str(path), instance="entry-1")
+        printed = cluster.run_cli("put", "record", str(path), instance="entry-1")
         assert "team roster is at revision 2" in printed
 
         owner = owner_of(cluster, "rack-1")
