--- a/baobabhoist/testing/network.py
+++ b/baobabhoist/testing/network.py
@@ -18,7 +18,7 @@
 CHUNK_BYTES = 65536
 # The kernel's table of connections is long after many short ones, so one reading serves all
 # connections that were opened meanwhile.
-LOOK_UP_INTERVAL_S = 0.1
+LOOKUP_INTERVAL_S = 0.1
 # pass: forward. cut: end connections and refuse new ones. silent: open connections deliver
 # nothing from now on, new ones work. blackhole: as silent, and new ones deliver nothing either.
 # mute: what is sent arrives, but no answers come back; answers held up are lost.
@@ -27,11 +27,11 @@
 
 @attrs.define(eq=False)
 class Connection:
-    """Hold one relayed connection; a dead one stays open and delivers nothing."""
+    """Hold one relayed connection; a silenced one stays open and delivers nothing."""
 
     client: asyncio.StreamWriter
     source: str = ""
-    dead: bool = False
+    is_silenced: bool = False
 
 
 @attrs.define
@@ -43,7 +43,7 @@
 
 
 @attrs.define(eq=False)
-class Sources:
+class SourceResolver:
     """Tell which labelled process opened a connection.
 
     All processes share the loopback address, so the socket is looked up in the tables that
@@ -51,31 +51,31 @@
     """
 
     labels: dict[int, str] = attrs.Factory(dict)
-    waiting: list[tuple[tuple[int, int], asyncio.Future[str]]] = attrs.Factory(list)
-    task: asyncio.Task[None] | None = None
+    pending: list[tuple[tuple[int, int], asyncio.Future[str]]] = attrs.Factory(list)
+    lookup_task: asyncio.Task[None] | None = None
 
-    async def label(self, client_port: int, relay_port: int) -> str:
+    async def resolve(self, client_port: int, relay_port: int) -> str:
         """Return the label of the process behind a connection, or an empty string."""
         if not self.labels:
             return ""
         fut: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self.waiting.append(((client_port, relay_port), fut))
-        if self.task is None or self.task.done():
-            self.task = asyncio.create_task(self._answer())
+        self.pending.append(((client_port, relay_port), fut))
+        if self.lookup_task is None or self.lookup_task.done():
+            self.lookup_task = asyncio.create_task(self._answer())
         return await fut
 
     async def _answer(self) -> None:
-        while self.waiting:
-            batch, self.waiting = self.waiting, []
+        while self.pending:
+            batch, self.pending = self.pending, []
             ports = {pair for pair, _ in batch}
-            found = await asyncio.to_thread(look_up, ports, dict(self.labels))
+            found = await asyncio.to_thread(find_labels, ports, dict(self.labels))
             for pair, fut in batch:
                 if not fut.done():
                     fut.set_result(found.get(pair, ""))
-            await asyncio.sleep(LOOK_UP_INTERVAL_S)
+            await asyncio.sleep(LOOKUP_INTERVAL_S)
 
 
-def look_up(ports: set[tuple[int, int]], labels: dict[int, str]) -> dict[tuple[int, int], str]:
+def find_labels(ports: set[tuple[int, int]], labels: dict[int, str]) -> dict[tuple[int, int], str]:
     """Return the labels of the processes that hold the connections between pairs of ports."""
     inodes: dict[str, tuple[int, int]] = {}
     for line in Path("/proc/net/tcp").read_text(encoding="ascii").splitlines()[1:]:
@@ -100,62 +100,62 @@
     """Forward one port to another; faults may apply to connections of one source only."""
 
     name: str
-    port: int
-    target: int
-    sources: Sources = attrs.Factory(Sources)
-    default: Fault = attrs.Factory(Fault)
-    by_source: dict[str, Fault] = attrs.Factory(dict)
-    open: set[Connection] = attrs.Factory(set)
-    tasks: set[asyncio.Task[None]] = attrs.Factory(set)
+    listen_port: int
+    target_port: int
+    resolver: SourceResolver = attrs.Factory(SourceResolver)
+    default_fault: Fault = attrs.Factory(Fault)
+    faults_by_source: dict[str, Fault] = attrs.Factory(dict)
+    connections: set[Connection] = attrs.Factory(set)
+    server_tasks: set[asyncio.Task[None]] = attrs.Factory(set)
 
     async def start(self) -> asyncio.Server:
         """Listen and relay."""
-        return await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+        return await asyncio.start_server(self._serve, "127.0.0.1", self.listen_port)
 
-    async def command(self, mode: str, delay_s: float, source: str | None) -> None:
+    async def set_fault(self, mode: str, delay_s: float, source: str | None) -> None:
         """Put a fault in force; connections that were silenced never recover."""
         self._apply(mode, delay_s, source)
-        if source is not None and self.open:
+        if source is not None and self.connections:
             # The processes behind connections that were open already are found out only now.
-            await asyncio.gather(*(self._identify(conn) for conn in list(self.open)))
+            await asyncio.gather(*(self._identify(conn) for conn in list(self.connections)))
             self._apply(mode, delay_s, source)
 
     def _apply(self, mode: str, delay_s: float, source: str | None) -> None:
         fault = Fault(mode, delay_s)
         if source is None:
-            self.default = fault
-            self.by_source.clear()
+            self.default_fault = fault
+            self.faults_by_source.clear()
         elif mode == "pass" and not delay_s:
-            self.by_source.pop(source, None)
+            self.faults_by_source.pop(source, None)
         else:
-            self.by_source[source] = fault
-        for conn in list(self.open):
+            self.faults_by_source[source] = fault
+        for conn in list(self.connections):
             if source is not None and conn.source != source:
                 continue
             if mode in ("silent", "blackhole"):
-                conn.dead = True
+                conn.is_silenced = True
             elif mode == "cut":
                 conn.client.transport.abort()
 
-    def fault(self, source: str) -> Fault:
+    def fault_for(self, source: str) -> Fault:
         """Return the fault in force for a source."""
-        return self.by_source.get(source, self.default)
+        return self.faults_by_source.get(source, self.default_fault)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         conn = Connection(writer)
-        if self.by_source:
+        if self.faults_by_source:
             await self._identify(conn)
-        fault = self.fault(conn.source)
+        fault = self.fault_for(conn.source)
         if fault.mode == "cut":
             writer.transport.abort()
             return
         try:
-            back_reader, back_writer = await asyncio.open_connection("127.0.0.1", self.target)
+            back_reader, back_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
         except OSError:
             writer.transport.abort()
             return
-        conn.dead = fault.mode == "blackhole"
-        self.open.add(conn)
+        conn.is_silenced = fault.mode == "blackhole"
+        self.connections.add(conn)
         pumps = [
             asyncio.create_task(self._pump(conn, reader, back_writer)),
             asyncio.create_task(self._pump(conn, back_reader, writer, answers=True)),
@@ -163,10 +163,10 @@
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             # A connection that went silent does not deliver the target's end either.
-            if conn.dead:
+            if conn.is_silenced:
                 await asyncio.wait(pumps[:1])
         finally:
-            self.open.discard(conn)
+            self.connections.discard(conn)
             for pump in pumps:
                 pump.cancel()
             writer.close()
@@ -184,7 +184,7 @@
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK_BYTES):
-                await queue.put((loop.time() + self.fault(conn.source).delay_s, data))
+                await queue.put((loop.time() + self.fault_for(conn.source).delay_s, data))
             await queue.put((loop.time(), b""))
             await delivery
         except ConnectionError:
@@ -205,10 +205,10 @@
             await asyncio.sleep(max(0.0, due - loop.time()))
             if not data:
                 return
-            muted = answers and self.fault(conn.source).mode == "mute"
+            muted = answers and self.fault_for(conn.source).mode == "mute"
             # A connection that lost a part of an answer cannot be used any more.
-            conn.dead = conn.dead or muted
-            if not conn.dead:
+            conn.is_silenced = conn.is_silenced or muted
+            if not conn.is_silenced:
                 writer.write(data)
                 try:
                     await writer.drain()
@@ -218,10 +218,10 @@
     async def _identify(self, conn: Connection) -> None:
         if not conn.source:
             client_port = conn.client.get_extra_info("peername")[1]
-            conn.source = await self.sources.label(client_port, self.port)
+            conn.source = await self.resolver.resolve(client_port, self.listen_port)
 
 
-class CommandHandler(RequestHandler):
+class RelayFaultHandler(RequestHandler):
     """Take commands: POST /relays {"name": GLOB, "mode": ..., "delay_s": ..., "source": ...}."""
 
     def initialize(self, relays: list[Relay]) -> None:
@@ -237,18 +237,20 @@
             return
         matching = [relay for relay in self.relays if fnmatch.fnmatch(relay.name, body["name"])]
         delay_s, source = float(body.get("delay_s", 0.0)), body.get("source")
-        await asyncio.gather(*(relay.command(body["mode"], delay_s, source) for relay in matching))
+        await asyncio.gather(
+            *(relay.set_fault(body["mode"], delay_s, source) for relay in matching)
+        )
         self.finish({"relays": len(matching)})
 
 
-class SourcesHandler(CommandHandler):
+class SourceLabelsHandler(RelayFaultHandler):
     """Label processes: POST /sources {PID: LABEL}."""
 
     async def post(self) -> None:
         """Take the labels; they replace the earlier ones."""
         labels = {int(pid): label for pid, label in orjson.loads(self.request.body).items()}
         for relay in self.relays:
-            relay.sources.labels = labels
+            relay.resolver.labels = labels
         self.finish({"sources": len(labels)})
 
 
@@ -261,13 +263,13 @@
 
 async def serve(relays: list[Relay], control_port: int) -> None:
     """Relay until cancelled."""
-    sources = Sources()
+    resolver = SourceResolver()
     for relay in relays:
-        relay.sources = sources
-        relay.tasks.add(asyncio.create_task((await relay.start()).serve_forever()))
+        relay.resolver = resolver
+        relay.server_tasks.add(asyncio.create_task((await relay.start()).serve_forever()))
     context = {"relays": relays}
     Application(
-        [(r"/relays", CommandHandler, context), (r"/sources", SourcesHandler, context)]
+        [(r"/relays", RelayFaultHandler, context), (r"/sources", SourceLabelsHandler, context)]
     ).listen(control_port, "127.0.0.1")
     await asyncio.Event().wait()
 
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -195,20 +195,20 @@
         ports = [free_port(), free_port()]
         relays = [Relay(f"r{port}", free_port(), port) for port in ports]
         servers = [await relay.start() for relay in relays]
-        meshes = pair(ports, [relays[1].port, relays[0].port])
+        meshes = pair(ports, [relays[1].listen_port, relays[0].listen_port])
         (first, _), (second, _) = meshes
         async with running(*meshes):
             await until(lambda: first.peers["b"].link and second.peers["a"].link)
             old = first.peers["b"].link
             for relay in relays:
-                await relay.command("silent", 0.0, None)
-                await relay.command("pass", 0.0, None)
+                await relay.set_fault("silent", 0.0, None)
+                await relay.set_fault("pass", 0.0, None)
             await until(lambda: old.closed and first.peers["b"].link not in (None, old))
             reply = await first.call("b", RelayRequest(request("r", b"again")), 5.0)
             assert reply.answer.body == b"again"
         for relay, server in zip(relays, servers, strict=True):
             server.close()
-            for conn in list(relay.open):
+            for conn in list(relay.connections):
                 conn.client.transport.abort()
 
     asyncio.run(scenario())
--- a/baobabhoist/tests/test_testing_network.py
+++ b/baobabhoist/tests/test_testing_network.py
@@ -32,8 +32,10 @@
     target = free_port()
     relay = Relay("r", free_port(), target)
     async with await asyncio.start_server(echo, "127.0.0.1", target), await relay.start():
-        outcome = await scenario(relay, lambda: asyncio.open_connection("127.0.0.1", relay.port))
-        for conn in list(relay.open):
+        outcome = await scenario(
+            relay, lambda: asyncio.open_connection("127.0.0.1", relay.listen_port)
+        )
+        for conn in list(relay.connections):
             conn.client.transport.abort()
         await asyncio.sleep(0)
     return outcome
@@ -50,11 +52,11 @@
     async def scenario(relay, connect):
         first = await connect()
         assert await answers(first)
-        await relay.command(mode, 0.0, None)
+        await relay.set_fault(mode, 0.0, None)
         outcome = await answers(first), await answers(await connect())
         if mode == "silent":
             assert not first[0].at_eof()
-        await relay.command("pass", 0.0, None)
+        await relay.set_fault("pass", 0.0, None)
         assert await answers(first) == old
         assert await answers(await connect())
         return outcome
@@ -66,12 +68,12 @@
     """Guard against a cut data centre that also cuts the others."""
 
     async def scenario(relay, connect):
-        relay.sources.labels = {os.getpid(): "north"}
+        relay.resolver.labels = {os.getpid(): "north"}
         first = await connect()
         assert await answers(first)
-        await relay.command("cut", 0.0, "south")
+        await relay.set_fault("cut", 0.0, "south")
         there = await answers(first), await answers(await connect())
-        await relay.command("cut", 0.0, "north")
+        await relay.set_fault("cut", 0.0, "north")
         return there, (await answers(first), await answers(await connect()))
 
     assert asyncio.run(with_relay(scenario)) == ((True, True), (False, False))
@@ -80,4 +82,4 @@
 def test_relays_are_named_on_the_command_line():
     """Guard against names with the separators in them."""
     relay = parse_relay("peer:a>b=7000:7001")
-    assert (relay.name, relay.port, relay.target) == ("peer:a>b", 7000, 7001)
+    assert (relay.name, relay.listen_port, relay.target_port) == ("peer:a>b", 7000, 7001)
