--- a/baobabhoist/testing/platform.py
+++ b/baobabhoist/testing/platform.py
@@ -21,9 +21,9 @@
 HTTP_UNAVAILABLE = 503
 FAULT_MODES = ("up", "down", "slow", "lose_answers")
 MEMBER_STATES = ("live", "leaving", "gone")
-OBJECT_MAX_BYTES = 1 << 27
+MAX_OBJECT_BYTES = 1 << 27
 # Outcomes are kept long enough for every client deadline; the bound keeps long runs small.
-OUTCOMES_MAX = 200_000
+MAX_OUTCOMES = 200_000
 
 
 @attrs.define
@@ -47,7 +47,7 @@
             self.rows[key] = (revision, value)
             revisions[key] = revision
         self.outcomes[txn["txn_id"]] = revisions
-        if len(self.outcomes) > OUTCOMES_MAX:
+        if len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
         return {"revisions": revisions}
 
@@ -62,11 +62,11 @@
 
 
 @attrs.define
-class MemberList:
+class MembershipList:
     """Show each change of a member only after a lag, in seconds."""
 
     lag_s: float
-    shown: dict[str, dict[str, Any]] = attrs.Factory(dict)
+    visible_by_name: dict[str, dict[str, Any]] = attrs.Factory(dict)
     pending: deque[tuple[float, dict[str, Any]]] = attrs.Factory(deque)
 
     def change(self, member: dict[str, Any], now: float) -> None:
@@ -77,19 +77,19 @@
         """Return the members as the list shows them now, with the time of each change."""
         while self.pending and self.pending[0][0] <= now:
             _, member = self.pending.popleft()
-            self.shown[member["name"]] = member
-        return [self.shown[name] for name in sorted(self.shown)]
+            self.visible_by_name[member["name"]] = member
+        return [self.visible_by_name[name] for name in sorted(self.visible_by_name)]
 
 
 @attrs.define
-class Faults:
+class PlatformFault:
     """Hold the fault in force; `down` answers 503 at once, or never when `hang` is set."""
 
     mode: str = "up"
     delay_s: float = 0.0
     hang: bool = False
 
-    def set(self, body: dict[str, Any]) -> str | None:
+    def update(self, body: dict[str, Any]) -> str | None:
         """Take a new fault, or return what is wrong with it."""
         if body.get("mode") not in FAULT_MODES:
             return f"mode must be one of {', '.join(FAULT_MODES)}"
@@ -103,11 +103,11 @@
 class FakePlatform:
     """Hold the whole state of the stand-in."""
 
-    members: MemberList
+    members: MembershipList
     table: TableState = attrs.Factory(TableState)
     objects: dict[str, bytes] = attrs.Factory(dict)
-    faults: Faults = attrs.Factory(Faults)
-    counts: Counter[str] = attrs.Factory(Counter)
+    fault: PlatformFault = attrs.Factory(PlatformFault)
+    call_counts: Counter[str] = attrs.Factory(Counter)
 
 
 class PlatformHandler(RequestHandler):
@@ -119,20 +119,20 @@
 
     async def prepare(self) -> None:
         """Delay or refuse the call as the fault in force says."""
-        faults = self.platform.faults
-        self.platform.counts["reads" if self.request.method == "GET" else "writes"] += 1
-        if faults.mode == "slow":
-            await asyncio.sleep(faults.delay_s)
-        if faults.mode == "down":
-            if faults.hang:
+        fault = self.platform.fault
+        self.platform.call_counts["reads" if self.request.method == "GET" else "writes"] += 1
+        if fault.mode == "slow":
+            await asyncio.sleep(fault.delay_s)
+        if fault.mode == "down":
+            if fault.hang:
                 await asyncio.Event().wait()
             self.set_status(HTTP_UNAVAILABLE)
             self.finish({"error": "injected outage"})
 
     def answer_write(self, body: dict[str, Any], status: int = 200) -> None:
         """Answer a write that took effect, or drop the connection in its place."""
-        if self.platform.faults.mode == "lose_answers":
-            self.platform.counts["lost_answers"] += 1
+        if self.platform.fault.mode == "lose_answers":
+            self.platform.call_counts["lost_answers"] += 1
             self.request.connection.stream.close()  # type: ignore[union-attr]
             return
         self.set_status(status)
@@ -146,7 +146,7 @@
         """Commit a transaction."""
         answer = self.platform.table.commit(orjson.loads(self.request.body))
         if "conflict" in answer:
-            self.platform.counts["conflicts"] += 1
+            self.platform.call_counts["conflicts"] += 1
         self.answer_write(answer, HTTP_CONFLICT if "conflict" in answer else 200)
 
     def get(self, what: str) -> None:
@@ -218,11 +218,11 @@
 
     def post(self) -> None:
         """Put a fault in force."""
-        problem = self.platform.faults.set(orjson.loads(self.request.body))
+        problem = self.platform.fault.update(orjson.loads(self.request.body))
         if problem is not None:
             self.refuse(problem)
             return
-        self.finish({"mode": self.platform.faults.mode})
+        self.finish({"mode": self.platform.fault.mode})
 
 
 class MemberHandler(ControlHandler):
@@ -243,12 +243,12 @@
 
     def get(self) -> None:
         """Return the counters since the start."""
-        self.finish(dict(self.platform.counts))
+        self.finish(dict(self.platform.call_counts))
 
 
-def platform_app(members_lag_s: float = 0.0) -> Application:
+def make_platform_app(members_lag_s: float = 0.0) -> Application:
     """Return the HTTP application of the stand-in."""
-    context = {"platform": FakePlatform(MemberList(members_lag_s))}
+    context = {"platform": FakePlatform(MembershipList(members_lag_s))}
     return Application(
         [
             (r"/table/([a-z]+)", TableHandler, context),
@@ -263,7 +263,7 @@
 
 async def serve(port: int, members_lag_s: float) -> None:
     """Serve until cancelled."""
-    server = HTTPServer(platform_app(members_lag_s), max_body_size=OBJECT_MAX_BYTES)
+    server = HTTPServer(make_platform_app(members_lag_s), max_body_size=MAX_OBJECT_BYTES)
     server.listen(port, "127.0.0.1")
     await asyncio.Event().wait()
 
--- a/baobabhoist/tests/test_testing_platform.py
+++ b/baobabhoist/tests/test_testing_platform.py
@@ -5,12 +5,12 @@
 from tornado.simple_httpclient import HTTPStreamClosedError
 from tornado.testing import AsyncHTTPTestCase
 
-from baobabhoist.testing.platform import MemberList, platform_app
+from baobabhoist.testing.platform import MembershipList, make_platform_app
 
 
 class PlatformTest(AsyncHTTPTestCase):
     def get_app(self):
-        return platform_app()
+        return make_platform_app()
 
     def call(self, path, method="GET", body=None):
         data = orjson.dumps(body) if isinstance(body, dict) else body
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(("now", "state"), [(11.9, "live"), (12.0, "leaving")])
 def test_the_membership_list_lags(now, state):
     """Guard against tests that rely on a list more exact than the real one."""
-    members = MemberList(2.0)
+    members = MembershipList(2.0)
     members.change({"name": "w1", "state": "live"}, 0.0)
     members.change({"name": "w1", "state": "leaving"}, 10.0)
     assert [m["state"] for m in members.visible(now)] == [state]
