--- a/baobabhoist/platform/testing/fleet.py
+++ b/baobabhoist/platform/testing/fleet.py
@@ -18,7 +18,7 @@
 from baobabhoist.platform.main import SETTINGS_VARIABLE
 from baobabhoist.platform.testing.store import OUTSIDE_HEADER
 from baobabhoist.testing.cluster import Cluster, free_port, wait_for_port
-from baobabhoist.testing.soak_driver import fetch
+from baobabhoist.testing.soak_driver import try_fetch
 
 HOST = "127.0.0.1"
 BOUNDS = {"lease_max_ms": 6_000, "revoke_ms": 5_000, "grace_s": 6, "job_kept_s": 120}
@@ -179,7 +179,7 @@
     ) -> HTTPResponse | str:
         """Return the answer of an instance, or why there is none."""
         url = f"http://{HOST}:{port}{path}"
-        return await fetch(self.http, url, timeout_s, method=method, **options)
+        return await try_fetch(self.http, url, timeout_s, method=method, **options)
 
     async def ready(self, name: str) -> bool:
         """Ask an instance whether it takes callers."""
--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -21,7 +21,7 @@
 from baobabhoist.platform.testing.soak_judge import REFUSED, JobNote, Judge, Team
 from baobabhoist.testing import soak_driver
 from baobabhoist.testing.cluster import Cluster
-from baobabhoist.testing.soak_driver import Driver
+from baobabhoist.testing.soak_driver import SoakDriver
 
 FLAGS = flags.FLAGS
 
@@ -65,7 +65,7 @@
 
 
 @attrs.define
-class Soak(Driver):
+class Soak(SoakDriver):
     """Hold one run: its processes, its load and the logs of callers and driver."""
 
     fleet: Fleet
@@ -113,7 +113,7 @@
 
     async def configure(self) -> None:
         """Write the configuration, and note what the teams may have from now on."""
-        sent = self.note("limits", limits=dict(self.limits), acked=float("inf"))
+        sent = self.log_event("limits", limits=dict(self.limits), acked=float("inf"))
         await self.fleet.configure(self.config())
         sent["acked"] = time.time()
 
@@ -130,7 +130,7 @@
         self.keys[team] = [f"key-{team}-{next(self.numbers)}"]
         await self.configure()
         for key in old:
-            self.note("revoked", key=key)
+            self.log_event("revoked", key=key)
 
     # Callers.
 
@@ -278,7 +278,7 @@
         judge = Judge(
             runs=[json.loads(line) for line in lines],
             callers=list(self.callers),
-            driver=list(self.driver),
+            driver=list(self.driver_log),
             jobs=self.jobs,
             teams={name: Team(name, limit) for name, limit in LIMITS.items()},
         )
@@ -293,10 +293,10 @@
         if judge.breaches:
             print(f"broken already: {judge.breaches[0]}", flush=True)
 
-    async def run(self, seconds: float, steps: list[soak_faults.Step]) -> None:
+    async def run(self, seconds: float, steps: list[soak_faults.ScheduledFault]) -> None:
         """Run the load and the faults, then wait until everything has ended."""
         await self.fleet.start(INSTANCES, WORKERS, self.config())
-        self.note("limits", limits=dict(self.limits), acked=time.time())
+        self.log_event("limits", limits=dict(self.limits), acked=time.time())
         checks = asyncio.create_task(repeat(READY_INTERVAL_S, self.check_ready))
         await self._until_ready()
         began = time.time()
@@ -304,19 +304,19 @@
         load = asyncio.create_task(self.load())
         faults = []
         for step in steps:
-            await asyncio.sleep(max(0.0, began + step.at - time.time()))
-            print(f"{step.at:7.1f}s {step.fault} {step.duration_s:.1f}s", flush=True)
+            await asyncio.sleep(max(0.0, began + step.start_s - time.time()))
+            print(f"{step.start_s:7.1f}s {step.name} {step.duration_s:.1f}s", flush=True)
             faults.append(asyncio.create_task(soak_faults.inject(self, step)))
         await asyncio.sleep(max(0.0, began + seconds - time.time()))
         outcomes = await asyncio.gather(*faults, return_exceptions=True)
         load.cancel()
-        self.note("calm", failed=[repr(o) for o in outcomes if o is not None])
+        self.log_event("calm", failed=[repr(o) for o in outcomes if o is not None])
         # A team's backlog, or a gang wider than its lowered limit, would outlast the run.
         self.limits = dict.fromkeys(LIMITS, 0)
         await self.configure()
-        if self.tasks:
-            await asyncio.wait(self.tasks, timeout=FINISH_S)
-        for task in (checks, judging, *self.tasks):
+        if self.background_tasks:
+            await asyncio.wait(self.background_tasks, timeout=FINISH_S)
+        for task in (checks, judging, *self.background_tasks):
             task.cancel()
 
     async def _until_ready(self) -> None:
@@ -350,7 +350,7 @@
     print(f"internal: {len(crashes)} crashed tasks {crashes[:1]}")
     statuses = Counter((e["event"], e["status"]) for e in soak.callers)
     print(f"answers: { {f'{event} {status}': n for (event, status), n in statuses.items()} }")
-    failed = [e["failed"] for e in soak.driver if e["event"] == "calm" and e["failed"]]
+    failed = [e["failed"] for e in soak.driver_log if e["event"] == "calm" and e["failed"]]
     if failed:
         print(f"the driver itself failed: {failed}")
     return not judge.breaches and not crashes and not failed
@@ -359,7 +359,7 @@
 def main(argv: list[str]) -> int:
     """Run one soak."""
     AsyncHTTPClient.configure(HTTP_CLIENT, max_clients=CLIENTS_MAX)
-    folder = soak_driver.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
+    folder = soak_driver.prepare_log_folder(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
     steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
@@ -372,7 +372,12 @@
     with Cluster(folder) as cluster:
         soak = asyncio.run(body(cluster))
     jobs = {name: attrs.asdict(job) for name, job in soak.jobs.items()}
-    trace = {"callers": soak.callers, "driver": soak.driver, "jobs": jobs, "finals": soak.finals}
+    trace = {
+        "callers": soak.callers,
+        "driver": soak.driver_log,
+        "jobs": jobs,
+        "finals": soak.finals,
+    }
     (folder / "driver.json").write_text(json.dumps(trace))
     print(f"seed={FLAGS.seed} seconds={FLAGS.seconds:g} logs in {folder}")
     return 0 if report(soak, soak.judge(finished=True)) else 1
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from baobabhoist.platform.testing.soak_judge import GRACE_S
-from baobabhoist.testing.soak_faults import Step
+from baobabhoist.testing.soak_faults import ScheduledFault
 
 if TYPE_CHECKING:
     from baobabhoist.platform.testing.soak import Soak
@@ -27,29 +27,29 @@
 WAVE_JOBS = 12
 BURST_FACTOR = 4.0
 
-Fault = Callable[["Soak", "Step", random.Random], Awaitable[None]]
+Fault = Callable[["Soak", "ScheduledFault", random.Random], Awaitable[None]]
 
 
-def schedule(seed: int, seconds: float, faults: list[str]) -> list[Step]:
+def schedule(seed: int, seconds: float, faults: list[str]) -> list[ScheduledFault]:
     """Return the faults of a run in order of time; they come in series and overlap."""
     rng = random.Random(seed)
-    steps: list[Step] = []
+    steps: list[ScheduledFault] = []
     deck: list[str] = []
     at = WARM_UP_S
     while at + FAULT_MIN_S < seconds:
         for _ in range(2 if rng.random() < PAIR_PROBABILITY else 1):
             deck = deck or rng.sample(faults, len(faults))
             duration_s = min(rng.uniform(FAULT_MIN_S, FAULT_MAX_S), seconds - at)
-            steps.append(Step(at, deck.pop(), duration_s, rng.randrange(1 << 30)))
+            steps.append(ScheduledFault(at, deck.pop(), duration_s, rng.randrange(1 << 30)))
         at += rng.uniform(0.3, 1.0) * steps[-1].duration_s + rng.uniform(0.0, GAP_MAX_S)
     return steps
 
 
-async def inject(soak: Soak, step: Step) -> None:
+async def inject(soak: Soak, step: ScheduledFault) -> None:
     """Run one fault to its end, and note its time span for the judge."""
-    window = soak.note("window", fault=step.fault, until=float("inf"))
+    window = soak.log_event("window", fault=step.name, until=float("inf"))
     try:
-        await FAULTS[step.fault](soak, step, random.Random(step.seed))
+        await FAULTS[step.name](soak, step, random.Random(step.seed))
     finally:
         window["until"] = time.time()
 
@@ -61,17 +61,17 @@
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
-async def _kill(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _kill(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     await _kill_all(soak, step, [await _target(soak, rng)])
 
 
-async def _herd(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _herd(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     running = [name for name in soak.fleet.instances if name not in soak.down]
     count = rng.choice([len(running) // 2, len(running)])
     await _kill_all(soak, step, rng.sample(running, count))
 
 
-async def _kill_all(soak: Soak, step: Step, names: list[str]) -> None:
+async def _kill_all(soak: Soak, step: ScheduledFault, names: list[str]) -> None:
     for name in names:
         soak.down.add(name)
         soak.fleet.cluster.processes[name].kill()
@@ -82,7 +82,7 @@
         soak.restart(name)
 
 
-async def _pause(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _pause(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     name = await _target(soak, rng)
     soak.down.add(name)
     soak.fleet.cluster.pause(name)
@@ -91,23 +91,23 @@
     soak.down.discard(name)
 
 
-async def _stop(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _stop(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     """Stop gracefully; callers go on using their connections until the process is gone."""
     name = await _target(soak, rng)
     soak.down.add(name)
     process = soak.fleet.cluster.processes[name]
-    stop = soak.note("stop", instance=name, until=float("inf"))
+    stop = soak.log_event("stop", instance=name, until=float("inf"))
     process.terminate()
     with contextlib.suppress(subprocess.TimeoutExpired):
         await asyncio.to_thread(process.wait, GRACE_S)
-    soak.note("stopped", instance=name, code=process.poll())
+    soak.log_event("stopped", instance=name, code=process.poll())
     process.kill()
     await asyncio.to_thread(process.wait)
     stop["until"] = time.time()
     soak.restart(name)
 
 
-async def _hup(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _hup(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     for name in soak.fleet.instances:
         if name not in soak.down:
             soak.fleet.cluster.processes[name].send_signal(signal.SIGHUP)
@@ -115,7 +115,7 @@
 
 
 def _store(**fault: Any) -> Fault:
-    async def run(soak: Soak, step: Step, rng: random.Random) -> None:
+    async def run(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
         delay_s = rng.uniform(DELAY_MIN_S, DELAY_MAX_S)
         await soak.fleet.store_fault(**{"delay_s": delay_s, **fault})
         await asyncio.sleep(step.duration_s)
@@ -124,7 +124,7 @@
     return run
 
 
-async def _relays(soak: Soak, step: Step, mode: str, *names: str, **extra: Any) -> None:
+async def _relays(soak: Soak, step: ScheduledFault, mode: str, *names: str, **extra: Any) -> None:
     for name in names:
         await soak.fleet.relay(name, mode, **extra)
     await asyncio.sleep(step.duration_s)
@@ -132,22 +132,22 @@
         await soak.fleet.relay(name, "pass", **{k: v for k, v in extra.items() if k == "source"})
 
 
-async def _cut_store(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _cut_store(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     names = {await _target(soak, rng) for _ in range(rng.choice([1, 2]))}
     await _relays(soak, step, rng.choice(CUTS), *(f"store:{name}" for name in names))
 
 
-async def _cut_peer(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _cut_peer(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     await _relays(soak, step, rng.choice(CUTS), f"peer:{await _target(soak, rng)}")
 
 
-async def _cut_workers(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _cut_workers(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     names = rng.sample(soak.fleet.workers, rng.choice([1, len(soak.fleet.workers) // 3]))
     extra = {"source": await _target(soak, rng)} if rng.random() < 0.5 else {}
     await _relays(soak, step, rng.choice(CUTS), *(f"worker:{name}" for name in names), **extra)
 
 
-async def _alone(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _alone(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     """Cut one instance off from everything but its callers."""
     name, mode = await _target(soak, rng), rng.choice(CUTS)
     await asyncio.gather(
@@ -156,26 +156,26 @@
     )
 
 
-async def _silent(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _silent(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     """Silence open connections for good; new ones work."""
     kind = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _target(soak, rng)}"])
     await _relays(soak, step, "silent", kind)
 
 
-async def _reset(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _reset(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     """Reset open connections; new ones work."""
     for name in (rng.choice(["store:*", "peer:*", "worker:*"]),):
         await soak.fleet.relay(name, "cut")
         await soak.fleet.relay(name, "pass")
 
 
-async def _delay(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _delay(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     name = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _target(soak, rng)}"])
     await _relays(soak, step, "pass", name, delay_s=rng.uniform(DELAY_MIN_S, DELAY_MAX_S))
 
 
 def _workers(mode: str) -> Fault:
-    async def run(soak: Soak, step: Step, rng: random.Random) -> None:
+    async def run(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
         names = rng.sample(soak.fleet.workers, rng.choice([1, 2]))
         for name in names:
             await soak.fleet.worker(name, mode=mode)
@@ -186,34 +186,34 @@
     return run
 
 
-async def _worker_crash(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _worker_crash(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     for name in rng.sample(soak.fleet.workers, rng.choice([1, 3])):
         await soak.fleet.worker(name, crash=1)
 
 
-async def _worker_drain(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _worker_drain(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     name = rng.choice(soak.fleet.workers)
     await soak.fleet.worker(name, draining=True)
-    soak.note("draining", worker=name)
+    soak.log_event("draining", worker=name)
     await asyncio.sleep(DRAIN_S)
     await soak.fleet.worker(name, gone=True)
     await asyncio.sleep(step.duration_s)
     await soak.fleet.worker(name, crash=1)
-    soak.note("returned", worker=name)
+    soak.log_event("returned", worker=name)
 
 
-async def _config(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _config(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     """Change the limits of a team, several times in quick succession."""
     for _ in range(rng.choice([1, 4])):
         await soak.change_limits(rng)
         await asyncio.sleep(rng.uniform(0.05, 0.5))
 
 
-async def _revoke(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _revoke(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     await soak.replace_key(rng)
 
 
-async def _cancel_wave(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _cancel_wave(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     jobs = [soak.new_job(rng, "batch") for _ in range(WAVE_JOBS)]
     accepted = await asyncio.gather(*(soak.submit(job) for job in jobs))
     await asyncio.sleep(rng.uniform(0.0, step.duration_s / 4))
@@ -223,7 +223,7 @@
     await asyncio.gather(*map(soak.cancel, taken))
 
 
-async def _burst(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _burst(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
     soak.rate_factor = BURST_FACTOR
     await asyncio.sleep(step.duration_s)
     soak.rate_factor = 1.0
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -19,8 +19,14 @@
 from baobabhoist.testing import soak_driver, soak_faults
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster
 from baobabhoist.testing.soak_checker import Judge
-from baobabhoist.testing.soak_driver import Driver
-from baobabhoist.testing.soak_faults import DATA_CENTRES, FAULTS, MARKER, MEMBERS_LAG_S, TEAMS
+from baobabhoist.testing.soak_driver import SoakDriver
+from baobabhoist.testing.soak_faults import (
+    DATA_CENTRES,
+    FAULTS,
+    MARKER_QUEUE,
+    MEMBERSHIP_LAG_S,
+    TEAM_LIMITS,
+)
 
 FLAGS = flags.FLAGS
 
@@ -43,7 +49,7 @@
 
 
 @attrs.define
-class Soak(Driver):
+class Soak(SoakDriver):
     """Hold one run: its cluster, its load and the logs of callers and driver."""
 
     cluster: Cluster
@@ -72,7 +78,7 @@
 
     async def start(self) -> None:
         """Start all processes and write the records."""
-        self.cluster.start_platform(f"--members_lag_s={MEMBERS_LAG_S}")
+        self.cluster.start_platform(f"--members_lag_s={MEMBERSHIP_LAG_S}")
         self.cluster.add_instances(INSTANCES)
         shards = {shard: self._start_workers(shard) for shard in SHARDS}
         for name, cfg in self.cluster.instances.items():
@@ -88,12 +94,12 @@
         for shard, listed in shards.items():
             body = {"data_centre": shard.split("-")[0], "workers": listed}
             await self.until_done(self.put, "shard", shard, body)
-        for team, limit in TEAMS.items():
+        for team, limit in TEAM_LIMITS.items():
             await self.until_done(self.put_limit, team, limit)
             key = {"team": team, "digest": digest(f"key-of-{team}")}
             await self.until_done(self.put, "key", team, key)
         await self.until_done(self.put_key)
-        for queue in ("entries", MARKER):
+        for queue in ("entries", MARKER_QUEUE):
             await self.until_done(self.put, "queue", queue, {})
 
     def _start_workers(self, shard: str) -> list[dict[str, Any]]:
@@ -104,7 +110,7 @@
         ports = self.cluster.start_workers(
             f"workers-{shard}", names, *options, log, f"--rack={shard}", "--usage_lag_s=2"
         )
-        self.note("shard", shard=shard, workers=names)
+        self.log_event("shard", shard=shard, workers=names)
         relays = {name: self.cluster.add_relay(f"worker:{name}", ports[name]) for name in names}
         address = {"host": "127.0.0.1", "rack": shard}
         return [{"name": n, "port": port, **address, **CAPACITY} for n, port in relays.items()]
@@ -117,15 +123,15 @@
         give_up_at = time.time() + READY_TIMEOUT_S
         url = f"http://127.0.0.1:{self.cluster.instances[name]['caller_port']}/readyz"
         while time.time() < give_up_at:
-            answer = await self.fetch(url, timeout_s=1.0)
+            answer = await self.try_fetch(url, timeout_s=1.0)
             if not isinstance(answer, str) and answer.code == 200:
                 break
             await asyncio.sleep(0.2)
         self.down.discard(name)
 
-    async def fetch(self, url: str, timeout_s: float, **options: Any) -> HTTPResponse | str:
+    async def try_fetch(self, url: str, timeout_s: float, **options: Any) -> HTTPResponse | str:
         """Return the response, or why there is none."""
-        return await soak_driver.fetch(self.http, url, timeout_s, **options)
+        return await soak_driver.try_fetch(self.http, url, timeout_s, **options)
 
     async def until_done(self, work: Callable[..., Awaitable[Any]], *args: Any) -> Any:
         """Repeat a change until it is accepted."""
@@ -145,7 +151,9 @@
         ]
         port = self.rng.choice(usable)["admin_port"]
         headers = {"X-Operator-Key": OPERATOR_KEY, **options.pop("headers", {})}
-        return await self.fetch(f"http://127.0.0.1:{port}{path}", 10.0, headers=headers, **options)
+        return await self.try_fetch(
+            f"http://127.0.0.1:{port}{path}", 10.0, headers=headers, **options
+        )
 
     async def revision_of(self, kind: str, name: str) -> int:
         """Return the revision of a record, or 0 when it cannot be read."""
@@ -167,7 +175,7 @@
         if isinstance(answer, str) or answer.code >= 300:
             return 0
         revision = int(json.loads(answer.body)["revision"])
-        self.note("record", kind=kind, name=name, revision=revision)
+        self.log_event("record", kind=kind, name=name, revision=revision)
         return revision
 
     async def put_key(self, withdrawn: bool = False) -> int:
@@ -179,12 +187,12 @@
         """Change a team's upper limit; an unconfirmed change counts as possible."""
         sent = time.time()
         revision = await self.put("team", team, {"limit": limit})
-        self.note("limit", team=team, limit=limit, sent=sent, uncertain=not revision)
+        self.log_event("limit", team=team, limit=limit, sent=sent, uncertain=not revision)
         return revision
 
     async def request(self, ref: str, rng: random.Random) -> None:
         """Send one request, sometimes twice under one key, and log what came back."""
-        team = rng.choice(list(TEAMS))
+        team = rng.choice(list(TEAM_LIMITS))
         key = f"key-of-{team}"
         if rng.random() < SHORT_KEY_PROBABILITY:
             team, key = "walkin", self.short_key
@@ -218,7 +226,7 @@
     ) -> None:
         port = self.cluster.instances[name]["caller_port"]
         entry = {"t": time.time(), "event": "request", "instance": name, **entry}
-        answer = await self.fetch(
+        answer = await self.try_fetch(
             f"http://127.0.0.1:{port}/v1/queues/entries/requests",
             DEADLINE_S + CALLER_PATIENCE_S,
             method="POST",
@@ -246,7 +254,7 @@
 
     async def submit_job(self, rng: random.Random, kind: str, count: int) -> str:
         """Submit a job and return its id, or nothing when it was not accepted."""
-        team, idempotent = rng.choice(list(TEAMS)), kind == "service" or rng.random() < 0.5
+        team, idempotent = rng.choice(list(TEAM_LIMITS)), kind == "service" or rng.random() < 0.5
         ref = f"j{rng.randrange(1 << 40)}"
         payloads = [json.dumps({"ref": f"{ref}/{n}", "run_s": 0.3}) for n in range(count)]
         resources = {"cpu_milli": 200, "memory_mb": 64}
@@ -274,7 +282,7 @@
         names = [name for name in self.cluster.instances if name not in self.down]
         port = self.cluster.instances[self.rng.choice(names)]["caller_port"]
         url = f"http://127.0.0.1:{port}/v1/jobs{path}"
-        return await self.fetch(url, 10.0, headers={"X-Team-Key": f"key-of-{team}"}, **options)
+        return await self.try_fetch(url, 10.0, headers={"X-Team-Key": f"key-of-{team}"}, **options)
 
     async def submit_jobs(self) -> None:
         """Submit a job now and then until cancelled."""
@@ -299,7 +307,7 @@
         """Change a record now and then until cancelled."""
         while True:
             await asyncio.sleep(CHANGE_INTERVAL_S)
-            await self.put("queue", MARKER, {"max_queued": self.rng.randrange(500, 999)})
+            await self.put("queue", MARKER_QUEUE, {"max_queued": self.rng.randrange(500, 999)})
 
     async def sample(self) -> None:
         """Ask each daemon for its records revision until cancelled."""
@@ -308,13 +316,13 @@
             for name, cfg in self.cluster.instances.items():
                 boot = self.boots.get(name, 0)
                 url = f"http://127.0.0.1:{cfg['admin_port']}/v1/status"
-                answer = await self.fetch(url, timeout_s=0.5, headers=headers)
+                answer = await self.try_fetch(url, timeout_s=0.5, headers=headers)
                 if not isinstance(answer, str) and answer.code == 200 and name not in self.down:
                     revision = json.loads(answer.body)["records_revision"]
-                    self.note("status", instance=name, boot=boot, revision=revision)
+                    self.log_event("status", instance=name, boot=boot, revision=revision)
             await asyncio.sleep(STATUS_INTERVAL_S)
 
-    async def run(self, seconds: float, steps: list[soak_faults.Step]) -> None:
+    async def run(self, seconds: float, steps: list[soak_faults.ScheduledFault]) -> None:
         """Run the load and the faults, then wait for the open requests."""
         await self.start()
         started_at = time.time()
@@ -324,16 +332,16 @@
         ]
         faults = []
         for step in steps:
-            await asyncio.sleep(max(0.0, started_at + step.at - time.time()))
+            await asyncio.sleep(max(0.0, started_at + step.start_s - time.time()))
             print(
-                f"{time.time() - started_at:7.1f}s {step.fault} {step.duration_s:.1f}s", flush=True
+                f"{time.time() - started_at:7.1f}s {step.name} {step.duration_s:.1f}s", flush=True
             )
-            faults.append(asyncio.create_task(soak_faults.inject(self, step)))
+            faults.append(asyncio.create_task(soak_faults.inject_fault(self, step)))
         await asyncio.sleep(max(0.0, started_at + seconds - time.time()))
         await asyncio.gather(*faults)
         for task in background:
             task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
+        await asyncio.gather(*self.background_tasks, return_exceptions=True)
         self.states = await self.job_states()
 
 
@@ -341,8 +349,8 @@
     """Print the verdicts and return whether all held."""
     folder = soak.cluster.folder
     lines = [line for path in folder.glob("*.jsonl") for line in path.read_text().splitlines()]
-    (folder / "driver.json").write_text(json.dumps([soak.callers, soak.driver]))
-    verdict = Judge([json.loads(line) for line in lines], soak.callers, soak.driver)
+    (folder / "driver.json").write_text(json.dumps([soak.callers, soak.driver_log]))
+    verdict = Judge([json.loads(line) for line in lines], soak.callers, soak.driver_log)
     verdict.judge()
     print("\n".join(verdict.lines()))
     faulty = 0
@@ -362,10 +370,10 @@
 def main(argv: list[str]) -> int:
     """Run one soak."""
     AsyncHTTPClient.configure(None, max_clients=1000)
-    folder = soak_driver.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
+    folder = soak_driver.prepare_log_folder(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
-    steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults, FLAGS.longest_s)
+    steps = soak_faults.schedule_faults(FLAGS.seed, FLAGS.seconds, FLAGS.faults, FLAGS.longest_s)
 
     async def body(cluster: Cluster) -> Soak:
         soak = Soak(cluster, random.Random(FLAGS.seed))
@@ -383,6 +391,6 @@
     flags.DEFINE_float("seconds", 120.0, "Length of the run, in seconds.")
     flags.DEFINE_list("faults", sorted(FAULTS), "Faults to inject.")
     longest = "Longest time of a fault, in seconds."
-    flags.DEFINE_float("longest_s", soak_faults.FAULT_MAX_S, longest)
+    flags.DEFINE_float("longest_s", soak_faults.MAX_FAULT_S, longest)
     flags.DEFINE_string("folder", "", "Folder for logs; a temporary one by default.")
     app.run(main)
--- a/baobabhoist/testing/soak_driver.py
+++ b/baobabhoist/testing/soak_driver.py
@@ -16,26 +16,26 @@
 
 
 @attrs.define
-class Driver:
+class SoakDriver:
     """Hold the driver's log and the tasks that run beside it."""
 
-    driver: list[dict[str, Any]] = attrs.field(factory=list, kw_only=True)
-    tasks: set[asyncio.Task[Any]] = attrs.field(factory=set, kw_only=True)
+    driver_log: list[dict[str, Any]] = attrs.field(factory=list, kw_only=True)
+    background_tasks: set[asyncio.Task[Any]] = attrs.field(factory=set, kw_only=True)
 
-    def note(self, event: str, **fields: Any) -> dict[str, Any]:
+    def log_event(self, event: str, **fields: Any) -> dict[str, Any]:
         """Add an entry to the driver's log and return it."""
         entry = {"t": time.time(), "event": event, **fields}
-        self.driver.append(entry)
+        self.driver_log.append(entry)
         return entry
 
     def spawn(self, work: Any) -> None:
         """Run a coroutine beside the others."""
         task = asyncio.ensure_future(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
 
-async def fetch(
+async def try_fetch(
     http: AsyncHTTPClient, url: str, timeout_s: float, **options: Any
 ) -> HTTPResponse | str:
     """Return the response, or why there is none."""
@@ -51,7 +51,9 @@
         return str(exc) or type(exc).__name__
 
 
-def prepare(folder_name: str, faults: Iterable[str], known: Collection[str]) -> Path | None:
+def prepare_log_folder(
+    folder_name: str, faults: Iterable[str], known: Collection[str]
+) -> Path | None:
     """Return an empty folder for a run's logs, or print why the run cannot start."""
     folder = Path(folder_name or tempfile.mkdtemp(prefix="soak-"))
     folder.mkdir(parents=True, exist_ok=True)
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -25,15 +25,15 @@
     first = soak_faults.schedule(SEED, 40.0, faults)
     assert first == soak_faults.schedule(SEED, 40.0, faults)
     assert first != soak_faults.schedule(SEED + 1, 40.0, faults)
-    assert all(step.at + step.duration_s <= 40.0 for step in first)
+    assert all(step.start_s + step.duration_s <= 40.0 for step in first)
 
 
 def test_faults_come_in_series_and_overlap() -> None:
     """Guard against a soak in which every fault meets a calm system."""
     steps = soak_faults.schedule(SEED, 400.0, sorted(soak_faults.FAULTS))
     pairs = itertools.pairwise(steps)
-    assert any(later.at < earlier.at + earlier.duration_s for earlier, later in pairs)
-    assert {step.fault for step in steps} == set(soak_faults.FAULTS)
+    assert any(later.start_s < earlier.start_s + earlier.duration_s for earlier, later in pairs)
+    assert {step.name for step in steps} == set(soak_faults.FAULTS)
 
 
 def test_every_failed_seed_names_its_cause() -> None:
