--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -18,7 +18,7 @@
 from baobabhoist.records.view import digest
 from baobabhoist.testing import soak_driver, soak_faults
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster
-from baobabhoist.testing.soak_checker import Judge
+from baobabhoist.testing.soak_checker import GuaranteeChecker
 from baobabhoist.testing.soak_driver import SoakDriver
 from baobabhoist.testing.soak_faults import (
     DATA_CENTRES,
@@ -345,14 +345,14 @@
         self.states = await self.job_states()
 
 
-def judge(soak: Soak) -> bool:
+def check_and_report(soak: Soak) -> bool:
     """Print the verdicts and return whether all held."""
     folder = soak.cluster.folder
     lines = [line for path in folder.glob("*.jsonl") for line in path.read_text().splitlines()]
     (folder / "driver.json").write_text(json.dumps([soak.callers, soak.driver_log]))
-    verdict = Judge([json.loads(line) for line in lines], soak.callers, soak.driver_log)
-    verdict.judge()
-    print("\n".join(verdict.lines()))
+    checker = GuaranteeChecker([json.loads(line) for line in lines], soak.callers, soak.driver_log)
+    checker.check_all()
+    print("\n".join(checker.report_lines()))
     faulty = 0
     for name in soak.cluster.instances:
         text = (folder / f"{name}.log").read_text(errors="replace")
@@ -364,7 +364,7 @@
     requests = [entry for entry in soak.callers if entry["event"] == "request"]
     answers = Counter(e.get("kind") or e.get("status") or e["error"] for e in requests)
     print(f"answers: {dict(answers.most_common())}")
-    return verdict.passed and not faulty and not soak.states.get("lost")
+    return checker.passed and not faulty and not soak.states.get("lost")
 
 
 def main(argv: list[str]) -> int:
@@ -383,7 +383,7 @@
     with Cluster(folder) as cluster:
         soak = asyncio.run(body(cluster))
     print(f"seed={FLAGS.seed} seconds={FLAGS.seconds:g} logs in {folder}")
-    return 0 if judge(soak) else 1
+    return 0 if check_and_report(soak) else 1
 
 
 if __name__ == "__main__":
--- a/baobabhoist/testing/soak_checker.py
+++ b/baobabhoist/testing/soak_checker.py
@@ -1,4 +1,4 @@
-"""Judge the guarantees from the workers' and callers' own logs."""
+"""Check the guarantees against the logs of workers and callers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import attrs
 
-Entry = dict[str, Any]
+LogEntry = dict[str, Any]
 
 IN_FORCE_S = 4.0
 LEAVING_S = 3.0
@@ -37,25 +37,25 @@
     resources: tuple[int, ...]
     start: float
     end: float
-    entry: Entry
+    entry: LogEntry
 
 
 @attrs.define
-class Verdict:
+class GuaranteeResult:
     """Collect how often a guarantee was checked and each breach of it."""
 
-    checked: int = 0
+    check_count: int = 0
     breaches: list[str] = attrs.Factory(list)
 
     def check(self, good: bool, breach: str) -> None:
         """Count a check and note a breach."""
-        self.checked += 1
+        self.check_count += 1
         if not good:
             self.breaches.append(breach)
 
 
 @attrs.define
-class Figure:
+class LatencyTarget:
     """Collect measured times against a target, in seconds."""
 
     target_s: float
@@ -63,32 +63,32 @@
 
 
 @attrs.define
-class Judge:
-    """Judge one run; driver entries are the faults, changes and samples of the soak."""
-
-    workers: list[Entry]
-    callers: list[Entry]
-    driver: list[Entry]
-    verdicts: dict[str, Verdict] = attrs.field(init=False)
-    figures: dict[str, Figure] = attrs.field(init=False)
+class GuaranteeChecker:
+    """Check one run; driver entries are the faults, changes and samples of the soak."""
+
+    worker_log: list[LogEntry]
+    caller_log: list[LogEntry]
+    driver_log: list[LogEntry]
+    results: dict[str, GuaranteeResult] = attrs.field(init=False)
+    latencies: dict[str, LatencyTarget] = attrs.field(init=False)
     runs: list[Run] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Sort the logs and derive the executions."""
-        for entries in (self.workers, self.callers, self.driver):
+        for entries in (self.worker_log, self.caller_log, self.driver_log):
             entries.sort(key=lambda entry: entry["t"])
-        self.verdicts = {f"G{number}": Verdict() for number in range(1, 11)}
-        self.verdicts["outage"] = Verdict()
-        self.figures = {
-            "records_in_force": Figure(IN_FORCE_S),
-            "key_refused": Figure(IN_FORCE_S),
-            "leaving_worker": Figure(LEAVING_S),
-            "takeover": Figure(TAKEOVER_S),
-            "urgent_start": Figure(URGENT_START_S),
+        self.results = {f"G{number}": GuaranteeResult() for number in range(1, 11)}
+        self.results["outage"] = GuaranteeResult()
+        self.latencies = {
+            "records_in_force": LatencyTarget(IN_FORCE_S),
+            "key_refused": LatencyTarget(IN_FORCE_S),
+            "leaving_worker": LatencyTarget(LEAVING_S),
+            "takeover": LatencyTarget(TAKEOVER_S),
+            "urgent_start": LatencyTarget(URGENT_START_S),
         }
-        self.runs = executions(self.workers)
+        self.runs = collect_runs(self.worker_log)
 
-    def judge(self) -> None:
+    def check_all(self) -> None:
         """Check every guarantee and collect the figures."""
         self._capacity()
         self._one_place()
@@ -102,7 +102,7 @@
         self._takeovers()
         self._urgent()
 
-    def calm(
+    def is_undisturbed(
         self,
         start: float,
         end: float,
@@ -116,62 +116,66 @@
         """
         return not any(
             window["t"] < end and start < window["until"] + RECOVERY_S
-            for window in self._of("window")
+            for window in self._driver_events("window")
             if window["name"] != own
             and not window["name"].startswith(but)
             and (not instance or instance in window["instances"])
         )
 
-    def failed_targets(self) -> list[str]:
+    def missed_targets(self) -> list[str]:
         """Return the figures that miss their target."""
         return [
             name
-            for name, figure in self.figures.items()
+            for name, figure in self.latencies.items()
             if figure.values and _judged(name, figure.values) > figure.target_s
         ]
 
     @property
     def passed(self) -> bool:
         """Tell whether every guarantee and target held."""
-        return not self.failed_targets() and not any(v.breaches for v in self.verdicts.values())
+        return not self.missed_targets() and not any(v.breaches for v in self.results.values())
 
-    def lines(self) -> list[str]:
+    def report_lines(self) -> list[str]:
         """Return one line per guarantee and per figure, then the first breaches."""
         lines = []
-        for name, verdict in self.verdicts.items():
+        for name, verdict in self.results.items():
             state = (
-                "BREACH" if verdict.breaches else "held" if verdict.checked else "not exercised"
+                "BREACH"
+                if verdict.breaches
+                else "held"
+                if verdict.check_count
+                else "not exercised"
             )
             lines.append(
-                f"{name}: {state} checks={verdict.checked} breaches={len(verdict.breaches)}"
+                f"{name}: {state} checks={verdict.check_count} breaches={len(verdict.breaches)}"
             )
-        failed = self.failed_targets()
-        for name, figure in self.figures.items():
+        failed = self.missed_targets()
+        for name, figure in self.latencies.items():
             if not figure.values:
                 lines.append(f"{name}: not exercised (target {figure.target_s:g} s)")
                 continue
             state = "MISSED" if name in failed else "met"
             worst = f"judged={_judged(name, figure.values):.2f}s max={max(figure.values):.2f}s"
             lines.append(f"{name}: {state} {worst} n={len(figure.values)} <= {figure.target_s:g}s")
-        for name, verdict in self.verdicts.items():
+        for name, verdict in self.results.items():
             lines += [f"  {name} breach: {text}" for text in verdict.breaches[:10]]
         return lines
 
-    def _of(self, event: str) -> list[Entry]:
-        return [entry for entry in self.driver if entry["event"] == event]
+    def _driver_events(self, event: str) -> list[LogEntry]:
+        return [entry for entry in self.driver_log if entry["event"] == event]
 
     def _capacity(self) -> None:
-        capacity = {e["worker"]: e["capacity"] for e in self.workers if e["event"] == "up"}
-        verdict = self.verdicts["G1"]
+        capacity = {e["worker"]: e["capacity"] for e in self.worker_log if e["event"] == "up"}
+        verdict = self.results["G1"]
         used: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
-        for _, starts, run in changes(self.runs):
+        for _, starts, run in run_boundaries(self.runs):
             total = used[run.worker]
             for index, amount in enumerate(run.resources):
                 total[index] += amount if starts else -amount
             if starts:
                 fits = all(u <= c for u, c in zip(total, capacity[run.worker], strict=True))
                 verdict.check(fits, f"{run.worker} runs {total} with {run.task_id}")
-        for entry in self.workers:
+        for entry in self.worker_log:
             if entry["event"] == "refused":
                 verdict.check(
                     entry["reason"] != "full",
@@ -180,30 +184,30 @@
 
     def _one_place(self) -> None:
         running: Counter[str] = Counter()
-        for _, starts, run in changes(self.runs):
+        for _, starts, run in run_boundaries(self.runs):
             # The reference tells two ids of the same piece of work from two pieces.
             name = run.ref or run.task_id
             running[name] += 1 if starts else -1
             if starts:
-                self.verdicts["G2"].check(
+                self.results["G2"].check(
                     running[name] == 1, f"{run.task_id} runs twice, also on {run.worker}"
                 )
 
     def _limits(self) -> None:
         by_team: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
-        for entry in self._of("limit"):
+        for entry in self._driver_events("limit"):
             limits = by_team[entry["team"]]
             if limits and not entry.get("uncertain"):
                 since, _, limit = limits[-1]
                 limits[-1] = (since, self._settled(entry["t"]), limit)
             limits.append((entry["sent"], INF, entry["limit"]))
         running: Counter[str] = Counter()
-        for t, starts, run in changes(self.runs):
+        for t, starts, run in run_boundaries(self.runs):
             running[run.team] += 1 if starts else -1
             allowed = [limit for since, until, limit in by_team[run.team] if since <= t <= until]
             if starts and allowed:
                 count = running[run.team]
-                self.verdicts["G4"].check(
+                self.results["G4"].check(
                     count <= max(allowed),
                     f"team {run.team} runs {count} of {max(allowed)} with {run.task_id}",
                 )
@@ -211,7 +215,7 @@
     def _settled(self, t: float) -> float:
         """Return when a change accepted at `t` must be in force, also past running faults."""
         settled = t + IN_FORCE_S
-        for window in self._of("window"):
+        for window in self._driver_events("window"):
             if window["t"] <= settled and t < window["until"] + RECOVERY_S:
                 settled = max(settled, window["until"] + RECOVERY_S)
         return settled
@@ -220,11 +224,11 @@
         starts: dict[str, list[Run]] = defaultdict(list)
         for run in self.runs:
             starts[run.ref].append(run)
-        attempts: dict[str, list[Entry]] = defaultdict(list)
-        for entry in self.callers:
+        attempts: dict[str, list[LogEntry]] = defaultdict(list)
+        for entry in self.caller_log:
             if entry["event"] == "request":
                 attempts[entry["ref"]].append(entry)
-        for job in (entry for entry in self.callers if entry["event"] == "job"):
+        for job in (entry for entry in self.caller_log if entry["event"] == "job"):
             for ref in [ref for ref in starts if ref.startswith(f"{job['ref']}/")]:
                 self._one_request([job | {"ref": ref}], starts[ref])
         for ref, tries in attempts.items():
@@ -233,49 +237,51 @@
             for entry in tries:
                 self._one_attempt(entry)
 
-    def _one_request(self, tries: list[Entry], ran: list[Run]) -> None:
+    def _one_request(self, tries: list[LogEntry], ran: list[Run]) -> None:
         ref, first = tries[0]["ref"], tries[0]
         for run in ran:
-            self.verdicts["G3"].check(run.team == first["team"], f"{ref} ran for {run.team}")
+            self.results["G3"].check(run.team == first["team"], f"{ref} ran for {run.team}")
         if not first["idempotent"]:
-            self.verdicts["G7"].check(
+            self.results["G7"].check(
                 len(ran) <= 1, f"{ref} ran {len(ran)} times on {[r.worker for r in ran]}"
             )
         if all(entry.get("outcome") == "not_run" for entry in tries):
-            self.verdicts["G6"].check(
+            self.results["G6"].check(
                 not ran, f"{ref} was refused as not run and ran on {[r.worker for r in ran]}"
             )
 
-    def _one_attempt(self, entry: Entry) -> None:
-        verdict = self.verdicts["G5"]
+    def _one_attempt(self, entry: LogEntry) -> None:
+        verdict = self.results["G5"]
         if entry.get("status") == 200:
             verdict.check(entry["whole"], f"{entry['ref']} got the wrong or half an answer")
-        elif entry.get("error") and self.calm(entry["t"], entry["end"], entry["instance"]):
+        elif entry.get("error") and self.is_undisturbed(
+            entry["t"], entry["end"], entry["instance"]
+        ):
             verdict.check(False, f"{entry['ref']} got no answer: {entry['error']}")
 
     def _outages(self) -> None:
         """Check that an outage of the platform, with nothing else, stops no request."""
-        for window in self._of("window"):
+        for window in self._driver_events("window"):
             if not window["name"].startswith(PLATFORM_FAULTS):
                 continue
-            if not self.calm(window["t"], window["until"], but=PLATFORM_FAULTS):
+            if not self.is_undisturbed(window["t"], window["until"], but=PLATFORM_FAULTS):
                 continue
-            for entry in self.callers:
+            for entry in self.caller_log:
                 if window["t"] < entry["t"] < window["until"] and "instance" in entry:
-                    self.verdicts["outage"].check(
+                    self.results["outage"].check(
                         not entry.get("error") and entry.get("kind") not in CUT_KINDS,
                         f"{entry['ref']} was stopped by {window['name']}: {entry}",
                     )
 
     def _keys(self) -> None:
-        figure, verdict = self.figures["key_refused"], self.verdicts["G3"]
-        for revoked in self._of("key_revoked"):
+        figure, verdict = self.latencies["key_refused"], self.results["G3"]
+        for revoked in self._driver_events("key_revoked"):
             last = 0.0
-            for entry in self.callers:
+            for entry in self.caller_log:
                 late = entry["t"] - revoked["t"]
                 if entry.get("key") != revoked["key"] or late <= 0:
                     continue
-                if not self.calm(revoked["t"], entry["t"], entry["instance"]):
+                if not self.is_undisturbed(revoked["t"], entry["t"], entry["instance"]):
                     continue
                 accepted = entry.get("status") not in (401, 403, None)
                 last = max(last, late if accepted else 0.0)
@@ -287,31 +293,32 @@
             figure.values.append(last)
 
     def _leaving(self) -> None:
-        for leaving in self._of("leaving"):
+        for leaving in self._driver_events("leaving"):
             until = min(
-                (e["t"] for e in self._of("staying") if e["t"] > leaving["t"]), default=INF
+                (e["t"] for e in self._driver_events("staying") if e["t"] > leaving["t"]),
+                default=INF,
             )
             last = 0.0
             for run in self.runs:
                 late = run.start - leaving["t"]
                 if run.worker != leaving["worker"] or late <= 0 or run.start > until:
                     continue
-                if not self.calm(leaving["t"], run.start):
+                if not self.is_undisturbed(leaving["t"], run.start):
                     continue
                 last = max(last, late)
-                self.verdicts["G8"].check(
+                self.results["G8"].check(
                     late <= LEAVING_S,
                     f"{run.worker} got {run.task_id} {late:.1f} s after its notice",
                 )
-            self.verdicts["G8"].checked += 1
-            self.figures["leaving_worker"].values.append(last)
+            self.results["G8"].check_count += 1
+            self.latencies["leaving_worker"].values.append(last)
 
     def _stops(self) -> None:
-        verdict = self.verdicts["G9"]
-        for stop in self._of("stop"):
+        verdict = self.results["G9"]
+        for stop in self._driver_events("stop"):
             verdict.check(stop["code"] == 0, f"{stop['instance']} stopped with {stop['code']}")
-            calm = self.calm(stop["t"], stop["until"], own=stop["name"])
-            for entry in self.callers:
+            calm = self.is_undisturbed(stop["t"], stop["until"], own=stop["name"])
+            for entry in self.caller_log:
                 open_before = entry["t"] < stop["t"] < entry.get("end", 0.0)
                 here = entry.get("instance") == stop["instance"]
                 if here and not open_before:
@@ -323,11 +330,11 @@
                     verdict.check(not cut, f"{entry['ref']} was cut: {entry}")
 
     def _records(self) -> None:
-        verdict, figure = self.verdicts["G10"], self.figures["records_in_force"]
-        for race in self._of("race"):
+        verdict, figure = self.results["G10"], self.latencies["records_in_force"]
+        for race in self._driver_events("race"):
             verdict.check(race["accepted"] <= 1, f"{race['accepted']} changes of one revision won")
-        samples: dict[tuple[str, int], list[Entry]] = defaultdict(list)
-        for entry in self._of("status"):
+        samples: dict[tuple[str, int], list[LogEntry]] = defaultdict(list)
+        for entry in self._driver_events("status"):
             samples[entry["instance"], entry["boot"]].append(entry)
         for (instance, _), seen in samples.items():
             for before, after in itertools.pairwise(seen):
@@ -335,18 +342,23 @@
                     after["revision"] >= before["revision"],
                     f"{instance} went back from {before['revision']} to {after['revision']}",
                 )
-            for change in self._of("record"):
+            for change in self._driver_events("record"):
                 self._in_force(change, instance, seen, verdict, figure)
 
     def _in_force(
-        self, change: Entry, instance: str, seen: list[Entry], verdict: Verdict, figure: Figure
+        self,
+        change: LogEntry,
+        instance: str,
+        seen: list[LogEntry],
+        verdict: GuaranteeResult,
+        figure: LatencyTarget,
     ) -> None:
         if seen[0]["t"] > change["t"] or not any(e["t"] >= change["t"] for e in seen):
             return
         when = next((e["t"] for e in seen if e["revision"] >= change["revision"]), INF)
         judged_until = min(when, seen[-1]["t"])
         late = judged_until - change["t"]
-        if not self.calm(change["t"], judged_until, instance) or (
+        if not self.is_undisturbed(change["t"], judged_until, instance) or (
             when == INF and late < IN_FORCE_S
         ):
             return
@@ -357,36 +369,36 @@
         )
 
     def _takeovers(self) -> None:
-        shards = {e["shard"]: e["workers"] for e in self._of("shard")}
-        for kill in self._of("killed"):
+        shards = {e["shard"]: e["workers"] for e in self._driver_events("shard")}
+        for kill in self._driver_events("killed"):
             for workers in shards.values():
                 if self._owner(workers, kill["t"]) != kill["instance"]:
                     continue
                 end, own = kill["t"] + TAKEOVER_S, kill["name"]
-                if not self.calm(kill["t"], end, own=own, but=PLATFORM_FAULTS):
+                if not self.is_undisturbed(kill["t"], end, own=own, but=PLATFORM_FAULTS):
                     continue
                 done = self._taken_over(workers, kill["instance"], kill["t"])
                 if done is None:
-                    self.figures["takeover"].values.append(INF)
+                    self.latencies["takeover"].values.append(INF)
                 else:
-                    self.figures["takeover"].values.append(done - kill["t"])
+                    self.latencies["takeover"].values.append(done - kill["t"])
 
     def _owner(self, workers: Iterable[str], t: float) -> str:
         fenced = [
             e["token"]
-            for e in self.workers
+            for e in self.worker_log
             if e["event"] == "fenced" and e["worker"] in workers and e["t"] <= t
         ]
-        return instance_of(max(fenced)) if fenced else ""
+        return instance_of_token(max(fenced)) if fenced else ""
 
     def _taken_over(self, workers: list[str], former: str, t: float) -> float | None:
         """Return when all workers of a shard obeyed one other instance."""
         held: dict[str, tuple[Any, ...]] = {}
-        for entry in self.workers:
+        for entry in self.worker_log:
             if entry["event"] == "fenced" and entry["worker"] in workers and entry["t"] > t:
                 held[entry["worker"]] = tuple(entry["token"])
                 same = len(held) == len(workers) and len(set(held.values())) == 1
-                if same and instance_of(entry["token"]) != former:
+                if same and instance_of_token(entry["token"]) != former:
                     return float(entry["t"])
         return None
 
@@ -396,14 +408,14 @@
                 continue
             since = run.entry["submitted_at"]
             busy = sum(1 for r in self.runs if r.team == run.team and r.start < run.start < r.end)
-            limits = [e["limit"] for e in self._of("limit") if e["team"] == run.team]
-            if self.calm(since, run.start) and limits and busy < min(limits):
-                self.figures["urgent_start"].values.append(run.start - since)
+            limits = [e["limit"] for e in self._driver_events("limit") if e["team"] == run.team]
+            if self.is_undisturbed(since, run.start) and limits and busy < min(limits):
+                self.latencies["urgent_start"].values.append(run.start - since)
 
 
-def executions(entries: list[Entry]) -> list[Run]:
+def collect_runs(entries: list[LogEntry]) -> list[Run]:
     """Return the executions in the workers' logs; a worker that starts anew runs nothing."""
-    open_runs: dict[tuple[str, str], Entry] = {}
+    open_runs: dict[tuple[str, str], LogEntry] = {}
     runs = []
 
     def close(key: tuple[str, str], t: float) -> None:
@@ -429,12 +441,12 @@
     return sorted(runs, key=lambda run: run.start)
 
 
-def instance_of(token: list[Any]) -> str:
+def instance_of_token(token: list[Any]) -> str:
     """Return the instance in a token; a tilde separates its name from that of its process."""
     return str(token[2]).partition("~")[0]
 
 
-def changes(runs: list[Run]) -> list[tuple[float, bool, Run]]:
+def run_boundaries(runs: list[Run]) -> list[tuple[float, bool, Run]]:
     """Return the starts and ends in order of time; an end comes before a start."""
     events = [(run.start, True, run) for run in runs] + [(run.end, False, run) for run in runs]
     return sorted(events, key=lambda event: (event[0], event[1]))
--- a/baobabhoist/tests/test_testing_soak_checker.py
+++ b/baobabhoist/tests/test_testing_soak_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabhoist.testing.soak_checker import Judge
+from baobabhoist.testing.soak_checker import GuaranteeChecker
 
 CAPACITY = [4000, 1000, 0, 2]
 
@@ -48,9 +48,9 @@
 
 
 def judged(workers=(), callers=(), events=()):
-    judge = Judge([up("w1"), up("w2"), *workers], list(callers), list(events))
-    judge.judge()
-    return judge
+    checker = GuaranteeChecker([up("w1"), up("w2"), *workers], list(callers), list(events))
+    checker.check_all()
+    return checker
 
 
 FENCED = [
@@ -145,18 +145,18 @@
 @pytest.mark.parametrize("case", BROKEN)
 def test_a_broken_guarantee_is_found(case):
     """Guard against a judge that passes whatever the daemons do."""
-    judge = judged(**BROKEN[case])
+    checker = judged(**BROKEN[case])
     name = case.split()[0]
-    assert judge.verdicts[name].breaches, judge.lines()
-    assert not judge.passed
-    assert any(line.startswith(f"{name}: BREACH") for line in judge.lines())
+    assert checker.results[name].breaches, checker.report_lines()
+    assert not checker.passed
+    assert any(line.startswith(f"{name}: BREACH") for line in checker.report_lines())
 
 
 @pytest.mark.parametrize("case", ALLOWED)
 def test_what_the_design_page_allows_is_not_a_breach(case):
     """Guard against breaches reported for what the guarantees permit."""
-    judge = judged(**ALLOWED[case])
-    assert judge.passed, judge.lines()
+    checker = judged(**ALLOWED[case])
+    assert checker.passed, checker.report_lines()
 
 
 def test_a_takeover_that_is_late_or_missing_fails_the_run():
@@ -164,14 +164,14 @@
     kill = driver("killed", 10.0, instance="n1", name="f2")
     other = [e | {"t": e["t"] + 11.0, "token": [2, 0, "n2"]} for e in FENCED]
     good = judged(workers=[*FENCED, *other], events=[SHARD, kill])
-    assert good.failed_targets() == []
-    assert good.figures["takeover"].values == [2.0]
+    assert good.missed_targets() == []
+    assert good.latencies["takeover"].values == [2.0]
     missing = judged(workers=FENCED, events=[SHARD, kill])
     late = judged(workers=[*FENCED, *[e | {"t": 16.0} for e in other]], events=[SHARD, kill])
     down = window(9.0, 12.0, "n1", "n2", name="platform_down@9.0")
     without_platform = judged(workers=FENCED, events=[SHARD, kill, down])
-    assert without_platform.failed_targets() == ["takeover"]
-    assert missing.failed_targets() == late.failed_targets() == ["takeover"]
+    assert without_platform.missed_targets() == ["takeover"]
+    assert missing.missed_targets() == late.missed_targets() == ["takeover"]
     assert not late.passed
 
 
@@ -180,11 +180,11 @@
     late = ran("a", 5.0, 6.0, urgency="urgent")
     for entry in late:
         entry["submitted_at"] = 3.0
-    assert judged(workers=late, events=[limit(0.0, 1)]).failed_targets() == ["urgent_start"]
+    assert judged(workers=late, events=[limit(0.0, 1)]).missed_targets() == ["urgent_start"]
     spent = judged(workers=[*late, *ran("b", 1, 9, worker="w2")], events=[limit(0.0, 1)])
-    assert spent.figures["urgent_start"].values == []
+    assert spent.latencies["urgent_start"].values == []
 
 
 def test_nothing_checked_is_not_reported_as_held():
     """Guard against a run without load that looks like a success."""
-    assert "G2: not exercised checks=0 breaches=0" in judged().lines()
+    assert "G2: not exercised checks=0 breaches=0" in judged().report_lines()
