--- a/baobabhoist/testing/cluster.py
+++ b/baobabhoist/testing/cluster.py
@@ -1,4 +1,4 @@
-"""Start daemons and stand-ins as processes on loopback, for tests and the demo."""
+"""Run daemons and fakes of the outside systems as local processes, for tests and the demo."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 POLL_INTERVAL_S = 0.05
 
 
-# Below the range from which the kernel takes the ports of outgoing connections: a port from
-# that range can be taken between its choice and the start of the process that listens on it.
+# Below the kernel's ephemeral ports: an outgoing connection could take an ephemeral port between
+# its choice and the start of the process that listens on it.
 PORT_RANGE = range(12_000, 32_000)
-# Clusters that run beside each other take ports of different blocks.
+# Test processes that run in parallel choose ports from different blocks.
 PORTS_PER_BLOCK = 400
 _chosen_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """Return a port that is free now and that this process has not chosen before."""
-    blocks = len(PORT_RANGE) // PORTS_PER_BLOCK
-    first = os.getpid() % blocks * PORTS_PER_BLOCK
+    """Return a port that is unused now and that this process has not chosen before."""
+    block_count = len(PORT_RANGE) // PORTS_PER_BLOCK
+    start = os.getpid() % block_count * PORTS_PER_BLOCK
     while True:
-        port = random.SystemRandom().choice(PORT_RANGE[first : first + PORTS_PER_BLOCK])
+        port = random.SystemRandom().choice(PORT_RANGE[start : start + PORTS_PER_BLOCK])
         with socket.socket() as sock:
             if port not in _chosen_ports and sock.connect_ex(("127.0.0.1", port)) != 0:
                 _chosen_ports.add(port)
@@ -48,7 +48,7 @@
 
 @attrs.define
 class Cluster:
-    """Hold the processes of a small cluster; use it as a context manager."""
+    """Manage the processes of a small cluster; leaving the context stops them all."""
 
     folder: Path
     processes: dict[str, subprocess.Popen[bytes]] = attrs.Factory(dict)
@@ -62,7 +62,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop the daemons, then everything else, also processes that are paused."""
+        """Stop the daemons, then all other processes, including suspended ones."""
         daemons = [self.processes[name] for name in self.instances if name in self.processes]
         others = [process for process in self.processes.values() if process not in daemons]
         for group in (daemons, others):
@@ -78,7 +78,7 @@
     def start_process(
         self, name: str, module: str, *args: str, env: dict[str, str] | None = None
     ) -> None:
-        """Start a module of the package as a process; its output goes to NAME.log."""
+        """Start a module of the package as a process that writes its output to NAME.log."""
         log = (self.folder / f"{name}.log").open("ab")
         command = [sys.executable, "-m", module, *args]
         self.processes[name] = subprocess.Popen(
@@ -89,7 +89,7 @@
         )
 
     def kill(self, name: str) -> None:
-        """End a process without notice, as a VM that fails."""
+        """Kill a process, as if its VM failed."""
         self.processes[name].kill()
         self.processes[name].wait(STOP_TIMEOUT_S)
 
@@ -98,26 +98,26 @@
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Continue a paused process."""
+        """Resume a suspended process."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ask a process to stop and return its exit code; raises TimeoutExpired."""
+        """Terminate a process and return its exit code; raises TimeoutExpired."""
         self.processes[name].terminate()
         return self.processes[name].wait(timeout_s)
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process was started and has not ended."""
+        """Return whether a process was started and has not exited."""
         return name in self.processes and self.processes[name].poll() is None
 
     def start_platform(self, *args: str) -> None:
-        """Start the platform."""
+        """Start the fake platform and wait until it listens."""
         port = f"--port={self.platform_port}"
         self.start_process("platform", "baobabhoist.testing.platform", port, *args)
         wait_for_port(self.platform_port)
 
     def start_worker(self, name: str, *args: str) -> int:
-        """Start a worker and return its port."""
+        """Start a fake worker and return its port."""
         port = free_port()
         self.start_process(
             name, "baobabhoist.testing.worker", f"--name={name}", f"--port={port}", *args
@@ -125,43 +125,44 @@
         return port
 
     def start_workers(self, process: str, names: list[str], *args: str) -> dict[str, int]:
-        """Start several workers in one process and return their ports."""
+        """Start several fake workers in one process and return their ports by name."""
         ports = {name: free_port() for name in names}
         self.control_ports[process] = free_port()
-        listed = ",".join(f"{name}:{port}" for name, port in ports.items())
+        specs = ",".join(f"{name}:{port}" for name, port in ports.items())
         control = f"--control_port={self.control_ports[process]}"
         self.start_process(
-            process, "baobabhoist.testing.worker", f"--workers={listed}", control, *args
+            process, "baobabhoist.testing.worker", f"--workers={specs}", control, *args
         )
         for port in ports.values():
             wait_for_port(port)
         return ports
 
-    def add_relay(self, name: str, target: int) -> int:
-        """Plan a relay to a port and return the relay's port; `start_relays` starts it."""
+    def add_relay(self, name: str, target_port: int) -> int:
+        """Add a relay to a port and return its own port; `start_relays` starts it."""
         port = free_port()
-        self.relay_ports[name] = (port, target)
+        self.relay_ports[name] = (port, target_port)
         return port
 
     def start_relays(self) -> None:
-        """Start all planned relays in one process."""
+        """Start all relays in one process."""
         self.control_ports["relays"] = free_port()
-        listed = ",".join(
-            f"{name}={port}:{target}" for name, (port, target) in self.relay_ports.items()
+        specs = ",".join(
+            f"{name}={port}:{target_port}"
+            for name, (port, target_port) in self.relay_ports.items()
         )
         control = f"--control_port={self.control_ports['relays']}"
-        self.start_process("relays", "baobabhoist.testing.network", f"--relays={listed}", control)
+        self.start_process("relays", "baobabhoist.testing.network", f"--relays={specs}", control)
         wait_for_port(self.control_ports["relays"])
 
     def send_control_request(
         self, process: str, path: str, body: dict[str, Any], method: str = "POST"
     ) -> None:
-        """Send a command of tests to a stand-in; raises RuntimeError when it is refused."""
+        """Send a request to the control port of a fake; raises RuntimeError if it fails."""
         port = self.platform_port if process == "platform" else self.control_ports[process]
         url = f"http://127.0.0.1:{port}{path}"
         status, answer = fetch(url, {}, json.dumps(body).encode(), method)
         if status != 200:
-            raise RuntimeError(f"{process} refused {path} {body}: {answer!r}")
+            raise RuntimeError(f"{process} rejected {path} {body}: {answer!r}")
 
     def label_sources(self) -> None:
         """Tell the relays which data centre each daemon process belongs to."""
@@ -173,7 +174,7 @@
         self.send_control_request("relays", "/sources", labels)
 
     def add_instances(self, names_by_data_centre: dict[str, list[str]]) -> None:
-        """Choose the ports of the daemons."""
+        """Add the settings of daemons, with free ports; `start_instance` starts one."""
         for data_centre, names in names_by_data_centre.items():
             for name in names:
                 self.instances[name] = {
@@ -188,7 +189,7 @@
                 }
 
     def start_instance(self, name: str) -> None:
-        """Start one daemon; its links go through the planned relays."""
+        """Start a daemon; its outgoing connections use the relays that were added for them."""
         cfg = dict(self.instances[name])
         if f"platform:{name}" in self.relay_ports:
             cfg["platform_url"] = f"http://127.0.0.1:{self.relay_ports[f'platform:{name}'][0]}"
@@ -211,7 +212,7 @@
         return int(relay[0] if relay is not None else other["peer_port"])
 
     def run_cli(self, *args: str, instance: str) -> str:
-        """Run the command-line tool against an instance and return what it printed."""
+        """Run the command-line tool against an instance and return its output."""
         port = self.instances[instance]["admin_port"]
         command = [
             sys.executable,
@@ -221,27 +222,27 @@
             f"--operator_key={OPERATOR_KEY}",
             *args,
         ]
-        done = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
-        if done.returncode != 0:
-            raise RuntimeError(f"{args} failed with {done.returncode}: {done.stderr}")
-        return done.stdout
+        result = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
+        if result.returncode != 0:
+            raise RuntimeError(f"{args} exited with {result.returncode}: {result.stderr}")
+        return result.stdout
 
 
 def wait_for_port(port: int) -> None:
-    """Wait until something listens on a port."""
-    give_up_at = time.monotonic() + START_TIMEOUT_S
-    while time.monotonic() < give_up_at:
+    """Wait until a process listens on a port; raises RuntimeError after a timeout."""
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         with socket.socket() as sock:
             if sock.connect_ex(("127.0.0.1", port)) == 0:
                 return
         time.sleep(POLL_INTERVAL_S)
-    raise RuntimeError(f"nothing listens on port {port}")
+    raise RuntimeError(f"no process listens on port {port}")
 
 
 def fetch(
     url: str, headers: dict[str, str], body: bytes | None = None, method: str | None = None
 ) -> tuple[int, bytes]:
-    """Send a request and return its status and body."""
+    """Send an HTTP request and return the status and body of the response."""
     req = urllib.request.Request(url, body, headers, method=method)
     try:
         with urllib.request.urlopen(req, timeout=30) as response:
