--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -1,4 +1,4 @@
-"""Stand in for workers that run tasks under leases and fencing tokens."""
+"""Provide a fake worker, which simulates tasks under leases and fencing tokens."""
 
 from __future__ import annotations
 
@@ -40,66 +40,68 @@
 
 FLAGS = flags.FLAGS
 
+# normal: tasks run for their run time. fail: tasks fail immediately. slow: tasks take
+# SLOWDOWN_FACTOR times as long. hang: tasks run until they are stopped. leaving: as normal.
 MODES = ("normal", "fail", "slow", "hang", "leaving")
-SLOW_FACTOR = 10.0
-# A request key is remembered until its deadline, at most 10 minutes, plus the clock skew.
+SLOWDOWN_FACTOR = 10.0
+# A request key is valid until its deadline, at most 10 minutes, plus the allowed clock skew.
 TASK_ID_RETENTION_S = 660.0
 LEASE_CHECK_INTERVAL_S = 0.1
-# Bounds of one page of an inventory and of a body inside it.
-PAGE_TASKS = 500
-PAGE_BYTES = 1 << 20
-INLINE_BODY_BYTES = 4096
-PERCENT = 100
+# Limits of one page of an inventory; larger bodies are omitted from it.
+MAX_PAGE_TASKS = 500
+MAX_PAGE_BYTES = 1 << 20
+MAX_INLINE_BODY_BYTES = 4096
+FULL_PERCENT = 100
 
 
 @attrs.define(eq=False)
 class Execution:
-    """Hold one running task; `lease_deadline` is in Unix seconds."""
+    """Track a running task; `lease_deadline` is in Unix seconds."""
 
     call: RunTask
     lease_deadline: float
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
     is_stopped: bool = False
     stop_reason: str = ""
-    cpu_percent: int = PERCENT
+    cpu_percent: int = FULL_PERCENT
 
-    def end(self, reason: str) -> None:
-        """Ask the task to stop."""
+    def stop(self, reason: str) -> None:
+        """Request the task to stop; the first reason is kept."""
         self.stop_reason = self.stop_reason or reason
         self.is_stopped = True
         self.changed.set()
 
     def throttle(self, percent: int) -> None:
-        """Limit the task's use of processors to a percentage."""
-        self.cpu_percent = max(1, min(PERCENT, percent))
+        """Limit the task to a percentage of its processor time."""
+        self.cpu_percent = max(1, min(FULL_PERCENT, percent))
         self.changed.set()
 
 
 @attrs.frozen
 class PayloadOptions:
-    """Hold what a payload asks of the stand-in; other payloads run for the default time."""
+    """Hold the simulated behaviour that a payload selects; `run_s` is the task's run time."""
 
     run_s: float
-    fail: bool = False
+    fails: bool = False
     cpu_milli: int | None = None
     ref: str = ""
 
     @classmethod
     def parse(cls, payload: bytes, default_run_s: float) -> PayloadOptions:
-        """Read the options in a payload that is a JSON object."""
+        """Parse a payload that is a JSON object; any other payload selects the defaults."""
         if payload.startswith(b"{"):
             try:
                 body = orjson.loads(payload)
                 run_s = float(body.get("run_s", default_run_s))
-                fail, cpu_milli = bool(body.get("fail", False)), body.get("cpu_milli")
-                return cls(run_s, fail, cpu_milli, str(body.get("ref", "")))
+                fails, cpu_milli = bool(body.get("fail", False)), body.get("cpu_milli")
+                return cls(run_s, fails, cpu_milli, str(body.get("ref", "")))
             except (orjson.JSONDecodeError, TypeError, ValueError):
                 pass
         return cls(default_run_s)
 
 
 class FakeWorker:
-    """Run tasks; the answer to a task is the worker's name and the payload."""
+    """Simulate tasks; the result of a task is `NAME:` followed by its payload."""
 
     def __init__(
         self,
@@ -117,92 +119,100 @@
         self.running: dict[str, Execution] = {}
         self.ended: dict[str, EndedTask] = {}
         self.rejected_ids: dict[str, float] = {}
-        self._ended_at: deque[tuple[float, str]] = deque()
-        self._reported: list[RunningTask | EndedTask] = []
-        self._run_s = run_s
+        self._end_times: deque[tuple[float, str]] = deque()
+        self._inventory_snapshot: list[RunningTask | EndedTask] = []
+        self._default_run_s = run_s
         self._usage_lag_s = usage_lag_s
-        self._usage: deque[tuple[float, int]] = deque()
+        self._usage_samples: deque[tuple[float, int]] = deque()
         self._events = events or EventLog("")
         self._events.write("up", name, capacity=attrs.astuple(capacity), rack=rack)
 
     async def handle(self, message: Any) -> Any:
-        """Answer one message of an owner."""
+        """Return the reply to a message from an owner."""
         if isinstance(message, FenceWorker):
-            return self._present(message)
+            return self._accept_token(message)
         if not self.fence.allows(message.token):
             return TokenRefused(self.fence.highest_token)
         match message:
             case RunTask():
                 return await self._run(message)
             case RenewLeases():
-                return self._renew(message)
+                return self._renew_leases(message)
             case QueryOutcome():
-                return self._report(message.task_id)
+                return self._report_outcome(message.task_id)
             case ReadInventory():
-                return self._page(int(message.page))
+                return self._inventory_page(int(message.page))
             case StopTask():
-                return self._stop(message.task_id, "stopped")
+                return self._stop_task(message.task_id, "stopped")
             case CheckpointTask():
-                return self._stop(message.task_id, "checkpointed")
+                return self._stop_task(message.task_id, "checkpointed")
             case ThrottleTask():
-                return self._throttle(message)
+                return self._throttle_task(message)
         return None
 
     def set_mode(self, mode: str) -> None:
-        """Change how tasks fare from now on."""
+        """Set how tasks behave from now on."""
         self.mode = mode
         self._events.write("mode", self.name, mode=mode)
 
     def tick(self, now: float) -> None:
-        """Stop the tasks whose lease has lapsed and forget old task ids."""
+        """Stop tasks whose lease has expired, drop old task ids and sample the processor use."""
         for execution in self.running.values():
             if execution.lease_deadline <= now:
-                execution.end("lease")
-        while self._ended_at and self._ended_at[0][0] <= now - TASK_ID_RETENTION_S:
-            del self.ended[self._ended_at.popleft()[1]]
+                execution.stop("lease")
+        while self._end_times and self._end_times[0][0] <= now - TASK_ID_RETENTION_S:
+            del self.ended[self._end_times.popleft()[1]]
         while (
             self.rejected_ids
             and next(iter(self.rejected_ids.values())) <= now - TASK_ID_RETENTION_S
         ):
             del self.rejected_ids[next(iter(self.rejected_ids))]
-        self._usage.append((now, self._cpu_in_use()))
-        while len(self._usage) > 1 and self._usage[1][0] <= now - self._usage_lag_s:
-            self._usage.popleft()
+        self._usage_samples.append((now, self._used_cpu_milli()))
+        while (
+            len(self._usage_samples) > 1 and self._usage_samples[1][0] <= now - self._usage_lag_s
+        ):
+            self._usage_samples.popleft()
 
-    def _present(self, call: FenceWorker) -> Any:
+    def _accept_token(self, call: FenceWorker) -> Any:
         previous = self.fence.highest_token
         if not self.fence.accept(call.token):
             return TokenRefused(self.fence.highest_token)
         self._events.write("fenced", self.name, token=attrs.astuple(call.token))
-        self._reported = [*self._inventory(), *map(without_large_body, self.ended.values())]
-        return self._page(0, previous)
-
-    def _page(self, start: int, previous: Token | None = None) -> WorkerFencedReply:
-        """Return a part of the inventory as it was when the token was taken."""
+        self._inventory_snapshot = [
+            *self._running_tasks(),
+            *map(omit_large_body, self.ended.values()),
+        ]
+        return self._inventory_page(0, previous)
+
+    def _inventory_page(self, start: int, previous: Token | None = None) -> WorkerFencedReply:
+        """Return a page of the inventory as it was when the token was accepted."""
         end, size = start, 0
-        while end < min(len(self._reported), start + PAGE_TASKS) and size < PAGE_BYTES:
-            size += len(getattr(self._reported[end], "body", b""))
+        while (
+            end < min(len(self._inventory_snapshot), start + MAX_PAGE_TASKS)
+            and size < MAX_PAGE_BYTES
+        ):
+            size += len(getattr(self._inventory_snapshot[end], "body", b""))
             end += 1
-        part = self._reported[start:end]
-        more = end < len(self._reported)
+        page = self._inventory_snapshot[start:end]
+        has_more = end < len(self._inventory_snapshot)
         return WorkerFencedReply(
-            tuple(task for task in part if isinstance(task, RunningTask)),
-            tuple(task for task in part if isinstance(task, EndedTask)),
-            str(end) if more else "",
+            tuple(task for task in page if isinstance(task, RunningTask)),
+            tuple(task for task in page if isinstance(task, EndedTask)),
+            str(end) if has_more else "",
             previous,
         )
 
     async def _run(self, call: RunTask) -> Any:
         task = call.task
-        reason = self._reason_to_refuse(call)
+        reason = self._refusal_reason(call)
         if reason is not None:
-            self._void(task.task_id)
+            self._reject_id(task.task_id)
             self._log_task("refused", call, reason=reason)
             return TaskRefused(task.task_id, reason)
         execution = Execution(call, call.lease_deadline)
         self.running[task.task_id] = execution
         self._log_task("started", call)
-        succeeded = await self._work(execution)
+        succeeded = await self._simulate(execution)
         del self.running[task.task_id]
         body = (
             f"{self.name}:".encode() + task.payload
@@ -210,13 +220,13 @@
             else execution.stop_reason.encode()
         )
         self.ended[task.task_id] = EndedTask(task.task_id, task.team, succeeded, body)
-        self._ended_at.append((time.time(), task.task_id))
+        self._end_times.append((time.time(), task.task_id))
         self._log_task(
             "stopped" if execution.is_stopped else "ended", call, reason=execution.stop_reason
         )
         return TaskEnded(task.task_id, succeeded, body, self.fence.highest_token)
 
-    def _reason_to_refuse(self, call: RunTask) -> str | None:
+    def _refusal_reason(self, call: RunTask) -> str | None:
         task = call.task
         if task.task_id in self.running or task.task_id in self.ended:
             return "duplicate"
@@ -224,78 +234,78 @@
             return "void"
         if call.lease_deadline <= time.time():
             return "expired"
-        free = self.capacity
+        available = self.capacity
         for execution in self.running.values():
-            free = free.minus(execution.call.task.resources)
-        return None if task.resources.fits_in(free) else "full"
+            available = available.minus(execution.call.task.resources)
+        return None if task.resources.fits_in(available) else "full"
 
-    async def _work(self, execution: Execution) -> bool:
-        """Run a task to its end; tell whether it succeeded."""
-        options = PayloadOptions.parse(execution.call.task.payload, self._run_s)
-        if self.mode == "fail" or options.fail:
+    async def _simulate(self, execution: Execution) -> bool:
+        """Simulate a task until it ends; return whether it succeeded."""
+        options = PayloadOptions.parse(execution.call.task.payload, self._default_run_s)
+        if self.mode == "fail" or options.fails:
             execution.stop_reason = "failed"
             return False
-        left_s = options.run_s * (SLOW_FACTOR if self.mode == "slow" else 1.0)
+        remaining_s = options.run_s * (SLOWDOWN_FACTOR if self.mode == "slow" else 1.0)
         if self.mode == "hang":
-            left_s = float("inf")
+            remaining_s = float("inf")
         loop = asyncio.get_running_loop()
-        while left_s > 0 and not execution.is_stopped:
-            speed, began_at = execution.cpu_percent / PERCENT, loop.time()
+        while remaining_s > 0 and not execution.is_stopped:
+            speed, started_at = execution.cpu_percent / FULL_PERCENT, loop.time()
             execution.changed.clear()
             try:
-                async with asyncio.timeout(left_s / speed):
+                async with asyncio.timeout(remaining_s / speed):
                     await execution.changed.wait()
             except TimeoutError:
                 break
-            left_s -= (loop.time() - began_at) * speed
+            remaining_s -= (loop.time() - started_at) * speed
         return not execution.is_stopped
 
-    def _renew(self, call: RenewLeases) -> LeasesRenewed:
+    def _renew_leases(self, call: RenewLeases) -> LeasesRenewed:
         for execution in self.running.values():
             execution.lease_deadline = max(execution.lease_deadline, call.lease_deadline)
-        used = self._usage[0][1] if self._usage else 0
+        used = self._usage_samples[0][1] if self._usage_samples else 0
         return LeasesRenewed(tuple(self.running), used)
 
-    def _stop(self, task_id: str, reason: str) -> OutcomeReport:
+    def _stop_task(self, task_id: str, reason: str) -> OutcomeReport:
         if task_id in self.running:
-            self.running[task_id].end(reason)
-        return self._report(task_id)
+            self.running[task_id].stop(reason)
+        return self._report_outcome(task_id)
 
-    def _throttle(self, call: ThrottleTask) -> OutcomeReport:
+    def _throttle_task(self, call: ThrottleTask) -> OutcomeReport:
         if call.task_id in self.running:
             self.running[call.task_id].throttle(call.percent)
-        return self._report(call.task_id)
+        return self._report_outcome(call.task_id)
 
-    def _cpu_in_use(self) -> int:
+    def _used_cpu_milli(self) -> int:
         total = 0
         for execution in self.running.values():
             task = execution.call.task
-            options = PayloadOptions.parse(task.payload, self._run_s)
-            actual = task.resources.cpu_milli if options.cpu_milli is None else options.cpu_milli
-            total += actual * execution.cpu_percent // PERCENT
+            options = PayloadOptions.parse(task.payload, self._default_run_s)
+            used = task.resources.cpu_milli if options.cpu_milli is None else options.cpu_milli
+            total += used * execution.cpu_percent // FULL_PERCENT
         return total
 
-    def _inventory(self) -> tuple[RunningTask, ...]:
+    def _running_tasks(self) -> tuple[RunningTask, ...]:
         calls = [execution.call for execution in self.running.values()]
         return tuple(
             RunningTask(call.task.task_id, call.task.team, call.task.resources, call.task.kind)
             for call in calls
         )
 
-    def _report(self, task_id: str) -> OutcomeReport:
+    def _report_outcome(self, task_id: str) -> OutcomeReport:
         if task_id in self.running:
             return OutcomeReport(task_id, "running", None)
         ended = self.ended.get(task_id)
         if ended is None:
-            self._void(task_id)
+            self._reject_id(task_id)
         return OutcomeReport(task_id, "ended" if ended else "never", ended)
 
-    def _void(self, task_id: str) -> None:
-        """Refuse an id from now on, since its owner is told that it never runs here."""
+    def _reject_id(self, task_id: str) -> None:
+        """Reject an id from now on, because its owner is told that it never ran here."""
         if task_id not in self.ended and task_id not in self.running:
             self.rejected_ids[task_id] = time.time()
 
-    def _log_task(self, event: str, call: RunTask, **more: Any) -> None:
+    def _log_task(self, event: str, call: RunTask, **fields: Any) -> None:
         task = call.task
         self._events.write(
             event,
@@ -308,37 +318,37 @@
             kind=task.kind.value,
             urgency=task.urgency.value,
             submitted_at=task.submitted_at,
-            **more,
+            **fields,
         )
 
 
-def without_large_body(task: EndedTask) -> EndedTask:
-    """Return an ended task as an inventory names it: the owner asks for large bodies."""
-    if len(task.body) <= INLINE_BODY_BYTES:
+def omit_large_body(task: EndedTask) -> EndedTask:
+    """Return an inventory entry without a large body, which the owner queries separately."""
+    if len(task.body) <= MAX_INLINE_BODY_BYTES:
         return task
     return attrs.evolve(task, body=b"", body_omitted=True)
 
 
 class ModeHandler(RequestHandler):
-    """Take commands of tests: POST /workers/NAME {"mode": ...}."""
+    """Serve control requests: POST /workers/NAME {"mode": ...}."""
 
     def initialize(self, workers: dict[str, FakeWorker]) -> None:
-        """Take the workers."""
+        """Set the workers that the handler controls."""
         self.workers = workers
 
     def post(self, name: str) -> None:
-        """Change the mode of a worker."""
+        """Set the mode of a worker."""
         mode = orjson.loads(self.request.body).get("mode")
         if mode not in MODES or name not in self.workers:
             self.set_status(400)
-            self.finish({"error": f"give a worker of this process and one of {', '.join(MODES)}"})
+            self.finish({"error": f"unknown worker, or mode not one of {', '.join(MODES)}"})
             return
         self.workers[name].set_mode(mode)
         self.finish({"mode": mode})
 
 
 async def serve_worker(worker: FakeWorker, port: int) -> None:
-    """Serve one worker until cancelled."""
+    """Serve a worker until cancelled."""
 
     async def handle(conn: ServerConnection) -> None:
         await Link(conn, CODEC, worker.handle).run()
@@ -360,29 +370,29 @@
 
 
 def define_flags() -> None:
-    """Define the command line; only the program itself does, so that modules stay importable."""
+    """Define the flags; only the program does so, since flags of imported modules would clash."""
     flags.DEFINE_string("name", "worker", "Name of the worker.")
     flags.DEFINE_integer("port", 0, "Port of the worker.")
-    flags.DEFINE_list("workers", [], "Several workers as NAME:PORT, in place of name and port.")
-    flags.DEFINE_integer("control_port", 0, "Port for commands of tests; 0 for none.")
+    flags.DEFINE_list("workers", [], "Workers as NAME:PORT, instead of --name and --port.")
+    flags.DEFINE_integer("control_port", 0, "Port for control requests; 0 for none.")
     flags.DEFINE_integer("slots", 8, "Number of tasks that may run at once.")
-    flags.DEFINE_integer("cpu_milli", 16000, "Processors, in thousandths.")
+    flags.DEFINE_integer("cpu_milli", 16000, "Processors, in thousandths of a core.")
     flags.DEFINE_integer("memory_mb", 65536, "Memory, in MiB.")
     flags.DEFINE_integer("accelerators", 0, "Number of accelerators.")
     flags.DEFINE_string("rack", "", "Rack of the worker.")
-    flags.DEFINE_float("run_s", 0.0, "Run time of a task whose payload names none, in seconds.")
-    flags.DEFINE_float("usage_lag_s", 2.0, "Age of the reported use of processors, in seconds.")
-    flags.DEFINE_string("log", "", "File that gets one JSON line per event.")
+    flags.DEFINE_float("run_s", 0.0, "Run time of a task whose payload sets none, in seconds.")
+    flags.DEFINE_float("usage_lag_s", 2.0, "Age of the reported processor use, in seconds.")
+    flags.DEFINE_string("log", "", "File to which one JSON line per event is appended.")
 
 
 def main(argv: list[str]) -> None:
-    """Serve the workers named by the flags."""
+    """Serve the workers that the flags list."""
     capacity = Resources(FLAGS.cpu_milli, FLAGS.memory_mb, FLAGS.accelerators, FLAGS.slots)
     events = EventLog(FLAGS.log)
-    named = FLAGS.workers or [f"{FLAGS.name}:{FLAGS.port}"]
+    specs = FLAGS.workers or [f"{FLAGS.name}:{FLAGS.port}"]
     workers = []
-    for text in named:
-        name, _, port = text.rpartition(":")
+    for spec in specs:
+        name, _, port = spec.rpartition(":")
         worker = FakeWorker(name, capacity, FLAGS.run_s, FLAGS.usage_lag_s, events, FLAGS.rack)
         workers.append((worker, int(port)))
     asyncio.run(run(workers, FLAGS.control_port))
