--- a/baobabhoist/testing/memory_row_store.py
+++ b/baobabhoist/testing/memory_row_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's row store in one process, with outages and lost answers."""
+"""Provide an in-memory row store that can inject outages, lost replies and late commits."""
 
 from __future__ import annotations
 
@@ -31,16 +31,17 @@
     is_down: bool = False
     history_start_version: int = 0
     history: list[StoredRow] = attrs.Factory(list)
-    # Returns "", "refused", "lost" (done, not answered) or "late" (done by `apply_delayed`).
+    # Returns "" for no failure, "refused", "lost" (applied, but the reply is lost) or "late" (the
+    # reply is lost, and `apply_delayed` applies the transaction).
     choose_failure: Callable[[RowsTxn], str] = lambda txn: ""
-    # Transactions wait for ever while this is set.
+    # While this is set, commits never return.
     commits_hang: bool = False
     delayed: list[RowsTxn] = attrs.Factory(list)
     commit_count: int = 0
     _ticks: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
-        """Return the rows of a part in a range of keys."""
+        """Return the rows of a part with keys from `first` up to, not including, `last`."""
         self._raise_if_down()
         found = [
             row
@@ -53,44 +54,44 @@
         return Rows(tuple(found), self.version, self._clock())
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
-        """Return what changed after a version, at once."""
+        """Return what changed after a version, without waiting for a change."""
         self._raise_if_down()
         if after_version < self.history_start_version:
-            raise HistoryLostError("the history was dropped")
+            raise HistoryLostError("the change history was truncated")
         await asyncio.sleep(0)
         found = [r for r in self.history if r.key.table == table and r.version > after_version]
         return Rows(tuple(found), self.version, self._clock())
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
-        """Apply a transaction, or fail in the way that was asked for."""
+        """Apply a transaction, or fail as `choose_failure` decides."""
         self._raise_if_down()
         self.commit_count += 1
         if self.commits_hang:
             await asyncio.Event().wait()
-        how = self.choose_failure(txn)
-        if how == "refused":
+        failure = self.choose_failure(txn)
+        if failure == "refused":
             raise StoreRefusedError("the store is busy")
-        if how == "late":
+        if failure == "late":
             self.delayed.append(txn)
-            raise StoreUnansweredError("no answer")
+            raise StoreUnansweredError("the store did not answer")
         outcome = self.apply(txn)
-        if how == "lost":
-            raise StoreUnansweredError("no answer")
+        if failure == "lost":
+            raise StoreUnansweredError("the store did not answer")
         return outcome
 
     def apply_delayed(self) -> None:
-        """Carry out what was held up."""
-        held, self.delayed = self.delayed, []
-        for txn in held:
+        """Apply the delayed transactions."""
+        delayed, self.delayed = self.delayed, []
+        for txn in delayed:
             self.apply(txn)
 
     def apply(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
-        """Apply a transaction whole or not at all."""
-        for key, expected in txn.expected.items():
-            held = self.rows.get(key)
-            if (held.version if held is not None else 0) != expected:
-                known = [self.rows[k] for k in txn.expected if k in self.rows]
-                return RowsConflict(tuple(known))
+        """Apply a transaction atomically."""
+        for key, expected_version in txn.expected.items():
+            row = self.rows.get(key)
+            if (row.version if row is not None else 0) != expected_version:
+                current = [self.rows[k] for k in txn.expected if k in self.rows]
+                return RowsConflict(tuple(current))
         self.version += 1
         for key, value in txn.puts.items():
             self._put(StoredRow(key, value, self.version))
@@ -105,7 +106,7 @@
 
     def _raise_if_down(self) -> None:
         if self.is_down:
-            raise StoreUnansweredError("the store is down")
+            raise StoreUnansweredError("the store is unavailable")
 
     def _clock(self) -> int:
         return self.now_ms + next(self._ticks)
