--- a/baobabhoist/testing/cell_worker.py
+++ b/baobabhoist/testing/cell_worker.py
@@ -1,4 +1,4 @@
-"""Stand in for a worker of a cell: fencing, leases, runs, ends and gangs, driven by hand."""
+"""Provide a fake worker of a cell, whose clock and runs are controlled by the test."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.define
 class FakeRun:
-    """Hold a run on the worker."""
+    """Track a run on the worker."""
 
     task: TaskKey
     number: int
@@ -33,7 +33,7 @@
 
 @attrs.define
 class FakeCellWorker:
-    """Own a worker's state; `now_ms` is its own steady clock."""
+    """Simulate fencing, leases and runs of a worker; `now_ms` is its own monotonic clock."""
 
     worker_id: str
     capacity: Resources = attrs.field(factory=lambda: Resources(4000, 4096, 0))
@@ -47,7 +47,7 @@
     unacked_ends: list[EndedRun] = attrs.Factory(list)
     last_ended_runs: dict[TaskKey, int] = attrs.Factory(dict)
     last_sequence_number: int = 0
-    # Every start that took effect, for checks.
+    # Every start that took effect.
     started_runs: list[tuple[TaskKey, int]] = attrs.Factory(list)
 
     def info(self, **changes: Any) -> WorkerInfo:
@@ -66,7 +66,7 @@
     def renew(
         self, token: int, acked_end: int, deadline_ms: int | None
     ) -> WorkerReport | CommandOutcome:
-        """Answer a renewal."""
+        """Handle a lease renewal; acknowledged ends are dropped from the reports."""
         if token < self.token:
             return CommandOutcome.FENCED
         self.token = token
@@ -76,7 +76,7 @@
         return self.report()
 
     def report(self) -> WorkerReport:
-        """Return the lists as they are now."""
+        """Return the active runs and the ends that are not acknowledged."""
         running = [
             ActiveRun(r.task, r.number, r.checkpoint, r.progress_percent)
             for r in self.runs.values()
@@ -85,53 +85,55 @@
             int(self.now_ms), self.started_unix_ms, tuple(running), tuple(self.unacked_ends)
         )
 
-    def start(self, token: int, order: StartTask, deadline_ms: int) -> CommandOutcome:
-        """Carry out a start."""
+    def start(self, token: int, command: StartTask, deadline_ms: int) -> CommandOutcome:
+        """Handle a start command."""
         if token < self.token:
             return CommandOutcome.FENCED
         self.token = token
         if deadline_ms <= self.now_ms:
             return CommandOutcome.LATE
         self.lease_expires_ms = max(self.lease_expires_ms, deadline_ms)
-        run = self.runs.get(order.task)
-        if run is not None and run.number == order.run:
+        run = self.runs.get(command.task)
+        if run is not None and run.number == command.run:
             return CommandOutcome.OK
-        if run is not None or order.run <= self.last_ended_runs.get(order.task, 0):
+        if run is not None or command.run <= self.last_ended_runs.get(command.task, 0):
             return CommandOutcome.OLD
-        self.runs[order.task] = FakeRun(order.task, order.run, checkpoint=order.checkpoint)
-        self.started_runs.append((order.task, order.run))
+        self.runs[command.task] = FakeRun(command.task, command.run, checkpoint=command.checkpoint)
+        self.started_runs.append((command.task, command.run))
         return CommandOutcome.OK
 
-    def stop(self, token: int, order: StopTask) -> CommandOutcome:
-        """Carry out a stop; a run that never came is remembered as ended."""
+    def stop(self, token: int, command: StopTask) -> CommandOutcome:
+        """Handle a stop command; a run that was never started is recorded as ended."""
         if token < self.token:
             return CommandOutcome.FENCED
         self.token = token
-        run = self.runs.get(order.task)
-        if run is not None and run.number <= order.run:
-            self.end_run(order.task, RunOutcome.STOPPED)
-        self.last_ended_runs[order.task] = max(self.last_ended_runs.get(order.task, 0), order.run)
+        run = self.runs.get(command.task)
+        if run is not None and run.number <= command.run:
+            self.end_run(command.task, RunOutcome.STOPPED)
+        self.last_ended_runs[command.task] = max(
+            self.last_ended_runs.get(command.task, 0), command.run
+        )
         return CommandOutcome.OK
 
-    def end_run(self, task: TaskKey, kind: RunOutcome, checkpoint: str = "") -> None:
-        """End a run."""
+    def end_run(self, task: TaskKey, outcome: RunOutcome, checkpoint: str = "") -> None:
+        """End a run and queue its outcome for the next report."""
         run = self.runs.pop(task)
         self.last_sequence_number += 1
-        saved = checkpoint or run.checkpoint
+        last_checkpoint = checkpoint or run.checkpoint
         self.unacked_ends.append(
-            EndedRun(self.last_sequence_number, task, run.number, kind, saved)
+            EndedRun(self.last_sequence_number, task, run.number, outcome, last_checkpoint)
         )
         self.last_ended_runs[task] = max(self.last_ended_runs.get(task, 0), run.number)
 
     def advance(self, ms: float) -> None:
-        """Let time pass; everything ends when the lease does."""
+        """Advance the clock; when the lease expires, every run ends."""
         self.now_ms += ms
         if self.now_ms >= self.lease_expires_ms:
             for task in list(self.runs):
                 self.end_run(task, RunOutcome.LAPSED)
 
     def restart(self) -> None:
-        """Begin a new lifetime under the same id."""
+        """Restart under the same id, without state of the previous incarnation."""
         self.started_unix_ms += 1
         self.now_ms, self.token, self.lease_expires_ms, self.last_sequence_number = 0.0, 0, 0.0, 0
         self.runs.clear()
@@ -140,13 +142,13 @@
 
 
 def end_gang_run(
-    workers: Mapping[str, FakeCellWorker], task: TaskKey, number: int, kind: RunOutcome
+    workers: Mapping[str, FakeCellWorker], task: TaskKey, number: int, outcome: RunOutcome
 ) -> list[str]:
-    """End what is left of a gang's run; return the worker of each member that ended."""
+    """End the remaining members of a gang's run; return the worker of each of them."""
     ended = []
     for name, worker in workers.items():
         for member, run in list(worker.runs.items()):
             if member.step_key == task.step_key and run.number == number:
-                worker.end_run(member, kind)
+                worker.end_run(member, outcome)
                 ended.append(name)
     return ended
