--- a/baobabhoist/testing/network.py
+++ b/baobabhoist/testing/network.py
@@ -1,4 +1,4 @@
-"""Relay TCP connections between processes, and cut, delay or silence them on command."""
+"""Relay TCP connections between processes, and inject network faults into them on request."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 FLAGS = flags.FLAGS
 
 CHUNK_BYTES = 65536
-# The kernel's table of connections is long after many short ones, so one reading serves all
-# connections that were opened meanwhile.
+# The kernel's connection table is long after many short connections, so lookups are batched: one
+# read of the table serves all connections opened within this interval.
 LOOKUP_INTERVAL_S = 0.1
-# pass: forward. cut: end connections and refuse new ones. silent: open connections deliver
-# nothing from now on, new ones work. blackhole: as silent, and new ones deliver nothing either.
-# mute: what is sent arrives, but no answers come back; answers held up are lost.
+# pass: forward data. cut: abort open and new connections. silent: open connections never deliver
+# data again, new ones work. blackhole: as silent, and new ones deliver nothing either.
+# mute: deliver requests but drop replies, including delayed ones.
 MODES = ("pass", "cut", "silent", "blackhole", "mute")
 
 
 @attrs.define(eq=False)
 class Connection:
-    """Hold one relayed connection; a silenced one stays open and delivers nothing."""
+    """Track a relayed connection; a silenced one stays open but delivers nothing."""
 
     client: asyncio.StreamWriter
     source: str = ""
@@ -36,7 +36,7 @@
 
 @attrs.define
 class Fault:
-    """Hold the mode and the delay, in seconds, for connections from some sources."""
+    """Hold the mode and the delay of the connections to which a fault applies."""
 
     mode: str = "pass"
     delay_s: float = 0.0
@@ -44,10 +44,10 @@
 
 @attrs.define(eq=False)
 class SourceResolver:
-    """Tell which labelled process opened a connection.
+    """Find the label of the process that opened a connection.
 
-    All processes share the loopback address, so the socket is looked up in the tables that
-    Linux keeps of the labelled processes.
+    All processes share the loopback address, so the connection's socket is looked up among the
+    file descriptors of the labelled processes, as Linux lists them in /proc.
     """
 
     labels: dict[int, str] = attrs.Factory(dict)
@@ -61,43 +61,45 @@
         fut: asyncio.Future[str] = asyncio.get_running_loop().create_future()
         self.pending.append(((client_port, relay_port), fut))
         if self.lookup_task is None or self.lookup_task.done():
-            self.lookup_task = asyncio.create_task(self._answer())
+            self.lookup_task = asyncio.create_task(self._resolve_pending())
         return await fut
 
-    async def _answer(self) -> None:
+    async def _resolve_pending(self) -> None:
         while self.pending:
             batch, self.pending = self.pending, []
-            ports = {pair for pair, _ in batch}
-            found = await asyncio.to_thread(find_labels, ports, dict(self.labels))
-            for pair, fut in batch:
+            port_pairs = {ports for ports, _ in batch}
+            labels_by_ports = await asyncio.to_thread(find_labels, port_pairs, dict(self.labels))
+            for ports, fut in batch:
                 if not fut.done():
-                    fut.set_result(found.get(pair, ""))
+                    fut.set_result(labels_by_ports.get(ports, ""))
             await asyncio.sleep(LOOKUP_INTERVAL_S)
 
 
-def find_labels(ports: set[tuple[int, int]], labels: dict[int, str]) -> dict[tuple[int, int], str]:
-    """Return the labels of the processes that hold the connections between pairs of ports."""
-    inodes: dict[str, tuple[int, int]] = {}
+def find_labels(
+    port_pairs: set[tuple[int, int]], labels: dict[int, str]
+) -> dict[tuple[int, int], str]:
+    """Return the label of the process behind each connection, given as a pair of ports."""
+    ports_by_socket: dict[str, tuple[int, int]] = {}
     for line in Path("/proc/net/tcp").read_text(encoding="ascii").splitlines()[1:]:
-        parts = line.split()
-        pair = int(parts[1][-4:], 16), int(parts[2][-4:], 16)
-        if pair in ports:
-            inodes[f"socket:[{parts[9]}]"] = pair
-    found = {}
+        fields = line.split()
+        ports = int(fields[1][-4:], 16), int(fields[2][-4:], 16)
+        if ports in port_pairs:
+            ports_by_socket[f"socket:[{fields[9]}]"] = ports
+    labels_by_ports = {}
     for pid, label in labels.items():
-        # The process may have ended, and its descriptors change while they are read.
+        # The process may have exited, and its descriptors may change while they are read.
         with contextlib.suppress(OSError):
             for name in os.listdir(f"/proc/{pid}/fd"):
                 with contextlib.suppress(OSError):
                     target = os.readlink(f"/proc/{pid}/fd/{name}")
-                    if target in inodes:
-                        found[inodes[target]] = label
-    return found
+                    if target in ports_by_socket:
+                        labels_by_ports[ports_by_socket[target]] = label
+    return labels_by_ports
 
 
 @attrs.define(eq=False)
 class Relay:
-    """Forward one port to another; faults may apply to connections of one source only."""
+    """Forward a port to another one; a fault may apply to the connections of one source only."""
 
     name: str
     listen_port: int
@@ -109,14 +111,14 @@
     server_tasks: set[asyncio.Task[None]] = attrs.Factory(set)
 
     async def start(self) -> asyncio.Server:
-        """Listen and relay."""
+        """Start the relay's server."""
         return await asyncio.start_server(self._serve, "127.0.0.1", self.listen_port)
 
     async def set_fault(self, mode: str, delay_s: float, source: str | None) -> None:
-        """Put a fault in force; connections that were silenced never recover."""
+        """Inject a fault, or remove it with mode `pass`; silenced connections never recover."""
         self._apply(mode, delay_s, source)
         if source is not None and self.connections:
-            # The processes behind connections that were open already are found out only now.
+            # The sources of connections that were already open are looked up only now.
             await asyncio.gather(*(self._identify(conn) for conn in list(self.connections)))
             self._apply(mode, delay_s, source)
 
@@ -138,7 +140,7 @@
                 conn.client.transport.abort()
 
     def fault_for(self, source: str) -> Fault:
-        """Return the fault in force for a source."""
+        """Return the fault that applies to a source."""
         return self.faults_by_source.get(source, self.default_fault)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -150,37 +152,39 @@
             writer.transport.abort()
             return
         try:
-            back_reader, back_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
+            target_reader, target_writer = await asyncio.open_connection(
+                "127.0.0.1", self.target_port
+            )
         except OSError:
             writer.transport.abort()
             return
         conn.is_silenced = fault.mode == "blackhole"
         self.connections.add(conn)
-        pumps = [
-            asyncio.create_task(self._pump(conn, reader, back_writer)),
-            asyncio.create_task(self._pump(conn, back_reader, writer, answers=True)),
+        forwards = [
+            asyncio.create_task(self._forward(conn, reader, target_writer)),
+            asyncio.create_task(self._forward(conn, target_reader, writer, is_reply=True)),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
-            # A connection that went silent does not deliver the target's end either.
+            await asyncio.wait(forwards, return_when=asyncio.FIRST_COMPLETED)
+            # A silenced connection does not deliver the close by the target either.
             if conn.is_silenced:
-                await asyncio.wait(pumps[:1])
+                await asyncio.wait(forwards[:1])
         finally:
             self.connections.discard(conn)
-            for pump in pumps:
-                pump.cancel()
+            for forward in forwards:
+                forward.cancel()
             writer.close()
-            back_writer.close()
+            target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         conn: Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool = False,
+        is_reply: bool = False,
     ) -> None:
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=1024)
-        delivery = asyncio.create_task(self._deliver(conn, queue, writer, answers))
+        delivery = asyncio.create_task(self._deliver(conn, queue, writer, is_reply))
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK_BYTES):
@@ -197,17 +201,17 @@
         conn: Connection,
         queue: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
-        answers: bool,
+        is_reply: bool,
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, data = await queue.get()
-            await asyncio.sleep(max(0.0, due - loop.time()))
+            due_at, data = await queue.get()
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
             if not data:
                 return
-            muted = answers and self.fault_for(conn.source).mode == "mute"
-            # A connection that lost a part of an answer cannot be used any more.
-            conn.is_silenced = conn.is_silenced or muted
+            is_muted = is_reply and self.fault_for(conn.source).mode == "mute"
+            # The byte stream of a connection is unusable once part of a reply is lost.
+            conn.is_silenced = conn.is_silenced or is_muted
             if not conn.is_silenced:
                 writer.write(data)
                 try:
@@ -222,14 +226,14 @@
 
 
 class RelayFaultHandler(RequestHandler):
-    """Take commands: POST /relays {"name": GLOB, "mode": ..., "delay_s": ..., "source": ...}."""
+    """Inject faults: POST /relays {"name": GLOB, "mode": ..., "delay_s": ..., "source": ...}."""
 
     def initialize(self, relays: list[Relay]) -> None:
-        """Take the relays."""
+        """Set the relays that the handler controls."""
         self.relays = relays
 
     async def post(self) -> None:
-        """Put a fault in force on every relay whose name matches."""
+        """Inject a fault into every relay whose name matches."""
         body = orjson.loads(self.request.body)
         if body["mode"] not in MODES:
             self.set_status(400)
@@ -247,22 +251,22 @@
     """Label processes: POST /sources {PID: LABEL}."""
 
     async def post(self) -> None:
-        """Take the labels; they replace the earlier ones."""
+        """Replace the labels of processes."""
         labels = {int(pid): label for pid, label in orjson.loads(self.request.body).items()}
         for relay in self.relays:
             relay.resolver.labels = labels
         self.finish({"sources": len(labels)})
 
 
-def parse_relay(text: str) -> Relay:
-    """Return the relay in NAME=LISTEN_PORT:TARGET_PORT."""
-    name, _, ports = text.rpartition("=")
-    listen, _, target = ports.partition(":")
-    return Relay(name, int(listen), int(target))
+def parse_relay(spec: str) -> Relay:
+    """Parse a relay given as NAME=LISTEN_PORT:TARGET_PORT."""
+    name, _, ports = spec.rpartition("=")
+    listen_port, _, target_port = ports.partition(":")
+    return Relay(name, int(listen_port), int(target_port))
 
 
 async def serve(relays: list[Relay], control_port: int) -> None:
-    """Relay until cancelled."""
+    """Run the relays until cancelled."""
     resolver = SourceResolver()
     for relay in relays:
         relay.resolver = resolver
@@ -275,14 +279,14 @@
 
 
 def define_flags() -> None:
-    """Define the command line; only the program itself does, so that modules stay importable."""
-    flags.DEFINE_integer("control_port", 0, "Port for commands.")
+    """Define the flags; only the program does so, since flags of imported modules would clash."""
+    flags.DEFINE_integer("control_port", 0, "Port for control requests.")
     flags.DEFINE_list("relays", [], "Relays as NAME=LISTEN_PORT:TARGET_PORT.")
 
 
 def main(argv: list[str]) -> None:
-    """Serve the relays."""
-    asyncio.run(serve([parse_relay(text) for text in FLAGS.relays], FLAGS.control_port))
+    """Run the relays that the flags list."""
+    asyncio.run(serve([parse_relay(spec) for spec in FLAGS.relays], FLAGS.control_port))
 
 
 if __name__ == "__main__":
