--- a/baobabhoist/testing/platform.py
+++ b/baobabhoist/testing/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: table, object store, membership list and injected faults."""
+"""Provide a fake platform: table, object store and membership list, with fault injection."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 FAULT_MODES = ("up", "down", "slow", "lose_answers")
 MEMBER_STATES = ("live", "leaving", "gone")
 MAX_OBJECT_BYTES = 1 << 27
-# Outcomes are kept long enough for every client deadline; the bound keeps long runs small.
+# Outcomes are kept long enough for every client deadline; the limit bounds memory in long runs.
 MAX_OUTCOMES = 200_000
 
 
 @attrs.define
 class TableState:
-    """Hold the rows and the outcomes of transactions."""
+    """Hold the rows, and the outcomes of transactions by id."""
 
     rows: dict[str, tuple[int, Any]] = attrs.Factory(dict)
     outcomes: dict[str, dict[str, int]] = attrs.Factory(dict)
 
     def commit(self, txn: dict[str, Any]) -> dict[str, Any]:
-        """Apply a transaction or name the row in conflict; repeats have no effect."""
+        """Apply a transaction or return the conflicting row; commits are idempotent by txn_id."""
         if txn["txn_id"] in self.outcomes:
             return {"revisions": self.outcomes[txn["txn_id"]]}
         for key, revision in txn["checks"].items():
@@ -52,29 +52,28 @@
         return {"revisions": revisions}
 
     def scan(self, prefix: str, after: str, limit: int) -> list[dict[str, Any]]:
-        """Return rows in key order."""
+        """Return up to `limit` rows with a prefix, in key order after a key."""
         keys = sorted(key for key in self.rows if key.startswith(prefix))
-        chosen = keys[bisect_right(keys, after) :][:limit]
+        page = keys[bisect_right(keys, after) :][:limit]
         return [
-            {"key": key, "revision": self.rows[key][0], "value": self.rows[key][1]}
-            for key in chosen
+            {"key": key, "revision": self.rows[key][0], "value": self.rows[key][1]} for key in page
         ]
 
 
 @attrs.define
 class MembershipList:
-    """Show each change of a member only after a lag, in seconds."""
+    """Show each change of a member only after a lag, as the real list does."""
 
     lag_s: float
     visible_by_name: dict[str, dict[str, Any]] = attrs.Factory(dict)
     pending: deque[tuple[float, dict[str, Any]]] = attrs.Factory(deque)
 
     def change(self, member: dict[str, Any], now: float) -> None:
-        """Note a member's new state, which becomes visible after the lag."""
+        """Record the new state of a member, which becomes visible after the lag."""
         self.pending.append((now + self.lag_s, member | {"since": now}))
 
     def visible(self, now: float) -> list[dict[str, Any]]:
-        """Return the members as the list shows them now, with the time of each change."""
+        """Return the visible members, each with the time of its last change."""
         while self.pending and self.pending[0][0] <= now:
             _, member = self.pending.popleft()
             self.visible_by_name[member["name"]] = member
@@ -83,25 +82,25 @@
 
 @attrs.define
 class PlatformFault:
-    """Hold the fault in force; `down` answers 503 at once, or never when `hang` is set."""
+    """Hold the injected fault; mode `down` answers 503 at once, or never if `hangs` is set."""
 
     mode: str = "up"
     delay_s: float = 0.0
-    hang: bool = False
+    hangs: bool = False
 
     def update(self, body: dict[str, Any]) -> str | None:
-        """Take a new fault, or return what is wrong with it."""
+        """Set the fault from a request, or return why the request is invalid."""
         if body.get("mode") not in FAULT_MODES:
             return f"mode must be one of {', '.join(FAULT_MODES)}"
         self.mode = body["mode"]
         self.delay_s = float(body.get("delay_s", 0.0))
-        self.hang = bool(body.get("hang", False))
+        self.hangs = bool(body.get("hang", False))
         return None
 
 
 @attrs.define
 class FakePlatform:
-    """Hold the whole state of the stand-in."""
+    """Hold the state of the fake."""
 
     members: MembershipList
     table: TableState = attrs.Factory(TableState)
@@ -111,26 +110,26 @@
 
 
 class PlatformHandler(RequestHandler):
-    """Apply the fault in force before and after each call, and count calls."""
+    """Apply the injected fault to each call and count the calls."""
 
     def initialize(self, platform: FakePlatform) -> None:
-        """Take the platform."""
+        """Set the platform that the handler serves."""
         self.platform = platform
 
     async def prepare(self) -> None:
-        """Delay or refuse the call as the fault in force says."""
+        """Delay or reject the call if the injected fault requires it."""
         fault = self.platform.fault
         self.platform.call_counts["reads" if self.request.method == "GET" else "writes"] += 1
         if fault.mode == "slow":
             await asyncio.sleep(fault.delay_s)
         if fault.mode == "down":
-            if fault.hang:
+            if fault.hangs:
                 await asyncio.Event().wait()
             self.set_status(HTTP_UNAVAILABLE)
             self.finish({"error": "injected outage"})
 
     def answer_write(self, body: dict[str, Any], status: int = 200) -> None:
-        """Answer a write that took effect, or drop the connection in its place."""
+        """Answer a write that took effect, or close the connection to lose the answer."""
         if self.platform.fault.mode == "lose_answers":
             self.platform.call_counts["lost_answers"] += 1
             self.request.connection.stream.close()  # type: ignore[union-attr]
@@ -140,7 +139,7 @@
 
 
 class TableHandler(PlatformHandler):
-    """Serve the table."""
+    """Serve the table: POST /table/commit and GET /table/row, /table/scan or /table/outcome."""
 
     def post(self, _: str) -> None:
         """Commit a transaction."""
@@ -149,13 +148,13 @@
             self.platform.call_counts["conflicts"] += 1
         self.answer_write(answer, HTTP_CONFLICT if "conflict" in answer else 200)
 
-    def get(self, what: str) -> None:
-        """Read a row, a range of rows or the outcome of a transaction."""
+    def get(self, endpoint: str) -> None:
+        """Return a row, a range of rows or the outcome of a transaction."""
         table = self.platform.table
-        if what == "row":
+        if endpoint == "row":
             revision, value = table.rows.get(self.get_argument("key"), (0, None))
             self.finish({"revision": revision, "value": value})
-        elif what == "scan":
+        elif endpoint == "scan":
             rows = table.scan(
                 self.get_argument("prefix"),
                 self.get_argument("after", ""),
@@ -163,31 +162,31 @@
             )
             self.finish({"rows": rows})
         else:
-            found = table.outcomes.get(self.get_argument("txn_id"))
-            state = "unknown" if found is None else "committed"
-            self.finish({"state": state, "revisions": found or {}})
+            revisions = table.outcomes.get(self.get_argument("txn_id"))
+            state = "unknown" if revisions is None else "committed"
+            self.finish({"state": state, "revisions": revisions or {}})
 
 
 class ObjectHandler(PlatformHandler):
     """Serve the object store: /objects/NAME."""
 
     def put(self, name: str) -> None:
-        """Store an object; a repeated write replaces it."""
+        """Store an object, replacing any previous one."""
         self.platform.objects[name] = self.request.body
         self.answer_write({"bytes": len(self.request.body)})
 
     def get(self, name: str) -> None:
         """Return an object."""
-        found = self.platform.objects.get(name)
-        if found is None:
+        body = self.platform.objects.get(name)
+        if body is None:
             self.set_status(HTTP_NOT_FOUND)
-            self.finish({"error": f"there is no object {name}"})
+            self.finish({"error": f"object {name} not found"})
             return
         self.set_header("Content-Type", "application/octet-stream")
-        self.finish(found)
+        self.finish(body)
 
     def delete(self, name: str) -> None:
-        """Remove an object; a repeat has no effect."""
+        """Remove an object, if it exists."""
         self.platform.objects.pop(name, None)
         self.answer_write({})
 
@@ -196,19 +195,19 @@
     """Serve the membership list."""
 
     def get(self) -> None:
-        """Return the VMs as the list shows them now."""
+        """Return the VMs that are visible now."""
         self.finish({"members": self.platform.members.visible(time.time())})
 
 
 class ControlHandler(RequestHandler):
-    """Take commands of tests, which no injected fault touches."""
+    """Serve control requests, to which injected faults do not apply."""
 
     def initialize(self, platform: FakePlatform) -> None:
-        """Take the platform."""
+        """Set the platform that the handler serves."""
         self.platform = platform
 
-    def refuse(self, message: str) -> None:
-        """Answer a command that cannot be followed."""
+    def reject(self, message: str) -> None:
+        """Reject an invalid request."""
         self.set_status(400)
         self.finish({"error": message})
 
@@ -217,10 +216,10 @@
     """Inject faults: POST /faults {"mode": ..., "delay_s": ..., "hang": ...}."""
 
     def post(self) -> None:
-        """Put a fault in force."""
+        """Set the injected fault."""
         problem = self.platform.fault.update(orjson.loads(self.request.body))
         if problem is not None:
-            self.refuse(problem)
+            self.reject(problem)
             return
         self.finish({"mode": self.platform.fault.mode})
 
@@ -229,25 +228,25 @@
     """Change a member: PUT /members/NAME {"state": ..., "data_centre": ..., "kind": ...}."""
 
     def put(self, name: str) -> None:
-        """Note a member's new state."""
+        """Change the state of a member."""
         body = orjson.loads(self.request.body)
         if body.get("state") not in MEMBER_STATES:
-            self.refuse(f"state must be one of {', '.join(MEMBER_STATES)}")
+            self.reject(f"state must be one of {', '.join(MEMBER_STATES)}")
             return
         self.platform.members.change(body | {"name": name}, time.time())
         self.finish({})
 
 
 class CountsHandler(ControlHandler):
-    """Report how often the platform was called: GET /counts."""
+    """Report the numbers of calls: GET /counts."""
 
     def get(self) -> None:
-        """Return the counters since the start."""
+        """Return the counters since the platform started."""
         self.finish(dict(self.platform.call_counts))
 
 
 def make_platform_app(members_lag_s: float = 0.0) -> Application:
-    """Return the HTTP application of the stand-in."""
+    """Return the HTTP application of the fake platform."""
     context = {"platform": FakePlatform(MembershipList(members_lag_s))}
     return Application(
         [
@@ -262,20 +261,20 @@
 
 
 async def serve(port: int, members_lag_s: float) -> None:
-    """Serve until cancelled."""
+    """Serve the fake platform until cancelled."""
     server = HTTPServer(make_platform_app(members_lag_s), max_body_size=MAX_OBJECT_BYTES)
     server.listen(port, "127.0.0.1")
     await asyncio.Event().wait()
 
 
 def define_flags() -> None:
-    """Define the command line; only the program itself does, so that modules stay importable."""
+    """Define the flags; only the program does so, since flags of imported modules would clash."""
     flags.DEFINE_integer("port", 0, "Port of the platform.")
     flags.DEFINE_float("members_lag_s", 1.0, "Time until the membership list shows a change.")
 
 
 def main(argv: list[str]) -> None:
-    """Serve the platform."""
+    """Run the fake platform."""
     asyncio.run(serve(FLAGS.port, FLAGS.members_lag_s))
 
 
