--- a/baobabhoist/testing/soak_driver.py
+++ b/baobabhoist/testing/soak_driver.py
@@ -1,4 +1,4 @@
-"""Share what every soak needs: notes of its driver, tasks beside it, calls and its folder."""
+"""Provide what every soak test shares: the driver's log, background tasks and HTTP calls."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 @attrs.define
 class SoakDriver:
-    """Hold the driver's log and the tasks that run beside it."""
+    """Hold the driver's log and its background tasks."""
 
     driver_log: list[dict[str, Any]] = attrs.field(factory=list, kw_only=True)
     background_tasks: set[asyncio.Task[Any]] = attrs.field(factory=set, kw_only=True)
 
     def log_event(self, event: str, **fields: Any) -> dict[str, Any]:
-        """Add an entry to the driver's log and return it."""
+        """Append an event with its Unix time to the driver's log and return the entry."""
         entry = {"t": time.time(), "event": event, **fields}
         self.driver_log.append(entry)
         return entry
 
-    def spawn(self, work: Any) -> None:
-        """Run a coroutine beside the others."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coro: Any) -> None:
+        """Run a coroutine in the background."""
+        task = asyncio.ensure_future(coro)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
@@ -38,7 +38,7 @@
 async def try_fetch(
     http: AsyncHTTPClient, url: str, timeout_s: float, **options: Any
 ) -> HTTPResponse | str:
-    """Return the response, or why there is none."""
+    """Return the response, or the reason why there is none."""
     try:
         return await http.fetch(
             url,
@@ -52,16 +52,16 @@
 
 
 def prepare_log_folder(
-    folder_name: str, faults: Iterable[str], known: Collection[str]
+    folder_name: str, faults: Iterable[str], known_faults: Collection[str]
 ) -> Path | None:
-    """Return an empty folder for a run's logs, or print why the run cannot start."""
+    """Return an empty folder for the logs of a run, or print why the run cannot start."""
     folder = Path(folder_name or tempfile.mkdtemp(prefix="soak-"))
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
-        print(f"{folder} is not empty; logs of another run would be judged along with this one")
+        print(f"{folder} is not empty: logs of another run would be checked along with this one")
         return None
-    unknown = sorted(fault for fault in faults if fault not in known)
+    unknown = sorted(fault for fault in faults if fault not in known_faults)
     if unknown:
-        print(f"unknown faults {unknown}; known are {sorted(known)}")
+        print(f"unknown faults {unknown}; known faults are {sorted(known_faults)}")
         return None
     return folder
