--- a/baobabhoist/testing/soak_faults.py
+++ b/baobabhoist/testing/soak_faults.py
@@ -1,4 +1,4 @@
-"""Define the faults of the soak and their schedule, which depends on the seed alone."""
+"""Define the faults that the soak injects, and their schedule, which depends only on the seed."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 MAX_FAULT_S = 8.0
 PAIR_PROBABILITY = 0.25
 CONCURRENT_WRITERS = 5
-# A change, a notice or a sample goes on being judged this long.
+# Reactions to a drain notice, a revoked key or a lowered limit are observed for this long.
 OBSERVATION_S = 6.0
 STOP_TIMEOUT_S = 60.0
 CANCELLED_JOBS = 10
 MEMBERSHIP_LAG_S = 1.0
 DATA_CENTRES = ("north", "south")
 PARTITION_MODES = ("cut", "blackhole")
-# The teams with their upper limits.
+# The limit of concurrent tasks of each team.
 TEAM_LIMITS = {"roster": 24, "clinic": 8, "walkin": 12}
+# The queue whose record is changed to measure how soon a change is in force.
 MARKER_QUEUE = "marker"
 
 
@@ -37,7 +38,7 @@
 
 @attrs.frozen
 class ScheduledFault:
-    """Hold one planned fault; `at` is in seconds after the start, `seed` chooses its target."""
+    """Describe a fault to inject `start_s` after the start; `seed` determines its target."""
 
     start_s: float
     name: str
@@ -50,190 +51,207 @@
 ) -> list[ScheduledFault]:
     """Return the faults of a run in order of time, each at most `longest_s` long."""
     rng = random.Random(seed)
-    steps: list[ScheduledFault] = []
-    deck: list[str] = []
-    at = WARM_UP_S
-    while at + longest_s < seconds:
+    schedule: list[ScheduledFault] = []
+    remaining: list[str] = []
+    start_s = WARM_UP_S
+    while start_s + longest_s < seconds:
         count = 2 if rng.random() < PAIR_PROBABILITY else 1
         for _ in range(count):
-            deck = deck or rng.sample(faults, len(faults))
+            remaining = remaining or rng.sample(faults, len(faults))
             duration_s = rng.uniform(min(MIN_FAULT_S, longest_s), longest_s)
-            steps.append(ScheduledFault(at, deck.pop(), duration_s, rng.randrange(1 << 30)))
-        at += steps[-1].duration_s + rng.uniform(MIN_GAP_S, MAX_GAP_S)
-    return steps
+            schedule.append(
+                ScheduledFault(start_s, remaining.pop(), duration_s, rng.randrange(1 << 30))
+            )
+        start_s += schedule[-1].duration_s + rng.uniform(MIN_GAP_S, MAX_GAP_S)
+    return schedule
 
 
-async def inject_fault(soak: Soak, step: ScheduledFault) -> None:
-    """Run one fault to its end; a fault that disturbs notes its time span for the judge."""
+async def inject_fault(soak: Soak, fault: ScheduledFault) -> None:
+    """Inject a fault until its end, and log its time window if it is disruptive."""
     window = {"event": "window", "t": time.time(), "until": float("inf"), "instances": []}
-    window["name"] = f"{step.name}@{step.start_s:.1f}"
-    if step.name not in NON_DISRUPTIVE_FAULTS:
+    window["name"] = f"{fault.name}@{fault.start_s:.1f}"
+    if fault.name not in NON_DISRUPTIVE_FAULTS:
         soak.driver_log.append(window)
     try:
-        await FAULTS[step.name](soak, step, random.Random(step.seed), window)
+        await FAULTS[fault.name](soak, fault, random.Random(fault.seed), window)
     finally:
         window["until"] = time.time()
 
 
-def _pick(soak: Soak, rng: random.Random, window: dict[str, Any]) -> str:
-    """Choose an instance that runs; callers are sent to the others, as by a balancer."""
-    name = rng.choice([name for name in soak.cluster.instances if name not in soak.down])
+def _pick_instance(soak: Soak, rng: random.Random, window: dict[str, Any]) -> str:
+    """Choose a running instance; callers are sent to the others, as a load balancer does."""
+    name = rng.choice(
+        [name for name in soak.cluster.instances if name not in soak.unavailable_instances]
+    )
     window["instances"] = [name]
-    soak.down.add(name)
+    soak.unavailable_instances.add(name)
     return name
 
 
 async def _kill(
-    soak: Soak, step: ScheduledFault, rng: random.Random, window: dict[str, Any]
+    soak: Soak, fault: ScheduledFault, rng: random.Random, window: dict[str, Any]
 ) -> None:
-    name = _pick(soak, rng, window)
+    name = _pick_instance(soak, rng, window)
     soak.log_event("killed", instance=name, name=window["name"])
     soak.cluster.kill(name)
-    await asyncio.sleep(step.duration_s)
-    await soak.restart(name)
+    await asyncio.sleep(fault.duration_s)
+    await soak.restart_instance(name)
 
 
 async def _pause(
-    soak: Soak, step: ScheduledFault, rng: random.Random, window: dict[str, Any]
+    soak: Soak, fault: ScheduledFault, rng: random.Random, window: dict[str, Any]
 ) -> None:
-    name = _pick(soak, rng, window)
+    name = _pick_instance(soak, rng, window)
     soak.cluster.pause(name)
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
     soak.cluster.resume(name)
-    soak.down.discard(name)
+    soak.unavailable_instances.discard(name)
 
 
 async def _stop(
-    soak: Soak, step: ScheduledFault, rng: random.Random, window: dict[str, Any]
+    soak: Soak, fault: ScheduledFault, rng: random.Random, window: dict[str, Any]
 ) -> None:
-    name = _pick(soak, rng, window)
+    name = _pick_instance(soak, rng, window)
     soak.log_event("stop", instance=name, name=window["name"], until=float("inf"), code=None)
-    stop = soak.driver_log[-1]
-    stop["code"] = await asyncio.to_thread(soak.cluster.stop, name, STOP_TIMEOUT_S)
-    stop["until"] = time.time()
-    await soak.restart(name)
+    entry = soak.driver_log[-1]
+    entry["code"] = await asyncio.to_thread(soak.cluster.stop, name, STOP_TIMEOUT_S)
+    entry["until"] = time.time()
+    await soak.restart_instance(name)
 
 
-def _platform(reachable: bool, choose: Callable[[random.Random], dict[str, Any]]) -> Injector:
-    async def fault(
-        soak: Soak, step: ScheduledFault, rng: random.Random, window: dict[str, Any]
+def _platform_fault(
+    is_reachable: bool, choose_fault: Callable[[random.Random], dict[str, Any]]
+) -> Injector:
+    async def inject(
+        soak: Soak, fault: ScheduledFault, rng: random.Random, window: dict[str, Any]
     ) -> None:
-        if not reachable:
+        if not is_reachable:
             window["instances"] = list(soak.cluster.instances)
-        await soak.send_control_request("platform", "/faults", choose(rng))
-        await asyncio.sleep(step.duration_s)
+        await soak.send_control_request("platform", "/faults", choose_fault(rng))
+        await asyncio.sleep(fault.duration_s)
         await soak.send_control_request("platform", "/faults", {"mode": "up"})
 
-    return fault
+    return inject
 
 
-async def _relays(soak: Soak, step: ScheduledFault, mode: str, *names: str, **extra: str) -> None:
+async def _relay_fault(
+    soak: Soak, fault: ScheduledFault, mode: str, *names: str, **options: str
+) -> None:
     for name in names:
-        await soak.send_control_request("relays", "/relays", {"name": name, "mode": mode, **extra})
-    await asyncio.sleep(step.duration_s)
+        await soak.send_control_request(
+            "relays", "/relays", {"name": name, "mode": mode, **options}
+        )
+    await asyncio.sleep(fault.duration_s)
     for name in names:
         await soak.send_control_request(
-            "relays", "/relays", {"name": name, "mode": "pass", **extra}
+            "relays", "/relays", {"name": name, "mode": "pass", **options}
         )
 
 
-async def _cut_platform(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    """Cut a data centre from the platform; records must still come through the other one."""
-    soak.cut_off = rng.choice(DATA_CENTRES)
-    await _relays(soak, step, rng.choice(PARTITION_MODES), f"platform:{soak.cut_off}-*")
-    soak.cut_off = ""
+async def _cut_platform(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    """Cut a data centre off the platform; records must still arrive through the other one."""
+    soak.isolated_data_centre = rng.choice(DATA_CENTRES)
+    await _relay_fault(
+        soak, fault, rng.choice(PARTITION_MODES), f"platform:{soak.isolated_data_centre}-*"
+    )
+    soak.isolated_data_centre = ""
 
 
-async def _cut_peers(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    """Cut the data centres from each other, instances and workers alike."""
+async def _cut_peers(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    """Partition the data centres, for connections between peers and to workers alike."""
     mode, (a, b) = rng.choice(PARTITION_MODES), DATA_CENTRES
     await asyncio.gather(
-        _relays(soak, step, mode, f"peer:{a}-*>{b}-*", f"peer:{b}-*>{a}-*"),
-        _relays(soak, step, mode, f"worker:{a}-*", source=b),
-        _relays(soak, step, mode, f"worker:{b}-*", source=a),
+        _relay_fault(soak, fault, mode, f"peer:{a}-*>{b}-*", f"peer:{b}-*>{a}-*"),
+        _relay_fault(soak, fault, mode, f"worker:{a}-*", source=b),
+        _relay_fault(soak, fault, mode, f"worker:{b}-*", source=a),
     )
 
 
-async def _silent(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    """Silence some open connections for good; new ones work."""
-    name = rng.choice([*soak.workers, *soak.cluster.instances])
-    await _relays(
-        soak, step, "silent", f"worker:{name}" if name in soak.workers else f"peer:{name}>*"
+async def _silent(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    """Silence open connections to a worker or peers permanently; new ones work."""
+    name = rng.choice([*soak.shard_by_worker, *soak.cluster.instances])
+    await _relay_fault(
+        soak,
+        fault,
+        "silent",
+        f"worker:{name}" if name in soak.shard_by_worker else f"peer:{name}>*",
     )
 
 
-def _worker(*modes: str) -> Injector:
-    async def fault(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-        worker = rng.choice(list(soak.workers))
-        process, path = f"workers-{soak.workers[worker]}", f"/workers/{worker}"
+def _worker_fault(*modes: str) -> Injector:
+    async def inject(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+        worker = rng.choice(list(soak.shard_by_worker))
+        process, path = f"workers-{soak.shard_by_worker[worker]}", f"/workers/{worker}"
         await soak.send_control_request(process, path, {"mode": rng.choice(modes)})
-        await asyncio.sleep(step.duration_s)
+        await asyncio.sleep(fault.duration_s)
         await soak.send_control_request(process, path, {"mode": "normal"})
 
-    return fault
+    return inject
 
 
-async def _leaving(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    worker = rng.choice(list(soak.workers))
-    await soak.member(worker, "leaving")
+async def _leaving(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    worker = rng.choice(list(soak.shard_by_worker))
+    await soak.set_member_state(worker, "leaving")
     await asyncio.sleep(MEMBERSHIP_LAG_S)
     soak.log_event("leaving", worker=worker)
-    await asyncio.sleep(step.duration_s + OBSERVATION_S)
+    await asyncio.sleep(fault.duration_s + OBSERVATION_S)
     soak.log_event("staying", worker=worker)
-    await soak.member(worker, "live")
+    await soak.set_member_state(worker, "live")
 
 
-async def _wrong_sizes(soak: Soak, step: ScheduledFault, *_: Any) -> None:
-    soak.size_factor = 8.0
-    await asyncio.sleep(step.duration_s)
-    soak.size_factor = 1.0
+async def _wrong_sizes(soak: Soak, fault: ScheduledFault, *_: Any) -> None:
+    soak.usage_factor = 8.0
+    await asyncio.sleep(fault.duration_s)
+    soak.usage_factor = 1.0
 
 
-async def _cancel_wave(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    jobs = await asyncio.gather(
+async def _cancel_wave(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    job_ids = await asyncio.gather(
         *(soak.submit_job(rng, "batch", 20) for _ in range(CANCELLED_JOBS))
     )
-    await asyncio.sleep(step.duration_s / 4)
-    await asyncio.gather(*(soak.cancel_job(job) for job in jobs if job))
+    await asyncio.sleep(fault.duration_s / 4)
+    await asyncio.gather(*(soak.cancel_job(job_id) for job_id in job_ids if job_id))
 
 
-async def _race(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
-    """Let operators change one record from the same revision at the same time."""
-    base = await soak.revision_of("queue", MARKER_QUEUE)
-    if base:
+async def _race(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
+    """Change a record concurrently from the same revision; at most one change may succeed."""
+    base_revision = await soak.read_revision("queue", MARKER_QUEUE)
+    if base_revision:
         bodies = [{"max_queued": rng.randrange(500, 999)} for _ in range(CONCURRENT_WRITERS)]
-        changes = (soak.put("queue", MARKER_QUEUE, body, base) for body in bodies)
-        won = await asyncio.gather(*changes)
-        soak.log_event("race", accepted=sum(1 for revision in won if revision))
+        writes = (soak.put_record("queue", MARKER_QUEUE, body, base_revision) for body in bodies)
+        revisions = await asyncio.gather(*writes)
+        soak.log_event("race", accepted=sum(1 for revision in revisions if revision))
 
 
-async def _revoke(soak: Soak, step: ScheduledFault, *_: Any) -> None:
-    if await soak.put_key(withdrawn=True):
-        soak.log_event("key_revoked", key=soak.short_key)
-        await asyncio.sleep(step.duration_s + OBSERVATION_S)
-        soak.short_key += "x"
-        await soak.until_done(soak.put_key)
+async def _revoke(soak: Soak, fault: ScheduledFault, *_: Any) -> None:
+    if await soak.put_revocable_key(withdrawn=True):
+        soak.log_event("key_revoked", key=soak.revocable_key)
+        await asyncio.sleep(fault.duration_s + OBSERVATION_S)
+        soak.revocable_key += "x"
+        await soak.retry_until_accepted(soak.put_revocable_key)
 
 
-async def _lower_limit(soak: Soak, step: ScheduledFault, rng: random.Random, _: Any) -> None:
+async def _lower_limit(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
     team = rng.choice(list(TEAM_LIMITS))
-    await soak.put_limit(team, rng.randrange(2, TEAM_LIMITS[team]))
-    await asyncio.sleep(step.duration_s + OBSERVATION_S)
-    await soak.until_done(soak.put_limit, team, TEAM_LIMITS[team])
+    await soak.put_team_limit(team, rng.randrange(2, TEAM_LIMITS[team]))
+    await asyncio.sleep(fault.duration_s + OBSERVATION_S)
+    await soak.retry_until_accepted(soak.put_team_limit, team, TEAM_LIMITS[team])
 
 
 FAULTS: dict[str, Injector] = {
     "kill": _kill,
     "pause": _pause,
     "stop": _stop,
-    "platform_down": _platform(False, lambda r: {"mode": "down", "hang": r.random() < 0.5}),
-    "platform_slow": _platform(False, lambda r: {"mode": "slow", "delay_s": r.uniform(0.5, 4)}),
-    "lose_answers": _platform(True, lambda _: {"mode": "lose_answers"}),
+    "platform_down": _platform_fault(False, lambda r: {"mode": "down", "hang": r.random() < 0.5}),
+    "platform_slow": _platform_fault(
+        False, lambda r: {"mode": "slow", "delay_s": r.uniform(0.5, 4)}
+    ),
+    "lose_answers": _platform_fault(True, lambda _: {"mode": "lose_answers"}),
     "cut_platform": _cut_platform,
     "cut_peers": _cut_peers,
     "silent": _silent,
-    "worker_fails": _worker("fail"),
-    "worker_slow": _worker("slow", "hang"),
+    "worker_fails": _worker_fault("fail"),
+    "worker_slow": _worker_fault("slow", "hang"),
     "leaving": _leaving,
     "wrong_sizes": _wrong_sizes,
     "cancel_wave": _cancel_wave,
@@ -241,7 +259,7 @@
     "revoke": _revoke,
     "lower_limit": _lower_limit,
 }
-# These do not excuse a late reaction to anything else.
+# During these, the time limits of all reactions still apply.
 NON_DISRUPTIVE_FAULTS = frozenset(
     {"leaving", "wrong_sizes", "cancel_wave", "race", "revoke", "lower_limit"}
 )
