--- a/baobabhoist/testing/soak_checker.py
+++ b/baobabhoist/testing/soak_checker.py
@@ -1,4 +1,4 @@
-"""Check the guarantees against the logs of workers and callers."""
+"""Check the guarantees against the logs of workers, callers and the soak's driver."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 
 LogEntry = dict[str, Any]
 
-IN_FORCE_S = 4.0
-LEAVING_S = 3.0
-TAKEOVER_S = 5.0
-URGENT_START_S = 1.5
+# Targets for the time until a record change is in force on every instance, until a leaving worker
+# gets no new tasks, until a shard has a new owner, and until an urgent task starts.
+IN_FORCE_TARGET_S = 4.0
+LEAVING_TARGET_S = 3.0
+TAKEOVER_TARGET_S = 5.0
+URGENT_START_TARGET_S = 1.5
 # After a fault ends, its effects may last for one takeover and one record change.
-RECOVERY_S = TAKEOVER_S + IN_FORCE_S
+RECOVERY_S = TAKEOVER_TARGET_S + IN_FORCE_TARGET_S
 INF = float("inf")
-# An outage of the platform excuses neither a late takeover nor a stopped request.
+# A fault of the platform excuses neither a late takeover nor an interrupted request.
 PLATFORM_FAULTS = ("platform_", "lose_answers", "cut_platform")
-# Refusals that a graceful stop may not cause: they mean that an open request was cut.
-CUT_KINDS = frozenset(
+# Error kinds that mean that an open request was interrupted, which no graceful stop may cause.
+INTERRUPTED_KINDS = frozenset(
     {"outcome_unknown", "draining", "peer_unreachable", "shard_unavailable", "internal"}
 )
 
 
 @attrs.frozen
 class Run:
-    """Hold one execution of a task, from a worker's log."""
+    """Describe one execution of a task, as a worker logged it."""
 
     worker: str
     task_id: str
@@ -42,21 +44,21 @@
 
 @attrs.define
 class GuaranteeResult:
-    """Collect how often a guarantee was checked and each breach of it."""
+    """Count the checks of a guarantee and collect its breaches."""
 
     check_count: int = 0
     breaches: list[str] = attrs.Factory(list)
 
-    def check(self, good: bool, breach: str) -> None:
-        """Count a check and note a breach."""
+    def check(self, holds: bool, breach: str) -> None:
+        """Count a check and record a breach if the guarantee does not hold."""
         self.check_count += 1
-        if not good:
+        if not holds:
             self.breaches.append(breach)
 
 
 @attrs.define
 class LatencyTarget:
-    """Collect measured times against a target, in seconds."""
+    """Collect measured latencies against their target, in seconds."""
 
     target_s: float
     values: list[float] = attrs.Factory(list)
@@ -64,7 +66,7 @@
 
 @attrs.define
 class GuaranteeChecker:
-    """Check one run; driver entries are the faults, changes and samples of the soak."""
+    """Check one soak; the driver's log holds its faults, record changes and status samples."""
 
     worker_log: list[LogEntry]
     caller_log: list[LogEntry]
@@ -74,99 +76,103 @@
     runs: list[Run] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Sort the logs and derive the executions."""
+        """Sort the logs by time and extract the executions."""
         for entries in (self.worker_log, self.caller_log, self.driver_log):
             entries.sort(key=lambda entry: entry["t"])
         self.results = {f"G{number}": GuaranteeResult() for number in range(1, 11)}
         self.results["outage"] = GuaranteeResult()
         self.latencies = {
-            "records_in_force": LatencyTarget(IN_FORCE_S),
-            "key_refused": LatencyTarget(IN_FORCE_S),
-            "leaving_worker": LatencyTarget(LEAVING_S),
-            "takeover": LatencyTarget(TAKEOVER_S),
-            "urgent_start": LatencyTarget(URGENT_START_S),
+            "records_in_force": LatencyTarget(IN_FORCE_TARGET_S),
+            "key_refused": LatencyTarget(IN_FORCE_TARGET_S),
+            "leaving_worker": LatencyTarget(LEAVING_TARGET_S),
+            "takeover": LatencyTarget(TAKEOVER_TARGET_S),
+            "urgent_start": LatencyTarget(URGENT_START_TARGET_S),
         }
         self.runs = collect_runs(self.worker_log)
 
     def check_all(self) -> None:
-        """Check every guarantee and collect the figures."""
-        self._capacity()
-        self._one_place()
-        self._limits()
-        self._requests()
-        self._outages()
-        self._keys()
-        self._leaving()
-        self._stops()
-        self._records()
-        self._takeovers()
-        self._urgent()
+        """Check every guarantee and measure the latencies."""
+        self._check_capacity()
+        self._check_no_concurrent_runs()
+        self._check_team_limits()
+        self._check_requests()
+        self._check_platform_outages()
+        self._check_revoked_keys()
+        self._check_leaving_workers()
+        self._check_graceful_stops()
+        self._check_records()
+        self._measure_takeovers()
+        self._measure_urgent_starts()
 
     def is_undisturbed(
         self,
         start: float,
         end: float,
         instance: str = "",
-        own: str = "",
-        but: tuple[str, ...] = (),
+        own_window: str = "",
+        ignored_prefixes: tuple[str, ...] = (),
     ) -> bool:
-        """Tell whether no fault, or its recovery, touches the instance in a time span.
+        """Return whether no fault, including its recovery, affects the instance in a time span.
 
-        `own` names the fault that is judged itself; faults named in `but` do not count.
+        `own_window` names the window of the fault that is checked, and windows whose names begin
+        with one of `ignored_prefixes` do not count. Without an instance, any fault counts.
         """
         return not any(
             window["t"] < end and start < window["until"] + RECOVERY_S
             for window in self._driver_events("window")
-            if window["name"] != own
-            and not window["name"].startswith(but)
+            if window["name"] != own_window
+            and not window["name"].startswith(ignored_prefixes)
             and (not instance or instance in window["instances"])
         )
 
     def missed_targets(self) -> list[str]:
-        """Return the figures that miss their target."""
+        """Return the names of the latencies that miss their target."""
         return [
             name
-            for name, figure in self.latencies.items()
-            if figure.values and _judged(name, figure.values) > figure.target_s
+            for name, latency in self.latencies.items()
+            if latency.values and _target_statistic(name, latency.values) > latency.target_s
         ]
 
     @property
     def passed(self) -> bool:
-        """Tell whether every guarantee and target held."""
-        return not self.missed_targets() and not any(v.breaches for v in self.results.values())
+        """Return whether every guarantee held and every target was met."""
+        return not self.missed_targets() and not any(
+            result.breaches for result in self.results.values()
+        )
 
     def report_lines(self) -> list[str]:
-        """Return one line per guarantee and per figure, then the first breaches."""
+        """Return one line for each guarantee and latency, followed by the first breaches."""
         lines = []
-        for name, verdict in self.results.items():
+        for name, result in self.results.items():
             state = (
-                "BREACH"
-                if verdict.breaches
-                else "held"
-                if verdict.check_count
-                else "not exercised"
+                "BREACH" if result.breaches else "held" if result.check_count else "not exercised"
             )
             lines.append(
-                f"{name}: {state} checks={verdict.check_count} breaches={len(verdict.breaches)}"
+                f"{name}: {state} checks={result.check_count} breaches={len(result.breaches)}"
             )
-        failed = self.missed_targets()
-        for name, figure in self.latencies.items():
-            if not figure.values:
-                lines.append(f"{name}: not exercised (target {figure.target_s:g} s)")
+        missed = self.missed_targets()
+        for name, latency in self.latencies.items():
+            if not latency.values:
+                lines.append(f"{name}: not exercised (target {latency.target_s:g} s)")
                 continue
-            state = "MISSED" if name in failed else "met"
-            worst = f"judged={_judged(name, figure.values):.2f}s max={max(figure.values):.2f}s"
-            lines.append(f"{name}: {state} {worst} n={len(figure.values)} <= {figure.target_s:g}s")
-        for name, verdict in self.results.items():
-            lines += [f"  {name} breach: {text}" for text in verdict.breaches[:10]]
+            state = "MISSED" if name in missed else "met"
+            stats = (
+                f"judged={_target_statistic(name, latency.values):.2f}s "
+                f"max={max(latency.values):.2f}s"
+            )
+            lines.append(
+                f"{name}: {state} {stats} n={len(latency.values)} <= {latency.target_s:g}s"
+            )
+        for name, result in self.results.items():
+            lines += [f"  {name} breach: {text}" for text in result.breaches[:10]]
         return lines
 
     def _driver_events(self, event: str) -> list[LogEntry]:
         return [entry for entry in self.driver_log if entry["event"] == event]
 
-    def _capacity(self) -> None:
+    def _check_capacity(self) -> None:
         capacity = {e["worker"]: e["capacity"] for e in self.worker_log if e["event"] == "up"}
-        verdict = self.results["G1"]
+        result = self.results["G1"]
         used: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
         for _, starts, run in run_boundaries(self.runs):
             total = used[run.worker]
@@ -174,37 +180,39 @@
                 total[index] += amount if starts else -amount
             if starts:
                 fits = all(u <= c for u, c in zip(total, capacity[run.worker], strict=True))
-                verdict.check(fits, f"{run.worker} runs {total} with {run.task_id}")
+                result.check(fits, f"{run.worker} runs {total} with {run.task_id}")
         for entry in self.worker_log:
             if entry["event"] == "refused":
-                verdict.check(
+                result.check(
                     entry["reason"] != "full",
                     f"{entry['worker']} was assigned {entry['id']} beyond its capacity",
                 )
 
-    def _one_place(self) -> None:
+    def _check_no_concurrent_runs(self) -> None:
         running: Counter[str] = Counter()
         for _, starts, run in run_boundaries(self.runs):
-            # The reference tells two ids of the same piece of work from two pieces.
-            name = run.ref or run.task_id
-            running[name] += 1 if starts else -1
+            # Task ids with the same reference belong to the same work.
+            work = run.ref or run.task_id
+            running[work] += 1 if starts else -1
             if starts:
                 self.results["G2"].check(
-                    running[name] == 1, f"{run.task_id} runs twice, also on {run.worker}"
+                    running[work] == 1, f"{run.task_id} runs concurrently, also on {run.worker}"
                 )
 
-    def _limits(self) -> None:
-        by_team: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
+    def _check_team_limits(self) -> None:
+        limits_by_team: dict[str, list[tuple[float, float, int]]] = defaultdict(list)
         for entry in self._driver_events("limit"):
-            limits = by_team[entry["team"]]
+            limits = limits_by_team[entry["team"]]
             if limits and not entry.get("uncertain"):
                 since, _, limit = limits[-1]
-                limits[-1] = (since, self._settled(entry["t"]), limit)
+                limits[-1] = (since, self._in_force_deadline(entry["t"]), limit)
             limits.append((entry["sent"], INF, entry["limit"]))
         running: Counter[str] = Counter()
         for t, starts, run in run_boundaries(self.runs):
             running[run.team] += 1 if starts else -1
-            allowed = [limit for since, until, limit in by_team[run.team] if since <= t <= until]
+            allowed = [
+                limit for since, until, limit in limits_by_team[run.team] if since <= t <= until
+            ]
             if starts and allowed:
                 count = running[run.team]
                 self.results["G4"].check(
@@ -212,178 +220,190 @@
                     f"team {run.team} runs {count} of {max(allowed)} with {run.task_id}",
                 )
 
-    def _settled(self, t: float) -> float:
-        """Return when a change accepted at `t` must be in force, also past running faults."""
-        settled = t + IN_FORCE_S
+    def _in_force_deadline(self, t: float) -> float:
+        """Return when a change accepted at `t` must be in force, also after concurrent faults."""
+        deadline = t + IN_FORCE_TARGET_S
         for window in self._driver_events("window"):
-            if window["t"] <= settled and t < window["until"] + RECOVERY_S:
-                settled = max(settled, window["until"] + RECOVERY_S)
-        return settled
+            if window["t"] <= deadline and t < window["until"] + RECOVERY_S:
+                deadline = max(deadline, window["until"] + RECOVERY_S)
+        return deadline
 
-    def _requests(self) -> None:
-        starts: dict[str, list[Run]] = defaultdict(list)
+    def _check_requests(self) -> None:
+        runs_by_ref: dict[str, list[Run]] = defaultdict(list)
         for run in self.runs:
-            starts[run.ref].append(run)
-        attempts: dict[str, list[LogEntry]] = defaultdict(list)
+            runs_by_ref[run.ref].append(run)
+        attempts_by_ref: dict[str, list[LogEntry]] = defaultdict(list)
         for entry in self.caller_log:
             if entry["event"] == "request":
-                attempts[entry["ref"]].append(entry)
+                attempts_by_ref[entry["ref"]].append(entry)
         for job in (entry for entry in self.caller_log if entry["event"] == "job"):
-            for ref in [ref for ref in starts if ref.startswith(f"{job['ref']}/")]:
-                self._one_request([job | {"ref": ref}], starts[ref])
-        for ref, tries in attempts.items():
-            ran = starts.get(ref, [])
-            self._one_request(tries, ran)
-            for entry in tries:
-                self._one_attempt(entry)
-
-    def _one_request(self, tries: list[LogEntry], ran: list[Run]) -> None:
-        ref, first = tries[0]["ref"], tries[0]
-        for run in ran:
+            for ref in [ref for ref in runs_by_ref if ref.startswith(f"{job['ref']}/")]:
+                self._check_request([job | {"ref": ref}], runs_by_ref[ref])
+        for ref, attempts in attempts_by_ref.items():
+            runs = runs_by_ref.get(ref, [])
+            self._check_request(attempts, runs)
+            for entry in attempts:
+                self._check_attempt(entry)
+
+    def _check_request(self, attempts: list[LogEntry], runs: list[Run]) -> None:
+        ref, first = attempts[0]["ref"], attempts[0]
+        for run in runs:
             self.results["G3"].check(run.team == first["team"], f"{ref} ran for {run.team}")
         if not first["idempotent"]:
             self.results["G7"].check(
-                len(ran) <= 1, f"{ref} ran {len(ran)} times on {[r.worker for r in ran]}"
+                len(runs) <= 1, f"{ref} ran {len(runs)} times on {[r.worker for r in runs]}"
             )
-        if all(entry.get("outcome") == "not_run" for entry in tries):
+        if all(entry.get("outcome") == "not_run" for entry in attempts):
             self.results["G6"].check(
-                not ran, f"{ref} was refused as not run and ran on {[r.worker for r in ran]}"
+                not runs, f"{ref} was refused as not run and ran on {[r.worker for r in runs]}"
             )
 
-    def _one_attempt(self, entry: LogEntry) -> None:
-        verdict = self.results["G5"]
+    def _check_attempt(self, entry: LogEntry) -> None:
+        result = self.results["G5"]
         if entry.get("status") == 200:
-            verdict.check(entry["whole"], f"{entry['ref']} got the wrong or half an answer")
+            result.check(entry["whole"], f"{entry['ref']} got a wrong or truncated answer")
         elif entry.get("error") and self.is_undisturbed(
             entry["t"], entry["end"], entry["instance"]
         ):
-            verdict.check(False, f"{entry['ref']} got no answer: {entry['error']}")
+            result.check(False, f"{entry['ref']} got no answer: {entry['error']}")
 
-    def _outages(self) -> None:
-        """Check that an outage of the platform, with nothing else, stops no request."""
+    def _check_platform_outages(self) -> None:
+        """Check that faults of the platform, without other faults, interrupt no request."""
         for window in self._driver_events("window"):
             if not window["name"].startswith(PLATFORM_FAULTS):
                 continue
-            if not self.is_undisturbed(window["t"], window["until"], but=PLATFORM_FAULTS):
+            if not self.is_undisturbed(
+                window["t"], window["until"], ignored_prefixes=PLATFORM_FAULTS
+            ):
                 continue
             for entry in self.caller_log:
                 if window["t"] < entry["t"] < window["until"] and "instance" in entry:
                     self.results["outage"].check(
-                        not entry.get("error") and entry.get("kind") not in CUT_KINDS,
-                        f"{entry['ref']} was stopped by {window['name']}: {entry}",
+                        not entry.get("error") and entry.get("kind") not in INTERRUPTED_KINDS,
+                        f"{entry['ref']} was interrupted by {window['name']}: {entry}",
                     )
 
-    def _keys(self) -> None:
-        figure, verdict = self.latencies["key_refused"], self.results["G3"]
+    def _check_revoked_keys(self) -> None:
+        latency, result = self.latencies["key_refused"], self.results["G3"]
         for revoked in self._driver_events("key_revoked"):
-            last = 0.0
+            max_delay_s = 0.0
             for entry in self.caller_log:
-                late = entry["t"] - revoked["t"]
-                if entry.get("key") != revoked["key"] or late <= 0:
+                delay_s = entry["t"] - revoked["t"]
+                if entry.get("key") != revoked["key"] or delay_s <= 0:
                     continue
                 if not self.is_undisturbed(revoked["t"], entry["t"], entry["instance"]):
                     continue
                 accepted = entry.get("status") not in (401, 403, None)
-                last = max(last, late if accepted else 0.0)
-                if late > IN_FORCE_S:
-                    verdict.check(
+                max_delay_s = max(max_delay_s, delay_s if accepted else 0.0)
+                if delay_s > IN_FORCE_TARGET_S:
+                    result.check(
                         not accepted,
-                        f"{entry['instance']} took a key {late:.1f} s after its end",
+                        f"{entry['instance']} accepted a key {delay_s:.1f} s after its revocation",
                     )
-            figure.values.append(last)
+            latency.values.append(max_delay_s)
 
-    def _leaving(self) -> None:
+    def _check_leaving_workers(self) -> None:
         for leaving in self._driver_events("leaving"):
             until = min(
                 (e["t"] for e in self._driver_events("staying") if e["t"] > leaving["t"]),
                 default=INF,
             )
-            last = 0.0
+            max_delay_s = 0.0
             for run in self.runs:
-                late = run.start - leaving["t"]
-                if run.worker != leaving["worker"] or late <= 0 or run.start > until:
+                delay_s = run.start - leaving["t"]
+                if run.worker != leaving["worker"] or delay_s <= 0 or run.start > until:
                     continue
                 if not self.is_undisturbed(leaving["t"], run.start):
                     continue
-                last = max(last, late)
+                max_delay_s = max(max_delay_s, delay_s)
                 self.results["G8"].check(
-                    late <= LEAVING_S,
-                    f"{run.worker} got {run.task_id} {late:.1f} s after its notice",
+                    delay_s <= LEAVING_TARGET_S,
+                    f"{run.worker} started {run.task_id} {delay_s:.1f} s after it began to leave",
                 )
             self.results["G8"].check_count += 1
-            self.latencies["leaving_worker"].values.append(last)
+            self.latencies["leaving_worker"].values.append(max_delay_s)
 
-    def _stops(self) -> None:
-        verdict = self.results["G9"]
+    def _check_graceful_stops(self) -> None:
+        result = self.results["G9"]
         for stop in self._driver_events("stop"):
-            verdict.check(stop["code"] == 0, f"{stop['instance']} stopped with {stop['code']}")
-            calm = self.is_undisturbed(stop["t"], stop["until"], own=stop["name"])
+            result.check(stop["code"] == 0, f"{stop['instance']} exited with {stop['code']}")
+            undisturbed = self.is_undisturbed(stop["t"], stop["until"], own_window=stop["name"])
             for entry in self.caller_log:
-                open_before = entry["t"] < stop["t"] < entry.get("end", 0.0)
-                here = entry.get("instance") == stop["instance"]
-                if here and not open_before:
+                was_open = entry["t"] < stop["t"] < entry.get("end", 0.0)
+                is_target = entry.get("instance") == stop["instance"]
+                if is_target and not was_open:
                     continue
                 overlaps = entry["t"] < stop["until"] and stop["t"] < entry.get("end", 0.0)
-                cut = here and bool(entry.get("error"))
-                cut = cut or (calm and overlaps and entry.get("kind") in CUT_KINDS)
+                is_interrupted = is_target and bool(entry.get("error"))
+                is_interrupted = is_interrupted or (
+                    undisturbed and overlaps and entry.get("kind") in INTERRUPTED_KINDS
+                )
                 if overlaps:
-                    verdict.check(not cut, f"{entry['ref']} was cut: {entry}")
+                    result.check(not is_interrupted, f"{entry['ref']} was interrupted: {entry}")
 
-    def _records(self) -> None:
-        verdict, figure = self.results["G10"], self.latencies["records_in_force"]
+    def _check_records(self) -> None:
+        result, latency = self.results["G10"], self.latencies["records_in_force"]
         for race in self._driver_events("race"):
-            verdict.check(race["accepted"] <= 1, f"{race['accepted']} changes of one revision won")
+            result.check(
+                race["accepted"] <= 1, f"{race['accepted']} changes of one revision were accepted"
+            )
         samples: dict[tuple[str, int], list[LogEntry]] = defaultdict(list)
         for entry in self._driver_events("status"):
             samples[entry["instance"], entry["boot"]].append(entry)
-        for (instance, _), seen in samples.items():
-            for before, after in itertools.pairwise(seen):
-                verdict.check(
+        for (instance, _), instance_samples in samples.items():
+            for before, after in itertools.pairwise(instance_samples):
+                result.check(
                     after["revision"] >= before["revision"],
-                    f"{instance} went back from {before['revision']} to {after['revision']}",
+                    f"{instance} reverted from {before['revision']} to {after['revision']}",
                 )
             for change in self._driver_events("record"):
-                self._in_force(change, instance, seen, verdict, figure)
+                self._check_record_in_force(change, instance, instance_samples, result, latency)
 
-    def _in_force(
+    def _check_record_in_force(
         self,
         change: LogEntry,
         instance: str,
-        seen: list[LogEntry],
-        verdict: GuaranteeResult,
-        figure: LatencyTarget,
+        instance_samples: list[LogEntry],
+        result: GuaranteeResult,
+        latency: LatencyTarget,
     ) -> None:
-        if seen[0]["t"] > change["t"] or not any(e["t"] >= change["t"] for e in seen):
+        if instance_samples[0]["t"] > change["t"] or not any(
+            e["t"] >= change["t"] for e in instance_samples
+        ):
             return
-        when = next((e["t"] for e in seen if e["revision"] >= change["revision"]), INF)
-        judged_until = min(when, seen[-1]["t"])
-        late = judged_until - change["t"]
-        if not self.is_undisturbed(change["t"], judged_until, instance) or (
-            when == INF and late < IN_FORCE_S
+        in_force_at = next(
+            (e["t"] for e in instance_samples if e["revision"] >= change["revision"]), INF
+        )
+        checked_until = min(in_force_at, instance_samples[-1]["t"])
+        delay_s = checked_until - change["t"]
+        if not self.is_undisturbed(change["t"], checked_until, instance) or (
+            in_force_at == INF and delay_s < IN_FORCE_TARGET_S
         ):
             return
-        figure.values.append(max(0.0, late))
-        verdict.check(
-            late <= IN_FORCE_S,
-            f"{instance} had revision {change['revision']} after {late:.1f} s",
+        latency.values.append(max(0.0, delay_s))
+        result.check(
+            delay_s <= IN_FORCE_TARGET_S,
+            f"{instance} lacked revision {change['revision']} for {delay_s:.1f} s",
         )
 
-    def _takeovers(self) -> None:
+    def _measure_takeovers(self) -> None:
         shards = {e["shard"]: e["workers"] for e in self._driver_events("shard")}
         for kill in self._driver_events("killed"):
             for workers in shards.values():
-                if self._owner(workers, kill["t"]) != kill["instance"]:
+                if self._owner_at(workers, kill["t"]) != kill["instance"]:
                     continue
-                end, own = kill["t"] + TAKEOVER_S, kill["name"]
-                if not self.is_undisturbed(kill["t"], end, own=own, but=PLATFORM_FAULTS):
+                end, own_window = kill["t"] + TAKEOVER_TARGET_S, kill["name"]
+                if not self.is_undisturbed(
+                    kill["t"], end, own_window=own_window, ignored_prefixes=PLATFORM_FAULTS
+                ):
                     continue
-                done = self._taken_over(workers, kill["instance"], kill["t"])
-                if done is None:
+                taken_over_at = self._takeover_time(workers, kill["instance"], kill["t"])
+                if taken_over_at is None:
                     self.latencies["takeover"].values.append(INF)
                 else:
-                    self.latencies["takeover"].values.append(done - kill["t"])
+                    self.latencies["takeover"].values.append(taken_over_at - kill["t"])
 
-    def _owner(self, workers: Iterable[str], t: float) -> str:
+    def _owner_at(self, workers: Iterable[str], t: float) -> str:
         fenced = [
             e["token"]
             for e in self.worker_log
@@ -391,30 +411,36 @@
         ]
         return instance_of_token(max(fenced)) if fenced else ""
 
-    def _taken_over(self, workers: list[str], former: str, t: float) -> float | None:
-        """Return when all workers of a shard obeyed one other instance."""
-        held: dict[str, tuple[Any, ...]] = {}
+    def _takeover_time(self, workers: list[str], former: str, t: float) -> float | None:
+        """Return when all workers of a shard were fenced by one other instance, or None."""
+        tokens: dict[str, tuple[Any, ...]] = {}
         for entry in self.worker_log:
             if entry["event"] == "fenced" and entry["worker"] in workers and entry["t"] > t:
-                held[entry["worker"]] = tuple(entry["token"])
-                same = len(held) == len(workers) and len(set(held.values())) == 1
-                if same and instance_of_token(entry["token"]) != former:
+                tokens[entry["worker"]] = tuple(entry["token"])
+                is_common = len(tokens) == len(workers) and len(set(tokens.values())) == 1
+                if is_common and instance_of_token(entry["token"]) != former:
                     return float(entry["t"])
         return None
 
-    def _urgent(self) -> None:
+    def _measure_urgent_starts(self) -> None:
         for run in self.runs:
             if run.entry.get("urgency") != "urgent":
                 continue
-            since = run.entry["submitted_at"]
-            busy = sum(1 for r in self.runs if r.team == run.team and r.start < run.start < r.end)
+            submitted_at = run.entry["submitted_at"]
+            running_count = sum(
+                1 for r in self.runs if r.team == run.team and r.start < run.start < r.end
+            )
             limits = [e["limit"] for e in self._driver_events("limit") if e["team"] == run.team]
-            if self.is_undisturbed(since, run.start) and limits and busy < min(limits):
-                self.latencies["urgent_start"].values.append(run.start - since)
+            if (
+                self.is_undisturbed(submitted_at, run.start)
+                and limits
+                and running_count < min(limits)
+            ):
+                self.latencies["urgent_start"].values.append(run.start - submitted_at)
 
 
 def collect_runs(entries: list[LogEntry]) -> list[Run]:
-    """Return the executions in the workers' logs; a worker that starts anew runs nothing."""
+    """Return the executions in the workers' logs; a restart of a worker ends its executions."""
     open_runs: dict[tuple[str, str], LogEntry] = {}
     runs = []
 
@@ -434,25 +460,25 @@
         elif entry["event"] in ("ended", "stopped") and key in open_runs:
             close(key, entry["t"])
         elif entry["event"] == "up":
-            for other in [other for other in open_runs if other[0] == entry["worker"]]:
-                close(other, entry["t"])
+            for open_key in [open_key for open_key in open_runs if open_key[0] == entry["worker"]]:
+                close(open_key, entry["t"])
     for key in list(open_runs):
         close(key, INF)
     return sorted(runs, key=lambda run: run.start)
 
 
 def instance_of_token(token: list[Any]) -> str:
-    """Return the instance in a token; a tilde separates its name from that of its process."""
+    """Return the instance name in a token; a tilde separates it from the process name."""
     return str(token[2]).partition("~")[0]
 
 
 def run_boundaries(runs: list[Run]) -> list[tuple[float, bool, Run]]:
-    """Return the starts and ends in order of time; an end comes before a start."""
+    """Return the starts and ends in order of time; at the same time, ends come first."""
     events = [(run.start, True, run) for run in runs] + [(run.end, False, run) for run in runs]
     return sorted(events, key=lambda event: (event[0], event[1]))
 
 
-def _judged(name: str, values: list[float]) -> float:
-    """Return the value that is held against the target: p99 for urgent starts, else the worst."""
+def _target_statistic(name: str, values: list[float]) -> float:
+    """Return the value to compare with the target: p99 for urgent starts, else the maximum."""
     ordered = sorted(values)
     return ordered[int(0.99 * (len(ordered) - 1))] if name == "urgent_start" else ordered[-1]
