--- a/baobabhoist/tests/__init__.py
+++ b/baobabhoist/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Test the packages; the modules mirror theirs."""
+"""Test the packages; test modules are named after the modules they test."""
--- a/baobabhoist/tests/test_testing_network.py
+++ b/baobabhoist/tests/test_testing_network.py
@@ -1,4 +1,4 @@
-"""Test that the relay's faults are those that the soak believes it injects."""
+"""Test that the relay injects exactly the faults that the soak requests."""
 
 import asyncio
 import os
@@ -8,7 +8,7 @@
 from baobabhoist.testing.cluster import free_port
 from baobabhoist.testing.network import Relay, parse_relay
 
-PATIENCE_S = 0.2
+REPLY_TIMEOUT_S = 0.2
 
 
 async def echo(reader, writer):
@@ -17,18 +17,18 @@
     writer.close()
 
 
-async def answers(conn):
-    """Tell whether an echo comes back."""
+async def is_echoed(conn):
+    """Return whether data sent over a connection is echoed."""
     reader, writer = conn
     try:
         writer.write(b"ping")
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             return await reader.readexactly(4) == b"ping"
     except (TimeoutError, ConnectionError, asyncio.IncompleteReadError):
         return False
 
 
-async def with_relay(scenario):
+async def run_with_relay(scenario):
     target = free_port()
     relay = Relay("r", free_port(), target)
     async with await asyncio.start_server(echo, "127.0.0.1", target), await relay.start():
@@ -42,44 +42,44 @@
 
 
 @pytest.mark.parametrize(
-    ("mode", "old", "new"),
+    ("mode", "open_works", "new_works"),
     [("pass", True, True), ("cut", False, False), ("silent", False, True),
      ("blackhole", False, False)],
 )  # fmt: skip
-def test_modes(mode, old, new):
-    """Guard against a silent connection that is closed, or a cut that lets data through."""
+def test_mode_affects_open_and_new_connections(mode, open_works, new_works):
+    """Guard against silenced connections that are closed, and cut ones that forward data."""
 
     async def scenario(relay, connect):
         first = await connect()
-        assert await answers(first)
+        assert await is_echoed(first)
         await relay.set_fault(mode, 0.0, None)
-        outcome = await answers(first), await answers(await connect())
+        outcome = await is_echoed(first), await is_echoed(await connect())
         if mode == "silent":
             assert not first[0].at_eof()
         await relay.set_fault("pass", 0.0, None)
-        assert await answers(first) == old
-        assert await answers(await connect())
+        assert await is_echoed(first) == open_works
+        assert await is_echoed(await connect())
         return outcome
 
-    assert asyncio.run(with_relay(scenario)) == (old, new)
+    assert asyncio.run(run_with_relay(scenario)) == (open_works, new_works)
 
 
-def test_a_fault_of_one_source_leaves_the_others():
-    """Guard against a cut data centre that also cuts the others."""
+def test_fault_of_one_source_does_not_affect_others():
+    """Guard against a partition of one data centre that also cuts off the others."""
 
     async def scenario(relay, connect):
         relay.resolver.labels = {os.getpid(): "north"}
         first = await connect()
-        assert await answers(first)
+        assert await is_echoed(first)
         await relay.set_fault("cut", 0.0, "south")
-        there = await answers(first), await answers(await connect())
+        while_south_is_cut = await is_echoed(first), await is_echoed(await connect())
         await relay.set_fault("cut", 0.0, "north")
-        return there, (await answers(first), await answers(await connect()))
+        return while_south_is_cut, (await is_echoed(first), await is_echoed(await connect()))
 
-    assert asyncio.run(with_relay(scenario)) == ((True, True), (False, False))
+    assert asyncio.run(run_with_relay(scenario)) == ((True, True), (False, False))
 
 
-def test_relays_are_named_on_the_command_line():
-    """Guard against names with the separators in them."""
+def test_relay_names_may_contain_separators():
+    """Guard against names with colons that are split at the wrong place."""
     relay = parse_relay("peer:a>b=7000:7001")
     assert (relay.name, relay.listen_port, relay.target_port) == ("peer:a>b", 7000, 7001)
--- a/baobabhoist/tests/test_testing_platform.py
+++ b/baobabhoist/tests/test_testing_platform.py
@@ -1,4 +1,4 @@
-"""Test the platform stand-in's faults, counters, objects and membership list."""
+"""Test the faults, counters, objects and membership list of the fake platform."""
 
 import orjson
 import pytest
@@ -21,8 +21,8 @@
         txn = {"txn_id": txn_id, "checks": {key: revision}, "writes": {key: 1}}
         return self.call("/table/commit", "POST", txn)[0]
 
-    def test_a_lost_answer_still_takes_effect(self):
-        """Guard against a fault that loses the write along with the answer."""
+    def test_write_with_a_lost_answer_takes_effect(self):
+        """Guard against a lost answer that also drops the write."""
         self.call("/faults", "POST", {"mode": "lose_answers"})
         with pytest.raises(HTTPStreamClosedError):
             self.commit("t1")
@@ -33,8 +33,8 @@
         counts = orjson.loads(self.call("/counts")[1])
         assert counts == {"writes": 2, "reads": 1, "lost_answers": 1, "conflicts": 1}
 
-    def test_an_outage_stops_the_platform_but_not_the_commands(self):
-        """Guard against an outage that cannot be ended, or that lets writes through."""
+    def test_outage_does_not_affect_control_requests(self):
+        """Guard against an outage that cannot be ended, or during which writes take effect."""
         self.call("/faults", "POST", {"mode": "down"})
         assert self.commit("t1") == 503
         assert self.call("/members")[0] == 503
@@ -42,16 +42,16 @@
         self.call("/faults", "POST", {"mode": "up"})
         assert orjson.loads(self.call("/table/outcome?txn_id=t1")[1])["state"] == "unknown"
 
-    def test_objects_are_kept_as_written(self):
-        """Guard against payloads changed by an encoding."""
+    def test_objects_are_stored_as_bytes(self):
+        """Guard against payloads that are changed by text encoding."""
         assert self.call("/objects/a/b", "PUT", b"\x00\xff")[0] == 200
         assert self.call("/objects/a/b") == (200, b"\x00\xff")
         assert self.call("/objects/none")[0] == 404
 
 
 @pytest.mark.parametrize(("now", "state"), [(11.9, "live"), (12.0, "leaving")])
-def test_the_membership_list_lags(now, state):
-    """Guard against tests that rely on a list more exact than the real one."""
+def test_membership_list_shows_changes_after_its_lag(now, state):
+    """Guard against tests that rely on a list that is more up to date than the real one."""
     members = MembershipList(2.0)
     members.change({"name": "w1", "state": "live"}, 0.0)
     members.change({"name": "w1", "state": "leaving"}, 10.0)
--- a/baobabhoist/tests/test_testing_worker.py
+++ b/baobabhoist/tests/test_testing_worker.py
@@ -1,4 +1,4 @@
-"""Test the worker stand-in, on which the judgement of the guarantees rests."""
+"""Test the fake worker, whose log the soak checks the guarantees against."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 CAPACITY = Resources(4000, 4096, 0, 2)
 
 
-def call(task_id, payload=b"x", cpu_milli=1000, lease_s=60.0, token=TOKEN):
+def make_run_task(task_id, payload=b"x", cpu_milli=1000, lease_s=60.0, token=TOKEN):
     task = Task(
         task_id, "roster", "entries", WorkKind.REQUEST, Resources(cpu_milli, 10), 9e9, 0.0,
         payload=payload,
@@ -32,36 +32,38 @@
     return RunTask(token, task, time.time() + lease_s)
 
 
-async def fenced(**options):
+async def make_fenced_worker(**options):
     worker = FakeWorker("w1", CAPACITY, **options)
     await worker.handle(FenceWorker("s1", TOKEN))
     return worker
 
 
-async def started(worker, *calls):
-    tasks = [asyncio.ensure_future(worker.handle(c)) for c in calls]
+async def start_tasks(worker, *messages):
+    tasks = [asyncio.ensure_future(worker.handle(message)) for message in messages]
     await asyncio.sleep(0)
     return tasks
 
 
-def test_a_lower_token_has_no_effect():
-    """Guard against a stand-in that runs work of a former owner."""
+def test_message_with_a_lower_token_has_no_effect():
+    """Guard against a worker that runs tasks of a previous owner."""
 
     async def scenario():
-        worker = await fenced()
-        assert isinstance(await worker.handle(call("t1", token=Token(0, 9, "z"))), TokenRefused)
+        worker = await make_fenced_worker()
+        assert isinstance(
+            await worker.handle(make_run_task("t1", token=Token(0, 9, "z"))), TokenRefused
+        )
         return worker.ended
 
     assert asyncio.run(scenario()) == {}
 
 
-def test_work_beyond_the_capacity_is_refused_and_logged(tmp_path):
-    """Guard against a stand-in that hides an owner which assigns too much."""
+def test_task_beyond_the_capacity_is_refused_and_logged(tmp_path):
+    """Guard against a worker that hides that its owner overcommits it."""
 
     async def scenario():
-        worker = await fenced(run_s=60.0, events=EventLog(str(tmp_path / "log")))
-        tasks = await started(worker, call("t1", cpu_milli=3000))
-        refusal = await worker.handle(call("t2", cpu_milli=2000))
+        worker = await make_fenced_worker(run_s=60.0, events=EventLog(str(tmp_path / "log")))
+        tasks = await start_tasks(worker, make_run_task("t1", cpu_milli=3000))
+        refusal = await worker.handle(make_run_task("t2", cpu_milli=2000))
         for task in tasks:
             task.cancel()
         return refusal
@@ -76,13 +78,13 @@
     ]
 
 
-def test_an_id_runs_once_while_it_is_remembered():
-    """Guard against duplicates, and against a memory of ended ids that grows for ever."""
+def test_task_id_runs_once_within_the_retention_time():
+    """Guard against duplicate runs, and against unbounded memory for ended ids."""
 
     async def scenario():
-        worker = await fenced()
-        assert isinstance(await worker.handle(call("t1")), TaskEnded)
-        assert await worker.handle(call("t1")) == TaskRefused("t1", "duplicate")
+        worker = await make_fenced_worker()
+        assert isinstance(await worker.handle(make_run_task("t1")), TaskEnded)
+        assert await worker.handle(make_run_task("t1")) == TaskRefused("t1", "duplicate")
         worker.tick(time.time() + TASK_ID_RETENTION_S / 2)
         assert "t1" in worker.ended
         worker.tick(time.time() + TASK_ID_RETENTION_S + 1)
@@ -91,23 +93,26 @@
     assert asyncio.run(scenario()) == {}
 
 
-def test_an_id_reported_as_never_started_stays_so():
-    """Guard against a start that is still on its way when its owner asks for the outcome."""
+def test_task_id_reported_as_never_run_is_rejected():
+    """Guard against a task that starts after its owner was told that it never ran.
+
+    Its start may still be in transit when the owner queries the outcome.
+    """
 
     async def scenario():
-        worker = await fenced()
+        worker = await make_fenced_worker()
         report = await worker.handle(QueryOutcome(TOKEN, "t1"))
-        return report.state, await worker.handle(call("t1"))
+        return report.state, await worker.handle(make_run_task("t1"))
 
     assert asyncio.run(scenario()) == ("never", TaskRefused("t1", "void"))
 
 
-def test_a_task_whose_lease_lapses_is_stopped_unless_renewed():
-    """Guard against tasks that outlive their owner's lease, or die in spite of renewal."""
+def test_task_is_stopped_when_its_lease_expires():
+    """Guard against tasks that outlive their lease, or that stop although it was renewed."""
 
     async def scenario():
-        worker = await fenced(run_s=60.0)
-        (task,) = await started(worker, call("t1", lease_s=5.0))
+        worker = await make_fenced_worker(run_s=60.0)
+        (task,) = await start_tasks(worker, make_run_task("t1", lease_s=5.0))
         await worker.handle(RenewLeases(TOKEN, time.time() + 20.0))
         worker.tick(time.time() + 10.0)
         await asyncio.sleep(0)
@@ -119,11 +124,11 @@
 
 
 def test_stop_and_checkpoint_end_a_running_task():
-    """Guard against a preempted task that goes on using its resources."""
+    """Guard against a preempted task that continues to use its resources."""
 
     async def scenario():
-        worker = await fenced(run_s=60.0)
-        tasks = await started(worker, call("t1"), call("t2"))
+        worker = await make_fenced_worker(run_s=60.0)
+        tasks = await start_tasks(worker, make_run_task("t1"), make_run_task("t2"))
         assert (await worker.handle(StopTask(TOKEN, "t1"))).state == "running"
         await worker.handle(CheckpointTask(TOKEN, "t2"))
         ends = await asyncio.gather(*tasks)
@@ -132,15 +137,15 @@
     assert asyncio.run(scenario()) == ([b"stopped", b"checkpointed"], "ended")
 
 
-def test_modes_change_how_tasks_fare():
-    """Guard against a worker that fails everything being taken for a healthy one."""
+def test_modes_determine_how_tasks_end():
+    """Guard against injected faults of a worker that have no effect on its tasks."""
 
     async def scenario():
-        worker = await fenced()
+        worker = await make_fenced_worker()
         worker.set_mode("fail")
-        failed = await worker.handle(call("t1"))
+        failed = await worker.handle(make_run_task("t1"))
         worker.set_mode("hang")
-        (task,) = await started(worker, call("t2"))
+        (task,) = await start_tasks(worker, make_run_task("t2"))
         running = list(worker.running)
         await worker.handle(StopTask(TOKEN, "t2"))
         await task
--- a/baobabhoist/tests/test_whole_path.py
+++ b/baobabhoist/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Test the whole path over real sockets, each part in its own process."""
+"""Test requests end to end over real sockets, with each component in its own process."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 READY_TIMEOUT_S = 30.0
 
 
-def records(ports):
+def make_records(ports):
     workers = [
         {
             "name": name,
@@ -39,9 +39,9 @@
     ]
 
 
-def owner_of(cluster, shard):
-    give_up_at = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < give_up_at:
+def wait_for_owner(cluster, shard):
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline:
         for name, cfg in cluster.instances.items():
             url = f"http://127.0.0.1:{cfg['admin_port']}/v1/status"
             _, body = fetch(url, {"X-Operator-Key": OPERATOR_KEY})
@@ -52,7 +52,7 @@
 
 
 def test_request_through_an_instance_that_does_not_own_the_shard(tmp_path):
-    """Guard against a relayed request losing its answer or running without a fence."""
+    """Guard against a relayed request whose answer is lost or that runs without fencing."""
     with Cluster(tmp_path) as cluster:
         cluster.start_platform()
         ports = {f"worker-{n}": cluster.start_worker(f"worker-{n}") for n in range(4)}
@@ -62,17 +62,17 @@
         for cfg in cluster.instances.values():
             wait_for_port(cfg["admin_port"])
         path = tmp_path / "records.yaml"
-        path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
-        printed = cluster.run_cli("put", "record", str(path), instance="entry-1")
-        assert "team roster is at revision 2" in printed
+        path.write_text(yaml.safe_dump_all(make_records(ports)), encoding="utf-8")
+        output = cluster.run_cli("put", "record", str(path), instance="entry-1")
+        assert "team roster is at revision 2" in output
 
-        owner = owner_of(cluster, "rack-1")
-        (other,) = set(cluster.instances) - {owner}
-        port = cluster.instances[other]["caller_port"]
+        owner = wait_for_owner(cluster, "rack-1")
+        (non_owner,) = set(cluster.instances) - {owner}
+        port = cluster.instances[non_owner]["caller_port"]
         url = f"http://127.0.0.1:{port}/v1/queues/entries/requests"
-        give_up_at = time.monotonic() + READY_TIMEOUT_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         status, body = 503, b""
-        while status == 503 and time.monotonic() < give_up_at:
+        while status == 503 and time.monotonic() < deadline:
             status, body = fetch(url, {"X-Team-Key": TEAM_KEY}, b"whistle 7")
             time.sleep(0.1)
         assert status == 200, body
@@ -85,5 +85,5 @@
 
 
 def test_home_shard_does_not_depend_on_the_order_of_shards():
-    """Guard against two instances choosing different home shards for one key."""
+    """Guard against two instances that choose different home shards for one key."""
     assert home_shard("key", ["a", "b", "c"]) == home_shard("key", ["c", "a", "b"])
