--- a/baobabhoist/testing/cluster.py
+++ b/baobabhoist/testing/cluster.py
@@ -124,14 +124,14 @@
         )
         return port
 
-    def start_workers(self, process: str, names: list[str], *args: str) -> dict[str, int]:
+    def start_workers(self, process_name: str, names: list[str], *args: str) -> dict[str, int]:
         """Start several fake workers in one process and return their ports by name."""
         ports = {name: free_port() for name in names}
-        self.control_ports[process] = free_port()
+        self.control_ports[process_name] = free_port()
         specs = ",".join(f"{name}:{port}" for name, port in ports.items())
-        control = f"--control_port={self.control_ports[process]}"
+        control = f"--control_port={self.control_ports[process_name]}"
         self.start_process(
-            process, "baobabhoist.testing.worker", f"--workers={specs}", control, *args
+            process_name, "baobabhoist.testing.worker", f"--workers={specs}", control, *args
         )
         for port in ports.values():
             wait_for_port(port)
@@ -155,14 +155,16 @@
         wait_for_port(self.control_ports["relays"])
 
     def send_control_request(
-        self, process: str, path: str, body: dict[str, Any], method: str = "POST"
+        self, process_name: str, path: str, body: dict[str, Any], method: str = "POST"
     ) -> None:
         """Send a request to the control port of a fake; raises RuntimeError if it fails."""
-        port = self.platform_port if process == "platform" else self.control_ports[process]
+        port = (
+            self.platform_port if process_name == "platform" else self.control_ports[process_name]
+        )
         url = f"http://127.0.0.1:{port}{path}"
-        status, answer = fetch(url, {}, json.dumps(body).encode(), method)
+        status, response_body = fetch(url, {}, json.dumps(body).encode(), method)
         if status != 200:
-            raise RuntimeError(f"{process} rejected {path} {body}: {answer!r}")
+            raise RuntimeError(f"{process_name} rejected {path} {body}: {response_body!r}")
 
     def label_sources(self) -> None:
         """Tell the relays which data centre each daemon process belongs to."""
--- a/baobabhoist/testing/memory_row_store.py
+++ b/baobabhoist/testing/memory_row_store.py
@@ -43,15 +43,15 @@
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
         """Return the rows of a part with keys from `first` up to, not including, `last`."""
         self._raise_if_down()
-        found = [
+        matching = [
             row
             for key, row in self.rows.items()
             if (key.table, key.part) == (table, part)
             and key.key >= first
             and (not last or key.key < last)
         ]
-        found.sort(key=lambda row: row.key.key)
-        return Rows(tuple(found), self.version, self._clock())
+        matching.sort(key=lambda row: row.key.key)
+        return Rows(tuple(matching), self.version, self._advance_clock())
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
         """Return what changed after a version, without waiting for a change."""
@@ -59,8 +59,8 @@
         if after_version < self.history_start_version:
             raise HistoryLostError("the change history was truncated")
         await asyncio.sleep(0)
-        found = [r for r in self.history if r.key.table == table and r.version > after_version]
-        return Rows(tuple(found), self.version, self._clock())
+        matching = [r for r in self.history if r.key.table == table and r.version > after_version]
+        return Rows(tuple(matching), self.version, self._advance_clock())
 
     async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
         """Apply a transaction, or fail as `choose_failure` decides."""
@@ -94,13 +94,13 @@
                 return RowsConflict(tuple(current))
         self.version += 1
         for key, value in txn.puts.items():
-            self._put(StoredRow(key, value, self.version))
+            self._put_row(StoredRow(key, value, self.version))
         for key in txn.removes:
             self.rows.pop(key, None)
             self.history.append(StoredRow(key, None, self.version))
-        return RowsCommitted(self.version, self._clock())
+        return RowsCommitted(self.version, self._advance_clock())
 
-    def _put(self, row: StoredRow) -> None:
+    def _put_row(self, row: StoredRow) -> None:
         self.rows[row.key] = row
         self.history.append(row)
 
@@ -108,5 +108,5 @@
         if self.is_down:
             raise StoreUnansweredError("the store is unavailable")
 
-    def _clock(self) -> int:
+    def _advance_clock(self) -> int:
         return self.now_ms + next(self._ticks)
--- a/baobabhoist/testing/platform.py
+++ b/baobabhoist/testing/platform.py
@@ -128,8 +128,8 @@
             self.set_status(HTTP_UNAVAILABLE)
             self.finish({"error": "injected outage"})
 
-    def answer_write(self, body: dict[str, Any], status: int = 200) -> None:
-        """Answer a write that took effect, or close the connection to lose the answer."""
+    def respond_to_write(self, body: dict[str, Any], status: int = 200) -> None:
+        """Respond to a write that took effect, or close the connection to lose the response."""
         if self.platform.fault.mode == "lose_answers":
             self.platform.call_counts["lost_answers"] += 1
             self.request.connection.stream.close()  # type: ignore[union-attr]
@@ -143,10 +143,10 @@
 
     def post(self, _: str) -> None:
         """Commit a transaction."""
-        answer = self.platform.table.commit(orjson.loads(self.request.body))
-        if "conflict" in answer:
+        result = self.platform.table.commit(orjson.loads(self.request.body))
+        if "conflict" in result:
             self.platform.call_counts["conflicts"] += 1
-        self.answer_write(answer, HTTP_CONFLICT if "conflict" in answer else 200)
+        self.respond_to_write(result, HTTP_CONFLICT if "conflict" in result else 200)
 
     def get(self, endpoint: str) -> None:
         """Return a row, a range of rows or the outcome of a transaction."""
@@ -173,7 +173,7 @@
     def put(self, name: str) -> None:
         """Store an object, replacing any previous one."""
         self.platform.objects[name] = self.request.body
-        self.answer_write({"bytes": len(self.request.body)})
+        self.respond_to_write({"bytes": len(self.request.body)})
 
     def get(self, name: str) -> None:
         """Return an object."""
@@ -188,7 +188,7 @@
     def delete(self, name: str) -> None:
         """Remove an object, if it exists."""
         self.platform.objects.pop(name, None)
-        self.answer_write({})
+        self.respond_to_write({})
 
 
 class MembersHandler(PlatformHandler):
@@ -217,9 +217,9 @@
 
     def post(self) -> None:
         """Set the injected fault."""
-        problem = self.platform.fault.update(orjson.loads(self.request.body))
-        if problem is not None:
-            self.reject(problem)
+        error = self.platform.fault.update(orjson.loads(self.request.body))
+        if error is not None:
+            self.reject(error)
             return
         self.finish({"mode": self.platform.fault.mode})
 
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -59,7 +59,7 @@
     team_by_job: dict[str, str] = attrs.Factory(dict)
     job_state_counts: dict[str, int] = attrs.Factory(dict)
     boot_counts: dict[str, int] = attrs.Factory(dict)
-    unavailable_instances: set[str] = attrs.Factory(set)
+    down_instances: set[str] = attrs.Factory(set)
     isolated_data_centre: str = ""
     # Scales the run time and the actual processor use of requests, but not what they declare.
     usage_factor: float = 1.0
@@ -93,7 +93,7 @@
                 name, "live", "worker" if name in self.shard_by_worker else "entry"
             )
         for name in self.cluster.instances:
-            await self.restart_instance(name)
+            await self.start_instance(name)
         for shard, listed in shards.items():
             body = {"data_centre": shard.split("-")[0], "workers": listed}
             await self.retry_until_accepted(self.put_record, "shard", shard, body)
@@ -118,7 +118,7 @@
         address = {"host": "127.0.0.1", "rack": shard}
         return [{"name": n, "port": port, **address, **CAPACITY} for n, port in relays.items()]
 
-    async def restart_instance(self, name: str) -> None:
+    async def start_instance(self, name: str) -> None:
         """Start a daemon and wait until it is ready for callers, or until a timeout."""
         self.boot_counts[name] = self.boot_counts.get(name, 0) + 1
         self.cluster.start_instance(name)
@@ -126,11 +126,11 @@
         deadline = time.time() + READY_TIMEOUT_S
         url = f"http://127.0.0.1:{self.cluster.instances[name]['caller_port']}/readyz"
         while time.time() < deadline:
-            answer = await self.try_fetch(url, timeout_s=1.0)
-            if not isinstance(answer, str) and answer.code == 200:
+            response = await self.try_fetch(url, timeout_s=1.0)
+            if not isinstance(response, str) and response.code == 200:
                 break
             await asyncio.sleep(0.2)
-        self.unavailable_instances.discard(name)
+        self.down_instances.discard(name)
 
     async def try_fetch(self, url: str, timeout_s: float, **options: Any) -> HTTPResponse | str:
         """Return the response, or the reason why there is none."""
@@ -146,12 +146,11 @@
         raise RuntimeError(f"{change.__name__}{args} was not accepted in {MAX_ATTEMPTS} attempts")
 
     async def call_admin(self, path: str, **options: Any) -> HTTPResponse | str:
-        """Call the admin API of an available instance that can reach the platform."""
+        """Call the admin API of a running instance that can reach the platform."""
         candidates = [
             cfg
             for name, cfg in self.cluster.instances.items()
-            if name not in self.unavailable_instances
-            and cfg["data_centre"] != self.isolated_data_centre
+            if name not in self.down_instances and cfg["data_centre"] != self.isolated_data_centre
         ]
         port = self.rng.choice(candidates)["admin_port"]
         headers = {"X-Operator-Key": OPERATOR_KEY, **options.pop("headers", {})}
@@ -161,10 +160,10 @@
 
     async def read_revision(self, kind: str, name: str) -> int:
         """Return the revision of a record, or 0 if it cannot be read."""
-        answer = await self.call_admin(f"/v1/records/{kind}/{name}")
-        if isinstance(answer, str) or answer.code != 200:
+        response = await self.call_admin(f"/v1/records/{kind}/{name}")
+        if isinstance(response, str) or response.code != 200:
             return 0
-        return int(json.loads(answer.body)["revision"])
+        return int(json.loads(response.body)["revision"])
 
     async def put_record(
         self, kind: str, name: str, body: dict[str, Any], base_revision: int | None = None
@@ -175,10 +174,10 @@
         headers = {"If-Match": f'"{base_revision}"'} if base_revision else {"If-None-Match": "*"}
         data = json.dumps({"schema_version": 1, "body": body})
         path = f"/v1/records/{kind}/{name}"
-        answer = await self.call_admin(path, method="PUT", headers=headers, body=data)
-        if isinstance(answer, str) or answer.code >= 300:
+        response = await self.call_admin(path, method="PUT", headers=headers, body=data)
+        if isinstance(response, str) or response.code >= 300:
             return 0
-        revision = int(json.loads(answer.body)["revision"])
+        revision = int(json.loads(response.body)["revision"])
         self.log_event("record", kind=kind, name=name, revision=revision)
         return revision
 
@@ -216,9 +215,7 @@
             "X-Cpu-Milli": str(cpu_milli),
             "Request-Deadline": f"{time.time() + DEADLINE_S:.3f}",
         }
-        available = [
-            name for name in self.cluster.instances if name not in self.unavailable_instances
-        ]
+        available = [name for name in self.cluster.instances if name not in self.down_instances]
         targets = [rng.choice(available)]
         if rng.random() < DUPLICATE_PROBABILITY:
             headers |= {"Idempotency-Key": ref, "Idempotency-First-Sent": f"{time.time():.3f}"}
@@ -232,7 +229,7 @@
     ) -> None:
         port = self.cluster.instances[name]["caller_port"]
         entry = {"t": time.time(), "event": "request", "instance": name, **entry}
-        answer = await self.try_fetch(
+        response = await self.try_fetch(
             f"http://127.0.0.1:{port}/v1/queues/entries/requests",
             DEADLINE_S + CALLER_GRACE_S,
             method="POST",
@@ -240,13 +237,13 @@
             body=body,
         )
         entry["end"] = time.time()
-        if isinstance(answer, str):
-            entry["error"] = answer
-        elif answer.code == 200:
-            entry |= {"status": 200, "whole": answer.body.partition(b":")[2] == body}
+        if isinstance(response, str):
+            entry["error"] = response
+        elif response.code == 200:
+            entry |= {"status": 200, "whole": response.body.partition(b":")[2] == body}
         else:
-            refusal = json.loads(answer.body)
-            entry["status"] = answer.code
+            refusal = json.loads(response.body)
+            entry["status"] = response.code
             entry |= {name: refusal[name] for name in ("kind", "outcome", "message")}
         self.caller_log.append(entry)
 
@@ -273,10 +270,10 @@
         self.caller_log.append(
             {"t": time.time(), "event": "job", "ref": ref, "team": team, "idempotent": idempotent}
         )
-        answer = await self._call_jobs_api(team, "", method="POST", body=json.dumps(body))
-        if isinstance(answer, str) or answer.code >= 300:
+        response = await self._call_jobs_api(team, "", method="POST", body=json.dumps(body))
+        if isinstance(response, str) or response.code >= 300:
             return ""
-        job_id = str(json.loads(answer.body)["job_id"])
+        job_id = str(json.loads(response.body)["job_id"])
         self.team_by_job[job_id] = team
         return job_id
 
@@ -285,9 +282,7 @@
         await self._call_jobs_api(self.team_by_job[job_id], f"/{job_id}", method="DELETE")
 
     async def _call_jobs_api(self, team: str, path: str, **options: Any) -> HTTPResponse | str:
-        available = [
-            name for name in self.cluster.instances if name not in self.unavailable_instances
-        ]
+        available = [name for name in self.cluster.instances if name not in self.down_instances]
         port = self.cluster.instances[self.rng.choice(available)]["caller_port"]
         url = f"http://127.0.0.1:{port}/v1/jobs{path}"
         return await self.try_fetch(url, 10.0, headers={"X-Team-Key": f"key-of-{team}"}, **options)
@@ -303,11 +298,11 @@
         """Return the number of accepted jobs in each state; an unknown job is `lost`."""
         counts: dict[str, int] = {}
         for job_id, team in self.team_by_job.items():
-            answer = await self._call_jobs_api(team, f"/{job_id}")
+            response = await self._call_jobs_api(team, f"/{job_id}")
             state = "unreadable"
-            if not isinstance(answer, str):
-                status = json.loads(answer.body)
-                state = "lost" if answer.code == 404 else status.get("state", "unreadable")
+            if not isinstance(response, str):
+                status = json.loads(response.body)
+                state = "lost" if response.code == 404 else status.get("state", "unreadable")
             counts[state] = counts.get(state, 0) + 1
         return counts
 
@@ -326,13 +321,13 @@
             for name, cfg in self.cluster.instances.items():
                 boot = self.boot_counts.get(name, 0)
                 url = f"http://127.0.0.1:{cfg['admin_port']}/v1/status"
-                answer = await self.try_fetch(url, timeout_s=0.5, headers=headers)
+                response = await self.try_fetch(url, timeout_s=0.5, headers=headers)
                 if (
-                    not isinstance(answer, str)
-                    and answer.code == 200
-                    and name not in self.unavailable_instances
+                    not isinstance(response, str)
+                    and response.code == 200
+                    and name not in self.down_instances
                 ):
-                    revision = json.loads(answer.body)["records_revision"]
+                    revision = json.loads(response.body)["records_revision"]
                     self.log_event("status", instance=name, boot=boot, revision=revision)
             await asyncio.sleep(STATUS_INTERVAL_S)
 
@@ -340,9 +335,9 @@
         """Run the load and inject the faults, then wait for the open requests."""
         await self.start()
         started_at = time.time()
-        background = [
-            asyncio.create_task(work)
-            for work in (
+        load_tasks = [
+            asyncio.create_task(coro)
+            for coro in (
                 self.send_requests(),
                 self.poll_revisions(),
                 self.change_marker(),
@@ -359,7 +354,7 @@
             injections.append(asyncio.create_task(soak_faults.inject_fault(self, fault)))
         await asyncio.sleep(max(0.0, started_at + seconds - time.time()))
         await asyncio.gather(*injections)
-        for task in background:
+        for task in load_tasks:
             task.cancel()
         await asyncio.gather(*self.background_tasks, return_exceptions=True)
         self.job_state_counts = await self.count_job_states()
--- a/baobabhoist/testing/soak_faults.py
+++ b/baobabhoist/testing/soak_faults.py
@@ -80,11 +80,9 @@
 
 def _pick_instance(soak: Soak, rng: random.Random, window: dict[str, Any]) -> str:
     """Choose a running instance; callers are sent to the others, as a load balancer does."""
-    name = rng.choice(
-        [name for name in soak.cluster.instances if name not in soak.unavailable_instances]
-    )
+    name = rng.choice([name for name in soak.cluster.instances if name not in soak.down_instances])
     window["instances"] = [name]
-    soak.unavailable_instances.add(name)
+    soak.down_instances.add(name)
     return name
 
 
@@ -95,7 +93,7 @@
     soak.log_event("killed", instance=name, name=window["name"])
     soak.cluster.kill(name)
     await asyncio.sleep(fault.duration_s)
-    await soak.restart_instance(name)
+    await soak.start_instance(name)
 
 
 async def _pause(
@@ -105,7 +103,7 @@
     soak.cluster.pause(name)
     await asyncio.sleep(fault.duration_s)
     soak.cluster.resume(name)
-    soak.unavailable_instances.discard(name)
+    soak.down_instances.discard(name)
 
 
 async def _stop(
@@ -116,10 +114,10 @@
     entry = soak.driver_log[-1]
     entry["code"] = await asyncio.to_thread(soak.cluster.stop, name, STOP_TIMEOUT_S)
     entry["until"] = time.time()
-    await soak.restart_instance(name)
+    await soak.start_instance(name)
 
 
-def _platform_fault(
+def _make_platform_fault(
     is_reachable: bool, choose_fault: Callable[[random.Random], dict[str, Any]]
 ) -> Injector:
     async def inject(
@@ -134,7 +132,7 @@
     return inject
 
 
-async def _relay_fault(
+async def _inject_relay_fault(
     soak: Soak, fault: ScheduledFault, mode: str, *names: str, **options: str
 ) -> None:
     for name in names:
@@ -151,7 +149,7 @@
 async def _cut_platform(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
     """Cut a data centre off the platform; records must still arrive through the other one."""
     soak.isolated_data_centre = rng.choice(DATA_CENTRES)
-    await _relay_fault(
+    await _inject_relay_fault(
         soak, fault, rng.choice(PARTITION_MODES), f"platform:{soak.isolated_data_centre}-*"
     )
     soak.isolated_data_centre = ""
@@ -161,16 +159,16 @@
     """Partition the data centres, for connections between peers and to workers alike."""
     mode, (a, b) = rng.choice(PARTITION_MODES), DATA_CENTRES
     await asyncio.gather(
-        _relay_fault(soak, fault, mode, f"peer:{a}-*>{b}-*", f"peer:{b}-*>{a}-*"),
-        _relay_fault(soak, fault, mode, f"worker:{a}-*", source=b),
-        _relay_fault(soak, fault, mode, f"worker:{b}-*", source=a),
+        _inject_relay_fault(soak, fault, mode, f"peer:{a}-*>{b}-*", f"peer:{b}-*>{a}-*"),
+        _inject_relay_fault(soak, fault, mode, f"worker:{a}-*", source=b),
+        _inject_relay_fault(soak, fault, mode, f"worker:{b}-*", source=a),
     )
 
 
 async def _silent(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
     """Silence open connections to a worker or peers permanently; new ones work."""
     name = rng.choice([*soak.shard_by_worker, *soak.cluster.instances])
-    await _relay_fault(
+    await _inject_relay_fault(
         soak,
         fault,
         "silent",
@@ -178,7 +176,7 @@
     )
 
 
-def _worker_fault(*modes: str) -> Injector:
+def _make_worker_fault(*modes: str) -> Injector:
     async def inject(soak: Soak, fault: ScheduledFault, rng: random.Random, _: Any) -> None:
         worker = rng.choice(list(soak.shard_by_worker))
         process, path = f"workers-{soak.shard_by_worker[worker]}", f"/workers/{worker}"
@@ -242,16 +240,18 @@
     "kill": _kill,
     "pause": _pause,
     "stop": _stop,
-    "platform_down": _platform_fault(False, lambda r: {"mode": "down", "hang": r.random() < 0.5}),
-    "platform_slow": _platform_fault(
+    "platform_down": _make_platform_fault(
+        False, lambda r: {"mode": "down", "hang": r.random() < 0.5}
+    ),
+    "platform_slow": _make_platform_fault(
         False, lambda r: {"mode": "slow", "delay_s": r.uniform(0.5, 4)}
     ),
-    "lose_answers": _platform_fault(True, lambda _: {"mode": "lose_answers"}),
+    "lose_answers": _make_platform_fault(True, lambda _: {"mode": "lose_answers"}),
     "cut_platform": _cut_platform,
     "cut_peers": _cut_peers,
     "silent": _silent,
-    "worker_fails": _worker_fault("fail"),
-    "worker_slow": _worker_fault("slow", "hang"),
+    "worker_fails": _make_worker_fault("fail"),
+    "worker_slow": _make_worker_fault("slow", "hang"),
     "leaving": _leaving,
     "wrong_sizes": _wrong_sizes,
     "cancel_wave": _cancel_wave,
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -46,7 +46,7 @@
 SLOWDOWN_FACTOR = 10.0
 # A request key is valid until its deadline, at most 10 minutes, plus the allowed clock skew.
 TASK_ID_RETENTION_S = 660.0
-LEASE_CHECK_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 0.1
 # Limits of one page of an inventory; larger bodies are omitted from it.
 MAX_PAGE_TASKS = 500
 MAX_PAGE_BYTES = 1 << 20
@@ -60,7 +60,7 @@
 
     call: RunTask
     lease_deadline: float
-    changed: asyncio.Event = attrs.Factory(asyncio.Event)
+    state_changed: asyncio.Event = attrs.Factory(asyncio.Event)
     is_stopped: bool = False
     stop_reason: str = ""
     cpu_percent: int = FULL_PERCENT
@@ -69,12 +69,12 @@
         """Request the task to stop; the first reason is kept."""
         self.stop_reason = self.stop_reason or reason
         self.is_stopped = True
-        self.changed.set()
+        self.state_changed.set()
 
     def throttle(self, percent: int) -> None:
         """Limit the task to a percentage of its processor time."""
         self.cpu_percent = max(1, min(FULL_PERCENT, percent))
-        self.changed.set()
+        self.state_changed.set()
 
 
 @attrs.frozen
@@ -251,10 +251,10 @@
         loop = asyncio.get_running_loop()
         while remaining_s > 0 and not execution.is_stopped:
             speed, started_at = execution.cpu_percent / FULL_PERCENT, loop.time()
-            execution.changed.clear()
+            execution.state_changed.clear()
             try:
                 async with asyncio.timeout(remaining_s / speed):
-                    await execution.changed.wait()
+                    await execution.state_changed.wait()
             except TimeoutError:
                 break
             remaining_s -= (loop.time() - started_at) * speed
@@ -263,8 +263,8 @@
     def _renew_leases(self, call: RenewLeases) -> LeasesRenewed:
         for execution in self.running.values():
             execution.lease_deadline = max(execution.lease_deadline, call.lease_deadline)
-        used = self._usage_samples[0][1] if self._usage_samples else 0
-        return LeasesRenewed(tuple(self.running), used)
+        used_cpu_milli = self._usage_samples[0][1] if self._usage_samples else 0
+        return LeasesRenewed(tuple(self.running), used_cpu_milli)
 
     def _stop_task(self, task_id: str, reason: str) -> OutcomeReport:
         if task_id in self.running:
@@ -356,7 +356,7 @@
     async with serve(handle, "127.0.0.1", port, **WORKER_OPTIONS):
         while True:
             worker.tick(time.time())
-            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
 
 async def run(workers: Sequence[tuple[FakeWorker, int]], control_port: int) -> None:
