--- a/baobabhoist/benchmarks/progress.py
+++ b/baobabhoist/benchmarks/progress.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from baobabhoist.errors import PlatformError
-from baobabhoist.store.client import PlatformTable
 from baobabhoist.store.table import Transaction
+from baobabhoist.store.table_client import PlatformTable
 from baobabhoist.testing.cluster import free_port
 
 BATCH_SIZES = (1, 10, 100, 1000)
--- a/baobabhoist/control/accept.py
+++ b/baobabhoist/control/accept.py
@@ -12,7 +12,7 @@
 from baobabhoist.control.contact import Contact
 from baobabhoist.control.rowmap import cancel_row, job_row
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
--- a/baobabhoist/control/claimant.py
+++ b/baobabhoist/control/claimant.py
@@ -33,7 +33,7 @@
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import RowsConflict, RowStore, RowsTxn, StoredRow, StoreError
+from baobabhoist.store.row_store import RowsConflict, RowStore, RowsTxn, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/control/contact.py
+++ b/baobabhoist/control/contact.py
@@ -9,7 +9,7 @@
 
 from baobabhoist.control.clock import boot_ms
 from baobabhoist.control.metrics import NodeMetrics
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     HistoryLostError,
     Rows,
     RowsCommitted,
--- a/baobabhoist/control/follow.py
+++ b/baobabhoist/control/follow.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.control.clock import SharedClock, boot_ms
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import HistoryLostError, Rows, RowStore, StoredRow, StoreError
+from baobabhoist.store.row_store import HistoryLostError, Rows, RowStore, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/control/frontdesk.py
+++ b/baobabhoist/control/frontdesk.py
@@ -35,7 +35,7 @@
 from baobabhoist.errors import ErrorKind, LinkClosedError, Refusal
 from baobabhoist.model import Outcome
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import RowStore, StoreError
+from baobabhoist.store.row_store import RowStore, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/control/loading.py
+++ b/baobabhoist/control/loading.py
@@ -13,7 +13,7 @@
     LEARNED_ROW,
     PROGRESS_TABLE,
 )
-from baobabhoist.store.rows import Rows, RowStore, StoredRow
+from baobabhoist.store.row_store import Rows, RowStore, StoredRow
 
 # More at once would share a slow link, so that none of them arrives in time.
 READS_AT_ONCE = 6
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -30,7 +30,7 @@
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowStore,
     StoredRow,
 )
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -33,7 +33,7 @@
 )
 from baobabhoist.control.workers import WorkerLoop
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import RowStore, StoredRow, StoreError
+from baobabhoist.store.row_store import RowStore, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -19,7 +19,7 @@
     progress_row,
 )
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -23,7 +23,7 @@
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
     Rows,
--- a/baobabhoist/control/rowmap.py
+++ b/baobabhoist/control/rowmap.py
@@ -10,7 +10,7 @@
 
 from baobabhoist.cell.model import AcceptedJob, JobSpec
 from baobabhoist.cell.speed_estimates import SpeedEstimates
-from baobabhoist.store.rows import RowKey
+from baobabhoist.store.row_store import RowKey
 
 CELL_TABLE = "cell"
 JOBS_TABLE = "jobs"
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -56,9 +56,9 @@
 from baobabhoist.records.changes import LOG_HEAD
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
-from baobabhoist.store.client import PlatformTable
-from baobabhoist.store.members import MemberList
+from baobabhoist.store.membership import MemberList
 from baobabhoist.store.table import Table, WatchedTable
+from baobabhoist.store.table_client import PlatformTable
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -14,7 +14,18 @@
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.model import JobSpec, Resources, TaskSpec, Urgency, WorkKind
-from baobabhoist.records.checks import (
+from baobabhoist.records.schema import (
+    MAX_ACCELERATORS,
+    MAX_CPU_MILLI,
+    MAX_DEADLINE_S,
+    MAX_MEMORY_MB,
+    MAX_SLOTS,
+    NAME_PATTERN,
+    NAME_REMEDY,
+    refusal_of,
+    text,
+)
+from baobabhoist.records.validators import (
     ABSENT,
     Field,
     Problems,
@@ -27,17 +38,6 @@
     optional,
     shown,
 )
-from baobabhoist.records.schema import (
-    MAX_ACCELERATORS,
-    MAX_CPU_MILLI,
-    MAX_DEADLINE_S,
-    MAX_MEMORY_MB,
-    MAX_SLOTS,
-    NAME_PATTERN,
-    NAME_REMEDY,
-    refusal_of,
-    text,
-)
 
 # A job's specification is one row of the table.
 MAX_TASKS = 10_000
--- a/baobabhoist/gateway/headers.py
+++ b/baobabhoist/gateway/headers.py
@@ -10,7 +10,6 @@
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.model import Resources, Urgency
-from baobabhoist.records.checks import ABSENT, Problems, integer, number, one_of, shown
 from baobabhoist.records.schema import (
     MAX_ACCELERATORS,
     MAX_CPU_MILLI,
@@ -19,6 +18,7 @@
     MAX_SLOTS,
     refusal_of,
 )
+from baobabhoist.records.validators import ABSENT, Problems, integer, number, one_of, shown
 
 KEY_PATTERN = re.compile(r"[!-~]{1,200}")
 INTEGER_PATTERN = re.compile(r"-?[0-9]{1,20}")
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -13,12 +13,12 @@
 from baobabhoist.gateway.limits import PendingLimit, pending_limit
 from baobabhoist.gateway.operators import AdminHandler
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.records.checks import ABSENT, Problems, integer
 from baobabhoist.records.diff import difference
 from baobabhoist.records.kinds import RecordKind, Team
 from baobabhoist.records.references import in_use
 from baobabhoist.records.schema import bad_name, refusal_of, typed
 from baobabhoist.records.store import DEFAULT_HISTORY, MAX_HISTORY, Change, RecordStore, as_written
+from baobabhoist.records.validators import ABSENT, Problems, integer
 from baobabhoist.records.view import Record
 
 log = logging.getLogger(__name__)
--- a/baobabhoist/platform/advice.py
+++ b/baobabhoist/platform/advice.py
@@ -8,7 +8,7 @@
 from baobabhoist.cell.model import StepKey
 from baobabhoist.control.interfaces import Advice
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.platform.http import HttpCaller
+from baobabhoist.platform.http_client import HttpCaller
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -18,8 +18,8 @@
 from baobabhoist.observability.stream import DroppingHandler, RateFilter
 from baobabhoist.platform.advice import PlatformAdviser
 from baobabhoist.platform.decode import PlatformDecoder
-from baobabhoist.platform.front import Servers
-from baobabhoist.platform.http import HttpCaller
+from baobabhoist.platform.http_client import HttpCaller
+from baobabhoist.platform.http_server import Servers
 from baobabhoist.platform.store import PlatformRows
 from baobabhoist.platform.workers import PlatformWorkers
 
--- a/baobabhoist/platform/store.py
+++ b/baobabhoist/platform/store.py
@@ -8,10 +8,10 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from baobabhoist.platform.http import Answer, HttpCaller
-from baobabhoist.platform.pages import PageSize
-from baobabhoist.platform.patience import Patience
-from baobabhoist.store.rows import (
+from baobabhoist.platform.adaptive_timeout import Patience
+from baobabhoist.platform.http_client import Answer, HttpCaller
+from baobabhoist.platform.page_size import PageSize
+from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
     Rows,
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -14,7 +14,7 @@
 from absl import app, flags
 from tornado.web import Application, HTTPError, RequestHandler
 
-from baobabhoist.store.rows import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
+from baobabhoist.store.row_store import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
 from baobabhoist.testing.rows import MemoryRows
 
 FLAGS = flags.FLAGS
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -17,7 +17,7 @@
     WorkerReport,
 )
 from baobabhoist.control.interfaces import OrderAnswer
-from baobabhoist.platform.http import Answer, HttpCaller
+from baobabhoist.platform.http_client import Answer, HttpCaller
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/records/schema.py
+++ b/baobabhoist/records/schema.py
@@ -15,7 +15,20 @@
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.model import WorkKind
-from baobabhoist.records.checks import (
+from baobabhoist.records.kinds import (
+    ALL_KINDS,
+    DEFAULT_MAX_QUEUED,
+    Key,
+    Objective,
+    Policy,
+    PreemptAction,
+    Queue,
+    RecordKind,
+    Shard,
+    Team,
+    Typed,
+)
+from baobabhoist.records.validators import (
     ABSENT,
     Field,
     ObjectCheck,
@@ -31,19 +44,6 @@
     shown,
     text,
 )
-from baobabhoist.records.kinds import (
-    ALL_KINDS,
-    DEFAULT_MAX_QUEUED,
-    Key,
-    Objective,
-    Policy,
-    PreemptAction,
-    Queue,
-    RecordKind,
-    Shard,
-    Team,
-    Typed,
-)
 
 NAME_PATTERN = r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
 NAME_REMEDY = "at most 63 lower-case letters, digits and inner hyphens"
--- a/baobabhoist/testing/rows.py
+++ b/baobabhoist/testing/rows.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
     Rows,
--- a/baobabhoist/tests/test_control_claimant.py
+++ b/baobabhoist/tests/test_control_claimant.py
@@ -10,7 +10,7 @@
 from baobabhoist.control.claimant import ANSWERED_GAP_MS, Claimant
 from baobabhoist.control.links import Identity
 from baobabhoist.control.rowmap import BEAT_ROW, OWNER_ROW
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
--- a/baobabhoist/tests/test_control_follow.py
+++ b/baobabhoist/tests/test_control_follow.py
@@ -7,7 +7,7 @@
 from baobabhoist.control import follow as follow_module
 from baobabhoist.control.clock import SharedClock
 from baobabhoist.control.follow import TableFollower
-from baobabhoist.store.rows import RowKey, RowsTxn
+from baobabhoist.store.row_store import RowKey, RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
 KEY = RowKey("t", "", "k")
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -17,7 +17,7 @@
 from baobabhoist.control.rowmap import job_row, progress_row
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 
 ID = "0123456789abcdef"
--- a/baobabhoist/tests/test_control_loading.py
+++ b/baobabhoist/tests/test_control_loading.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.control.loading import CellLoading
 from baobabhoist.control.rowmap import JOB_PARTS, OWNER_ROW, job_row, progress_row
-from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
+from baobabhoist.store.row_store import Rows, RowsTxn, StoreUnansweredError
 from baobabhoist.testing.rows import MemoryRows
 
 DIRECTORY = "servers"
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -6,7 +6,7 @@
 from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.control.progress import ProgressWriter
 from baobabhoist.control.rowmap import OWNER_ROW, progress_row
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowsTxn
 from baobabhoist.testing.rows import MemoryRows
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -9,7 +9,7 @@
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.relay import Peers, RelayedStore
 from baobabhoist.errors import NotSentError
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -15,10 +15,10 @@
 from baobabhoist.gateway import bodies
 from baobabhoist.gateway.jobs import status_body
 from baobabhoist.model import JobState, JobStatus, Outcome
-from baobabhoist.records.checks import ABSENT
 from baobabhoist.records.kinds import RecordKind
 from baobabhoist.records.schema import SCHEMAS
 from baobabhoist.records.store import as_written
+from baobabhoist.records.validators import ABSENT
 from baobabhoist.records.view import Record
 from baobabhoist.tests.gateways import OPERATOR, ROSTER, Gateway
 from baobabhoist.tests.test_records_schema import JSON
--- a/baobabhoist/tests/test_platform_patience.py
+++ b/baobabhoist/tests/test_platform_adaptive_timeout.py
@@ -1,6 +1,6 @@
 """Test how long the store's answers are awaited."""
 
-from baobabhoist.platform.patience import LONGEST_S, SHORTEST_S, Patience
+from baobabhoist.platform.adaptive_timeout import LONGEST_S, SHORTEST_S, Patience
 
 
 def test_a_fast_store_is_found_silent_soon():
--- a/baobabhoist/tests/test_platform_pages.py
+++ b/baobabhoist/tests/test_platform_page_size.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from baobabhoist.platform.pages import FEWEST_ROWS, MOST_ROWS, PageSize
+from baobabhoist.platform.page_size import FEWEST_ROWS, MOST_ROWS, PageSize
 
 # What a link of 2 Mbit/s brings within one call's timeout, in rows of 4 KB.
 ROWS_IN_TIME = 60
--- a/baobabhoist/tests/test_store_members.py
+++ b/baobabhoist/tests/test_store_membership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from baobabhoist.errors import PlatformError
-from baobabhoist.store.members import MemberList
+from baobabhoist.store.membership import MemberList
 from baobabhoist.store.table import within
 
 
