--- a/baobabhoist/platform/adaptive_timeout.py
+++ b/baobabhoist/platform/adaptive_timeout.py
@@ -4,30 +4,30 @@
 
 import attrs
 
-SHORTEST_S = 0.35
-LONGEST_S = 1.2
+MIN_TIMEOUT_S = 0.35
+MAX_TIMEOUT_S = 1.2
 # An answer may take this many times as long as the slowest of late.
-FACTOR = 3.0
+LATENCY_MULTIPLIER = 3.0
 # The slowest answer is forgotten by this part with each faster one.
-FORGETTING = 0.03
+DECAY_PER_RESPONSE = 0.03
 
 
 @attrs.define
-class Patience:
+class AdaptiveTimeout:
     """Hold the time of the slowest answer of late, in seconds; 0 before any."""
 
-    slowest_s: float = 0.0
+    recent_peak_s: float = 0.0
 
-    def timeout_s(self) -> float:
+    def current_s(self) -> float:
         """Return how long to wait for the next answer."""
-        if not self.slowest_s:
-            return LONGEST_S
-        return min(LONGEST_S, max(SHORTEST_S, FACTOR * self.slowest_s))
+        if not self.recent_peak_s:
+            return MAX_TIMEOUT_S
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, LATENCY_MULTIPLIER * self.recent_peak_s))
 
-    def answered(self, seconds: float) -> None:
+    def record_response(self, seconds: float) -> None:
         """Learn from an answer."""
-        self.slowest_s = max(seconds, self.slowest_s * (1.0 - FORGETTING))
+        self.recent_peak_s = max(seconds, self.recent_peak_s * (1.0 - DECAY_PER_RESPONSE))
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Take a missing answer for a slow one, so that a slow store is not asked twice."""
-        self.slowest_s = max(self.slowest_s, self.timeout_s())
+        self.recent_peak_s = max(self.recent_peak_s, self.current_s())
--- a/baobabhoist/platform/advice.py
+++ b/baobabhoist/platform/advice.py
@@ -8,7 +8,7 @@
 from baobabhoist.cell.model import StepKey
 from baobabhoist.control.interfaces import Advice
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.platform.http_client import HttpCaller
+from baobabhoist.platform.http_client import HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -20,7 +20,7 @@
 class PlatformAdviser:
     """Be the placement adviser that the platform runs."""
 
-    def __init__(self, http: HttpCaller, address: str) -> None:
+    def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
         self._address = address
 
@@ -29,7 +29,7 @@
         if not self._address:
             return None
         name = f"{step.job_id}.{step.occurrence}.{step.step}"
-        answer = await self._http.call(
+        answer = await self._http.request(
             "POST",
             self._address,
             "/-/advise",
--- a/baobabhoist/platform/http_client.py
+++ b/baobabhoist/platform/http_client.py
@@ -13,15 +13,15 @@
 
 log = logging.getLogger(__name__)
 
-CLIENTS_MAX = 250
+MAX_CONCURRENT_REQUESTS = 250
 CONNECT_TIMEOUT_S = 0.5
-KEPT_CONNECTIONS_MAX = 1_000
+MAX_CACHED_CONNECTIONS = 1_000
 JSON = "application/json"
-NO_ANSWER = 599
+NO_RESPONSE_CODE = 599
 
 
 @attrs.frozen
-class Answer:
+class HttpResponse:
     """Hold an answer; `status` is 0 when none came. `body` is None unless it is JSON."""
 
     status: int
@@ -35,17 +35,19 @@
         return default
 
 
-class HttpCaller:
+class HttpClient:
     """Own the connections to everything that the platform runs."""
 
     def __init__(self) -> None:
-        self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=CLIENTS_MAX)
+        self._client = CurlAsyncHTTPClient(
+            force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS
+        )
         # libcurl keeps few idle connections by default; each new one to a worker has a price.
-        self._client._multi.setopt(pycurl.M_MAXCONNECTS, KEPT_CONNECTIONS_MAX)
+        self._client._multi.setopt(pycurl.M_MAXCONNECTS, MAX_CACHED_CONNECTIONS)
         # Addresses whose last call had no answer: their kept connections may be dead.
         self._doubtful: set[str] = set()
 
-    async def call(
+    async def request(
         self,
         method: str,
         address: str,
@@ -54,7 +56,7 @@
         *,
         timeout_s: float,
         headers: dict[str, str] | None = None,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Make one call; a missing answer is returned, not raised."""
         fresh = address in self._doubtful
         data = orjson.dumps(body) if body is not None else None
@@ -79,14 +81,14 @@
             response = await self._client.fetch(req, raise_error=False)
         except (HTTPClientError, OSError) as exc:
             return self._unanswered(address, str(exc))
-        if response.code == NO_ANSWER:
+        if response.code == NO_RESPONSE_CODE:
             return self._unanswered(address, str(response.error))
         self._doubtful.discard(address)
-        return Answer(response.code, _parse(response.body))
+        return HttpResponse(response.code, _parse(response.body))
 
-    def _unanswered(self, address: str, reason: str) -> Answer:
+    def _unanswered(self, address: str, reason: str) -> HttpResponse:
         self._doubtful.add(address)
-        return Answer(0, None, reason)
+        return HttpResponse(0, None, reason)
 
 
 def _use_new_connection(curl: Any) -> None:
--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-KEY_HEADER = "X-Credential"
+CREDENTIAL_HEADER = "X-Credential"
 # How long the caller waits, in ms from now.
-WAIT_HEADER = "X-Deadline-Ms"
+DEADLINE_HEADER = "X-Deadline-Ms"
 DEFAULT_WAIT_MS = 3_000.0
-LONGEST_WAIT_MS = 60_000.0
+MAX_WAIT_MS = 60_000.0
 
 _STATUS = {
     ErrorKind.BAD_REQUEST: 400,
@@ -36,10 +36,10 @@
     ErrorKind.PLATFORM_UNAVAILABLE: 503,
     ErrorKind.OUTCOME_UNKNOWN: 504,
 }
-JOB_GONE = 410
+HTTP_GONE = 410
 
 
-class CallHandler(RequestHandler):
+class JobApiHandler(RequestHandler):
     """Translate one call of a caller."""
 
     def initialize(self, desk: FrontDesk, metrics: NodeMetrics) -> None:
@@ -62,7 +62,7 @@
             return
         if admitted.job_id:
             found = await self._desk.state(admitted)
-            self._answer(found if isinstance(found, Refusal) else {"state": found}, JOB_GONE)
+            self._answer(found if isinstance(found, Refusal) else {"state": found}, HTTP_GONE)
         else:
             waiting = await self._desk.pending(admitted)
             self._answer(waiting if isinstance(waiting, Refusal) else {"pending": waiting})
@@ -72,7 +72,7 @@
         admitted = self._admit()
         if admitted is not None:
             refusal = await self._desk.cancel(self._call, admitted)
-            self._answer(refusal if refusal is not None else {}, JOB_GONE)
+            self._answer(refusal if refusal is not None else {}, HTTP_GONE)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer an unexpected error in the usual form."""
@@ -82,7 +82,7 @@
     def _admit(self) -> Admitted | None:
         """Return what route and key allow, or refuse the call."""
         host = self.request.host.partition(":")[0]
-        key = self.request.headers.get(KEY_HEADER, "")
+        key = self.request.headers.get(CREDENTIAL_HEADER, "")
         self._call = Call(host, self.request.path, key, boot_ms() + self._wait_ms())
         admitted = self._desk.admit(self._call)
         if isinstance(admitted, Refusal):
@@ -92,8 +92,8 @@
         return admitted
 
     def _wait_ms(self) -> float:
-        text = self.request.headers.get(WAIT_HEADER, "")
-        return min(float(text), LONGEST_WAIT_MS) if text.isdigit() else DEFAULT_WAIT_MS
+        text = self.request.headers.get(DEADLINE_HEADER, "")
+        return min(float(text), MAX_WAIT_MS) if text.isdigit() else DEFAULT_WAIT_MS
 
     def _answer(self, content: dict[str, Any] | Refusal, not_found: int = 404) -> None:
         if not isinstance(content, Refusal):
@@ -123,7 +123,7 @@
         self.finish(orjson.dumps(body))
 
 
-class ReadyHandler(RequestHandler):
+class ReadinessHandler(RequestHandler):
     """Say whether this instance should get new callers."""
 
     def initialize(self, node: Node) -> None:
@@ -151,13 +151,13 @@
         self.finish(content)
 
 
-class Servers:
+class HttpServers:
     """Own the listening sockets of one instance."""
 
     def __init__(self, node: Node) -> None:
         desk = {"desk": node.front, "metrics": node.metrics}
-        calls = Application([(r".*", CallHandler, desk)])
-        ready = Application([(r"/-/ready", ReadyHandler, {"node": node})])
+        calls = Application([(r".*", JobApiHandler, desk)])
+        ready = Application([(r"/-/ready", ReadinessHandler, {"node": node})])
         metrics = Application([(r"/metrics", MetricsHandler, {"node": node})])
         self._calls = HTTPServer(calls, idle_connection_timeout=60, no_keep_alive=False)
         self._ready = HTTPServer(ready)
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -18,14 +18,14 @@
 from baobabhoist.observability.stream import DroppingHandler, RateFilter
 from baobabhoist.platform.advice import PlatformAdviser
 from baobabhoist.platform.decode import PlatformDecoder
-from baobabhoist.platform.http_client import HttpCaller
-from baobabhoist.platform.http_server import Servers
-from baobabhoist.platform.store import PlatformRows
-from baobabhoist.platform.workers import PlatformWorkers
+from baobabhoist.platform.http_client import HttpClient
+from baobabhoist.platform.http_server import HttpServers
+from baobabhoist.platform.store import PlatformRowStore
+from baobabhoist.platform.workers import PlatformWorkerDriver
 
 log = logging.getLogger(__name__)
 
-SETTINGS_VARIABLE = "BAOBABHOIST_SETTINGS"
+SETTINGS_ENV_VAR = "BAOBABHOIST_SETTINGS"
 EXIT_BAD_SETTINGS = 2
 GC_THRESHOLDS = (20_000, 20, 50)
 # Refused calls are logged by the front; these would say the same again.
@@ -36,15 +36,15 @@
 
 def load_settings() -> NodeSettings:
     """Return the settings in the file that the platform names; raises SettingsError."""
-    return load_with_warnings(os.environ.get(SETTINGS_VARIABLE, ""), NodeSettings).settings
+    return load_with_warnings(os.environ.get(SETTINGS_ENV_VAR, ""), NodeSettings).settings
 
 
 def make_node(cfg: NodeSettings) -> Node:
     """Return an instance on the platform's interfaces."""
-    http = HttpCaller()
+    http = HttpClient()
     adapter = Adapter(
-        PlatformRows(http, cfg.store.address),
-        PlatformWorkers(http),
+        PlatformRowStore(http, cfg.store.address),
+        PlatformWorkerDriver(http),
         PlatformAdviser(http, cfg.adviser_address),
         PlatformDecoder(),
     )
@@ -60,7 +60,7 @@
     loop.add_signal_handler(signal.SIGHUP, _reloaded)
     node = make_node(cfg)
     node.dropped_lines = dropped_lines
-    servers = Servers(node)
+    servers = HttpServers(node)
     servers.start()
     running = asyncio.create_task(node.run())
     stopped = asyncio.create_task(stopping.wait())
--- a/baobabhoist/platform/page_size.py
+++ b/baobabhoist/platform/page_size.py
@@ -5,26 +5,26 @@
 import attrs
 
 # The store returns no more than this.
-MOST_ROWS = 500
-FEWEST_ROWS = 16
+MAX_PAGE_ROWS = 500
+MIN_PAGE_ROWS = 16
 # A page that did not arrive in time is asked again as one of so many.
 SHRINK_FACTOR = 4
 
 
 @attrs.define
-class PageSize:
+class AdaptivePageSize:
     """Hold the rows of the next page.
 
     A whole large page can never arrive over a slow or busy network link within one call's
     timeout, however often it is asked for; a smaller one can.
     """
 
-    rows: int = MOST_ROWS
+    rows: int = MAX_PAGE_ROWS
 
-    def answered(self) -> None:
+    def record_response(self) -> None:
         """Ask for more after a page that arrived."""
-        self.rows = min(MOST_ROWS, self.rows * 2)
+        self.rows = min(MAX_PAGE_ROWS, self.rows * 2)
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Ask for less after a page that did not arrive."""
-        self.rows = max(FEWEST_ROWS, self.rows // SHRINK_FACTOR)
+        self.rows = max(MIN_PAGE_ROWS, self.rows // SHRINK_FACTOR)
--- a/baobabhoist/platform/store.py
+++ b/baobabhoist/platform/store.py
@@ -8,9 +8,9 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from baobabhoist.platform.adaptive_timeout import Patience
-from baobabhoist.platform.http_client import Answer, HttpCaller
-from baobabhoist.platform.page_size import PageSize
+from baobabhoist.platform.adaptive_timeout import AdaptiveTimeout
+from baobabhoist.platform.http_client import HttpClient, HttpResponse
+from baobabhoist.platform.page_size import AdaptivePageSize
 from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
@@ -29,14 +29,14 @@
 REFUSED = frozenset({TOO_MANY, UNAVAILABLE})
 
 
-class PlatformRows:
+class PlatformRowStore:
     """Be the row store that the platform runs."""
 
-    def __init__(self, http: HttpCaller, address: str) -> None:
+    def __init__(self, http: HttpClient, address: str) -> None:
         self._http = http
         self._address = address
-        self._patience = Patience()
-        self._page_size = PageSize()
+        self._commit_timeout = AdaptiveTimeout()
+        self._page_size = AdaptivePageSize()
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
         """Return the rows of a part, all pages; raises StoreError."""
@@ -58,14 +58,14 @@
             # A page begins with the key that it is asked from, which is known already.
             first = found[-1].key.key
 
-    async def _page(self, query: dict[str, Any]) -> Answer:
+    async def _page(self, query: dict[str, Any]) -> HttpResponse:
         sized = {**query, "limit": self._page_size.rows}
         try:
             page = await self._get("/-/rows-get", sized, CALL_TIMEOUT_S)
         except StoreUnansweredError:
-            self._page_size.timed_out()
+            self._page_size.record_timeout()
             raise
-        self._page_size.answered()
+        self._page_size.record_response()
         return page
 
     async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
@@ -88,20 +88,20 @@
             "remove": [_name(key) for key in txn.removes],
         }
         began_s = time.monotonic()
-        answer = await self._http.call(
-            "POST", self._address, "/-/rows-tx", body, timeout_s=self._patience.timeout_s()
+        answer = await self._http.request(
+            "POST", self._address, "/-/rows-tx", body, timeout_s=self._commit_timeout.current_s()
         )
         if answer.status:
-            self._patience.answered(time.monotonic() - began_s)
+            self._commit_timeout.record_response(time.monotonic() - began_s)
         else:
-            self._patience.timed_out()
+            self._commit_timeout.record_timeout()
         if answer.status == CONFLICT:
             return RowsConflict(tuple(_rows(answer)))
         _check(answer)
         return RowsCommitted(_number(answer, "schemaVer"), _number(answer, "nowMs"))
 
-    async def _get(self, path: str, query: dict[str, Any], timeout_s: float) -> Answer:
-        answer = await self._http.call(
+    async def _get(self, path: str, query: dict[str, Any], timeout_s: float) -> HttpResponse:
+        answer = await self._http.request(
             "GET", self._address, f"{path}?{urlencode(query)}", timeout_s=timeout_s
         )
         if answer.status == GONE:
@@ -110,7 +110,7 @@
         return answer
 
 
-def _check(answer: Answer) -> None:
+def _check(answer: HttpResponse) -> None:
     if answer.status == OK:
         return
     if answer.status == 0:
@@ -124,7 +124,7 @@
     return {"table": key.table, "part": key.part, "key": key.key}
 
 
-def _rows(answer: Answer) -> list[StoredRow]:
+def _rows(answer: HttpResponse) -> list[StoredRow]:
     return [row for row in map(_row, answer.field("rows") or ()) if row is not None]
 
 
@@ -139,7 +139,7 @@
         return StoredRow(key, b"", version)
 
 
-def _number(answer: Answer, name: str) -> int:
+def _number(answer: HttpResponse, name: str) -> int:
     value = answer.field(name)
     if not isinstance(value, int):
         raise StoreUnansweredError(f"the store's answer has no {name}")
--- a/baobabhoist/platform/testing/fleet.py
+++ b/baobabhoist/platform/testing/fleet.py
@@ -15,7 +15,7 @@
 import yaml
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
-from baobabhoist.platform.main import SETTINGS_VARIABLE
+from baobabhoist.platform.main import SETTINGS_ENV_VAR
 from baobabhoist.platform.testing.store import OUTSIDE_HEADER
 from baobabhoist.testing.cluster import Cluster, free_port, wait_for_port
 from baobabhoist.testing.soak_run import fetch
@@ -119,7 +119,7 @@
         }
         path = self.cluster.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
-        env = {SETTINGS_VARIABLE: str(path)}
+        env = {SETTINGS_ENV_VAR: str(path)}
         self.cluster.start(name, "baobabhoist.platform.main", env=env)
 
     def label_sources(self) -> None:
--- a/baobabhoist/platform/workers.py
+++ b/baobabhoist/platform/workers.py
@@ -17,13 +17,13 @@
     WorkerReport,
 )
 from baobabhoist.control.interfaces import OrderAnswer
-from baobabhoist.platform.http_client import Answer, HttpCaller
+from baobabhoist.platform.http_client import HttpClient, HttpResponse
 
 log = logging.getLogger(__name__)
 
 ORDER_TIMEOUT_S = 0.7
 RENEW_SLACK_S = 0.8
-LIFETIME_HEADER = "X-Target-Instance"
+TARGET_INSTANCE_HEADER = "X-Target-Instance"
 
 _BY_STATUS = {
     0: CommandOutcome.UNKNOWN,
@@ -43,10 +43,10 @@
 REFUSED_STATUS = 409
 
 
-class PlatformWorkers:
+class PlatformWorkerDriver:
     """Drive workers over their HTTP interface."""
 
-    def __init__(self, http: HttpCaller) -> None:
+    def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def renew(
@@ -88,25 +88,25 @@
 
     async def _call(
         self, worker: WorkerInfo, path: str, body: dict[str, Any], timeout_s: float
-    ) -> Answer:
-        headers = {LIFETIME_HEADER: worker.worker_id}
-        return await self._http.call(
+    ) -> HttpResponse:
+        headers = {TARGET_INSTANCE_HEADER: worker.worker_id}
+        return await self._http.request(
             "POST", worker.address, path, body, timeout_s=timeout_s, headers=headers
         )
 
 
-def _order_answer(answer: Answer) -> OrderAnswer:
+def _order_answer(answer: HttpResponse) -> OrderAnswer:
     clock = answer.field("clockMs")
     return OrderAnswer(_outcome(answer), clock if isinstance(clock, int) else None)
 
 
-def _outcome(answer: Answer) -> CommandOutcome:
+def _outcome(answer: HttpResponse) -> CommandOutcome:
     if answer.status == REFUSED_STATUS:
         return _BY_REASON.get(answer.field("reason", ""), CommandOutcome.BAD)
     return _BY_STATUS.get(answer.status, CommandOutcome.BAD)
 
 
-def _report(answer: Answer) -> WorkerReport | None:
+def _report(answer: HttpResponse) -> WorkerReport | None:
     """Return the lists in an answer, or None if they cannot be read."""
     try:
         return WorkerReport(
--- a/baobabhoist/tests/test_platform_main.py
+++ b/baobabhoist/tests/test_platform_main.py
@@ -32,7 +32,7 @@
 def settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Any:
     """Return a function that writes the settings file; restores the log level afterwards."""
     path = tmp_path / "settings.yaml"
-    monkeypatch.setenv(main.SETTINGS_VARIABLE, str(path))
+    monkeypatch.setenv(main.SETTINGS_ENV_VAR, str(path))
 
     def write(text: str = "", **changes: Any) -> None:
         path.write_text(text or yaml.safe_dump({**SETTINGS, **changes}), encoding="utf-8")
