--- a/baobabhoist/benchmarks/progress.py
+++ b/baobabhoist/benchmarks/progress.py
@@ -12,7 +12,7 @@
 
 from baobabhoist.errors import PlatformError
 from baobabhoist.store.table import Transaction
-from baobabhoist.store.table_client import PlatformTable
+from baobabhoist.store.table_client import PlatformTableClient
 from baobabhoist.testing.cluster import free_port
 
 BATCH_SIZES = (1, 10, 100, 1000)
@@ -38,12 +38,12 @@
 async def run(measure_s: float) -> dict[str, Any]:
     """Return writes and rows a second for each batch size."""
     with _platform() as url:
-        table = PlatformTable(url)
+        table = PlatformTableClient(url)
         await _wait_for(table)
         return {str(size): await _measure(table, size, measure_s) for size in BATCH_SIZES}
 
 
-async def _wait_for(table: PlatformTable) -> None:
+async def _wait_for(table: PlatformTableClient) -> None:
     deadline = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
@@ -55,7 +55,7 @@
             await asyncio.sleep(0.05)
 
 
-async def _measure(table: PlatformTable, size: int, measure_s: float) -> dict[str, float]:
+async def _measure(table: PlatformTableClient, size: int, measure_s: float) -> dict[str, float]:
     latencies: list[float] = []
     begin = time.monotonic()
 
--- a/baobabhoist/control/accept.py
+++ b/baobabhoist/control/accept.py
@@ -17,7 +17,7 @@
     RowsCommitted,
     RowsConflict,
     RowStore,
-    RowsTxn,
+    RowTransaction,
     StoreError,
     StoreRefusedError,
     StoreUnansweredError,
@@ -69,7 +69,7 @@
 
     async def _put_new(self, key: RowKey, value: bytes, give_up_ms: float) -> StoreOutcome:
         """Store a row that must not be there yet."""
-        txn = RowsTxn({key: 0}, {key: value})
+        txn = RowTransaction({key: 0}, {key: value})
         begun_ms = boot_ms()
         doubtful = False
         while True:
--- a/baobabhoist/control/claimant.py
+++ b/baobabhoist/control/claimant.py
@@ -33,7 +33,13 @@
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.row_store import RowsConflict, RowStore, RowsTxn, StoredRow, StoreError
+from baobabhoist.store.row_store import (
+    RowsConflict,
+    RowStore,
+    RowTransaction,
+    StoredRow,
+    StoreError,
+)
 
 log = logging.getLogger(__name__)
 
@@ -210,7 +216,7 @@
         expected = {OWNER_ROW: self._claim_version}
         if reason not in EARLIER_OWNER_STOPPED and self._beat_version:
             expected[BEAT_ROW] = self._beat_version
-        txn = RowsTxn(expected, {OWNER_ROW: encode_claim(claim)})
+        txn = RowTransaction(expected, {OWNER_ROW: encode_claim(claim)})
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
--- a/baobabhoist/control/contact.py
+++ b/baobabhoist/control/contact.py
@@ -11,11 +11,11 @@
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.store.row_store import (
     HistoryLostError,
-    Rows,
     RowsCommitted,
     RowsConflict,
+    RowSet,
     RowStore,
-    RowsTxn,
+    RowTransaction,
     StoreError,
     StoreRefusedError,
 )
@@ -47,15 +47,15 @@
         self._store = store
         self._metrics = metrics
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Return the rows of a part in a range of keys."""
         return await self._watch("read", self._store.read(table, part, first=first, last=last))
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version."""
-        return await self._watch("follow", self._store.follow(table, after_version, wait_ms))
+        return await self._watch("follow", self._store.poll_changes(table, after_version, wait_ms))
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
         return await self._watch("commit", self._store.commit(txn))
 
--- a/baobabhoist/control/follow.py
+++ b/baobabhoist/control/follow.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.control.clock import SharedClock, boot_ms
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.row_store import HistoryLostError, Rows, RowStore, StoredRow, StoreError
+from baobabhoist.store.row_store import HistoryLostError, RowSet, RowStore, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         """Read the whole table; raises StoreError."""
         asked_ms = boot_ms()
         read = (self._store.read(self._table, part) for part in self._parts)
-        found: list[Rows] = await asyncio.gather(*read)
+        found: list[RowSet] = await asyncio.gather(*read)
         # Changes after the oldest reading are read again by the first poll.
         self.version = min(rows.version for rows in found)
         self._on_rows([row for rows in found for row in rows.rows], True)
@@ -79,7 +79,7 @@
 
     async def _poll(self) -> None:
         asked_ms = boot_ms()
-        changes = await self._store.follow(self._table, self.version, WAIT_MS)
+        changes = await self._store.poll_changes(self._table, self.version, WAIT_MS)
         self.version = max(self.version, changes.version)
         if changes.rows:
             self._on_rows(changes.rows, False)
@@ -102,7 +102,7 @@
         """Ask again now instead of after the pause."""
         self._hurry.set()
 
-    def _confirm(self, rows: Rows, asked_ms: float) -> None:
+    def _confirm(self, rows: RowSet, asked_ms: float) -> None:
         self._clock.heard(rows.now_ms)
         self.confirmed_ms = asked_ms
         if not self._connected:
--- a/baobabhoist/control/loading.py
+++ b/baobabhoist/control/loading.py
@@ -13,7 +13,7 @@
     LEARNED_ROW,
     PROGRESS_TABLE,
 )
-from baobabhoist.store.row_store import Rows, RowStore, StoredRow
+from baobabhoist.store.row_store import RowSet, RowStore, StoredRow
 
 # More at once would share a slow link, so that none of them arrives in time.
 READS_AT_ONCE = 6
@@ -49,7 +49,7 @@
     def __init__(self, store: RowStore, directory_table: str) -> None:
         self._store = store
         self._directory = Piece(directory_table)
-        self._read: dict[Piece, Rows] = {}
+        self._read: dict[Piece, RowSet] = {}
         self._pieces = (
             Piece(PROGRESS_TABLE),
             Piece(CELL_TABLE),
--- a/baobabhoist/control/progress.py
+++ b/baobabhoist/control/progress.py
@@ -24,7 +24,7 @@
     RowsCommitted,
     RowsConflict,
     RowStore,
-    RowsTxn,
+    RowTransaction,
     StoreError,
 )
 
@@ -98,8 +98,8 @@
         """Remove the rows of a job that nobody asks for any more."""
         try:
             removed = (job_row(job_id), cancel_row(job_id))
-            await self._store.commit(RowsTxn(removes=removed))
-            await self._store.commit(RowsTxn(removes=(progress_row(job_id),)))
+            await self._store.commit(RowTransaction(removes=removed))
+            await self._store.commit(RowTransaction(removes=(progress_row(job_id),)))
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
@@ -160,7 +160,7 @@
         self, puts: dict[RowKey, bytes], expected: dict[RowKey, int]
     ) -> RowsCommitted | None:
         sent_ms = boot_ms()
-        txn = RowsTxn({OWNER_ROW: self._token, **expected}, puts)
+        txn = RowTransaction({OWNER_ROW: self._token, **expected}, puts)
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -26,10 +26,10 @@
 from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
-    Rows,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowSet,
+    RowTransaction,
     StoredRow,
     StoreError,
     StoreRefusedError,
@@ -92,20 +92,20 @@
         self._probe_due_ms = 0.0
         self._probing: asyncio.Task[None] | None = None
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Return the rows of a part in a range of keys."""
         if self._use_direct():
             return await self.direct.read(table, part, first=first, last=last)
         return _rows(await self._relay(RelayRead(table, part, first, last), CALL_TIMEOUT_S))
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version."""
         if self._use_direct():
-            return await self.direct.follow(table, after_version, wait_ms)
+            return await self.direct.poll_changes(table, after_version, wait_ms)
         timeout_s = wait_ms / 1000 + CALL_TIMEOUT_S
         return _rows(await self._relay(RelayFollow(table, after_version, wait_ms), timeout_s))
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
         if not self.direct.contact.lost():
             try:
@@ -134,7 +134,7 @@
                 message.table, message.part, first=message.first, last=message.last
             )
         else:
-            rows = await self.direct.follow(message.table, message.after, message.wait_ms)
+            rows = await self.direct.poll_changes(message.table, message.after, message.wait_ms)
         return RelayedRows(tuple(map(_wire_row, rows.rows)), rows.version, rows.now_ms)
 
     def _use_direct(self) -> bool:
@@ -190,16 +190,16 @@
     return StoredRow(RowKey(row.table, row.part, row.key), row.value, row.version)
 
 
-def _wire_txn(txn: RowsTxn) -> RelayCommit:
+def _wire_txn(txn: RowTransaction) -> RelayCommit:
     return RelayCommit(
-        tuple(WireRow(k.table, k.part, k.key, None, v) for k, v in txn.expected.items()),
+        tuple(WireRow(k.table, k.part, k.key, None, v) for k, v in txn.expected_versions.items()),
         tuple(WireRow(k.table, k.part, k.key, v, 0) for k, v in txn.puts.items()),
         tuple(WireRow(k.table, k.part, k.key, None, 0) for k in txn.removes),
     )
 
 
-def _txn(message: RelayCommit) -> RowsTxn:
-    return RowsTxn(
+def _txn(message: RelayCommit) -> RowTransaction:
+    return RowTransaction(
         {_stored_row(row).key: row.version for row in message.expected},
         {_stored_row(row).key: row.value or b"" for row in message.puts},
         tuple(_stored_row(row).key for row in message.removes),
@@ -220,7 +220,7 @@
     return RowsConflict(tuple(map(_stored_row, reply.rows)))
 
 
-def _rows(reply: Any) -> Rows:
+def _rows(reply: Any) -> RowSet:
     if not isinstance(reply, RelayedRows):
         raise StoreUnansweredError("a peer answered something else")
-    return Rows(tuple(map(_stored_row, reply.rows)), reply.version, reply.now_ms)
+    return RowSet(tuple(map(_stored_row, reply.rows)), reply.version, reply.now_ms)
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -56,9 +56,9 @@
 from baobabhoist.records.changes import LOG_HEAD
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
-from baobabhoist.store.membership import MemberList
-from baobabhoist.store.table import Table, WatchedTable
-from baobabhoist.store.table_client import PlatformTable
+from baobabhoist.store.membership import MembershipList
+from baobabhoist.store.table import CommitNotifyingTable, Table
+from baobabhoist.store.table_client import PlatformTableClient
 
 log = logging.getLogger(__name__)
 
@@ -98,13 +98,13 @@
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
-        platform = PlatformTable(cfg.platform_url)
-        self.table: Table = WatchedTable(platform, LOG_HEAD, lambda: self.sync.pull_soon())
+        platform = PlatformTableClient(cfg.platform_url)
+        self.table: Table = CommitNotifyingTable(platform, LOG_HEAD, lambda: self.sync.pull_soon())
         self.view = RecordView()
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
         self.sync = RecordSync(self.view, self.table, cfg.instance_id, cfg.data_centre)
-        self.members = MemberList(platform, self._members_read)
+        self.members = MembershipList(platform, self._members_read)
         self.tls = PeerTls(cfg.peer_tls) if cfg.peer_tls is not None else None
         self._addresses = {
             peer.instance_id: PeerAddress(peer.instance_id, peer.data_centre, peer.host, peer.port)
@@ -279,10 +279,10 @@
     def _heard(self, beat: Heartbeat) -> None:
         self._spawn(self.sync.heard(beat.instance_id, beat.records_revision, beat.cut_off_s))
 
-    async def _members_read(self, members: MemberList) -> None:
+    async def _members_read(self, members: MembershipList) -> None:
         gone = members.gone()
         for owner in list(self.owners.owners.values()):
-            owner.set_leaving(members.leaving() | self.view.drained_workers(owner.shard))
+            owner.set_leaving(members.not_live() | self.view.drained_workers(owner.shard))
             await owner.fencing.members_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
             self.mesh.forget(name)
@@ -315,7 +315,7 @@
         while True:
             await self.sync.changed.wait()
             self.sync.changed.clear()
-            leaving = self.members.leaving()
+            leaving = self.members.not_live()
             for owner in list(self.owners.owners.values()):
                 await owner.set_workers(self.view.workers_of(owner.shard))
                 owner.set_leaving(leaving | self.view.drained_workers(owner.shard))
@@ -360,7 +360,7 @@
             inherited=inherited,
             observer=MetricsObserver(self.metrics),
         )
-        owner.set_leaving(self.members.leaving() | self.view.drained_workers(owner.shard))
+        owner.set_leaving(self.members.not_live() | self.view.drained_workers(owner.shard))
         self._set_policies(owner)
         return owner
 
--- a/baobabhoist/daemon/fencing.py
+++ b/baobabhoist/daemon/fencing.py
@@ -42,7 +42,7 @@
 )
 from baobabhoist.ownership.events import Event as ClaimEvent
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.store.table import Committed, Table, Transaction, within
+from baobabhoist.store.table import Committed, Table, Transaction, call_with_timeout
 from baobabhoist.upstream.messages import (
     FenceWorker,
     LeasesRenewed,
@@ -252,7 +252,7 @@
 
     async def _want(self) -> None:
         try:
-            row = await within(CLAIM_TABLE_DEADLINE_S, self._table.read(self._row_key))
+            row = await call_with_timeout(CLAIM_TABLE_DEADLINE_S, self._table.read(self._row_key))
             epoch: int | None = _epoch_of(row.value)
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
@@ -265,7 +265,7 @@
         owner, key = self.claim.instance_id, self._row_key
         until = time.monotonic() + CLAIM_TABLE_DEADLINE_S
         try:
-            row = await within(until - time.monotonic(), self._table.read(key))
+            row = await call_with_timeout(until - time.monotonic(), self._table.read(key))
             held = _epoch_of(row.value)
             if held == target and row.value["owner"] == owner:
                 # An earlier commit took effect and its answer was lost.
@@ -274,11 +274,11 @@
             if held != expected:
                 return EpochConflict(held)
             txn = Transaction({key: row.revision}, {key: {"epoch": target, "owner": owner}})
-            outcome = await within(until - time.monotonic(), self._table.commit(txn))
+            outcome = await call_with_timeout(until - time.monotonic(), self._table.commit(txn))
             if isinstance(outcome, Committed):
                 self.row_revision = outcome.revisions[key]
                 return EpochGranted(target)
-            row = await within(until - time.monotonic(), self._table.read(key))
+            row = await call_with_timeout(until - time.monotonic(), self._table.read(key))
             return EpochConflict(_epoch_of(row.value))
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
--- a/baobabhoist/platform/store.py
+++ b/baobabhoist/platform/store.py
@@ -14,10 +14,10 @@
 from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
-    Rows,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowSet,
+    RowTransaction,
     StoredRow,
     StoreError,
     StoreRefusedError,
@@ -38,7 +38,7 @@
         self._commit_timeout = AdaptiveTimeout()
         self._page_size = AdaptivePageSize()
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Return the rows of a part, all pages; raises StoreError."""
         query: dict[str, Any] = {"table": table, "part": part}
         if last:
@@ -54,7 +54,7 @@
             # Later pages may be newer; changes are followed from the first one.
             oldest = _number(page, "schemaVer") if oldest is None else oldest
             if not page.field("hasMore") or not found:
-                return Rows(tuple(rows), oldest, _number(page, "nowMs"))
+                return RowSet(tuple(rows), oldest, _number(page, "nowMs"))
             # A page begins with the key that it is asked from, which is known already.
             first = found[-1].key.key
 
@@ -68,18 +68,19 @@
         self._page_size.record_response()
         return page
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version; raises StoreError."""
         query = {"table": table, "after": after_version, "waitMs": wait_ms}
         timeout_s = wait_ms / 1000 + CALL_TIMEOUT_S
         page = await self._get("/-/rows-feed", query, timeout_s)
-        return Rows(tuple(_rows(page)), _number(page, "schemaVer"), _number(page, "nowMs"))
+        return RowSet(tuple(_rows(page)), _number(page, "schemaVer"), _number(page, "nowMs"))
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction; raises StoreError."""
         body = {
             "expectedRev": [
-                {**_name(key), "schemaVer": version} for key, version in txn.expected.items()
+                {**_name(key), "schemaVer": version}
+                for key, version in txn.expected_versions.items()
             ],
             "puts": [
                 {**_name(key), "value": base64.b64encode(value).decode()}
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -14,7 +14,13 @@
 from absl import app, flags
 from tornado.web import Application, HTTPError, RequestHandler
 
-from baobabhoist.store.row_store import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
+from baobabhoist.store.row_store import (
+    HistoryLostError,
+    RowKey,
+    RowsConflict,
+    RowTransaction,
+    StoredRow,
+)
 from baobabhoist.testing.rows import MemoryRows
 
 FLAGS = flags.FLAGS
@@ -51,7 +57,7 @@
         if self.mode == "slow":
             await asyncio.sleep(self.delay_s)
 
-    def carry_out_late(self, txn: RowsTxn) -> None:
+    def carry_out_late(self, txn: RowTransaction) -> None:
         """Apply a transaction seconds later, if its condition still holds then."""
 
         async def apply() -> None:
@@ -107,7 +113,7 @@
         until = time.monotonic() + int(self.get_argument("waitMs", "0")) / 1000
         while True:
             try:
-                changes = await self.state.rows.follow(table, after, 0)
+                changes = await self.state.rows.poll_changes(table, after, 0)
             except HistoryLostError as exc:
                 raise HTTPError(410) from exc
             if changes.rows or time.monotonic() >= until:
@@ -176,8 +182,8 @@
     return RowKey(entry["table"], entry.get("part", ""), entry["key"])
 
 
-def _txn(body: dict[str, Any]) -> RowsTxn:
-    return RowsTxn(
+def _txn(body: dict[str, Any]) -> RowTransaction:
+    return RowTransaction(
         {_key(entry): entry["schemaVer"] for entry in body.get("expectedRev", ())},
         {_key(entry): base64.b64decode(entry["value"]) for entry in body.get("puts", ())},
         tuple(_key(entry) for entry in body.get("remove", ())),
--- a/baobabhoist/store/membership.py
+++ b/baobabhoist/store/membership.py
@@ -30,7 +30,7 @@
     port: int = 0
 
     @classmethod
-    def of(cls, entry: dict[str, Any]) -> Member | None:
+    def from_entry(cls, entry: dict[str, Any]) -> Member | None:
         """Return the member in an entry of the list, or None if it cannot be read."""
         try:
             return cls(
@@ -45,47 +45,47 @@
             return None
 
 
-class MemberSource(Protocol):
+class MembershipSource(Protocol):
     """Read the list."""
 
     async def members(self) -> list[dict[str, Any]]:
         """Return the entries; raises PlatformError."""
 
 
-class MemberList:
+class MembershipList:
     """Poll the list and keep its last reading; without an answer that reading stays."""
 
     def __init__(
         self,
-        source: MemberSource,
-        on_reading: Callable[[MemberList], Awaitable[None]],
+        source: MembershipSource,
+        on_refresh: Callable[[MembershipList], Awaitable[None]],
         clock: Callable[[], float] = time.time,
     ) -> None:
         self.members: dict[str, Member] = {}
         self._gone_since: dict[str, float] = {}
         self._source = source
-        self._on_reading = on_reading
+        self._on_refresh = on_refresh
         self._clock = clock
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             try:
-                await self.read()
+                await self.refresh()
             except PlatformError as exc:
                 log.info("cannot read the membership list: %s", exc)
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def read(self) -> None:
+    async def refresh(self) -> None:
         """Take one reading; raises PlatformError."""
-        found = [Member.of(entry) for entry in await self._source.members()]
+        found = [Member.from_entry(entry) for entry in await self._source.members()]
         self.members = {member.name: member for member in found if member is not None}
         now = self._clock()
         gone = self.gone()
         self._gone_since = {name: self._gone_since.get(name, now) for name in gone}
-        await self._on_reading(self)
+        await self._on_refresh(self)
 
-    def leaving(self) -> set[str]:
+    def not_live(self) -> set[str]:
         """Return the members that must get no new work."""
         return {name for name, member in self.members.items() if member.state != "live"}
 
--- a/baobabhoist/store/row_store.py
+++ b/baobabhoist/store/row_store.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Rows:
+class RowSet:
     """Hold rows read at one moment; `now_ms` is the store's steady clock."""
 
     rows: tuple[StoredRow, ...]
@@ -53,10 +53,10 @@
 
 
 @attrs.frozen
-class RowsTxn:
+class RowTransaction:
     """Change rows of one part if every expected row still has its version; 0 means absent."""
 
-    expected: dict[RowKey, int] = attrs.Factory(dict)
+    expected_versions: dict[RowKey, int] = attrs.Factory(dict)
     puts: dict[RowKey, bytes] = attrs.Factory(dict)
     removes: tuple[RowKey, ...] = ()
 
@@ -83,11 +83,11 @@
 class RowStore(Protocol):
     """Read, follow and change rows; every method may raise StoreError."""
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Return the rows of a part with keys from `first` up to, not including, `last`."""
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version, waiting for a change if there is none yet."""
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction whole or not at all."""
--- a/baobabhoist/store/table.py
+++ b/baobabhoist/store/table.py
@@ -39,7 +39,7 @@
     revisions: dict[str, int]
 
 
-async def within(seconds: float, call: Coroutine[Any, Any, T]) -> T:
+async def call_with_timeout(seconds: float, call: Coroutine[Any, Any, T]) -> T:
     """Return the result of a call on the platform; raises TimeoutError when it takes longer.
 
     The call goes on without a listener, because its effect cannot be taken back anyway.
@@ -65,7 +65,7 @@
         """Commit a transaction, or return a conflict; a lost answer is read back by id."""
 
 
-class WatchedTable:
+class CommitNotifyingTable:
     """Tell when a transaction that writes a certain row has been committed through this table."""
 
     def __init__(self, table: Table, key: str, on_commit: Callable[[], None]) -> None:
--- a/baobabhoist/store/table_client.py
+++ b/baobabhoist/store/table_client.py
@@ -19,7 +19,7 @@
 HTTP_CONFLICT = 409
 
 
-class PlatformTable:
+class PlatformTableClient:
     """Use the platform's table service."""
 
     def __init__(self, base_url: str, timeout_s: float = REQUEST_TIMEOUT_S) -> None:
--- a/baobabhoist/testing/rows.py
+++ b/baobabhoist/testing/rows.py
@@ -11,10 +11,10 @@
 from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
-    Rows,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowSet,
+    RowTransaction,
     StoredRow,
     StoreRefusedError,
     StoreUnansweredError,
@@ -32,14 +32,14 @@
     history_from: int = 0
     log: list[StoredRow] = attrs.Factory(list)
     # Returns "", "refused", "lost" (done, not answered) or "late" (done by `deliver_late`).
-    fail: Callable[[RowsTxn], str] = lambda txn: ""
+    fail: Callable[[RowTransaction], str] = lambda txn: ""
     # Transactions wait for ever while this is set.
     hangs: bool = False
-    late: list[RowsTxn] = attrs.Factory(list)
+    late: list[RowTransaction] = attrs.Factory(list)
     commits: int = 0
     _ticks: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Return the rows of a part in a range of keys."""
         self._check_up()
         found = [
@@ -50,18 +50,18 @@
             and (not last or key.key < last)
         ]
         found.sort(key=lambda row: row.key.key)
-        return Rows(tuple(found), self.version, self._clock())
+        return RowSet(tuple(found), self.version, self._clock())
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version, at once."""
         self._check_up()
         if after_version < self.history_from:
             raise HistoryLostError("the history was dropped")
         await asyncio.sleep(0)
         found = [r for r in self.log if r.key.table == table and r.version > after_version]
-        return Rows(tuple(found), self.version, self._clock())
+        return RowSet(tuple(found), self.version, self._clock())
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction, or fail in the way that was asked for."""
         self._check_up()
         self.commits += 1
@@ -84,12 +84,12 @@
         for txn in held:
             self.apply(txn)
 
-    def apply(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    def apply(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction whole or not at all."""
-        for key, expected in txn.expected.items():
+        for key, expected in txn.expected_versions.items():
             held = self.rows.get(key)
             if (held.version if held is not None else 0) != expected:
-                known = [self.rows[k] for k in txn.expected if k in self.rows]
+                known = [self.rows[k] for k in txn.expected_versions if k in self.rows]
                 return RowsConflict(tuple(known))
         self.version += 1
         for key, value in txn.puts.items():
--- a/baobabhoist/tests/test_control_claimant.py
+++ b/baobabhoist/tests/test_control_claimant.py
@@ -10,7 +10,7 @@
 from baobabhoist.control.claimant import ANSWERED_GAP_MS, Claimant
 from baobabhoist.control.links import Identity
 from baobabhoist.control.rowmap import BEAT_ROW, OWNER_ROW
-from baobabhoist.store.row_store import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
@@ -55,7 +55,7 @@
 
     def write(self, **rows):
         keys = {"owner": OWNER_ROW, "beat": BEAT_ROW}
-        self.store.apply(RowsTxn({}, {keys[name]: value for name, value in rows.items()}))
+        self.store.apply(RowTransaction({}, {keys[name]: value for name, value in rows.items()}))
 
     def read(self, asked_ms=None):
         self.claimant.rows_changed(list(self.store.rows.values()), True)
--- a/baobabhoist/tests/test_control_follow.py
+++ b/baobabhoist/tests/test_control_follow.py
@@ -7,7 +7,7 @@
 from baobabhoist.control import follow as follow_module
 from baobabhoist.control.clock import SharedClock
 from baobabhoist.control.follow import TableFollower
-from baobabhoist.store.row_store import RowKey, RowsTxn
+from baobabhoist.store.row_store import RowKey, RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 KEY = RowKey("t", "", "k")
@@ -19,7 +19,7 @@
 
 
 def put(rows, value):
-    rows.apply(RowsTxn({}, {KEY: value}))
+    rows.apply(RowTransaction({}, {KEY: value}))
 
 
 async def turn(times=30):
--- a/baobabhoist/tests/test_control_frontdesk.py
+++ b/baobabhoist/tests/test_control_frontdesk.py
@@ -17,7 +17,7 @@
 from baobabhoist.control.rowmap import job_row, progress_row
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
-from baobabhoist.store.row_store import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 ID = "0123456789abcdef"
@@ -135,7 +135,7 @@
     admitted = desk.admit()
     assert asyncio.run(desk.front.state(admitted)) == "queued"
     done = encode(JobProgress(JobPhase.COMPLETED))
-    desk.rows.apply(RowsTxn({}, {progress_row(ID): done}))
+    desk.rows.apply(RowTransaction({}, {progress_row(ID): done}))
     assert asyncio.run(desk.front.state(admitted)) == "completed"
 
 
--- a/baobabhoist/tests/test_control_loading.py
+++ b/baobabhoist/tests/test_control_loading.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.control.loading import CellLoading
 from baobabhoist.control.rowmap import JOB_PARTS, OWNER_ROW, job_row, progress_row
-from baobabhoist.store.row_store import Rows, RowsTxn, StoreUnansweredError
+from baobabhoist.store.row_store import RowSet, RowTransaction, StoreUnansweredError
 from baobabhoist.testing.rows import MemoryRows
 
 DIRECTORY = "servers"
@@ -23,7 +23,7 @@
         self.failed: set[tuple[str, str]] = set()
         self.answered: list[tuple[str, str]] = []
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
         """Fail the first reading of each part of a job's id."""
         if part and (table, part) not in self.failed:
             self.failed.add((table, part))
@@ -34,8 +34,8 @@
 
 def filled(rows: MemoryRows) -> None:
     """Store a job and its progress."""
-    rows.apply(RowsTxn(puts={job_row(JOB_ID): b"job"}))
-    rows.apply(RowsTxn(puts={progress_row(JOB_ID): b"progress", OWNER_ROW: b"claim"}))
+    rows.apply(RowTransaction(puts={job_row(JOB_ID): b"job"}))
+    rows.apply(RowTransaction(puts={progress_row(JOB_ID): b"progress", OWNER_ROW: b"claim"}))
 
 
 def test_readings_that_came_are_not_asked_again() -> None:
@@ -72,7 +72,7 @@
     class CountedRows(MemoryRows):
         async def read(
             self, table: str, part: str = "", *, first: str = "", last: str = ""
-        ) -> Rows:
+        ) -> RowSet:
             nonlocal open_now, most
             open_now += 1
             most = max(most, open_now)
--- a/baobabhoist/tests/test_control_progress.py
+++ b/baobabhoist/tests/test_control_progress.py
@@ -6,7 +6,7 @@
 from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.control.progress import ProgressWriter
 from baobabhoist.control.rowmap import OWNER_ROW, progress_row
-from baobabhoist.store.row_store import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
@@ -15,7 +15,7 @@
 
 def claimed(**options):
     rows = MemoryRows(**options)
-    token = rows.apply(RowsTxn({}, {OWNER_ROW: b"me"})).version
+    token = rows.apply(RowTransaction({}, {OWNER_ROW: b"me"})).version
     deposed = []
     return rows, ProgressWriter(rows, token, deposed.append), deposed
 
@@ -81,7 +81,7 @@
     rows, writer, deposed = claimed()
     rig = working_rig()
     rig.end_run(make_task_key(index=0))
-    rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
+    rows.apply(RowTransaction({}, {OWNER_ROW: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
     assert progress_row(ID) not in rows.rows
@@ -137,7 +137,7 @@
     rig.schedule()
     sent = []
     writer.when_stored(lambda: sent.append(1))
-    rows.apply(RowsTxn({}, {OWNER_ROW: b"other"}))
+    rows.apply(RowTransaction({}, {OWNER_ROW: b"other"}))
     assert not flush(writer, rig.cell)
     assert deposed
     assert sent == []
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -13,14 +13,14 @@
     RowKey,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowTransaction,
     StoreRefusedError,
     StoreUnansweredError,
 )
 from baobabhoist.testing.rows import MemoryRows
 
 KEY = RowKey("jobs", "0", "0123")
-TXN = RowsTxn({KEY: 0}, {KEY: b"value"})
+TXN = RowTransaction({KEY: 0}, {KEY: b"value"})
 
 
 class View(MemoryRows):
@@ -34,9 +34,9 @@
         self._check_up()
         return await self.shared.commit(txn)
 
-    async def follow(self, table, after_version, wait_ms):
+    async def poll_changes(self, table, after_version, wait_ms):
         self._check_up()
-        return await self.shared.follow(table, after_version, wait_ms)
+        return await self.shared.poll_changes(table, after_version, wait_ms)
 
 
 class DirectLink:
@@ -87,7 +87,7 @@
         again = await store.commit(TXN)
         assert isinstance(again, RowsConflict)
         assert again.version_of(KEY) == shared.rows[KEY].version
-        changes = await store.follow("jobs", 0, 10)
+        changes = await store.poll_changes("jobs", 0, 10)
         assert [row.value for row in changes.rows] == [b"value"]
 
     asyncio.run(run())
--- a/baobabhoist/tests/test_store_membership.py
+++ b/baobabhoist/tests/test_store_membership.py
@@ -5,8 +5,8 @@
 import pytest
 
 from baobabhoist.errors import PlatformError
-from baobabhoist.store.membership import MemberList
-from baobabhoist.store.table import within
+from baobabhoist.store.membership import MembershipList
+from baobabhoist.store.table import call_with_timeout
 
 
 class Source:
@@ -30,12 +30,12 @@
 
     async def body():
         source = Source(a="live", b="leaving", c="gone")
-        members = MemberList(source, ignore)
-        await members.read()
+        members = MembershipList(source, ignore)
+        await members.refresh()
         source.down = True
         with pytest.raises(PlatformError):
-            await members.read()
-        return members.leaving(), members.gone()
+            await members.refresh()
+        return members.not_live(), members.gone()
 
     assert asyncio.run(body()) == ({"b", "c"}, {"c"})
 
@@ -46,15 +46,15 @@
     async def body():
         now = [100.0]
         source = Source(a="gone")
-        members = MemberList(source, ignore, lambda: now[0])
-        await members.read()
+        members = MembershipList(source, ignore, lambda: now[0])
+        await members.refresh()
         now[0] = 131.0
-        await members.read()
+        await members.refresh()
         assert members.gone_longer_than(30.0) == {"a"}
         source.states["a"] = "live"
-        await members.read()
+        await members.refresh()
         source.states["a"] = "gone"
-        await members.read()
+        await members.refresh()
         assert members.gone_longer_than(30.0) == set()
 
     asyncio.run(body())
@@ -71,7 +71,7 @@
         problems = []
         asyncio.get_running_loop().set_exception_handler(lambda _, info: problems.append(info))
         with pytest.raises(TimeoutError):
-            await within(0.001, slow())
+            await call_with_timeout(0.001, slow())
         await asyncio.sleep(0.05)
         return problems
 
