--- a/baobabhoist/benchmarks/control.py
+++ b/baobabhoist/benchmarks/control.py
@@ -18,7 +18,7 @@
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import CODEC as PEER_CODEC
 from baobabhoist.peer.messages import Heard, Heartbeat, ShardDigest
-from baobabhoist.records.view import Record, RecordView, digest
+from baobabhoist.records.view import Record, RecordView, key_digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "team-key-of-the-control-bench"
@@ -92,7 +92,7 @@
     for number in range(TEAMS):
         limit = {"limit": 8 * len(names)}
         found.append({"kind": "team", "name": f"team-{number}", "body": limit})
-    key = {"team": "team-0", "digest": digest(TEAM_KEY)}
+    key = {"team": "team-0", "digest": key_digest(TEAM_KEY)}
     found.append({"kind": "key", "name": "team-0-key", "body": key})
     found.append({"kind": "queue", "name": "entries", "body": {}})
     return [{"schema_version": 1, **record} for record in found]
--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -26,7 +26,7 @@
 from baobabhoist.model import Resources, Task, WorkKind
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 from baobabhoist.upstream.messages import CODEC, FenceWorker, RunTask
 
@@ -177,7 +177,7 @@
     bodies = {
         ("shard", SHARD): {"data_centre": "north", "workers": workers},
         ("team", "bench"): {"limit": WORKERS * SLOTS},
-        ("key", "bench"): {"team": "bench", "digest": digest(TEAM_KEY)},
+        ("key", "bench"): {"team": "bench", "digest": key_digest(TEAM_KEY)},
         ("queue", "bench"): {},
     }
     return [
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -53,7 +53,7 @@
     ShardDigest,
 )
 from baobabhoist.peer.tls import PeerTls
-from baobabhoist.records.changes import LOG_HEAD
+from baobabhoist.records.changes import LOG_HEAD_KEY
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
 from baobabhoist.store.membership import MembershipList
@@ -86,7 +86,7 @@
 
     def workers_of(self, shard: str) -> list[WorkerSpec]:
         """Return the workers of a shard."""
-        return self._view.workers_of(shard)
+        return self._view.workers_in_shard(shard)
 
 
 def _listener_tls(cfg: TlsSettings | None) -> ReloadingTls | None:
@@ -99,7 +99,9 @@
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
         platform = PlatformTableClient(cfg.platform_url)
-        self.table: Table = CommitNotifyingTable(platform, LOG_HEAD, lambda: self.sync.pull_soon())
+        self.table: Table = CommitNotifyingTable(
+            platform, LOG_HEAD_KEY, lambda: self.sync.pull_soon()
+        )
         self.view = RecordView()
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
@@ -236,7 +238,7 @@
 
     def policy_of(self, queue: str) -> Policy:
         """Return the policy of a queue."""
-        return self.view.policy_of(queue)
+        return self.view.policy_for_queue(queue)
 
     def owned_shards(self) -> list[str]:
         """Return the shards that this instance owns fully."""
@@ -317,7 +319,7 @@
             self.sync.changed.clear()
             leaving = self.members.not_live()
             for owner in list(self.owners.owners.values()):
-                await owner.set_workers(self.view.workers_of(owner.shard))
+                await owner.set_workers(self.view.workers_in_shard(owner.shard))
                 owner.set_leaving(leaving | self.view.drained_workers(owner.shard))
                 self._set_policies(owner)
             self.escrow.limits_changed()
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -314,7 +314,7 @@
                 if is_request or worker is None or task_id in account.told:
                     continue
                 queue = placed.placement.task.queue if placed is not None else ""
-                policy = self._instance.view.policy_of(queue)
+                policy = self._instance.view.policy_for_queue(queue)
                 action = PreemptionAction(policy.preempt_action.value)
                 account.told[task_id] = now
                 owner.stopping.add(task_id)
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -18,7 +18,7 @@
 def queue_policies(view: RecordView) -> dict[str, QueuePolicy]:
     """Return the policy of each queue by name."""
     return {
-        name: _queue_policy(view.policy_of(name), queue.max_queued_per_team)
+        name: _queue_policy(view.policy_for_queue(name), queue.max_queued_per_team)
         for name, queue in view.queues().items()
     }
 
@@ -61,7 +61,7 @@
             return
         self.revision = self.view.revision
         self.by_shard = {
-            shard: sum(spec.capacity.slots for spec in self.view.workers_of(shard))
+            shard: sum(spec.capacity.slots for spec in self.view.workers_in_shard(shard))
             for shard in self.view.shards()
         }
         self.total = sum(self.by_shard.values())
--- a/baobabhoist/daemon/sync.py
+++ b/baobabhoist/daemon/sync.py
@@ -16,11 +16,11 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.messages import RecordEntries, RecordPull, RecordSnapshot
 from baobabhoist.records.changes import (
-    LOG_HEAD,
+    LOG_HEAD_KEY,
     LOG_PREFIX,
     RECORD_PREFIX,
     log_key,
-    record_of,
+    record_from_row,
 )
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.store.table import Table
@@ -112,7 +112,7 @@
         applied: list[Record] = []
         while True:
             rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), PAGE)
-            applied += self._apply([record_of(row) for row in rows])
+            applied += self._apply([record_from_row(row) for row in rows])
             if len(rows) < PAGE:
                 break
         self._confirm(self._clock())
@@ -122,12 +122,12 @@
 
     async def _load(self) -> None:
         """Load the rows of all records as of the head of the log, not its whole history."""
-        head = int((await self._table.read(LOG_HEAD)).value or 0)
+        head = int((await self._table.read(LOG_HEAD_KEY)).value or 0)
         records: list[Record] = []
         after = ""
         while head:
             rows = await self._table.scan(RECORD_PREFIX, after, PAGE)
-            records += [record_of(row) for row in rows]
+            records += [record_from_row(row) for row in rows]
             if len(rows) < PAGE:
                 break
             after = rows[-1].key
--- a/baobabhoist/gateway/auth.py
+++ b/baobabhoist/gateway/auth.py
@@ -5,7 +5,7 @@
 from tornado.httputil import HTTPHeaders
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.records.keys import accept, digest, is_digest_of
+from baobabhoist.records.keys import check_key, digests_equal, key_digest
 from baobabhoist.records.kinds import PUBLIC_TEAM, Queue
 from baobabhoist.records.view import RecordView
 
@@ -30,7 +30,7 @@
     if presented is None:
         remedy = f"send the header {KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no team key was sent", remedy=remedy)
-    key = accept(view.key_of(presented), cut_off_s, KEY_HEADER)
+    key = check_key(view.find_key(presented), cut_off_s, KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.team:
@@ -64,9 +64,9 @@
     if presented is None:
         remedy = f"send the header {OPERATOR_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no operator key was sent", remedy=remedy)
-    if is_digest_of(digest(presented), settings_digest):
+    if digests_equal(key_digest(presented), settings_digest):
         return SETTINGS_OPERATOR
-    key = accept(view.key_of(presented), cut_off_s, OPERATOR_KEY_HEADER)
+    key = check_key(view.find_key(presented), cut_off_s, OPERATOR_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.operator:
--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -22,7 +22,7 @@
     MAX_SLOTS,
     NAME_PATTERN,
     NAME_REMEDY,
-    refusal_of,
+    refusal_for_problems,
     text,
 )
 from baobabhoist.records.validators import (
@@ -30,13 +30,13 @@
     Field,
     Problems,
     boolean,
+    format_value,
     integer,
     list_of,
     number,
     object_of,
     one_of,
     optional,
-    shown,
 )
 
 # A job's specification is one row of the table.
@@ -57,7 +57,7 @@
 
 def _payload(value: Any, path: str, problems: Problems) -> Any:
     if type(value) is not str:
-        problems.append(Problem(path, f"{shown(value)} is not a string", "give a string"))
+        problems.append(Problem(path, f"{format_value(value)} is not a string", "give a string"))
         return ABSENT
     return value.encode("utf-8")
 
@@ -66,7 +66,7 @@
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, ValueError, TypeError):
-        problems.append(Problem(path, f"{shown(value)} is not base64", "give base64 text"))
+        problems.append(Problem(path, f"{format_value(value)} is not base64", "give base64 text"))
         return ABSENT
 
 
@@ -140,7 +140,7 @@
     if found is not ABSENT:
         problems.extend(_job_problems(raw, found))
     if problems:
-        return refusal_of(problems, "the job")
+        return refusal_for_problems(problems, "the job")
     if found["replicas"] is not None:
         tasks = (_task(found),) * found["replicas"]
     else:
--- a/baobabhoist/gateway/headers.py
+++ b/baobabhoist/gateway/headers.py
@@ -16,9 +16,9 @@
     MAX_DEADLINE_S,
     MAX_MEMORY_MB,
     MAX_SLOTS,
-    refusal_of,
+    refusal_for_problems,
 )
-from baobabhoist.records.validators import ABSENT, Problems, integer, number, one_of, shown
+from baobabhoist.records.validators import ABSENT, Problems, format_value, integer, number, one_of
 
 KEY_PATTERN = re.compile(r"[!-~]{1,200}")
 INTEGER_PATTERN = re.compile(r"-?[0-9]{1,20}")
@@ -71,7 +71,7 @@
     def truth(self, name: str) -> bool:
         value = self.headers.get(name, "false")
         if value not in TRUTH_VALUES:
-            message = f"{shown(value)} is not a truth value"
+            message = f"{format_value(value)} is not a truth value"
             self.problems.append(Problem(name, message, "give true or false"))
         return TRUTH_VALUES.get(value, False)
 
@@ -82,7 +82,7 @@
     def key(self) -> str | None:
         value = self.headers.get(IDEMPOTENCY_KEY)
         if value is not None and KEY_PATTERN.fullmatch(value) is None:
-            message = f"{shown(value)} is not allowed"
+            message = f"{format_value(value)} is not allowed"
             remedy = "give 1 to 200 visible ASCII characters without blanks"
             self.problems.append(Problem(IDEMPOTENCY_KEY, message, remedy))
         return value
@@ -115,14 +115,14 @@
     if found.first_sent_at is not None and found.idempotency_key is None:
         message = f"the header has no meaning without {IDEMPOTENCY_KEY}"
         reader.problems.append(Problem(FIRST_SENT, message, f"send {IDEMPOTENCY_KEY} as well"))
-    return refusal_of(reader.problems, "the request") if reader.problems else found
+    return refusal_for_problems(reader.problems, "the request") if reader.problems else found
 
 
 def read_idempotency_key(headers: HTTPHeaders) -> str | Refusal | None:
     """Return the key under which a job is submitted, None without one, or why it is refused."""
     reader = _Reader(headers)
     key = reader.key()
-    return refusal_of(reader.problems, "the request") if reader.problems else key
+    return refusal_for_problems(reader.problems, "the request") if reader.problems else key
 
 
 def deadline_refusal(deadline: float, now: float, longest_s: float) -> Refusal | None:
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -13,11 +13,17 @@
 from baobabhoist.gateway.limits import PendingLimit, pending_limit
 from baobabhoist.gateway.operators import AdminHandler
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.records.diff import difference
+from baobabhoist.records.diff import diff_bodies
 from baobabhoist.records.kinds import RecordKind, Team
-from baobabhoist.records.references import in_use
-from baobabhoist.records.schema import bad_name, refusal_of, typed
-from baobabhoist.records.store import DEFAULT_HISTORY, MAX_HISTORY, Change, RecordStore, as_written
+from baobabhoist.records.references import in_use_refusal
+from baobabhoist.records.schema import check_record_name, refusal_for_problems, to_typed_record
+from baobabhoist.records.store import (
+    DEFAULT_HISTORY_LIMIT,
+    MAX_HISTORY_LIMIT,
+    RecordChange,
+    RecordStore,
+    render_record,
+)
 from baobabhoist.records.validators import ABSENT, Problems, integer
 from baobabhoist.records.view import Record
 
@@ -53,7 +59,7 @@
         match = ETAG_PATTERN.fullmatch(value)
         if match is None:
             problem = Problem("If-Match", "the value is no revision", 'send it as "17"')
-            return refusal_of([problem], "the request")
+            return refusal_for_problems([problem], "the request")
         return int(match[2])
 
     def number(self, name: str, low: int, high: int, default: int | None) -> int | Refusal:
@@ -64,7 +70,7 @@
         problems: Problems = []
         parsed = int(value) if value and INTEGER_PATTERN.fullmatch(value) else value
         found = integer(low, high)(parsed, name, problems)
-        return refusal_of(problems, "the query") if found is ABSENT else int(found)
+        return refusal_for_problems(problems, "the query") if found is ABSENT else int(found)
 
     def answer_record(
         self,
@@ -74,7 +80,7 @@
         pending: PendingLimit | None = None,
     ) -> None:
         """Answer with a record, its revision as the entity tag, and its pending limit."""
-        body = as_written(record, version or None)
+        body = render_record(record, version or None)
         if isinstance(body, Refusal):
             self.refuse(body)
             return
@@ -97,7 +103,7 @@
         if isinstance(users, Refusal):
             return users
         remedy = "cancel these jobs or wait for their end"
-        return in_use(kind, name, "jobs", list(users), remedy) if users else None
+        return in_use_refusal(kind, name, "jobs", list(users), remedy) if users else None
 
 
 class RecordListHandler(RecordsHandler):
@@ -108,13 +114,15 @@
         if self.receive() is None:
             return
         if kind is not None and kind not in set(RecordKind):
-            self.refuse(bad_name(kind, "any") or Refusal(ErrorKind.NOT_FOUND, "no such kind"))
+            self.refuse(
+                check_record_name(kind, "any") or Refusal(ErrorKind.NOT_FOUND, "no such kind")
+            )
             return
         view = self.backend.view
         records = [
-            as_written(record)
+            render_record(record)
             for each in ([kind] if kind else list(RecordKind))
-            for record in view.of_kind(each)
+            for record in view.records_of_kind(each)
         ]
         found = [body for body in records if not isinstance(body, Refusal)]
         self.answer_json({"revision": view.revision, "records": found})
@@ -143,7 +151,7 @@
         if record.kind != RecordKind.TEAM or record.body is None:
             return None
         try:
-            team = typed(record.kind, record.body)
+            team = to_typed_record(record.kind, record.body)
         except (ValueError, TypeError, KeyError):
             # A later release can have written it; this one cannot compare its limit.
             return None
@@ -164,7 +172,7 @@
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
-        status = 200 if wanted.based_on else HTTP_CREATED
+        status = 200 if wanted.base_revision else HTTP_CREATED
         self.answer_record(record, status=status, pending=await self._pending(record))
 
     async def delete(self, kind: str, name: str) -> None:
@@ -175,24 +183,26 @@
         if isinstance(based_on, Refusal):
             self.refuse(based_on)
             return
-        wanted = Change(kind, name, 0, None, based_on, self.operator)
+        wanted = RecordChange(kind, name, 0, None, based_on, self.operator)
         record = await self.store().delete(wanted, self.now())
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
         self.answer_record(record)
 
-    def _wanted(self, kind: str, name: str, body: bytes) -> Change | Refusal:
+    def _wanted(self, kind: str, name: str, body: bytes) -> RecordChange | Refusal:
         raw = read_json(body)
         if isinstance(raw, Refusal):
             return raw
         problems = _envelope_problems(raw)
         if problems:
-            return refusal_of(problems, "the change")
+            return refusal_for_problems(problems, "the change")
         based_on = self.based_on()
         if isinstance(based_on, Refusal):
             return based_on
-        return Change(kind, name, raw["schema_version"], raw["body"], based_on, self.operator)
+        return RecordChange(
+            kind, name, raw["schema_version"], raw["body"], based_on, self.operator
+        )
 
 
 def _envelope_problems(raw: Any) -> Problems:
@@ -219,7 +229,7 @@
         """Return the latest versions, the newest first."""
         if self.receive() is None:
             return
-        limit = self.number("limit", 1, MAX_HISTORY, DEFAULT_HISTORY)
+        limit = self.number("limit", 1, MAX_HISTORY_LIMIT, DEFAULT_HISTORY_LIMIT)
         if isinstance(limit, Refusal):
             self.refuse(limit)
             return
@@ -227,7 +237,7 @@
         if isinstance(found, Refusal):
             self.refuse(found)
             return
-        bodies = [as_written(record) for record in found]
+        bodies = [render_record(record) for record in found]
         self.answer_json({"versions": [body for body in bodies if not isinstance(body, Refusal)]})
 
 
@@ -253,7 +263,7 @@
                 "to": new.revision,
                 "differences": [
                     {"path": item.path, "present": item.present, "old": item.old, "new": item.new}
-                    for item in difference(before, after)
+                    for item in diff_bodies(before, after)
                 ],
             }
         )
@@ -269,7 +279,7 @@
 
 def _comparable(old: Record, new: Record) -> tuple[Any, Any]:
     """Return both bodies in the newer one's schema version; canonical where that fails."""
-    bodies = [as_written(record, new.schema_version) for record in (old, new)]
+    bodies = [render_record(record, new.schema_version) for record in (old, new)]
     if any(isinstance(body, Refusal) for body in bodies):
         return old.body, new.body
     return tuple(body["body"] for body in bodies)  # type: ignore[index]
--- a/baobabhoist/records/changes.py
+++ b/baobabhoist/records/changes.py
@@ -10,7 +10,7 @@
 from baobabhoist.records.view import Record
 from baobabhoist.store.table import Row, Transaction
 
-LOG_HEAD = "log_head"
+LOG_HEAD_KEY = "log_head"
 LOG_PREFIX = "log/"
 RECORD_PREFIX = "record/"
 SEQUENCE_DIGITS = 12
@@ -28,7 +28,7 @@
     return f"{RECORD_PREFIX}{kind}/{name}"
 
 
-def change(
+def build_transaction(
     kind: str,
     name: str,
     schema_version: int,
@@ -44,38 +44,40 @@
     name goes on when it is used again.
     """
     sequence = (head.value or 0) + 1
-    previous = record_of(current).revision if current.value else 0
+    previous = record_from_row(current).revision if current.value else 0
     entry = attrs.asdict(
         Record(kind, name, schema_version, sequence, body, previous, changed_by, changed_at)
     )
     return Transaction(
         checks={current.key: current.revision, head.key: head.revision},
-        writes={current.key: entry, LOG_HEAD: sequence, log_key(sequence): entry},
+        writes={current.key: entry, LOG_HEAD_KEY: sequence, log_key(sequence): entry},
     )
 
 
-def record_of(row: Row) -> Record:
+def record_from_row(row: Row) -> Record:
     """Return the record in a row of the table or of the change log."""
     return Record(**{name: value for name, value in row.value.items() if name in _FIELDS})
 
 
-def revision_in_force(current: Record | None) -> int:
+def current_revision(current: Record | None) -> int:
     """Return the revision on which a change must be based; 0 for an absent record."""
     return current.revision if current is not None and current.body is not None else 0
 
 
-def based_on_other(kind: str, name: str, based_on: int, current: Record | None) -> Refusal | None:
+def revision_conflict(
+    kind: str, name: str, base_revision: int, current: Record | None
+) -> Refusal | None:
     """Return the conflict if a change is not based on the revision in force."""
-    in_force = revision_in_force(current)
-    if based_on == in_force:
+    in_force = current_revision(current)
+    if base_revision == in_force:
         return None
     if in_force == 0:
         return Refusal(
             ErrorKind.CONFLICT,
-            f"the {kind} {name} does not exist; the change is based on revision {based_on}",
+            f"the {kind} {name} does not exist; the change is based on revision {base_revision}",
             remedy="create it with the header If-None-Match: *",
         )
-    basis = f"is based on revision {based_on}" if based_on else "creates it"
+    basis = f"is based on revision {base_revision}" if base_revision else "creates it"
     return Refusal(
         ErrorKind.CONFLICT,
         f"the {kind} {name} is at revision {in_force}; the change {basis}",
--- a/baobabhoist/records/diff.py
+++ b/baobabhoist/records/diff.py
@@ -17,7 +17,7 @@
     present: str = "both"
 
 
-def difference(old: Any, new: Any, path: str = "body") -> list[Difference]:
+def diff_bodies(old: Any, new: Any, path: str = "body") -> list[Difference]:
     """Return the values that differ between two bodies, in order of their paths."""
     if isinstance(old, dict) and isinstance(new, dict):
         return _of_objects(old, new, path)
@@ -42,7 +42,7 @@
         elif name not in old:
             found.append(Difference(inner, None, new[name], "new"))
         else:
-            found.extend(difference(old[name], new[name], inner))
+            found.extend(diff_bodies(old[name], new[name], inner))
     return found
 
 
@@ -60,7 +60,7 @@
         elif index >= len(old):
             found.append(Difference(inner, None, new[index], "new"))
         else:
-            found.extend(difference(old[index], new[index], inner))
+            found.extend(diff_bodies(old[index], new[index], inner))
     return found
 
 
--- a/baobabhoist/records/keys.py
+++ b/baobabhoist/records/keys.py
@@ -14,12 +14,12 @@
 MAX_KEY_LENGTH = 512
 
 
-def digest(key: str) -> str:
+def key_digest(key: str) -> str:
     """Return the digest under which a key is stored."""
     return hashlib.sha256(key.encode("utf-8", "surrogatepass")).hexdigest()
 
 
-def is_digest_of(presented: str, stored: str) -> bool:
+def digests_equal(presented: str, stored: str) -> bool:
     """Compare two digests in constant time."""
     return hmac.compare_digest(presented.encode(), stored.encode())
 
@@ -52,16 +52,16 @@
         """
         if len(presented) > MAX_KEY_LENGTH:
             return None
-        wanted = digest(presented)
+        wanted = key_digest(presented)
         matches = [
             key
             for _, key in sorted(self.by_digest.get(wanted, {}).items())
-            if is_digest_of(wanted, key.digest)
+            if digests_equal(wanted, key.digest)
         ]
         return min(matches, key=lambda key: not key.withdrawn) if matches else None
 
 
-def accept(key: Key | None, cut_off_s: float, header: str) -> Key | Refusal:
+def check_key(key: Key | None, cut_off_s: float, header: str) -> Key | Refusal:
     """Return a key that is accepted, or why it is not.
 
     `cut_off_s` is the time since the records were last confirmed by the platform or a peer that
--- a/baobabhoist/records/kinds.py
+++ b/baobabhoist/records/kinds.py
@@ -11,7 +11,7 @@
 # Requests without a key on a queue open to all run for this team.
 PUBLIC_TEAM = "public"
 DEFAULT_MAX_QUEUED = 1000
-ALL_KINDS = tuple(WorkKind)
+ALL_WORK_KINDS = tuple(WorkKind)
 
 
 class RecordKind(enum.StrEnum):
@@ -51,7 +51,7 @@
     share: float = 1.0
     class_limits: dict[WorkKind, int] = attrs.Factory(dict)
 
-    def limit_of(self, kind: WorkKind) -> int:
+    def limit_for(self, kind: WorkKind) -> int:
         """Return the upper limit for a kind of work, in places."""
         return min(self.limit, self.class_limits.get(kind, self.limit))
 
@@ -81,7 +81,7 @@
 
     open_to_all: bool = False
     home_data_centres: tuple[str, ...] = ()
-    kinds: tuple[WorkKind, ...] = ALL_KINDS
+    kinds: tuple[WorkKind, ...] = ALL_WORK_KINDS
     default_deadline_s: float | None = None
     max_queued_per_team: int = DEFAULT_MAX_QUEUED
     policy: str = ""
@@ -111,7 +111,7 @@
     rack: str = ""
     drain: bool = False
 
-    def spec(self, shard: str) -> WorkerSpec:
+    def to_spec(self, shard: str) -> WorkerSpec:
         """Return the worker as the scheduler knows it; the rack defaults to the shard."""
         capacity = Resources(self.cpu_milli, self.memory_mb, self.accelerators, self.slots)
         return WorkerSpec(self.name, self.host, self.port, self.rack or shard, capacity)
@@ -125,4 +125,4 @@
     workers: tuple[Worker, ...] = ()
 
 
-Typed = Team | Key | Queue | Policy | Shard
+TypedRecord = Team | Key | Queue | Policy | Shard
--- a/baobabhoist/records/references.py
+++ b/baobabhoist/records/references.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
-from baobabhoist.records.kinds import Key, Queue, RecordKind, Typed
-from baobabhoist.records.schema import refusal_of
+from baobabhoist.records.kinds import Key, Queue, RecordKind, TypedRecord
+from baobabhoist.records.schema import refusal_for_problems
 from baobabhoist.records.view import RecordView
 
 MAX_NAMED = 5
 
 
-def missing_references(view: RecordView, record: Typed, name: str) -> Refusal | None:
+def check_references(view: RecordView, record: TypedRecord, name: str) -> Refusal | None:
     """Return the references of a record that lead nowhere, or None."""
     problems = []
     if isinstance(record, Key):
@@ -32,22 +32,26 @@
     ):
         message = f"there is no policy {record.policy}"
         problems.append(Problem("body.policy", message, "create the policy first"))
-    return refusal_of(problems, "the record") if problems else None
+    return refusal_for_problems(problems, "the record") if problems else None
 
 
-def still_used(view: RecordView, kind: str, name: str) -> Refusal | None:
+def check_unreferenced(view: RecordView, kind: str, name: str) -> Refusal | None:
     """Return why a record cannot be deleted because other records name it, or None."""
     if kind == RecordKind.TEAM:
         users = [other for other, key in view.keys().items() if key.team == name]
-        return in_use(kind, name, "key records", users, "delete its keys first") if users else None
+        return (
+            in_use_refusal(kind, name, "key records", users, "delete its keys first")
+            if users
+            else None
+        )
     if kind == RecordKind.POLICY:
         users = [other for other, queue in view.queues().items() if queue.policy == name]
         remedy = "give these queues another policy first"
-        return in_use(kind, name, "queues", users, remedy) if users else None
+        return in_use_refusal(kind, name, "queues", users, remedy) if users else None
     return None
 
 
-def in_use(kind: str, name: str, what: str, users: list[str], remedy: str) -> Refusal:
+def in_use_refusal(kind: str, name: str, what: str, users: list[str], remedy: str) -> Refusal:
     """Return the refusal to delete a record that is in use."""
     named = ", ".join(sorted(users)[:MAX_NAMED])
     more = f" and {len(users) - MAX_NAMED} more" if len(users) > MAX_NAMED else ""
--- a/baobabhoist/records/schema.py
+++ b/baobabhoist/records/schema.py
@@ -16,7 +16,7 @@
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.records.kinds import (
-    ALL_KINDS,
+    ALL_WORK_KINDS,
     DEFAULT_MAX_QUEUED,
     Key,
     Objective,
@@ -26,14 +26,15 @@
     RecordKind,
     Shard,
     Team,
-    Typed,
+    TypedRecord,
 )
 from baobabhoist.records.validators import (
     ABSENT,
     Field,
-    ObjectCheck,
+    ObjectValidator,
     Problems,
     boolean,
+    format_value,
     integer,
     list_of,
     mapping_of,
@@ -41,7 +42,6 @@
     object_of,
     one_of,
     optional,
-    shown,
     text,
 )
 
@@ -73,7 +73,7 @@
 _DOTTED_OR_EMPTY = text(f"({_DOTTED_PATTERN})?", f"{_DOTTED_REMEDY}, or an empty string")
 _DIGEST = text(r"[0-9a-f]{64}", "the SHA-256 digest of the key as 64 lower-case hex digits")
 _HOST = text(r"[A-Za-z0-9]([A-Za-z0-9.:-]{0,252}[A-Za-z0-9])?|::1?", "an IP address")
-_KINDS = list_of(one_of(WorkKind), len(ALL_KINDS))
+_KINDS = list_of(one_of(WorkKind), len(ALL_WORK_KINDS))
 _PLACES = integer(0, MAX_PLACES)
 _SHARE = number(0.001, MAX_SHARE)
 _DEADLINE = number(0.001, MAX_DEADLINE_S)
@@ -92,7 +92,7 @@
     }
 )
 _QUEUE_COMMON = {
-    "kinds": Field(_KINDS, ALL_KINDS),
+    "kinds": Field(_KINDS, ALL_WORK_KINDS),
     "default_deadline_s": Field(optional(_DEADLINE), None),
     "policy": Field(_NAME_OR_EMPTY, ""),
 }
@@ -193,7 +193,7 @@
     leaves them as they are. `to_version` returns None when a body cannot be expressed.
     """
 
-    check: ObjectCheck
+    validator: ObjectValidator
     to_canonical: Callable[[Body], Body] = _same
     to_version: Callable[[Body], Body | None] = _same
     kept: tuple[str, ...] = ()
@@ -226,13 +226,13 @@
 _CONVERTER = cattrs.Converter(forbid_extra_keys=False, detailed_validation=False)
 
 
-def typed(kind: str, body: Body) -> Typed:
+def to_typed_record(kind: str, body: Body) -> TypedRecord:
     """Return the typed form of a canonical body; raises ValueError, TypeError or KeyError."""
-    found: Typed = _CONVERTER.structure(body, TYPES[RecordKind(kind)])
+    found: TypedRecord = _CONVERTER.structure(body, TYPES[RecordKind(kind)])
     return found
 
 
-def canonical(record: Typed) -> Body:
+def to_canonical_body(record: TypedRecord) -> Body:
     """Return the canonical body of a typed record, made of JSON types."""
     body: Body = _plain(attrs.asdict(record))
     return body
@@ -248,7 +248,7 @@
     return value
 
 
-def refusal_of(problems: Problems, what: str) -> Refusal:
+def refusal_for_problems(problems: Problems, what: str) -> Refusal:
     """Return one refusal that lists all problems of an input."""
     listed = tuple(problems[:MAX_PROBLEMS])
     lines = "; ".join(f"{problem.path}: {problem.message}" for problem in listed[:3])
@@ -261,17 +261,17 @@
     )
 
 
-def bad_name(kind: str, name: str) -> Refusal | None:
+def check_record_name(kind: str, name: str) -> Refusal | None:
     """Return why a kind or name is not allowed, or None."""
     problems: Problems = []
     one_of(RecordKind)(kind, "kind", problems)
     _NAME(name, "name", problems)
-    return refusal_of(problems, "the address of the record") if problems else None
+    return refusal_for_problems(problems, "the address of the record") if problems else None
 
 
 def parse(
     kind: RecordKind, schema_version: Any, body: Any, current: Body | None = None
-) -> Typed | Refusal:
+) -> TypedRecord | Refusal:
     """Return the typed record of a body in some schema version, or all its problems.
 
     `current` is the canonical body that the change replaces; what the schema version cannot
@@ -282,27 +282,31 @@
     if version is None:
         problem = Problem(
             "schema_version",
-            f"{shown(schema_version)} is not a schema version of {kind}",
+            f"{format_value(schema_version)} is not a schema version of {kind}",
             f"give one of {', '.join(map(str, versions))}",
         )
-        return refusal_of([problem], f"the {kind} record")
+        return refusal_for_problems([problem], f"the {kind} record")
     problems: Problems = []
-    checked = version.check(body, "body", problems)
+    checked = version.validator(body, "body", problems)
     if checked is not ABSENT:
         found = version.to_canonical(checked)
-        problems.extend(_CROSS_CHECKS.get(kind, _no_problems)(typed(kind, found)))
+        problems.extend(_CROSS_CHECKS.get(kind, _no_problems)(to_typed_record(kind, found)))
         if not problems:
             if current is not None:
                 found.update({name: current[name] for name in version.kept if name in current})
-            return typed(kind, found)
-    return refusal_of(problems, f"the {kind} record")
+            return to_typed_record(kind, found)
+    return refusal_for_problems(problems, f"the {kind} record")
 
 
-def express(kind: str, schema_version: int, body: Body) -> Body | Refusal:
+def convert_to_version(kind: str, schema_version: int, body: Body) -> Body | Refusal:
     """Return a canonical body in a schema version."""
     version = SCHEMAS[RecordKind(kind)].get(schema_version)
     try:
-        found = version.to_version(canonical(typed(kind, body))) if version is not None else None
+        found = (
+            version.to_version(to_canonical_body(to_typed_record(kind, body)))
+            if version is not None
+            else None
+        )
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
         return Refusal(
             ErrorKind.INTERNAL,
--- a/baobabhoist/records/store.py
+++ b/baobabhoist/records/store.py
@@ -10,17 +10,22 @@
 from baobabhoist.errors import ErrorKind, PlatformError, Refusal
 from baobabhoist.model import Outcome
 from baobabhoist.records.changes import (
-    LOG_HEAD,
+    LOG_HEAD_KEY,
     LOG_PREFIX,
-    based_on_other,
-    change,
+    build_transaction,
     log_key,
+    record_from_row,
     record_key,
-    record_of,
+    revision_conflict,
+)
+from baobabhoist.records.kinds import RecordKind, TypedRecord
+from baobabhoist.records.references import check_references, check_unreferenced
+from baobabhoist.records.schema import (
+    check_record_name,
+    convert_to_version,
+    parse,
+    to_canonical_body,
 )
-from baobabhoist.records.kinds import RecordKind, Typed
-from baobabhoist.records.references import missing_references, still_used
-from baobabhoist.records.schema import bad_name, canonical, express, parse
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.store.table import Committed, Row, Table
 
@@ -28,12 +33,12 @@
 # attempt means that at least one other change was accepted meanwhile.
 MAX_ATTEMPTS = 12
 SCAN_LIMIT = 1000
-DEFAULT_HISTORY = 20
-MAX_HISTORY = 200
+DEFAULT_HISTORY_LIMIT = 20
+MAX_HISTORY_LIMIT = 200
 
 
 @attrs.frozen
-class Change:
+class RecordChange:
     """Describe one requested change; no body deletes the record.
 
     `based_on` is the revision that the operator has seen, 0 when the record must not exist.
@@ -43,7 +48,7 @@
     name: str
     schema_version: Any
     body: Any
-    based_on: int
+    base_revision: int
     changed_by: str = ""
 
 
@@ -54,11 +59,11 @@
     table: Table
     view: RecordView
     # Says why a record without references is in use still, such as a queue with unfinished jobs.
-    used_elsewhere: Callable[[str, str], Awaitable[Refusal | None]] | None = None
+    check_in_use: Callable[[str, str], Awaitable[Refusal | None]] | None = None
 
     async def read(self, kind: str, name: str) -> Record | Refusal:
         """Return the record in the table."""
-        refusal = bad_name(kind, name)
+        refusal = check_record_name(kind, name)
         if refusal is not None:
             return refusal
         try:
@@ -67,34 +72,34 @@
             return _unavailable(exc)
         if not row.value or row.value.get("body") is None:
             return _absent(kind, name)
-        return record_of(row)
+        return record_from_row(row)
 
-    async def put(self, wanted: Change, now: float) -> Record | Refusal:
+    async def put(self, wanted: RecordChange, now: float) -> Record | Refusal:
         """Create or replace a record and return it as accepted."""
         return await self._attempt(wanted, now, self._prepare_put)
 
-    async def delete(self, wanted: Change, now: float) -> Record | Refusal:
+    async def delete(self, wanted: RecordChange, now: float) -> Record | Refusal:
         """Delete a record and return the entry of the log."""
-        if wanted.kind == RecordKind.QUEUE and self.used_elsewhere is not None:
-            refusal = bad_name(wanted.kind, wanted.name)
+        if wanted.kind == RecordKind.QUEUE and self.check_in_use is not None:
+            refusal = check_record_name(wanted.kind, wanted.name)
             if refusal is None:
-                refusal = await self.used_elsewhere(wanted.kind, wanted.name)
+                refusal = await self.check_in_use(wanted.kind, wanted.name)
             if refusal is not None:
                 return refusal
         return await self._attempt(wanted, now, self._prepare_delete)
 
     async def history(
-        self, kind: str, name: str, limit: int = DEFAULT_HISTORY
+        self, kind: str, name: str, limit: int = DEFAULT_HISTORY_LIMIT
     ) -> list[Record] | Refusal:
         """Return the latest versions of a record, the newest first."""
-        refusal = bad_name(kind, name)
+        refusal = check_record_name(kind, name)
         if refusal is not None:
             return refusal
         found: list[Record] = []
         try:
             row = await self.table.read(record_key(kind, name))
-            while row.value and len(found) < min(limit, MAX_HISTORY):
-                found.append(record_of(row))
+            while row.value and len(found) < min(limit, MAX_HISTORY_LIMIT):
+                found.append(record_from_row(row))
                 if not found[-1].previous:
                     break
                 row = await self.table.read(log_key(found[-1].previous))
@@ -104,14 +109,14 @@
 
     async def version(self, kind: str, name: str, revision: int) -> Record | Refusal:
         """Return the version of a record that one revision brought."""
-        refusal = bad_name(kind, name)
+        refusal = check_record_name(kind, name)
         if refusal is not None:
             return refusal
         try:
             row = await self.table.read(log_key(revision))
         except PlatformError as exc:
             return _unavailable(exc)
-        found = record_of(row) if row.value else None
+        found = record_from_row(row) if row.value else None
         if found is None or (found.kind, found.name) != (kind, name):
             return Refusal(
                 ErrorKind.NOT_FOUND,
@@ -122,23 +127,23 @@
 
     async def _attempt(
         self,
-        wanted: Change,
+        wanted: RecordChange,
         now: float,
-        prepare: Callable[[Change, Record | None, RecordView], Record | Refusal],
+        prepare: Callable[[RecordChange, Record | None, RecordView], Record | Refusal],
     ) -> Record | Refusal:
-        refusal = bad_name(wanted.kind, wanted.name)
+        refusal = check_record_name(wanted.kind, wanted.name)
         if refusal is not None:
             return refusal
         for _ in range(MAX_ATTEMPTS):
             try:
                 # The head is read first: a change between the reads makes the commit fail.
-                head = await self.table.read(LOG_HEAD)
+                head = await self.table.read(LOG_HEAD_KEY)
                 current = await self.table.read(record_key(wanted.kind, wanted.name))
                 view = await self._view_at(head)
             except PlatformError as exc:
                 return _unavailable(exc)
-            record = record_of(current) if current.value else None
-            prepared = based_on_other(wanted.kind, wanted.name, wanted.based_on, record)
+            record = record_from_row(current) if current.value else None
+            prepared = revision_conflict(wanted.kind, wanted.name, wanted.base_revision, record)
             if prepared is not None:
                 return prepared
             ready = prepare(wanted, record, view)
@@ -155,9 +160,9 @@
         )
 
     async def _commit(
-        self, ready: Record, current: Row, head: Row, wanted: Change, now: float
+        self, ready: Record, current: Row, head: Row, wanted: RecordChange, now: float
     ) -> Record | Refusal | None:
-        txn = change(
+        txn = build_transaction(
             ready.kind,
             ready.name,
             ready.schema_version,
@@ -178,7 +183,7 @@
                 retry_after_s=2.0,
             )
         if isinstance(outcome, Committed):
-            return record_of(Row(current.key, 1, txn.writes[current.key]))
+            return record_from_row(Row(current.key, 1, txn.writes[current.key]))
         return None if outcome.kind is ErrorKind.CONFLICT else outcome
 
     async def _view_at(self, head: Row) -> RecordView:
@@ -193,41 +198,41 @@
             if not rows:
                 raise PlatformError(f"the change log ends before its head {wanted}")
             for row in rows:
-                view.apply(record_of(row))
+                view.apply(record_from_row(row))
         return view
 
     def _prepare_put(
-        self, wanted: Change, record: Record | None, view: RecordView
+        self, wanted: RecordChange, record: Record | None, view: RecordView
     ) -> Record | Refusal:
         body = record.body if record is not None else None
         parsed = parse(RecordKind(wanted.kind), wanted.schema_version, wanted.body, body)
         if isinstance(parsed, Refusal):
             return parsed
-        refusal = missing_references(view, parsed, wanted.name)
+        refusal = check_references(view, parsed, wanted.name)
         if refusal is not None:
             return refusal
         return _ready(wanted, wanted.schema_version, parsed)
 
     def _prepare_delete(
-        self, wanted: Change, record: Record | None, view: RecordView
+        self, wanted: RecordChange, record: Record | None, view: RecordView
     ) -> Record | Refusal:
         if record is None or record.body is None:
             return _absent(wanted.kind, wanted.name)
-        refusal = still_used(view, wanted.kind, wanted.name)
+        refusal = check_unreferenced(view, wanted.kind, wanted.name)
         return refusal or _ready(wanted, record.schema_version, None)
 
 
-def _ready(wanted: Change, schema_version: int, parsed: Typed | None) -> Record:
-    body = canonical(parsed) if parsed is not None else None
+def _ready(wanted: RecordChange, schema_version: int, parsed: TypedRecord | None) -> Record:
+    body = to_canonical_body(parsed) if parsed is not None else None
     return Record(wanted.kind, wanted.name, schema_version, 0, body)
 
 
-def as_written(record: Record, schema_version: int | None = None) -> dict[str, Any] | Refusal:
+def render_record(record: Record, schema_version: int | None = None) -> dict[str, Any] | Refusal:
     """Return a record for operators, in the version it was written in unless told otherwise."""
     version = schema_version or record.schema_version
     body = None
     if record.body is not None:
-        expressed = express(record.kind, version, record.body)
+        expressed = convert_to_version(record.kind, version, record.body)
         if isinstance(expressed, Refusal):
             return expressed
         body = expressed
--- a/baobabhoist/records/validators.py
+++ b/baobabhoist/records/validators.py
@@ -24,18 +24,18 @@
 
 Problems = list[Problem]
 # A check returns the converted value, or ABSENT after it has added a problem.
-Check = Callable[[Any, str, Problems], Any]
+Validator = Callable[[Any, str, Problems], Any]
 
 
 @attrs.frozen
 class Field:
     """Describe one field of an object; a field without a default is required."""
 
-    check: Check
+    validator: Validator
     default: Any = ABSENT
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return a value shortened for a message."""
     text = repr(value) if not isinstance(value, int) else hex_or_decimal(value)
     return text if len(text) <= MAX_SHOWN_LENGTH else text[:MAX_SHOWN_LENGTH] + "..."
@@ -46,33 +46,33 @@
     return str(value) if value.bit_length() <= 64 else hex(value)
 
 
-def integer(low: int, high: int) -> Check:
+def integer(low: int, high: int) -> Validator:
     """Accept an integer within bounds."""
     remedy = f"give an integer from {low} to {high}"
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not int:
-            problems.append(Problem(path, f"{shown(value)} is not an integer", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not an integer", remedy))
             return ABSENT
         if not low <= value <= high:
-            problems.append(Problem(path, f"{shown(value)} is out of range", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is out of range", remedy))
             return ABSENT
         return value
 
     return check
 
 
-def number(low: float, high: float) -> Check:
+def number(low: float, high: float) -> Validator:
     """Accept a finite number within bounds."""
     remedy = f"give a number from {low:g} to {high:g}"
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) not in (int, float):
-            problems.append(Problem(path, f"{shown(value)} is not a number", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not a number", remedy))
             return ABSENT
         # The comparison comes first: a huge integer cannot be converted to a float.
         if not low <= value <= high or not math.isfinite(value):
-            problems.append(Problem(path, f"{shown(value)} is out of range", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is out of range", remedy))
             return ABSENT
         return float(value)
 
@@ -82,44 +82,44 @@
 def boolean(value: Any, path: str, problems: Problems) -> Any:
     """Accept true or false."""
     if type(value) is not bool:
-        message = f"{shown(value)} is not a truth value"
+        message = f"{format_value(value)} is not a truth value"
         problems.append(Problem(path, message, "give true or false"))
         return ABSENT
     return value
 
 
-def text(pattern: str, what: str) -> Check:
+def text(pattern: str, what: str) -> Validator:
     """Accept a string that matches a pattern; `what` names it in the remedy."""
     compiled = re.compile(pattern)
     remedy = f"give {what}"
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not str:
-            problems.append(Problem(path, f"{shown(value)} is not a string", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not a string", remedy))
             return ABSENT
         if len(value) > MAX_TEXT_LENGTH or compiled.fullmatch(value) is None:
-            problems.append(Problem(path, f"{shown(value)} is not allowed", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not allowed", remedy))
             return ABSENT
         return value
 
     return check
 
 
-def one_of(kind: type[enum.StrEnum]) -> Check:
+def one_of(kind: type[enum.StrEnum]) -> Validator:
     """Accept one of the values of an enumeration."""
     remedy = f"give one of {', '.join(kind)}"
     members = {member.value: member for member in kind}
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not str or value not in members:
-            problems.append(Problem(path, f"{shown(value)} is not known", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not known", remedy))
             return ABSENT
         return members[value]
 
     return check
 
 
-def optional(inner: Check) -> Check:
+def optional(inner: Validator) -> Validator:
     """Accept null or what the inner check accepts."""
 
     def check(value: Any, path: str, problems: Problems) -> Any:
@@ -128,13 +128,13 @@
     return check
 
 
-def list_of(inner: Check, max_length: int) -> Check:
+def list_of(inner: Validator, max_length: int) -> Validator:
     """Accept a list; the result is a tuple."""
     remedy = f"give a list of at most {max_length} entries"
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not list:
-            problems.append(Problem(path, f"{shown(value)} is not a list", remedy))
+            problems.append(Problem(path, f"{format_value(value)} is not a list", remedy))
             return ABSENT
         if len(value) > max_length:
             problems.append(Problem(path, f"the list has {len(value)} entries", remedy))
@@ -145,12 +145,14 @@
     return check
 
 
-def mapping_of(key: Check, inner: Check) -> Check:
+def mapping_of(key: Validator, inner: Validator) -> Validator:
     """Accept an object with free keys."""
 
     def check(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not dict:
-            problems.append(Problem(path, f"{shown(value)} is not an object", "give an object"))
+            problems.append(
+                Problem(path, f"{format_value(value)} is not an object", "give an object")
+            )
             return ABSENT
         found = {}
         for name, item in value.items():
@@ -165,7 +167,7 @@
 
 
 @attrs.frozen
-class ObjectCheck:
+class ObjectValidator:
     """Accept an object with exactly these fields; the result is a dict with all of them."""
 
     fields: Mapping[str, Field]
@@ -174,7 +176,7 @@
         """Return the checked fields, or ABSENT."""
         names = ", ".join(sorted(self.fields))
         if type(value) is not dict:
-            message = f"{shown(value)} is not an object"
+            message = f"{format_value(value)} is not an object"
             problems.append(Problem(path, message, f"give an object with the fields {names}"))
             return ABSENT
         before = len(problems)
@@ -189,14 +191,14 @@
         return found if len(problems) == before else ABSENT
 
 
-def object_of(fields: Mapping[str, Field]) -> ObjectCheck:
+def object_of(fields: Mapping[str, Field]) -> ObjectValidator:
     """Return the check of an object with exactly these fields."""
-    return ObjectCheck(fields)
+    return ObjectValidator(fields)
 
 
 def _field(value: dict[str, Any], name: str, field: Field, path: str, problems: Problems) -> Any:
     if name in value:
-        return field.check(value[name], path, problems)
+        return field.validator(value[name], path, problems)
     if field.default is ABSENT:
         problems.append(Problem(path, "the field is missing", "add the field"))
     return field.default
--- a/baobabhoist/records/view.py
+++ b/baobabhoist/records/view.py
@@ -10,9 +10,9 @@
 
 from baobabhoist.model import WorkerSpec
 from baobabhoist.records.keys import KeyIndex
-from baobabhoist.records.keys import digest as digest
-from baobabhoist.records.kinds import Key, Policy, Queue, RecordKind, Shard, Team, Typed
-from baobabhoist.records.schema import typed
+from baobabhoist.records.keys import key_digest as key_digest
+from baobabhoist.records.kinds import Key, Policy, Queue, RecordKind, Shard, Team, TypedRecord
+from baobabhoist.records.schema import to_typed_record
 
 log = logging.getLogger(__name__)
 
@@ -87,7 +87,7 @@
         """Return a record, or None."""
         return self.records.get((kind, name))
 
-    def of_kind(self, kind: str) -> list[Record]:
+    def records_of_kind(self, kind: str) -> list[Record]:
         """Return the records of a kind, in order of their names; do not change the list."""
         if kind not in self._sorted:
             found = [record for record in self.records.values() if record.kind == kind]
@@ -110,7 +110,7 @@
         """Return all queues by name."""
         return self._typed.get(RecordKind.QUEUE, {})
 
-    def policy_of(self, queue: str) -> Policy:
+    def policy_for_queue(self, queue: str) -> Policy:
         """Return the policy of a queue; queues without one have the default policy."""
         found = self.queue(queue)
         policies = self._typed.get(RecordKind.POLICY, {})
@@ -128,13 +128,13 @@
         """Return all key records by name."""
         return self._typed.get(RecordKind.KEY, {})
 
-    def key_of(self, presented: str) -> Key | None:
+    def find_key(self, presented: str) -> Key | None:
         """Return the record of a presented key, withdrawn or not, or None."""
         return self._keys.find(presented)
 
     def team_of_key(self, key: str) -> str | None:
         """Return the team that a presented key belongs to, or None."""
-        found = self.key_of(key)
+        found = self.find_key(key)
         return found.team if found is not None and found.team and not found.withdrawn else None
 
     def shards_in(self, data_centres: tuple[str, ...]) -> tuple[str, ...]:
@@ -149,10 +149,10 @@
             )
         return self._homes[data_centres]
 
-    def workers_of(self, shard: str) -> list[WorkerSpec]:
+    def workers_in_shard(self, shard: str) -> list[WorkerSpec]:
         """Return the workers that a shard record names."""
         found = self.shard(shard)
-        return [worker.spec(shard) for worker in found.workers] if found else []
+        return [worker.to_spec(shard) for worker in found.workers] if found else []
 
     def drained_workers(self, shard: str) -> frozenset[str]:
         """Return the workers of a shard that must get no new work."""
@@ -169,14 +169,14 @@
             return
         self.records[record.kind, record.name] = record
         try:
-            found = typed(record.kind, record.body)
+            found = to_typed_record(record.kind, record.body)
         except (ValueError, TypeError, KeyError, AttributeError):
             # Only a later release can have written it; the rest of the records still apply.
             log.error("record %s/%s cannot be read", record.kind, record.name, exc_info=True)
             return
         self._index(record, found)
 
-    def _index(self, record: Record, found: Typed) -> None:
+    def _index(self, record: Record, found: TypedRecord) -> None:
         self._typed.setdefault(record.kind, {})[record.name] = found
         if isinstance(found, Key):
             self._keys.add(record.name, found)
--- a/baobabhoist/testing/cluster.py
+++ b/baobabhoist/testing/cluster.py
@@ -18,7 +18,7 @@
 import attrs
 import yaml
 
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 
 OPERATOR_KEY = "operator-key-for-tests"
 START_TIMEOUT_S = 20.0
@@ -176,7 +176,7 @@
                     "admin_port": free_port(),
                     "peer_port": free_port(),
                     "platform_url": f"http://127.0.0.1:{self.platform_port}",
-                    "operator_key_digest": digest(OPERATOR_KEY),
+                    "operator_key_digest": key_digest(OPERATOR_KEY),
                 }
 
     def start_instance(self, name: str) -> None:
--- a/baobabhoist/testing/demo.py
+++ b/baobabhoist/testing/demo.py
@@ -15,7 +15,7 @@
 import yaml
 from absl import app
 
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "key-of-roster"
@@ -94,7 +94,7 @@
         bodies = {
             ("shard", "rack-1"): {"data_centre": "north", "workers": workers},
             ("team", "roster"): {"limit": TEAM_LIMIT},
-            ("key", "roster-1"): {"team": "roster", "digest": digest(TEAM_KEY)},
+            ("key", "roster-1"): {"team": "roster", "digest": key_digest(TEAM_KEY)},
             ("queue", "entries"): {},
         }
         records = [
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -15,7 +15,7 @@
 from absl import app, flags
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing import soak_faults, soak_run
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster
 from baobabhoist.testing.soak_faults import DATA_CENTRES, FAULTS, MARKER, MEMBERS_LAG_S, TEAMS
@@ -88,7 +88,7 @@
             await self.until_done(self.put, "shard", shard, body)
         for team, limit in TEAMS.items():
             await self.until_done(self.put_limit, team, limit)
-            key = {"team": team, "digest": digest(f"key-of-{team}")}
+            key = {"team": team, "digest": key_digest(f"key-of-{team}")}
             await self.until_done(self.put, "key", team, key)
         await self.until_done(self.put_key)
         for queue in ("entries", MARKER):
@@ -170,7 +170,7 @@
 
     async def put_key(self, withdrawn: bool = False) -> int:
         """Write the key that is revoked now and then."""
-        body = {"team": "walkin", "digest": digest(self.short_key), "withdrawn": withdrawn}
+        body = {"team": "walkin", "digest": key_digest(self.short_key), "withdrawn": withdrawn}
         return await self.put("key", self.short_key, body)
 
     async def put_limit(self, team: str, limit: int) -> int:
--- a/baobabhoist/tests/gateways.py
+++ b/baobabhoist/tests/gateways.py
@@ -24,8 +24,8 @@
 from baobabhoist.observability.metrics import Metrics
 from baobabhoist.peer.mesh import PeerAddress, PeerState
 from baobabhoist.peer.messages import Heartbeat
-from baobabhoist.records.changes import record_of
-from baobabhoist.records.keys import digest
+from baobabhoist.records.changes import record_from_row
+from baobabhoist.records.keys import key_digest
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.tables import MemoryTable
 
@@ -36,9 +36,9 @@
     ("team", "roster", {"limit": 4}),
     ("team", "other", {"limit": 4}),
     ("team", "public", {"limit": 1}),
-    ("key", "roster-1", {"team": "roster", "digest": digest("roster-key")}),
-    ("key", "other-1", {"team": "other", "digest": digest("other-key")}),
-    ("key", "tess", {"operator": True, "digest": digest("tess-key")}),
+    ("key", "roster-1", {"team": "roster", "digest": key_digest("roster-key")}),
+    ("key", "other-1", {"team": "other", "digest": key_digest("other-key")}),
+    ("key", "tess", {"operator": True, "digest": key_digest("tess-key")}),
     ("shard", "n1", SHARD),
     ("shard", "n2", SHARD),
     ("shard", "s1", {"data_centre": "south", "workers": []}),
@@ -90,7 +90,7 @@
 
 @attrs.define
 class Settings:
-    operator_key_digest: str = digest("operator")
+    operator_key_digest: str = key_digest("operator")
 
 
 class Node:
@@ -122,7 +122,7 @@
 
     async def catch_up(self):
         for row in await self.table.scan("log/"):
-            self.view.apply(record_of(row))
+            self.view.apply(record_from_row(row))
 
 
 @attrs.frozen
--- a/baobabhoist/tests/test_daemon_sync.py
+++ b/baobabhoist/tests/test_daemon_sync.py
@@ -7,7 +7,7 @@
 from baobabhoist.daemon.sync import RecordSync, encode
 from baobabhoist.errors import LinkClosedError, PlatformError
 from baobabhoist.peer.messages import RecordEntries
-from baobabhoist.records.changes import change
+from baobabhoist.records.changes import build_transaction
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.tables import MemoryTable
 
@@ -37,7 +37,9 @@
 async def put(table, name, limit):
     current = await table.read(f"record/team/{name}")
     head = await table.read("log_head")
-    await table.commit(change("team", name, 1, {"limit": limit, "share": 1.0}, current, head))
+    await table.commit(
+        build_transaction("team", name, 1, {"limit": limit, "share": 1.0}, current, head)
+    )
 
 
 def limits(sync):
@@ -103,7 +105,7 @@
         late = network.add("late", table)
         await late.receive(peer._reply(0))
         current, head = await table.read("record/team/a"), await table.read("log_head")
-        await table.commit(change("team", "a", 1, None, current, head))
+        await table.commit(build_transaction("team", "a", 1, None, current, head))
         await peer.pull()
         peer._recent.clear()
         await late.heard("peer", 4, 0.0)
--- a/baobabhoist/tests/test_daemon_takeover.py
+++ b/baobabhoist/tests/test_daemon_takeover.py
@@ -7,7 +7,7 @@
 import pytest
 import yaml
 
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "team-key-of-the-takeover"
@@ -20,7 +20,7 @@
     bodies = {
         ("shard", "rack-1"): {"data_centre": "north", "workers": workers},
         ("team", "roster"): {"limit": 8},
-        ("key", "roster"): {"team": "roster", "digest": digest(TEAM_KEY)},
+        ("key", "roster"): {"team": "roster", "digest": key_digest(TEAM_KEY)},
         ("queue", "entries"): {},
     }
     return [
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -17,7 +17,7 @@
 from baobabhoist.model import JobState, JobStatus, Outcome
 from baobabhoist.records.kinds import RecordKind
 from baobabhoist.records.schema import SCHEMAS
-from baobabhoist.records.store import as_written
+from baobabhoist.records.store import render_record
 from baobabhoist.records.validators import ABSENT
 from baobabhoist.records.view import Record
 from baobabhoist.tests.gateways import OPERATOR, ROSTER, Gateway
@@ -83,13 +83,13 @@
     """Guard against a described field that is refused, and the reverse."""
     for kind, versions in SCHEMAS.items():
         for number, version in versions.items():
-            assert_same_fields(version.check, SCHEMA[f"{kind.value.capitalize()}V{number}"])
+            assert_same_fields(version.validator, SCHEMA[f"{kind.value.capitalize()}V{number}"])
     assert_same_fields(bodies.JOB, SCHEMA["Job"])
     assert SCHEMA["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
     assert set(status_body(JobStatus("j", JobState.QUEUED))) == set(
         SCHEMA["JobStatus"]["required"]
     )
-    record = as_written(Record("team", "a", 1, 1, {"limit": 1}))
+    record = render_record(Record("team", "a", 1, 1, {"limit": 1}))
     assert list(record) == SCHEMA["Record"]["required"]
 
 
--- a/baobabhoist/tests/test_records_schema.py
+++ b/baobabhoist/tests/test_records_schema.py
@@ -7,7 +7,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.records.kinds import RecordKind
-from baobabhoist.records.schema import SCHEMAS, canonical, express, parse
+from baobabhoist.records.schema import SCHEMAS, convert_to_version, parse, to_canonical_body
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
@@ -53,7 +53,10 @@
         assert parsed.problems
         assert all(problem.path and problem.remedy for problem in parsed.problems)
     else:
-        assert parse(kind, number, express(kind, number, canonical(parsed))) == parsed
+        assert (
+            parse(kind, number, convert_to_version(kind, number, to_canonical_body(parsed)))
+            == parsed
+        )
 
 
 def test_all_problems_are_reported_together():
@@ -81,19 +84,19 @@
 def test_an_old_tool_keeps_the_limits_it_cannot_express():
     """Guard against a version 1 tool lifting limits that a version 2 tool has set."""
     new = parse(RecordKind.TEAM, 2, {"limits": {"total": 9, "classes": {"batch": 4}}})
-    old = parse(RecordKind.TEAM, 1, {"limit": 2, "share": 3}, canonical(new))
+    old = parse(RecordKind.TEAM, 1, {"limit": 2, "share": 3}, to_canonical_body(new))
     assert old.class_limits == {WorkKind.BATCH: 4}
-    assert old.limit_of(WorkKind.BATCH) == 2
-    assert old.limit_of(WorkKind.GANG) == 2
+    assert old.limit_for(WorkKind.BATCH) == 2
+    assert old.limit_for(WorkKind.GANG) == 2
 
 
 def test_a_queue_with_two_homes_is_not_cut_to_one_for_an_old_tool():
     """Guard against an old tool writing back one home data centre of several."""
     queue = parse(RecordKind.QUEUE, 2, {"home_data_centres": ["north", "south"]})
-    assert express("queue", 1, canonical(queue)).kind is ErrorKind.BAD_REQUEST
+    assert convert_to_version("queue", 1, to_canonical_body(queue)).kind is ErrorKind.BAD_REQUEST
     one = parse(RecordKind.QUEUE, 1, {"data_centre": "north", "open": True})
-    assert express("queue", 1, canonical(one))["data_centre"] == "north"
-    assert express("queue", 2, canonical(one))["home_data_centres"] == ["north"]
+    assert convert_to_version("queue", 1, to_canonical_body(one))["data_centre"] == "north"
+    assert convert_to_version("queue", 2, to_canonical_body(one))["home_data_centres"] == ["north"]
 
 
 def test_values_that_contradict_each_other_are_refused():
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -4,10 +4,10 @@
 
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Outcome
-from baobabhoist.records.changes import record_of
-from baobabhoist.records.diff import difference
-from baobabhoist.records.keys import accept, digest
-from baobabhoist.records.store import Change, RecordStore, as_written
+from baobabhoist.records.changes import record_from_row
+from baobabhoist.records.diff import diff_bodies
+from baobabhoist.records.keys import check_key, key_digest
+from baobabhoist.records.store import RecordChange, RecordStore, render_record
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.tables import MemoryTable
 
@@ -16,17 +16,19 @@
     return RecordStore(MemoryTable(), RecordView())
 
 
-def put(store, kind, name, body, based_on=0, version=1):
-    return asyncio.run(store.put(Change(kind, name, version, body, based_on, "tess"), 5.0))
+def put(store, kind, name, body, base_revision=0, version=1):
+    return asyncio.run(
+        store.put(RecordChange(kind, name, version, body, base_revision, "tess"), 5.0)
+    )
 
 
-def delete(store, kind, name, based_on):
-    return asyncio.run(store.delete(Change(kind, name, 0, None, based_on), 6.0))
+def delete(store, kind, name, base_revision):
+    return asyncio.run(store.delete(RecordChange(kind, name, 0, None, base_revision), 6.0))
 
 
 def catch_up(store):
     for row in asyncio.run(store.table.scan("log/")):
-        store.view.apply(record_of(row))
+        store.view.apply(record_from_row(row))
 
 
 def test_a_change_based_on_an_old_revision_is_a_conflict():
@@ -47,9 +49,9 @@
     put(store, "team", "roster", {"limit": 1})
     rival = RecordStore(store.table, RecordView())
 
-    def change(name, based_on):
+    def change(name, base_revision):
         async def run():
-            await rival.put(Change("team", name, 1, {"limit": 9}, based_on), 5.0)
+            await rival.put(RecordChange("team", name, 1, {"limit": 9}, base_revision), 5.0)
 
         return run
 
@@ -73,7 +75,7 @@
 def test_records_in_use_are_not_deleted_and_references_must_lead_somewhere():
     """Guard against keys without a team and queues without their policy, also in a stale view."""
     store = new_store()
-    key = {"team": "roster", "digest": digest("k")}
+    key = {"team": "roster", "digest": key_digest("k")}
     assert put(store, "key", "k1", key).problems[0].path == "body.team"
     put(store, "team", "roster", {"limit": 1})
     put(store, "key", "k1", key)
@@ -101,10 +103,10 @@
         (1, 1),
     ]
     assert history[0].changed_by == "tess"
-    assert as_written(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
-    assert as_written(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
+    assert render_record(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
+    assert render_record(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
     first = asyncio.run(store.version("team", "roster", 1))
-    found = difference(first.body, history[0].body)
+    found = diff_bodies(first.body, history[0].body)
     assert [(item.path, item.old, item.new) for item in found] == [("body.limit", 1, 3)]
     assert asyncio.run(store.version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
 
@@ -112,20 +114,20 @@
 def test_the_view_applies_only_higher_revisions_and_keeps_its_indexes():
     """Guard against a deleted or withdrawn key that still opens the door."""
     view = RecordView()
-    key = {"team": "roster", "digest": digest("k")}
+    key = {"team": "roster", "digest": key_digest("k")}
     assert view.apply(Record("key", "k1", 1, 4, key))
     assert not view.apply(Record("key", "k1", 1, 4, None))
     assert view.team_of_key("k") == "roster"
     view.apply(Record("key", "k1", 1, 5, {**key, "withdrawn": True}))
     assert view.team_of_key("k") is None
-    assert "withdrawn" in accept(view.key_of("k"), 0.0, "H").message
+    assert "withdrawn" in check_key(view.find_key("k"), 0.0, "H").message
     view.apply(Record("key", "k1", 1, 6, {**key, "offline_grace_s": 2.0}))
-    assert accept(view.key_of("k"), 1.0, "H").team == "roster"
-    assert accept(view.key_of("k"), 3.0, "H").kind is ErrorKind.KEY_REJECTED
-    view.apply(Record("key", "k1", 1, 7, {**key, "digest": digest("n")}))
-    assert (view.key_of("k"), view.team_of_key("n")) == (None, "roster")
+    assert check_key(view.find_key("k"), 1.0, "H").team == "roster"
+    assert check_key(view.find_key("k"), 3.0, "H").kind is ErrorKind.KEY_REJECTED
+    view.apply(Record("key", "k1", 1, 7, {**key, "digest": key_digest("n")}))
+    assert (view.find_key("k"), view.team_of_key("n")) == (None, "roster")
     view.apply(Record("key", "k1", 1, 8, None))
-    assert view.key_of("n") is None
+    assert view.find_key("n") is None
 
 
 def test_home_shards_follow_the_records_and_unreadable_records_are_isolated():
@@ -146,4 +148,4 @@
     copied = view.copy()
     copied.apply(Record("shard", "c", 1, 5, None))
     assert (copied.shards_in(()), view.shards_in(())) == (("a", "b"), ("a", "b", "c"))
-    assert len(view.of_kind("shard")) == 3
+    assert len(view.records_of_kind("shard")) == 3
--- a/baobabhoist/tests/test_whole_path.py
+++ b/baobabhoist/tests/test_whole_path.py
@@ -6,7 +6,7 @@
 import yaml
 
 from baobabhoist.ownership.rendezvous import home_shard
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "team-key-of-roster"
@@ -33,7 +33,7 @@
             "kind": "key",
             "name": "roster-1",
             "schema_version": 1,
-            "body": {"team": "roster", "digest": digest(TEAM_KEY)},
+            "body": {"team": "roster", "digest": key_digest(TEAM_KEY)},
         },
         {"kind": "queue", "name": "entries", "schema_version": 1, "body": {}},
     ]
