--- a/baobabhoist/config/load.py
+++ b/baobabhoist/config/load.py
@@ -14,7 +14,7 @@
     OptionError,
     Problem,
     Section,
-    Sections,
+    SectionList,
     option_of,
     type_name,
 )
@@ -22,7 +22,7 @@
 from baobabhoist.errors import SettingsError
 
 
-class Checked(Protocol):
+class CheckedSettings(Protocol):
     """Be a class of options that checks itself as a whole."""
 
     def problems(self) -> Iterator[Problem]:
@@ -32,11 +32,11 @@
         """Yield what is allowed but unwise."""
 
 
-T = TypeVar("T", bound=Checked)
+T = TypeVar("T", bound=CheckedSettings)
 
 
 @attrs.frozen
-class Loaded(Generic[T]):
+class LoadedSettings(Generic[T]):
     """Hold valid settings and the warnings about them."""
 
     settings: T
@@ -59,12 +59,12 @@
         return super().construct_mapping(node, deep)
 
 
-def load(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     """Return the settings in a file; raises SettingsError listing every problem."""
     return load_with_warnings(path, Settings).settings
 
 
-def load_with_warnings(path: str, cls: type[T]) -> Loaded[T]:
+def load_with_warnings(path: str, cls: type[T]) -> LoadedSettings[T]:
     """Return the settings of a class in a file and the warnings; raises SettingsError."""
     try:
         raw: Any = yaml.load(Path(path).read_text(encoding="utf-8"), _UniqueKeyLoader)
@@ -76,17 +76,17 @@
         raise SettingsError(f"the settings file {path} is not valid:\n{exc}") from None
 
 
-def validate(raw: Any) -> Loaded[Settings]:
+def validate_settings(raw: Any) -> LoadedSettings[Settings]:
     """Return settings made from parsed YAML; raises SettingsError with one line a problem."""
     return _checked(Settings, raw)
 
 
-def _checked(cls: type[T], raw: Any) -> Loaded[T]:
-    settings = read_settings(cls, raw)
-    return Loaded(settings, tuple(settings.warnings()))
+def _checked(cls: type[T], raw: Any) -> LoadedSettings[T]:
+    settings = parse_settings(cls, raw)
+    return LoadedSettings(settings, tuple(settings.warnings()))
 
 
-def read_settings(cls: type[T], raw: Any) -> T:
+def parse_settings(cls: type[T], raw: Any) -> T:
     """Return a class of options made from parsed YAML; raises SettingsError."""
     problems: list[Problem] = []
     settings: Any = _read_section(cls, raw, "", problems)
@@ -126,7 +126,7 @@
         if value is None and option.optional:
             return None
         return _read_section(option.cls, value, path, problems)
-    if isinstance(option, Sections) and isinstance(value, list):
+    if isinstance(option, SectionList) and isinstance(value, list):
         return [
             _read_section(option.cls, item, f"{path}[{index}]", problems)
             for index, item in enumerate(value)
--- a/baobabhoist/config/options.py
+++ b/baobabhoist/config/options.py
@@ -59,37 +59,37 @@
 
 @attrs.frozen
 class Text:
-    """Accept text that matches a pattern; `words` states the pattern for readers."""
+    """Accept text that matches a pattern; `description` states the pattern for readers."""
 
     pattern: str = r"(?s).+"
-    words: str = "text that is not empty"
+    description: str = "text that is not empty"
 
     def parse(self, value: Any) -> str:
         """Return the text; raises OptionError."""
         if not isinstance(value, str):
             raise _wrong_type(self, value)
         if re.fullmatch(self.pattern, value) is None:
-            raise OptionError(f"{value!r} is not accepted", f"give {self.words}")
+            raise OptionError(f"{value!r} is not accepted", f"give {self.description}")
         return value
 
     def describe(self) -> str:
         """Return the accepted values in words."""
-        return self.words
+        return self.description
 
 
-def name() -> Text:
+def identifier() -> Text:
     """Return the option type of instance and data-centre names."""
-    words = "1 to 63 lower-case letters, digits, dots or hyphens, a letter or digit first"
-    return Text(r"[a-z0-9][a-z0-9.-]{0,62}", words)
+    description = "1 to 63 lower-case letters, digits, dots or hyphens, a letter or digit first"
+    return Text(r"[a-z0-9][a-z0-9.-]{0,62}", description)
 
 
-def digest() -> Text:
+def sha256_digest() -> Text:
     """Return the option type of SHA-256 digests."""
     return Text(rf"[0-9a-f]{{{SHA256_HEX_LENGTH}}}", "a SHA-256 digest, 64 lower-case hex digits")
 
 
 @attrs.frozen
-class Whole:
+class Integer:
     """Accept a whole number within bounds, both included."""
 
     low: int
@@ -110,9 +110,9 @@
         return f"a whole number from {self.low} to {self.high}{unit}"
 
 
-def port() -> Whole:
+def tcp_port() -> Integer:
     """Return the option type of TCP ports."""
-    return Whole(1, PORT_MAX)
+    return Integer(1, PORT_MAX)
 
 
 @attrs.frozen
@@ -141,19 +141,19 @@
 class Choice:
     """Accept one of a few words."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
     def parse(self, value: Any) -> str:
         """Return the word; raises OptionError."""
         if not isinstance(value, str):
             raise _wrong_type(self, value)
-        if value not in self.words:
+        if value not in self.choices:
             raise OptionError(f"{value!r} is not accepted", f"give {self.describe()}")
         return value
 
     def describe(self) -> str:
         """Return the accepted values in words."""
-        return "one of " + ", ".join(self.words)
+        return "one of " + ", ".join(self.choices)
 
 
 @attrs.frozen
@@ -236,7 +236,7 @@
 
 
 @attrs.frozen
-class Sections:
+class SectionList:
     """Accept a list of mappings, each read as a class of options."""
 
     cls: type
@@ -252,13 +252,13 @@
 
 def setting(
     option: Option,
-    text: str,
+    description: str,
     *,
     default: Any = attrs.NOTHING,
     factory: Callable[[], Any] | None = None,
 ) -> Any:
     """Return an attrs field that carries its option type and its description."""
-    metadata = {METADATA_KEY: (option, text)}
+    metadata = {METADATA_KEY: (option, description)}
     if factory is not None:
         return attrs.field(factory=factory, metadata=metadata)
     return attrs.field(default=default, metadata=metadata)
--- a/baobabhoist/config/settings.py
+++ b/baobabhoist/config/settings.py
@@ -13,17 +13,17 @@
 from baobabhoist.config.options import (
     BaseUrl,
     Choice,
+    Integer,
     IpAddress,
     Number,
     Problem,
     ReadableFile,
     Section,
-    Sections,
-    Whole,
-    digest,
-    name,
-    port,
+    SectionList,
+    identifier,
     setting,
+    sha256_digest,
+    tcp_port,
 )
 
 # Request keys are remembered until their deadline, so the longest deadline bounds that memory.
@@ -52,26 +52,26 @@
 class PeerSettings:
     """Name another instance."""
 
-    instance_id: str = setting(name(), "Name of the other instance.")
-    data_centre: str = setting(name(), "Data centre of the other instance.")
+    instance_id: str = setting(identifier(), "Name of the other instance.")
+    data_centre: str = setting(identifier(), "Data centre of the other instance.")
     host: str = setting(IpAddress(), "IP address of the other instance.")
-    port: int = setting(port(), "Peer port of the other instance.")
+    port: int = setting(tcp_port(), "Peer port of the other instance.")
 
 
 @attrs.frozen
 class Settings:
     """Hold the validated settings of one instance."""
 
-    instance_id: str = setting(name(), "Name of this instance, unique among all instances.")
-    data_centre: str = setting(name(), "Data centre that this instance runs in.")
+    instance_id: str = setting(identifier(), "Name of this instance, unique among all instances.")
+    data_centre: str = setting(identifier(), "Data centre that this instance runs in.")
     host: str = setting(IpAddress(), "IP address that all ports of this instance listen on.")
-    caller_port: int = setting(port(), "Port for callers.")
-    admin_port: int = setting(port(), "Port for operators and metrics.")
-    peer_port: int = setting(port(), "Port for the other instances.")
+    caller_port: int = setting(tcp_port(), "Port for callers.")
+    admin_port: int = setting(tcp_port(), "Port for operators and metrics.")
+    peer_port: int = setting(tcp_port(), "Port for the other instances.")
     platform_url: str = setting(BaseUrl(), "Address of the platform's table service.")
-    operator_key_digest: str = setting(digest(), "SHA-256 digest of the operators' key.")
+    operator_key_digest: str = setting(sha256_digest(), "SHA-256 digest of the operators' key.")
     peers: list[PeerSettings] = setting(
-        Sections(PeerSettings), "All other instances.", factory=list
+        SectionList(PeerSettings), "All other instances.", factory=list
     )
     vm_weight: float = setting(
         Number(0.01, 1000.0), "Size of this VM; larger VMs own more shards.", default=1.0
@@ -88,7 +88,7 @@
         default=None,
     )
     max_body_bytes: int = setting(
-        Whole(1024, BODY_MAX_BYTES, "bytes"),
+        Integer(1024, BODY_MAX_BYTES, "bytes"),
         "Largest body of a request; larger ones are refused.",
         default=16 << 20,
     )
@@ -127,7 +127,7 @@
     )
 
     @property
-    def loopback(self) -> bool:
+    def is_loopback(self) -> bool:
         """Tell whether the ports can be reached from this VM only."""
         return ipaddress.ip_address(self.host).is_loopback
 
@@ -158,7 +158,7 @@
         """Yield what is allowed but probably not intended."""
         for section in ("caller_tls", "admin_tls", "peer_tls"):
             tls: TlsSettings | None = getattr(self, section)
-            if tls is None and not self.loopback:
+            if tls is None and not self.is_loopback:
                 yield Problem(
                     section, f"{self.host} is served without TLS", "give a certificate and a key"
                 )
--- a/baobabhoist/control/settings.py
+++ b/baobabhoist/control/settings.py
@@ -8,14 +8,14 @@
 
 from baobabhoist.config.options import (
     Choice,
+    Integer,
     Number,
     Problem,
     Section,
     Text,
-    Whole,
-    name,
-    port,
+    identifier,
     setting,
+    tcp_port,
 )
 
 ADDRESS = Text(r"[^\s:]+:[0-9]{1,5}", "an address such as 10.1.2.3:8080")
@@ -46,20 +46,20 @@
     """Name the platform's store and what it allows."""
 
     address: str = setting(ADDRESS, "Address of the store.")
-    row_max_bytes: int = setting(Whole(1, 1 << 30, "bytes"), "Largest value of a row.")
+    row_max_bytes: int = setting(Integer(1, 1 << 30, "bytes"), "Largest value of a row.")
 
 
 @attrs.frozen
 class NodeSettings:
     """Hold the validated settings of one instance on a platform."""
 
-    instance_id: str = setting(name(), "Name of this instance, unique among all instances.")
-    data_centre: str = setting(name(), "Data centre that this instance runs in.")
+    instance_id: str = setting(identifier(), "Name of this instance, unique among all instances.")
+    data_centre: str = setting(identifier(), "Data centre that this instance runs in.")
     host: str = setting(Text(), "IP address that this instance listens on.")
     caller_address: str = setting(ADDRESS, "Address for callers.")
     ready_address: str = setting(ADDRESS, "Address of the readiness check and the metrics.")
-    peer_port: int = setting(port(), "Port for the other instances.")
-    metrics_port: int = setting(port(), "Port of the metrics.")
+    peer_port: int = setting(tcp_port(), "Port for the other instances.")
+    metrics_port: int = setting(tcp_port(), "Port of the metrics.")
     store: StoreSettings = setting(Section(StoreSettings), "The platform's store.")
     bounds: BoundSettings = setting(Section(BoundSettings), "Bounds that the platform states.")
     cpu_share: float = setting(
--- a/baobabhoist/tests/test_config_load.py
+++ b/baobabhoist/tests/test_config_load.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabhoist.config.load import load_with_warnings, validate
-from baobabhoist.config.options import BaseUrl, Number, OptionError, Whole
+from baobabhoist.config.load import load_with_warnings, validate_settings
+from baobabhoist.config.options import BaseUrl, Integer, Number, OptionError
 from baobabhoist.config.settings import PeerSettings, Settings, TlsSettings
 from baobabhoist.errors import SettingsError
 
@@ -35,13 +35,13 @@
 
 def lines_of(raw):
     with pytest.raises(SettingsError) as caught:
-        validate(raw)
+        validate_settings(raw)
     return str(caught.value).splitlines()
 
 
 def test_a_complete_file_gives_defaults_for_the_rest():
     """Guard against a renamed attribute or a default that is itself refused."""
-    cfg = validate(GOOD).settings
+    cfg = validate_settings(GOOD).settings
     assert (cfg.max_deadline_s, cfg.log_format, cfg.peers[0].port) == (600.0, "text", 7002)
 
 
@@ -89,7 +89,9 @@
     pem.chmod(0o644)
     section = {"certificate": str(pem), "key": str(pem)}
     assert any(line.startswith("peer_tls.ca: ") for line in lines_of(GOOD | {"peer_tls": section}))
-    warned = validate(GOOD | {"caller_tls": section, "host": "10.0.0.1", "peers": []}).warnings
+    warned = validate_settings(
+        GOOD | {"caller_tls": section, "host": "10.0.0.1", "peers": []}
+    ).warnings
     assert [w.path for w in warned] == ["caller_tls.key", "admin_tls", "peer_tls", "peers"]
 
 
@@ -106,7 +108,7 @@
 def test_no_value_escapes_as_another_exception(key, value):
     """Guard against a traceback in place of the report for odd YAML values."""
     try:
-        validate(GOOD | {key: value})
+        validate_settings(GOOD | {key: value})
     except SettingsError as exc:
         assert str(exc)
 
@@ -116,7 +118,7 @@
     [
         (Number(0, 1), math.nan),
         (Number(0, 1), True),
-        (Whole(0, 9), 1.0),
+        (Integer(0, 9), 1.0),
         (BaseUrl(), "ftp://127.0.0.1"),
         (BaseUrl(), "http://127.0.0.1:99999"),
         (BaseUrl(), "http://[::1"),
--- a/baobabhoist/tests/test_daemon_app.py
+++ b/baobabhoist/tests/test_daemon_app.py
@@ -9,7 +9,7 @@
 import attrs
 from tornado.httpclient import AsyncHTTPClient
 
-from baobabhoist.config.load import validate
+from baobabhoist.config.load import validate_settings
 from baobabhoist.config.settings import Settings
 from baobabhoist.daemon.app import Daemon
 from baobabhoist.model import Answer
@@ -29,7 +29,7 @@
         "platform_url": f"http://127.0.0.1:{free_port()}",
         "operator_key_digest": "a" * 64,
     }
-    return validate(raw | changed).settings
+    return validate_settings(raw | changed).settings
 
 
 def test_every_setting_is_read_by_the_daemon(pytestconfig):
