--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -20,7 +20,7 @@
     RelayRead,
     WireRow,
 )
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
 from baobabhoist.store.row_store import (
@@ -165,7 +165,7 @@
         for link in self._peers.usable():
             try:
                 reply = await link.call(message, timeout_s)
-            except NotSentError:
+            except MessageNotSentError:
                 continue
             except (LinkClosedError, TimeoutError) as exc:
                 self._peers.rest(link)
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -25,7 +25,7 @@
 from baobabhoist.daemon.shutdown import Drain
 from baobabhoist.daemon.sync import RecordSync
 from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.gateway.admin import admin_app
 from baobabhoist.gateway.callers import caller_app
 from baobabhoist.gateway.context import CallerOptions
@@ -260,7 +260,7 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
         peer = self.mesh.owner_of(shard)
         if peer is None:
-            raise NotSentError(f"no live instance owns shard {shard}")
+            raise MessageNotSentError(f"no live instance owns shard {shard}")
         return await self.mesh.call(peer, message, timeout_s)
 
     # What peers and the platform report.
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
+from baobabhoist.errors import ErrorKind, LinkClosedError, MessageNotSentError, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome, Task
 from baobabhoist.ownership.keys import Result
 from baobabhoist.ownership.tokens import Token
@@ -97,7 +97,7 @@
     """Send calls to workers."""
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
 
 @attrs.define
@@ -148,7 +148,7 @@
         patience = min(task.deadline - now + OVERRUN_S, LONGEST_CALL_S)
         try:
             reply = await self._calls.call(worker, call, patience)
-        except NotSentError:
+        except MessageNotSentError:
             return NeverRan("the worker is not connected")
         except (LinkClosedError, TimeoutError):
             return await self.resolve(task.task_id, task.deadline, worker, restarts)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -14,7 +14,7 @@
 from baobabhoist.daemon.digests import digest_of
 from baobabhoist.daemon.preemption import stop_message
 from baobabhoist.daemon.shard import ShardOwner
-from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError, Refusal
+from baobabhoist.errors import InvariantViolationError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
@@ -98,7 +98,7 @@
                     self._read_at = self._clock() + IDLE_READ_S
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
-            except InvariantBreachError:
+            except InvariantViolationError:
                 log.warning("a step on the escrow rows was refused")
             waiting = any(
                 owner.quota.takeover_cap is not None for owner in self._instance.busy_owners()
@@ -171,7 +171,7 @@
             row = _known(wanted.team, await self._instance.table.read(_key(wanted.team)))
             places = min(wanted.places, owner.quota.transferable(wanted.team))
             given = await self._move_out(account, wanted.team, row, places, wanted.to_shard)
-        except (PlatformError, InvariantBreachError):
+        except (PlatformError, InvariantViolationError):
             return nothing
         if given:
             emit(
--- a/baobabhoist/daemon/fencing.py
+++ b/baobabhoist/daemon/fencing.py
@@ -11,7 +11,7 @@
 import attrs
 
 from baobabhoist.daemon.dispatch import CALL_TIMEOUT_S, Leases
-from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError
+from baobabhoist.errors import InvariantViolationError, LinkClosedError, PlatformError
 from baobabhoist.model import EndedTask, RunningTask
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -222,7 +222,7 @@
         unverified = bool(self.claim.unverified)
         try:
             actions = self.claim.step(event, self._clock())
-        except InvariantBreachError:
+        except InvariantViolationError:
             # The step had no effect and its breach is counted; the claim goes on without it.
             return
         self._note_end()
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -15,7 +15,7 @@
 from websockets.exceptions import WebSocketException
 
 from baobabhoist.daemon.shard import ShardOwner
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -190,7 +190,7 @@
         """Send a shard's queue; tell whether it was taken, None when that is not known."""
         try:
             reply = await self._peers.call(successor, message, HAND_OVER_CALL_S)
-        except NotSentError:
+        except MessageNotSentError:
             return False
         except (LinkClosedError, TimeoutError):
             return None
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -8,7 +8,7 @@
 from baobabhoist.daemon.answers import Resolve, StoredAnswers
 from baobabhoist.daemon.dispatch import not_owner, outcome_unknown
 from baobabhoist.daemon.forwarding import FORWARD_AFTER_S, Open
-from baobabhoist.errors import InvariantBreachError, Refusal
+from baobabhoist.errors import InvariantViolationError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
 from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
 
@@ -62,7 +62,7 @@
                 kept = self.answers.trim(request_id, result, known.worker)
                 stored = self.keys.answered(request_id, kept)
                 result = result if stored is kept else stored
-            except InvariantBreachError:
+            except InvariantViolationError:
                 result = outcome_unknown("the owner holds no consistent state for the request")
         self.give(request_id, result)
         return result
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -14,8 +14,8 @@
 from baobabhoist.errors import (
     ErrorKind,
     LinkClosedError,
+    MessageNotSentError,
     MessageTooLargeError,
-    NotSentError,
     Refusal,
 )
 from baobabhoist.model import Outcome, Request, Task, WorkKind
@@ -158,7 +158,7 @@
         left_s = min(req.task.deadline - self._clock() + ANSWER_MARGIN_S, LONGEST_CALL_S)
         try:
             reply = await self._peers.call(peer, RelayRequest(req, forwarded), left_s)
-        except NotSentError:
+        except MessageNotSentError:
             return LostRelay(sent=False)
         except MessageTooLargeError as exc:
             return Refusal(ErrorKind.BODY_TOO_LARGE, str(exc), remedy="send a smaller body")
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -38,7 +38,7 @@
 from baobabhoist.daemon.places import ShardPlaces
 from baobabhoist.daemon.preemption import PREEMPTED, preempt
 from baobabhoist.daemon.requests import RequestBook
-from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
+from baobabhoist.errors import ErrorKind, InvariantViolationError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -209,7 +209,7 @@
         begun = time.perf_counter()
         try:
             batch = self.scheduler.next_batch(now, BATCH)
-        except InvariantBreachError:
+        except InvariantViolationError:
             return
         decision_s = (time.perf_counter() - begun) / max(1, len(batch))
         for placement in batch:
@@ -229,7 +229,7 @@
             return
         try:
             self.keys.dispatched(task.task_id, worker)
-        except InvariantBreachError:
+        except InvariantViolationError:
             self.take_back(task.task_id, now)
             return
         self.in_flight[task.task_id] = worker
@@ -471,7 +471,7 @@
             now = self._clock()
             try:
                 self._tick_once(now)
-            except InvariantBreachError:
+            except InvariantViolationError:
                 continue
 
     def _tick_once(self, now: float) -> None:
--- a/baobabhoist/errors.py
+++ b/baobabhoist/errors.py
@@ -71,7 +71,7 @@
     retry_after_s: float | None = None
     problems: tuple[Problem, ...] = ()
 
-    def as_body(self) -> dict[str, Any]:
+    def to_body(self) -> dict[str, Any]:
         """Return the error body that callers receive."""
         body: dict[str, Any] = {
             "kind": self.kind.value,
@@ -106,7 +106,7 @@
     """Report that a connection ended while a reply was outstanding."""
 
 
-class NotSentError(LinkClosedError):
+class MessageNotSentError(LinkClosedError):
     """Report that no byte of a message was sent, because there was no connection."""
 
 
@@ -118,7 +118,7 @@
     """Report that the platform gave no usable answer before the deadline."""
 
 
-class InvariantBreachError(BaobabhoistError):
+class InvariantViolationError(BaobabhoistError):
     """Report a step that would break an invariant; the step has no effect."""
 
 
--- a/baobabhoist/gateway/handler.py
+++ b/baobabhoist/gateway/handler.py
@@ -111,7 +111,7 @@
         self.set_status(HTTP_STATUS[refusal.kind])
         if refusal.retry_after_s is not None:
             self.set_header("Retry-After", str(math.ceil(refusal.retry_after_s)))
-        self.answer_json(refusal.as_body())
+        self.answer_json(refusal.to_body())
 
     def answer_json(self, body: Any) -> None:
         """Answer with a JSON body."""
--- a/baobabhoist/gateway/jobs.py
+++ b/baobabhoist/gateway/jobs.py
@@ -55,7 +55,7 @@
         "state": status.state.value,
         "counts": {state.value: count for state, count in status.counts.items()},
         "reason": status.reason,
-        "refusal": status.refusal.as_body() if status.refusal is not None else None,
+        "refusal": status.refusal.to_body() if status.refusal is not None else None,
     }
 
 
--- a/baobabhoist/gateway/limits.py
+++ b/baobabhoist/gateway/limits.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from baobabhoist.errors import InvariantBreachError, PlatformError
+from baobabhoist.errors import InvariantViolationError, PlatformError
 from baobabhoist.quota.escrow import decode_row, row_key
 from baobabhoist.records.kinds import Team
 from baobabhoist.store.table import Row, Table
@@ -64,6 +64,6 @@
         return None
     try:
         in_force = decode_row(name, row.value).limit
-    except InvariantBreachError as exc:
+    except InvariantViolationError as exc:
         raise PlatformError(str(exc)) from exc
     return PendingLimit(name, team.limit, in_force) if in_force > team.limit else None
--- a/baobabhoist/gateway/server.py
+++ b/baobabhoist/gateway/server.py
@@ -49,7 +49,7 @@
         "the bytes received are not a valid HTTP request",
         remedy="send a request that conforms to HTTP/1.1",
     )
-    body = orjson.dumps(refusal.as_body())
+    body = orjson.dumps(refusal.to_body())
     head = (
         "HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
--- a/baobabhoist/invariants.py
+++ b/baobabhoist/invariants.py
@@ -6,7 +6,7 @@
 import logging
 from collections import Counter
 
-from baobabhoist.errors import InvariantBreachError
+from baobabhoist.errors import InvariantViolationError
 from baobabhoist.observability.events import Event, emit
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
 
 
 def check(condition: bool, event: int, detail: str, *args: object) -> None:
-    """Refuse the step unless the condition holds; raises InvariantBreachError.
+    """Refuse the step unless the condition holds; raises InvariantViolationError.
 
     `detail` is a logging format for `args`, which is only formatted on a breach.
     """
@@ -46,4 +46,4 @@
     breaches[int(event)] += 1
     message = detail % args if args else detail
     emit(log, Event.INVARIANT_BREACH, invariant=int(event), detail=message)
-    raise InvariantBreachError(f"event {int(event)}: {message}")
+    raise InvariantViolationError(f"event {int(event)}: {message}")
--- a/baobabhoist/ownership/claim.py
+++ b/baobabhoist/ownership/claim.py
@@ -103,7 +103,7 @@
     def step(self, event: Event, now: float) -> list[Action]:
         """Apply one event and return what the caller has to do.
 
-        Raises InvariantBreachError without any effect if an invariant would break.
+        Raises InvariantViolationError without any effect if an invariant would break.
         """
         handler = TABLE.get((self.state, type(event)))
         if handler is None:
--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -12,7 +12,12 @@
 from websockets.asyncio.connection import Connection
 from websockets.exceptions import ConnectionClosed
 
-from baobabhoist.errors import CodecError, LinkClosedError, MessageTooLargeError, NotSentError
+from baobabhoist.errors import (
+    CodecError,
+    LinkClosedError,
+    MessageNotSentError,
+    MessageTooLargeError,
+)
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.codec import Codec
 from baobabhoist.peer.streams import (
@@ -89,11 +94,11 @@
     async def call(self, message: Any, deadline_s: float) -> Any:
         """Send a message and return its reply; `deadline_s` is the time left, in seconds.
 
-        Raises NotSentError when nothing was sent, LinkClosedError when the connection ends and
+        Raises MessageNotSentError when nothing was sent, LinkClosedError when the connection ends and
         TimeoutError at the deadline.
         """
         if self.closed:
-            raise NotSentError("the connection is closed")
+            raise MessageNotSentError("the connection is closed")
         correlation = next(self._ids)
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._pending[correlation] = fut
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -15,7 +15,7 @@
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.ownership.tokens import NO_TOKEN, Token
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
 from baobabhoist.peer.messages import CODEC, Ack, Heard, Heartbeat, ShardDigest
@@ -154,7 +154,7 @@
         peer = self.peers.get(instance_id)
         link = peer.usable_link() if peer is not None else None
         if link is None:
-            raise NotSentError(f"instance {instance_id} is not connected")
+            raise MessageNotSentError(f"instance {instance_id} is not connected")
         return await link.call(message, deadline_s)
 
     async def broadcast(self, message: Any, data_centre: str | None = None) -> None:
--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -112,7 +112,7 @@
             status=status,
             reason=content.message,
         )
-        self._finish(status, content.as_body())
+        self._finish(status, content.to_body())
 
     def _finish(self, status: int, body: dict[str, Any]) -> None:
         admitted = self._admitted
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -86,7 +86,7 @@
 
 
 def check_row(team: str, row: EscrowRow) -> None:
-    """Refuse a row that promises more places than the limit; raises InvariantBreachError."""
+    """Refuse a row that promises more places than the limit; raises InvariantViolationError."""
     amounts = [row.pool, *row.places.values()]
     check(
         min(amounts) >= 0 and sum(amounts) <= row.limit,
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -46,7 +46,7 @@
     """Queue tasks and place them on the workers of one owner.
 
     Every method takes `now` in Unix seconds and does no I/O. A step that would break an
-    invariant raises InvariantBreachError and has no effect.
+    invariant raises InvariantViolationError and has no effect.
     """
 
     @classmethod
--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shards.py
@@ -6,7 +6,7 @@
 from baobabhoist.daemon import dispatch, fencing, shard
 from baobabhoist.daemon.dispatch import ShardTimes
 from baobabhoist.daemon.shard import ShardOwner
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import ClaimTimes, ShardState
@@ -56,7 +56,7 @@
 
     async def call(self, message, deadline_s):
         if not self.connected:
-            raise NotSentError("not connected")
+            raise MessageNotSentError("not connected")
         self.calls.append(message)
         worker = self._workers[self.spec.name]
         broken = self._broken
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -8,7 +8,7 @@
 from baobabhoist.control.messages import CODEC
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.relay import Peers, RelayedStore
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
@@ -52,7 +52,7 @@
         if self.silent:
             raise TimeoutError
         if self.peer is None:
-            raise NotSentError("closed")
+            raise MessageNotSentError("closed")
         received = CODEC.decode(CODEC.encode(message)).message
         reply = await self.peer.serve(received)
         return CODEC.decode(CODEC.encode(reply)).message
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.daemon import jobs as daemon_jobs
 from baobabhoist.daemon.jobs import Jobs
-from baobabhoist.errors import ErrorKind, NotSentError, Refusal
+from baobabhoist.errors import ErrorKind, MessageNotSentError, Refusal
 from baobabhoist.jobs import state
 from baobabhoist.jobs.messages import HoldReply, TasksReport
 from baobabhoist.model import (
@@ -81,7 +81,7 @@
 
     async def call_owner(self, shard, message, timeout_s):
         if self.other is None:
-            raise NotSentError("no link")
+            raise MessageNotSentError("no link")
         return await self.other.handle(message)
 
 
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -7,7 +7,7 @@
 
 from baobabhoist.daemon.owners import Owners, Place
 from baobabhoist.daemon.shutdown import Drain
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.gateway.drain import OpenRequests
 from baobabhoist.model import Resources, WorkerSpec
 from baobabhoist.ownership.events import ShardState
@@ -220,7 +220,7 @@
     [
         (HandOverTaken("s1", True), True),
         (HandOverTaken("s1", False), False),
-        (NotSentError("no link"), False),
+        (MessageNotSentError("no link"), False),
         (LinkClosedError("cut"), None),
         (TimeoutError(), None),
     ],
--- a/baobabhoist/tests/test_daemon_routing.py
+++ b/baobabhoist/tests/test_daemon_routing.py
@@ -8,7 +8,7 @@
 from baobabhoist.daemon import routing
 from baobabhoist.daemon.dispatch import not_owner
 from baobabhoist.daemon.routing import RequestRouter
-from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
+from baobabhoist.errors import ErrorKind, LinkClosedError, MessageNotSentError, Refusal
 from baobabhoist.model import Answer, Outcome
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, ShardDigest
@@ -63,7 +63,7 @@
 
 def test_a_relay_that_was_not_sent_stays_a_first_attempt():
     """Guard against `unknown` for a request that no owner can have seen."""
-    peers = FakePeers(NotSentError("no link"), not_owner("r"), b"done")
+    peers = FakePeers(MessageNotSentError("no link"), not_owner("r"), b"done")
     ask(peers, request("r1"))
     assert all(message.request.first_attempt for message in peers.relayed)
 
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -66,8 +66,8 @@
     error = SCHEMA["Error"]
     assert error["properties"]["kind"]["enum"] == [kind.value for kind in ErrorKind]
     assert error["properties"]["outcome"]["enum"] == [outcome.value for outcome in Outcome]
-    assert list(Refusal(ErrorKind.CONFLICT, "m").as_body()) == error["required"]
-    full = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).as_body()
+    assert list(Refusal(ErrorKind.CONFLICT, "m").to_body()) == error["required"]
+    full = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).to_body()
     assert list(full) == list(error["properties"])
     assert list(full["problems"][0]) == error["properties"]["problems"]["items"]["required"]
 
--- a/baobabhoist/tests/test_ownership_claim.py
+++ b/baobabhoist/tests/test_ownership_claim.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist import invariants
-from baobabhoist.errors import InvariantBreachError
+from baobabhoist.errors import InvariantViolationError
 from baobabhoist.model import Resources, RunningTask
 from baobabhoist.ownership import claim as oc
 from baobabhoist.ownership.claim import ShardClaim
@@ -281,7 +281,7 @@
     before = attrs.asdict(claim)
     counted = invariants.breaches[event]
     monkeypatch.setitem(oc.TABLE, (ShardState.OWNED, oc.Tick), faulty)
-    with pytest.raises(InvariantBreachError, match=str(int(event))):
+    with pytest.raises(InvariantViolationError, match=str(int(event))):
         claim.step(oc.Tick(), NOW)
     assert attrs.asdict(claim) == before
     assert invariants.breaches[event] == counted + 1
@@ -305,6 +305,6 @@
     claim.step(oc.ClaimWanted(None), NOW)
     fence(claim, "w1")
     monkeypatch.setitem(oc.TABLE, (ShardState.PARTIAL, oc.Tick), faulty)
-    with pytest.raises(InvariantBreachError, match=str(int(event))):
+    with pytest.raises(InvariantViolationError, match=str(int(event))):
         claim.step(oc.Tick(), NOW)
     assert claim.state is ShardState.PARTIAL
--- a/baobabhoist/tests/test_ownership_keys.py
+++ b/baobabhoist/tests/test_ownership_keys.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabhoist.errors import ErrorKind, InvariantBreachError, Refusal
+from baobabhoist.errors import ErrorKind, InvariantViolationError, Refusal
 from baobabhoist.model import (
     Answer,
     EndedTask,
@@ -58,7 +58,7 @@
     keys.admit(request(), NOW)
     assert keys.not_run("k", FULL) == FULL
     assert keys.admit(request(), NOW + 1) == Reply(FULL)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         keys.dispatched("k", "w1")
 
 
@@ -121,7 +121,7 @@
     keys.unknown("k")
     answer = Answer("k", 200, b"")
     assert keys.answered("k", answer) == answer
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         keys.answered("k", outcome_unknown("late"))
     assert keys.entries["k"].result == answer
 
@@ -172,6 +172,6 @@
     """Guard against a second dispatch or a state without a reason."""
     keys = dispatched()
     before = repr(keys.entries)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         step(keys)
     assert repr(keys.entries) == before
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -9,7 +9,7 @@
 from websockets.asyncio.server import serve
 
 from baobabhoist.config.settings import TlsSettings
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import Answer
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer import mesh
@@ -99,7 +99,7 @@
     async def scenario():
         async with linked(echo) as link:
             link.abort()
-            with pytest.raises(NotSentError):
+            with pytest.raises(MessageNotSentError):
                 await link.call(Ack(), 1.0)
 
     asyncio.run(scenario())
--- a/baobabhoist/tests/test_quota_escrow.py
+++ b/baobabhoist/tests/test_quota_escrow.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import given, settings
 
-from baobabhoist.errors import InvariantBreachError, PlatformError, Refusal
+from baobabhoist.errors import InvariantViolationError, PlatformError, Refusal
 from baobabhoist.quota import escrow
 from baobabhoist.quota.escrow import EscrowRow, PlaceMove
 
@@ -59,7 +59,7 @@
     txn = escrow.build_transaction({"t": (4, escrow.initial_row(3, SHARDS))}, {"a": 7}, "id")
     assert txn.checks == {"escrow/t": 4, "shard/a": 7}
     assert txn.writes["escrow/t"]["limit"] == 3
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         escrow.build_transaction({"t": (4, EscrowRow(3, 1, {"a": 3}))}, {}, "id")
 
 
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -3,7 +3,7 @@
 import pytest
 
 from baobabhoist import invariants
-from baobabhoist.errors import InvariantBreachError, is_refusal
+from baobabhoist.errors import InvariantViolationError, is_refusal
 from baobabhoist.model import Resources, RunningTask
 from baobabhoist.quota.ledger import QuotaLedger
 
@@ -128,7 +128,7 @@
     quota = ledger(1)
     quota.acquire("roster", "a", "w1")
     before, counted = repr(quota), invariants.breaches[event]
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         step(quota)
     assert repr(quota) == before
     assert invariants.breaches[event] == counted + 1
@@ -138,6 +138,6 @@
     """Guard against a fault in the search for a place that takes effect."""
     monkeypatch.setattr(QuotaLedger, "_has_place", lambda *args: True)
     quota = ledger(0)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         quota.acquire("roster", "a", "w1")
     assert not quota.running
--- a/baobabhoist/tests/test_scheduling_scheduler.py
+++ b/baobabhoist/tests/test_scheduling_scheduler.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from baobabhoist.errors import ErrorKind, InvariantBreachError, Refusal
+from baobabhoist.errors import ErrorKind, InvariantViolationError, Refusal
 from baobabhoist.model import Outcome, Resources, RunningTask, Task, Urgency, WorkerSpec, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.scheduling.policy import PreemptionAction, QueuePolicy, TeamPolicy
@@ -61,11 +61,11 @@
 def test_no_second_placement_and_no_second_end():
     made = scheduler()
     made.enqueue(task("t"), 0.0)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         made.enqueue(task("t"), 0.0)
     assert list(placed(made)) == ["t"]
     made.task_ended("t", True, 1.0)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         made.task_ended("t", True, 1.0)
 
 
--- a/baobabhoist/upstream/link.py
+++ b/baobabhoist/upstream/link.py
@@ -10,7 +10,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
@@ -60,9 +60,9 @@
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def call(self, message: Any, deadline_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
         if self._link is None:
-            raise NotSentError(f"worker {self.spec.name} is not connected")
+            raise MessageNotSentError(f"worker {self.spec.name} is not connected")
         return await self._link.call(message, deadline_s)
 
     def replace(self) -> None:
--- a/baobabhoist/upstream/pool.py
+++ b/baobabhoist/upstream/pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, Protocol
 
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.upstream.link import WorkerLink
 
@@ -24,7 +24,7 @@
         """Keep the connection until cancelled."""
 
     async def call(self, message: Any, deadline_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
     def replace(self) -> None:
         """Drop a connection that has gone silent, so that a new one is made."""
@@ -85,10 +85,10 @@
         return link is not None and link.connected
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
-        """Send a call to a worker; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call to a worker; raises MessageNotSentError, LinkClosedError or TimeoutError."""
         link = self._links.get(worker)
         if link is None:
-            raise NotSentError(f"worker {worker} has no link")
+            raise MessageNotSentError(f"worker {worker} has no link")
         return await link.call(message, deadline_s)
 
     def replace(self, worker: str) -> None:
