--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -94,8 +94,8 @@
     async def call(self, message: Any, deadline_s: float) -> Any:
         """Send a message and return its reply; `deadline_s` is the time left, in seconds.
 
-        Raises MessageNotSentError when nothing was sent, LinkClosedError when the connection ends and
-        TimeoutError at the deadline.
+        Raises MessageNotSentError when nothing was sent, LinkClosedError when the connection ends
+        and TimeoutError at the deadline.
         """
         if self.closed:
             raise MessageNotSentError("the connection is closed")
