--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -1,4 +1,4 @@
-"""Measure one instance: calls, decisions, waiting, the store, workers and takeovers."""
+"""Define the metrics of one instance."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 CALL_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, INF)
 TAKEOVER_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, INF)
 REASON_LABELS_MAX = 32
-NO_TEAM = "none"
+NO_TEAM_LABEL = "none"
 
 
 class NodeMetrics:
-    """Own the registry of one instance; all times are in seconds."""
+    """Record the metrics of one instance; all durations are in seconds."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -56,54 +56,54 @@
             "lease_margin_seconds", "Time to the first lease of a worker that would lapse."
         )
 
-    def call_answered(self, team: str, queue: str, status: int, seconds: float) -> None:
-        """Observe an answer to a caller."""
-        labels = {"team": self._teams.of(team or NO_TEAM), "queue": self._queues.of(queue)}
+    def observe_call(self, team: str, queue: str, status: int, seconds: float) -> None:
+        """Record an answered call."""
+        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "queue": self._queues.of(queue)}
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
-    def call_refused(self, reason: str) -> None:
-        """Count a refusal."""
+    def count_refusal(self, reason: str) -> None:
+        """Count a refused call by reason; the log event for it is `call_refused`."""
         self._refusals.inc({"reason": self._reasons.of(reason)})
 
-    def started(self, team: str, queue: str, waited_s: float) -> None:
-        """Observe how long a task waited."""
-        labels = {"team": self._teams.of(team or NO_TEAM), "class": self._queues.of(queue)}
+    def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
+        """Record how long a task waited for its start."""
+        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "class": self._queues.of(queue)}
         self._waiting.observe(labels, waited_s)
 
-    def decided(self, seconds: float) -> None:
-        """Observe a round of decisions."""
+    def observe_decision(self, seconds: float) -> None:
+        """Record a scheduling round."""
         self._decision.observe({}, seconds)
 
-    def store_called(self, call: str, outcome: str, seconds: float) -> None:
-        """Observe a call to the store."""
+    def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
+        """Record a call to the store."""
         self._store.observe({"call": call, "outcome": outcome}, seconds)
 
-    def worker_called(self, call: str, outcome: str, seconds: float) -> None:
-        """Observe an order to a worker."""
+    def observe_worker_call(self, call: str, outcome: str, seconds: float) -> None:
+        """Record a command to a worker."""
         self._worker.observe({"call": call, "outcome": outcome}, seconds)
 
-    def took_over(self, seconds: float) -> None:
-        """Observe a takeover."""
+    def observe_takeover(self, seconds: float) -> None:
+        """Record a takeover."""
         self._takeover.observe({}, seconds)
 
     def set_config(self, version: int, age_s: float) -> None:
-        """Report the configuration in force."""
+        """Set the version and age of the active configuration."""
         self._config.set({}, version)
         self._config_age.set({}, age_s)
 
-    def set_owner(self, owns: bool, queued: dict[str, int], lease_margin_s: float) -> None:
-        """Report what the owner of the cell sees."""
+    def set_owner_gauges(self, owns: bool, queued: dict[str, int], lease_margin_s: float) -> None:
+        """Set the gauges of the cell's owner."""
         self._owns.set({}, int(owns))
         self._lease_margin.set({}, lease_margin_s)
         for queue, tasks in queued.items():
             self._queued.set({"class": self._queues.of(queue)}, tasks)
 
-    def set_dropped_lines(self, count: int) -> None:
-        """Report how many log lines were dropped."""
+    def set_dropped_log_lines(self, count: int) -> None:
+        """Set the number of dropped log lines."""
         self._dropped.set({}, count)
 
     def exposition(self) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics as text and the headers that go with them."""
+        """Return the metrics in the text exposition format, and the HTTP headers for it."""
         content, headers = render(self.registry, ["text/plain"])
         return content, dict(headers)
 
--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -11,8 +11,8 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-from baobabhoist.control.clock import boot_ms
-from baobabhoist.control.frontdesk import Admitted, Call, FrontDesk, unknown_outcome
+from baobabhoist.control.clock import monotonic_ms
+from baobabhoist.control.job_api import AdmittedCall, ApiCall, JobApi, unknown_outcome_refusal
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.node import Node
 from baobabhoist.errors import ErrorKind, Refusal
@@ -42,11 +42,11 @@
 class JobApiHandler(RequestHandler):
     """Translate one call of a caller."""
 
-    def initialize(self, desk: FrontDesk, metrics: NodeMetrics) -> None:
+    def initialize(self, desk: JobApi, metrics: NodeMetrics) -> None:
         """Take the desk that answers."""
         self._desk = desk
         self._metrics = metrics
-        self._admitted: Admitted | None = None
+        self._admitted: AdmittedCall | None = None
 
     async def post(self) -> None:
         """Submit a job."""
@@ -61,10 +61,10 @@
         if admitted is None:
             return
         if admitted.job_id:
-            found = await self._desk.state(admitted)
+            found = await self._desk.job_state(admitted)
             self._answer(found if isinstance(found, Refusal) else {"state": found}, HTTP_GONE)
         else:
-            waiting = await self._desk.pending(admitted)
+            waiting = await self._desk.count_pending_jobs(admitted)
             self._answer(waiting if isinstance(waiting, Refusal) else {"pending": waiting})
 
     async def delete(self) -> None:
@@ -77,13 +77,13 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer an unexpected error in the usual form."""
         emit(log, Event.CALL_FAILED, path=self.request.path, status=status_code)
-        self._answer(unknown_outcome("an internal error ended the call"))
+        self._answer(unknown_outcome_refusal("an internal error ended the call"))
 
-    def _admit(self) -> Admitted | None:
+    def _admit(self) -> AdmittedCall | None:
         """Return what route and key allow, or refuse the call."""
         host = self.request.host.partition(":")[0]
         key = self.request.headers.get(CREDENTIAL_HEADER, "")
-        self._call = Call(host, self.request.path, key, boot_ms() + self._wait_ms())
+        self._call = ApiCall(host, self.request.path, key, monotonic_ms() + self._wait_ms())
         admitted = self._desk.admit(self._call)
         if isinstance(admitted, Refusal):
             self._answer(admitted)
@@ -103,7 +103,7 @@
         status = not_found if content.kind is ErrorKind.NOT_FOUND else status
         if content.retry_after_s is not None:
             self.set_header("Retry-After", str(round(content.retry_after_s)))
-        self._metrics.call_refused(content.kind.value)
+        self._metrics.count_refusal(content.kind.value)
         emit(
             log,
             Event.CALL_REFUSED,
@@ -117,7 +117,7 @@
     def _finish(self, status: int, body: dict[str, Any]) -> None:
         admitted = self._admitted
         team, queue = (admitted.team, admitted.route.queue.name) if admitted else ("", "")
-        self._metrics.call_answered(team, queue, status, self.request.request_time())
+        self._metrics.observe_call(team, queue, status, self.request.request_time())
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(body))
@@ -132,7 +132,7 @@
 
     def get(self) -> None:
         """Answer 200 or 503."""
-        self.set_status(200 if self._node.ready() else 503)
+        self.set_status(200 if self._node.is_ready() else 503)
 
 
 class MetricsHandler(RequestHandler):
@@ -155,7 +155,7 @@
     """Own the listening sockets of one instance."""
 
     def __init__(self, node: Node) -> None:
-        desk = {"desk": node.front, "metrics": node.metrics}
+        desk = {"desk": node.job_api, "metrics": node.metrics}
         calls = Application([(r".*", JobApiHandler, desk)])
         ready = Application([(r"/-/ready", ReadinessHandler, {"node": node})])
         metrics = Application([(r"/metrics", MetricsHandler, {"node": node})])
--- a/baobabhoist/scheduling/fairness.py
+++ b/baobabhoist/scheduling/fairness.py
@@ -1,4 +1,4 @@
-"""Compare what teams use with what they are entitled to when everything is full."""
+"""Compare what each team uses with its entitlement when the fleet is fully used."""
 
 from __future__ import annotations
 
@@ -7,61 +7,70 @@
 import attrs
 
 from baobabhoist.invariants import Invariant, check
-from baobabhoist.scheduling.capacity import NOTHING, Amount, minus, plus
+from baobabhoist.scheduling.capacity import ZERO, ResourceVector, add, subtract
 
 
 @attrs.define
 class FairShareTracker:
-    """Keep each team's weighted dominant share of the fleet."""
+    """Track each team's weighted dominant share of the fleet (dominant resource fairness).
 
-    total: Amount
+    `remote_shares` holds what teams use in other shards, as dominant shares of the fleet, and
+    `local_fraction` is this shard's part of the fleet's capacity.
+    """
+
+    capacity: ResourceVector
     weights: dict[str, float] = attrs.Factory(dict)
-    used: dict[str, Amount] = attrs.Factory(dict)
-    elsewhere: Mapping[str, float] = attrs.Factory(dict)
+    used: dict[str, ResourceVector] = attrs.Factory(dict)
+    remote_shares: Mapping[str, float] = attrs.Factory(dict)
     local_fraction: float = 1.0
-    _shares: dict[str, float] = attrs.Factory(dict)
-    _sum: float = 0.0
+    _ratios: dict[str, float] = attrs.Factory(dict)
+    _cached_weight_sum: float = 0.0
 
-    def take(self, team: str, need: Amount) -> None:
-        """Count the start of a task."""
+    def add_usage(self, team: str, demand: ResourceVector) -> None:
+        """Add the resources of a task that starts."""
         if team not in self.used and team not in self.weights:
-            self.changed()
-        self.used[team] = plus(self.used.get(team, NOTHING), need)
-        self._shares.pop(team, None)
+            self.invalidate()
+        self.used[team] = add(self.used.get(team, ZERO), demand)
+        self._ratios.pop(team, None)
 
-    def give(self, team: str, need: Amount) -> None:
-        """Count the end of a task."""
-        left = minus(self.used.get(team, NOTHING), need)
-        check(min(left) >= 0, Invariant.SCHEDULER, "team %s gives back too much", team)
-        self.used[team] = left
-        self._shares.pop(team, None)
+    def remove_usage(self, team: str, demand: ResourceVector) -> None:
+        """Remove the resources of a task that ended."""
+        remaining = subtract(self.used.get(team, ZERO), demand)
+        check(min(remaining) >= 0, Invariant.SCHEDULER, "team %s releases more than it uses", team)
+        self.used[team] = remaining
+        self._ratios.pop(team, None)
 
     def dominant_share(self, team: str) -> float:
-        """Return the largest part of any resource here that the team uses."""
-        used, total = self.used.get(team, NOTHING), self.total
+        """Return the largest fraction of any resource in this shard that the team uses."""
+        used, capacity = self.used.get(team, ZERO), self.capacity
         return max(
-            used[0] / (total[0] or 1),
-            used[1] / (total[1] or 1),
-            used[2] / (total[2] or 1),
-            used[3] / (total[3] or 1),
+            used[0] / (capacity[0] or 1),
+            used[1] / (capacity[1] or 1),
+            used[2] / (capacity[2] or 1),
+            used[3] / (capacity[3] or 1),
         )
 
-    def share(self, team: str) -> float:
-        """Return the team's dominant share of the fleet over its entitlement; 1 is its share."""
-        share = self._shares.get(team)
-        if share is None:
-            whole = self.dominant_share(team) * self.local_fraction + self.elsewhere.get(team, 0.0)
-            share = whole * self._weight_sum() / self.weights.get(team, 1.0)
-            self._shares[team] = share
-        return share
+    def entitlement_ratio(self, team: str) -> float:
+        """Return the team's share of the fleet divided by its entitlement.
+
+        The team is entitled to its part of the sum of all weights, at which the ratio is 1.
+        """
+        ratio = self._ratios.get(team)
+        if ratio is None:
+            share = self.dominant_share(team) * self.local_fraction + self.remote_shares.get(
+                team, 0.0
+            )
+            ratio = share * self._weight_sum() / self.weights.get(team, 1.0)
+            self._ratios[team] = ratio
+        return ratio
 
-    def changed(self) -> None:
-        """Forget computed shares after a change of weights, capacity or usage elsewhere."""
-        self._shares.clear()
-        self._sum = 0.0
+    def invalidate(self) -> None:
+        """Drop the cached ratios after a change of weights, capacity or remote shares."""
+        self._ratios.clear()
+        self._cached_weight_sum = 0.0
 
     def _weight_sum(self) -> float:
-        if self._sum == 0.0:
-            unnamed = sum(1 for team in self.used if team not in self.weights)
-            self._sum = sum(self.weights.values()) + unnamed or 1.0
-        return self._sum
+        if self._cached_weight_sum == 0.0:
+            unweighted = sum(1 for team in self.used if team not in self.weights)
+            self._cached_weight_sum = sum(self.weights.values()) + unweighted or 1.0
+        return self._cached_weight_sum
--- /dev/null
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -0,0 +1,75 @@
+"""Test lease renewal for one worker, with and without answers."""
+
+import asyncio
+from types import SimpleNamespace
+
+import pytest
+
+from baobabhoist.cell.model import CommandOutcome
+from baobabhoist.control import worker_session
+from baobabhoist.control.worker_session import WorkerSession
+from baobabhoist.tests.cell_harness import LEASE_MS, CellHarness, make_job
+
+
+class FakeDriver:
+    """Answer renewals from a simulated worker, unless it is silent."""
+
+    def __init__(self, worker):
+        self.worker = worker
+        self.silent = False
+        self.deadlines = []
+        self.waits = []
+
+    async def renew(self, info, token, acked_end, deadline_ms, wait_ms):
+        await asyncio.sleep(0)
+        self.deadlines.append(deadline_ms)
+        self.waits.append(wait_ms)
+        if self.silent:
+            return CommandOutcome.UNKNOWN
+        return self.worker.renew(token, acked_end, deadline_ms)
+
+
+def run_renewals(rounds, silent_from):
+    harness = CellHarness.with_workers(1)
+    harness.submit(make_job())
+    harness.settle()
+    driver = FakeDriver(harness.workers["w0"])
+    owner = SimpleNamespace(
+        cell=harness.cell,
+        ownership=SimpleNamespace(token=harness.token),
+        may_renew=lambda: True,
+        schedule_decision=lambda: None,
+        progress_writer=SimpleNamespace(request_flush=lambda: None),
+    )
+    session = WorkerSession(owner, driver, harness.cell.state.workers["w0"], LEASE_MS)
+
+    async def run():
+        for number in range(rounds):
+            driver.silent = number >= silent_from
+            await session._renew()
+
+    asyncio.run(run())
+    return harness, driver
+
+
+@pytest.fixture(autouse=True)
+def short_ack_timeout(monkeypatch):
+    monkeypatch.setattr(worker_session, "ACK_TIMEOUT_S", 0.001)
+
+
+def test_silent_worker_is_not_offered_a_longer_lease():
+    """Guard against tasks of a silent worker that are never restarted.
+
+    Each failed renewal moved the deadline of the lease, so that it never expired. Found by
+    hunt 15b2, which reported LOST.
+    """
+    harness, driver = run_renewals(6, silent_from=2)
+    assert driver.deadlines[2] is not None
+    assert driver.deadlines[3:] == [None, None, None]
+    assert harness.cell.state.workers["w0"].lease.deadline_ms == driver.deadlines[2]
+
+
+def test_answering_worker_gets_its_lease_renewed():
+    """Guard against a lease that expires although its worker answers."""
+    _, driver = run_renewals(4, silent_from=4)
+    assert all(driver.deadlines)
