--- a/baobabhoist/store/__init__.py
+++ b/baobabhoist/store/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the platform's table, object store and membership list."""
+"""Access the platform's transactional tables and its membership list."""
--- a/baobabhoist/store/membership.py
+++ b/baobabhoist/store/membership.py
@@ -1,4 +1,4 @@
-"""Read the platform's membership list, which lags."""
+"""Poll the platform's membership list, which lags behind the state of the VMs."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-# A leaving worker must get no new work after 3 s, list lag not included.
+# A leaving worker must get no new tasks more than 3 s after the list shows it as leaving.
 POLL_INTERVAL_S = 1.0
 
 
 @attrs.frozen
 class Member:
-    """Hold one VM as the list shows it; `state` is `live`, `leaving` or `gone`."""
+    """Hold one VM of the membership list; `state` is `live`, `leaving` or `gone`."""
 
     name: str
     state: str
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_entry(cls, entry: dict[str, Any]) -> Member | None:
-        """Return the member in an entry of the list, or None if it cannot be read."""
+        """Return the member in an entry of the list, or None if the entry is malformed."""
         try:
             return cls(
                 str(entry["name"]),
@@ -46,14 +46,14 @@
 
 
 class MembershipSource(Protocol):
-    """Read the list."""
+    """Fetch the membership list."""
 
     async def members(self) -> list[dict[str, Any]]:
         """Return the entries; raises PlatformError."""
 
 
 class MembershipList:
-    """Poll the list and keep its last reading; without an answer that reading stays."""
+    """Poll the membership list and keep the result of the last successful poll."""
 
     def __init__(
         self,
@@ -77,16 +77,16 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def refresh(self) -> None:
-        """Take one reading; raises PlatformError."""
-        found = [Member.from_entry(entry) for entry in await self._source.members()]
-        self.members = {member.name: member for member in found if member is not None}
+        """Fetch the list once and report it to the callback; raises PlatformError."""
+        entries = [Member.from_entry(entry) for entry in await self._source.members()]
+        self.members = {member.name: member for member in entries if member is not None}
         now = self._clock()
         gone = self.gone()
         self._gone_since = {name: self._gone_since.get(name, now) for name in gone}
         await self._on_refresh(self)
 
     def not_live(self) -> set[str]:
-        """Return the members that must get no new work."""
+        """Return the members that must get no new tasks: those leaving or gone."""
         return {name for name, member in self.members.items() if member.state != "live"}
 
     def gone(self) -> set[str]:
@@ -94,6 +94,6 @@
         return {name for name, member in self.members.items() if member.state == "gone"}
 
     def gone_longer_than(self, seconds: float) -> set[str]:
-        """Return the members that the list has shown as gone for a time."""
+        """Return the members that the list has shown as gone for more than `seconds`."""
         now = self._clock()
         return {name for name, since in self._gone_since.items() if now - since > seconds}
--- a/baobabhoist/store/row_store.py
+++ b/baobabhoist/store/row_store.py
@@ -1,4 +1,4 @@
-"""Define the versioned rows that instances share, whichever service keeps them."""
+"""Define the interface of the store of versioned rows that all instances share."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class StoreError(BaobabhoistError):
-    """Report that the store gave no usable answer."""
+    """Report that a call to the store failed."""
 
 
 class StoreRefusedError(StoreError):
-    """Report a call that the store refused; nothing was done."""
+    """Report that the store refused a call, which had no effect."""
 
 
 class StoreUnansweredError(StoreError):
-    """Report a call without an answer: it may have been done, or may be done later."""
+    """Report that a call got no response: it may have taken effect or may do so later."""
 
 
 class HistoryLostError(StoreError):
-    """Report that the changes since a version are no longer known; read the table again."""
+    """Report that the store no longer has the changes since a version; read the table again."""
 
 
 @attrs.frozen
 class RowKey:
-    """Name a row; rows of one `part` can change in one transaction."""
+    """Identify a row; only rows of the same `part` can change in one transaction."""
 
     table: str
     part: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StoredRow:
-    """Hold a row as of a version; `value` is None for a removed row."""
+    """Hold a row at a version; `value` is None for a removed row."""
 
     key: RowKey
     value: bytes | None
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class RowSet:
-    """Hold rows read at one moment; `now_ms` is the store's steady clock."""
+    """Hold the rows that one call returned; `now_ms` is the store's monotonic clock."""
 
     rows: tuple[StoredRow, ...]
     version: int
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class RowTransaction:
-    """Change rows of one part if every expected row still has its version; 0 means absent."""
+    """Change rows of one part if all rows have their expected versions; 0 means absent."""
 
     expected_versions: dict[RowKey, int] = attrs.Factory(dict)
     puts: dict[RowKey, bytes] = attrs.Factory(dict)
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class RowsCommitted:
-    """Report the version that the written rows have now."""
+    """Report the new version of the written rows."""
 
     version: int
     now_ms: int
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class RowsConflict:
-    """Report that nothing was written; `rows` are the expected rows as they are now."""
+    """Report that nothing was written; `rows` holds the current state of the expected rows."""
 
     rows: tuple[StoredRow, ...]
 
@@ -81,13 +81,13 @@
 
 
 class RowStore(Protocol):
-    """Read, follow and change rows; every method may raise StoreError."""
+    """Read, poll and change rows; every method may raise StoreError."""
 
     async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
-        """Return the rows of a part with keys from `first` up to, not including, `last`."""
+        """Return the rows of a part with keys from `first` up to but excluding `last`."""
 
     async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
-        """Return what changed after a version, waiting for a change if there is none yet."""
+        """Return the rows changed after a version, waiting up to `wait_ms` for a change."""
 
     async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
-        """Apply a transaction whole or not at all."""
+        """Apply a transaction atomically."""
--- a/baobabhoist/store/table.py
+++ b/baobabhoist/store/table.py
@@ -1,4 +1,4 @@
-"""Define the platform's transactional table as the system uses it."""
+"""Define the interface of the platform's transactional table."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Write several rows at once if every checked row still has its revision."""
+    """Write several rows atomically if all checked rows have their expected revisions."""
 
     checks: dict[str, int]
     writes: dict[str, Any]
@@ -40,15 +40,16 @@
 
 
 async def call_with_timeout(seconds: float, call: Coroutine[Any, Any, T]) -> T:
-    """Return the result of a call on the platform; raises TimeoutError when it takes longer.
+    """Return the result of a call to the platform; raises TimeoutError after `seconds`.
 
-    The call goes on without a listener, because its effect cannot be taken back anyway.
+    After a timeout the call continues in the background, because it cannot be undone.
     """
     task = asyncio.create_task(call)
     done, _ = await asyncio.wait((task,), timeout=max(0.0, seconds))
     if done:
         return task.result()
-    task.add_done_callback(lambda late: late.cancelled() or late.exception())
+    # Retrieves a late exception, which asyncio would otherwise log as never retrieved.
+    task.add_done_callback(lambda finished: finished.cancelled() or finished.exception())
     raise TimeoutError("the platform did not answer in time")
 
 
@@ -56,17 +57,17 @@
     """Read and write rows; every method raises PlatformError when the table is unavailable."""
 
     async def read(self, key: str) -> Row:
-        """Return a row, with revision 0 when it is absent."""
+        """Return a row; its revision is 0 if it is absent."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Return rows in key order, from the first key behind `after`."""
+        """Return the rows with a prefix in key order, starting after the key `after`."""
 
     async def commit(self, txn: Transaction) -> Committed | Refusal:
-        """Commit a transaction, or return a conflict; a lost answer is read back by id."""
+        """Commit a transaction or return a conflict; a lost response is looked up by id."""
 
 
 class CommitNotifyingTable:
-    """Tell when a transaction that writes a certain row has been committed through this table."""
+    """Call back after each commit through this table that writes a certain row."""
 
     def __init__(self, table: Table, key: str, on_commit: Callable[[], None]) -> None:
         self._table = table
@@ -74,11 +75,11 @@
         self._on_commit = on_commit
 
     async def read(self, key: str) -> Row:
-        """Return a row, with revision 0 when it is absent."""
+        """Return a row; its revision is 0 if it is absent."""
         return await self._table.read(key)
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Return rows in key order, from the first key behind `after`."""
+        """Return the rows with a prefix in key order, starting after the key `after`."""
         return await self._table.scan(prefix, after, limit)
 
     async def commit(self, txn: Transaction) -> Committed | Refusal:
--- a/baobabhoist/store/table_client.py
+++ b/baobabhoist/store/table_client.py
@@ -1,4 +1,4 @@
-"""Talk to the platform over HTTP and JSON."""
+"""Access the platform's table service and membership list over HTTP."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PlatformTableClient:
-    """Use the platform's table service."""
+    """Send reads and transactions to the platform's table service."""
 
     def __init__(self, base_url: str, timeout_s: float = REQUEST_TIMEOUT_S) -> None:
         self._base_url = base_url.rstrip("/")
@@ -28,36 +28,36 @@
         self._http = AsyncHTTPClient()
 
     async def read(self, key: str) -> Row:
-        """Return a row, with revision 0 when it is absent."""
+        """Return a row; its revision is 0 if it is absent."""
         body = await self._get("/table/row", key=key)
         return Row(key, body["revision"], body["value"])
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Return rows in key order, from the first key behind `after`."""
+        """Return the rows with a prefix in key order, starting after the key `after`."""
         body = await self._get("/table/scan", prefix=prefix, after=after, limit=limit)
         return [Row(row["key"], row["revision"], row["value"]) for row in body["rows"]]
 
     async def commit(self, txn: Transaction) -> Committed | Refusal:
-        """Commit a transaction, or return a conflict; a lost answer is read back by id."""
+        """Commit a transaction or return a conflict; a lost response is looked up by id."""
         body = orjson.dumps({"txn_id": txn.txn_id, "checks": txn.checks, "writes": txn.writes})
         try:
-            answer = await self._fetch("/table/commit", method="POST", body=body)
+            response = await self._fetch("/table/commit", method="POST", body=body)
         except PlatformError:
             outcome = await self._get("/table/outcome", txn_id=txn.txn_id)
             emit(log, Event.COMMIT_READ_BACK, txn_id=txn.txn_id, state=outcome["state"])
             if outcome["state"] != "committed":
                 raise
             return Committed(outcome["revisions"])
-        if "conflict" in answer:
+        if "conflict" in response:
             return Refusal(
                 ErrorKind.CONFLICT,
-                f"row {answer['conflict']} was changed by someone else",
+                f"row {response['conflict']} was changed by another writer",
                 remedy="read the row again and repeat the change",
             )
-        return Committed(answer["revisions"])
+        return Committed(response["revisions"])
 
     async def members(self) -> list[dict[str, Any]]:
-        """Return the membership list."""
+        """Return the entries of the membership list; raises PlatformError."""
         body = await self._get("/members")
         return list(body["members"])
 
--- a/baobabhoist/tests/test_platform_adaptive_timeout.py
+++ b/baobabhoist/tests/test_platform_adaptive_timeout.py
@@ -4,7 +4,7 @@
 
 
 def test_an_outage_of_a_fast_store_is_detected_early():
-    """Guard against callers that wait a second for a store that usually answers in milliseconds."""
+    """Guard against callers that wait a second for a store that answers in milliseconds."""
     timeout = AdaptiveTimeout()
     assert timeout.current_s() == MAX_TIMEOUT_S
     for _ in range(100):
--- a/baobabhoist/tests/test_store_membership.py
+++ b/baobabhoist/tests/test_store_membership.py
@@ -1,4 +1,4 @@
-"""Test the reading of the membership list."""
+"""Test the polling of the membership list and the timeout of platform calls."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from baobabhoist.store.table import call_with_timeout
 
 
-class Source:
+class FakeSource:
     def __init__(self, **states):
         self.states = states
         self.down = False
@@ -21,32 +21,32 @@
         return [*entries, {"state": "live"}, {"name": "odd", "state": "live", "port": "x"}]
 
 
-async def ignore(members):
+async def ignore_refresh(members):
     return None
 
 
-def test_the_last_reading_stays_while_the_platform_is_down():
-    """Guard against a leaving worker that gets work again because the list is not read."""
+def test_the_last_result_stays_while_the_platform_is_down():
+    """Guard against a leaving worker that gets tasks again because a poll failed."""
 
-    async def body():
-        source = Source(a="live", b="leaving", c="gone")
-        members = MembershipList(source, ignore)
+    async def scenario():
+        source = FakeSource(a="live", b="leaving", c="gone")
+        members = MembershipList(source, ignore_refresh)
         await members.refresh()
         source.down = True
         with pytest.raises(PlatformError):
             await members.refresh()
         return members.not_live(), members.gone()
 
-    assert asyncio.run(body()) == ({"b", "c"}, {"c"})
+    assert asyncio.run(scenario()) == ({"b", "c"}, {"c"})
 
 
-def test_a_member_counts_as_gone_since_the_first_reading_that_showed_it():
-    """Guard against an instance that is forgotten because of one reading, or never."""
+def test_a_member_counts_as_gone_since_the_first_poll_that_showed_it():
+    """Guard against an instance that is forgotten after a single poll, or never."""
 
-    async def body():
+    async def scenario():
         now = [100.0]
-        source = Source(a="gone")
-        members = MembershipList(source, ignore, lambda: now[0])
+        source = FakeSource(a="gone")
+        members = MembershipList(source, ignore_refresh, lambda: now[0])
         await members.refresh()
         now[0] = 131.0
         await members.refresh()
@@ -57,22 +57,24 @@
         await members.refresh()
         assert members.gone_longer_than(30.0) == set()
 
-    asyncio.run(body())
+    asyncio.run(scenario())
 
 
-def test_a_call_that_takes_too_long_leaves_no_unread_error():
-    """Guard against errors in the log for calls that nobody waits for any more."""
+def test_a_call_that_times_out_leaves_no_unhandled_error():
+    """Guard against logged errors of calls whose caller has stopped waiting."""
 
     async def slow():
         await asyncio.sleep(0.02)
         raise PlatformError("late")
 
-    async def body():
-        problems = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, info: problems.append(info))
+    async def scenario():
+        unhandled = []
+        asyncio.get_running_loop().set_exception_handler(
+            lambda _, context: unhandled.append(context)
+        )
         with pytest.raises(TimeoutError):
             await call_with_timeout(0.001, slow())
         await asyncio.sleep(0.05)
-        return problems
+        return unhandled
 
-    assert asyncio.run(body()) == []
+    assert asyncio.run(scenario()) == []
