--- a/baobabhoist/records/__init__.py
+++ b/baobabhoist/records/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the operators' records, their schemas and their change log."""
+"""Store the operators' records, their schemas and their change log."""
--- a/baobabhoist/records/keys.py
+++ b/baobabhoist/records/keys.py
@@ -1,4 +1,4 @@
-"""Digest keys and decide whether a presented key is accepted."""
+"""Hash keys and decide whether a presented key is accepted."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.records.kinds import Key
 
-# Longer keys are refused before they are digested, so that a header cannot cost much time.
+# Longer keys are rejected before hashing, so that a large header cannot cost much CPU time.
 MAX_KEY_LENGTH = 512
 
 
 def key_digest(key: str) -> str:
-    """Return the digest under which a key is stored."""
+    """Return the SHA-256 digest under which a key is stored."""
     return hashlib.sha256(key.encode("utf-8", "surrogatepass")).hexdigest()
 
 
@@ -26,13 +26,13 @@
 
 @attrs.define
 class KeyIndex:
-    """Find key records by digest in constant time, whatever the number of keys."""
+    """Index key records by digest, so that a lookup does not depend on the number of keys."""
 
     by_digest: dict[str, dict[str, Key]] = attrs.Factory(dict)
 
     def copy(self) -> KeyIndex:
-        """Return an independent index of the same keys."""
-        return KeyIndex({found: dict(named) for found, named in self.by_digest.items()})
+        """Return an independent copy of the index."""
+        return KeyIndex({digest: dict(by_name) for digest, by_name in self.by_digest.items()})
 
     def add(self, name: str, key: Key) -> None:
         """Add or replace a key record."""
@@ -40,32 +40,33 @@
 
     def remove(self, name: str, key: Key) -> None:
         """Remove a key record."""
-        named = self.by_digest.get(key.digest, {})
-        named.pop(name, None)
-        if not named:
+        by_name = self.by_digest.get(key.digest, {})
+        by_name.pop(name, None)
+        if not by_name:
             self.by_digest.pop(key.digest, None)
 
     def find(self, presented: str) -> Key | None:
         """Return the record of a presented key, or None.
 
-        Two records with one digest would make the team ambiguous, so a withdrawn one wins.
+        If several records have the same digest, the team is ambiguous and a withdrawn record
+        takes precedence.
         """
         if len(presented) > MAX_KEY_LENGTH:
             return None
-        wanted = key_digest(presented)
+        presented_digest = key_digest(presented)
         matches = [
             key
-            for _, key in sorted(self.by_digest.get(wanted, {}).items())
-            if digests_equal(wanted, key.digest)
+            for _, key in sorted(self.by_digest.get(presented_digest, {}).items())
+            if digests_equal(presented_digest, key.digest)
         ]
         return min(matches, key=lambda key: not key.withdrawn) if matches else None
 
 
 def check_key(key: Key | None, cut_off_s: float, header: str) -> Key | Refusal:
-    """Return a key that is accepted, or why it is not.
+    """Return the key if it is accepted, or a refusal.
 
-    `cut_off_s` is the time since the records were last confirmed by the platform or a peer that
-    reaches it, in seconds; `header` names the header for the remedy.
+    `cut_off_s` is the number of seconds since the platform, or a peer that reaches it, last
+    confirmed the records; `header` is the header named in the remedy.
     """
     if key is None:
         return Refusal(
--- a/baobabhoist/records/kinds.py
+++ b/baobabhoist/records/kinds.py
@@ -1,4 +1,4 @@
-"""Define the typed bodies of records."""
+"""Define the kinds of records and their typed bodies."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from baobabhoist.model import Resources, WorkerSpec, WorkKind
 
-# Requests without a key on a queue open to all run for this team.
+# Requests without a key, on a queue that is open to all, run under this team.
 PUBLIC_TEAM = "public"
 DEFAULT_MAX_QUEUED = 1000
 ALL_WORK_KINDS = tuple(WorkKind)
 
 
 class RecordKind(enum.StrEnum):
-    """Name the kinds of records."""
+    """Enumerate the kinds of records."""
 
     TEAM = "team"
     KEY = "key"
@@ -25,14 +25,14 @@
 
 
 class Objective(enum.StrEnum):
-    """Name what the decisions of a queue weigh most."""
+    """Enumerate the scheduling objectives of a queue."""
 
     WAITING_TIME = "waiting_time"
     SHARE = "share"
 
 
 class PreemptAction(enum.StrEnum):
-    """Name what happens to a task that is preempted."""
+    """Enumerate what happens to a preempted task."""
 
     CHECKPOINT = "checkpoint"
     THROTTLE = "throttle"
@@ -41,10 +41,10 @@
 
 @attrs.frozen
 class Team:
-    """Hold a team's share weight and its upper limits in places (tasks running at once).
+    """Hold a team's fair-share weight and its upper limits in places (concurrently running tasks).
 
-    `class_limits` limits single kinds of work further; a kind without an entry is bounded by
-    `limit` alone.
+    `class_limits` sets lower limits for single kinds of work; a kind without an entry is bounded
+    by `limit` alone.
     """
 
     limit: int
@@ -60,8 +60,8 @@
 class Key:
     """Hold the SHA-256 digest of a team's or an operator's key.
 
-    `offline_grace_s` is how long a data centre that is cut off from the platform still accepts
-    the key, in seconds; None means without limit.
+    `offline_grace_s` is how long, in seconds, a data centre that is cut off from the platform
+    still accepts the key; None means without limit.
     """
 
     digest: str
@@ -73,10 +73,11 @@
 
 @attrs.frozen
 class Queue:
-    """Hold who may use a queue, for what, and where its request keys have their home.
+    """Hold the access rules, limits and home data centres of a queue.
 
-    No home data centre means all of them. `default_deadline_s` is for work whose caller sends no
-    deadline; without one, the settings decide for requests and a fixed time for jobs.
+    The request keys of a queue are assigned to shards in its home data centres, or in all data
+    centres if none is given. `default_deadline_s` applies to work whose caller sends no deadline;
+    if it is None, requests use the default of the settings and jobs a fixed default.
     """
 
     open_to_all: bool = False
@@ -89,7 +90,7 @@
 
 @attrs.frozen
 class Policy:
-    """Hold how the decisions of the queues that name this policy are made."""
+    """Hold the scheduling policy of the queues that name it."""
 
     objective: Objective = Objective.WAITING_TIME
     preemption: bool = False
@@ -99,7 +100,7 @@
 
 @attrs.frozen
 class Worker:
-    """Hold one worker of a shard; a drained worker gets no new work."""
+    """Hold one worker of a shard; a worker marked `drain` gets no new tasks."""
 
     name: str
     host: str
@@ -112,7 +113,7 @@
     drain: bool = False
 
     def to_spec(self, shard: str) -> WorkerSpec:
-        """Return the worker as the scheduler knows it; the rack defaults to the shard."""
+        """Return the worker in the scheduler's form; the rack defaults to the shard."""
         capacity = Resources(self.cpu_milli, self.memory_mb, self.accelerators, self.slots)
         return WorkerSpec(self.name, self.host, self.port, self.rack or shard, capacity)
 
--- a/baobabhoist/records/references.py
+++ b/baobabhoist/records/references.py
@@ -1,4 +1,4 @@
-"""Check what records refer to, and what refers to them before they are deleted."""
+"""Check that references between records stay valid when records are changed or deleted."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from baobabhoist.records.schema import refusal_for_problems
 from baobabhoist.records.view import RecordView
 
-MAX_NAMED = 5
+MAX_LISTED_USERS = 5
 
 
 def check_references(view: RecordView, record: TypedRecord, name: str) -> Refusal | None:
-    """Return the references of a record that lead nowhere, or None."""
+    """Return a refusal if a record refers to missing records or reuses a digest, else None."""
     problems = []
     if isinstance(record, Key):
         if record.team and view.team(record.team) is None:
             remedy = "create the team first"
             problems.append(Problem("body.team", f"there is no team {record.team}", remedy))
-        taken = [
+        duplicates = [
             other
             for other, key in view.keys().items()
             if key.digest == record.digest and other != name
         ]
-        if taken:
-            message = f"the key record {taken[0]} has the same digest"
-            problems.append(Problem("body.digest", message, "use a key of its own"))
+        if duplicates:
+            message = f"the key record {duplicates[0]} has the same digest"
+            problems.append(Problem("body.digest", message, "use a different key"))
     elif (
         isinstance(record, Queue)
         and record.policy
@@ -36,7 +36,7 @@
 
 
 def check_unreferenced(view: RecordView, kind: str, name: str) -> Refusal | None:
-    """Return why a record cannot be deleted because other records name it, or None."""
+    """Return a refusal to delete a record that other records refer to, else None."""
     if kind == RecordKind.TEAM:
         users = [other for other, key in view.keys().items() if key.team == name]
         return (
@@ -51,12 +51,12 @@
     return None
 
 
-def in_use_refusal(kind: str, name: str, what: str, users: list[str], remedy: str) -> Refusal:
+def in_use_refusal(kind: str, name: str, user_kind: str, users: list[str], remedy: str) -> Refusal:
     """Return the refusal to delete a record that is in use."""
-    named = ", ".join(sorted(users)[:MAX_NAMED])
-    more = f" and {len(users) - MAX_NAMED} more" if len(users) > MAX_NAMED else ""
+    listed = ", ".join(sorted(users)[:MAX_LISTED_USERS])
+    more = f" and {len(users) - MAX_LISTED_USERS} more" if len(users) > MAX_LISTED_USERS else ""
     return Refusal(
         ErrorKind.IN_USE,
-        f"the {kind} {name} is in use by the {what} {named}{more}",
+        f"the {kind} {name} is in use by the {user_kind} {listed}{more}",
         remedy=remedy,
     )
--- a/baobabhoist/records/schema.py
+++ b/baobabhoist/records/schema.py
@@ -1,7 +1,7 @@
 """Validate record bodies and convert them between schema versions.
 
-The table and the view hold canonical bodies: all fields of the typed class, under its names.
-Bodies are converted to this form when they arrive and back when they are returned.
+The table and the view store canonical bodies, which have all fields of the typed class under the
+names of its attributes. Bodies are converted to this form on input and from it on output.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 NAME_PATTERN = r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
 NAME_REMEDY = "at most 63 lower-case letters, digits and inner hyphens"
-# Bounds that keep sums over a fleet of 10,000 workers well inside 64 bits.
+# These bounds keep sums over a fleet of 10,000 workers well within 64 bits.
 MAX_PLACES = 10_000_000
 MAX_SHARE = 1_000_000.0
 MAX_DEADLINE_S = 7 * 86_400.0
@@ -59,18 +59,20 @@
 MAX_MEMORY_MB = 1_000_000_000
 MAX_SLOTS = 100_000
 MAX_ACCELERATORS = 10_000
-# A refusal lists at most this many problems, so that bad input cannot inflate the answer.
+# A refusal lists at most this many problems, so that malformed input cannot inflate the response.
 MAX_PROBLEMS = 100
 
 Body = dict[str, Any]
 
 _NAME = text(NAME_PATTERN, NAME_REMEDY)
 _NAME_OR_EMPTY = text(f"({NAME_PATTERN})?", f"{NAME_REMEDY}, or an empty string")
-# Data centres, racks and workers are named as in the settings, where names may have dots.
-_DOTTED_PATTERN = r"[a-z0-9][a-z0-9.-]{0,62}"
-_DOTTED_REMEDY = "at most 63 lower-case letters, digits, dots and hyphens"
-_DOTTED = text(_DOTTED_PATTERN, _DOTTED_REMEDY)
-_DOTTED_OR_EMPTY = text(f"({_DOTTED_PATTERN})?", f"{_DOTTED_REMEDY}, or an empty string")
+# Data centres, racks and workers follow the rules of the settings, which allow dots in names.
+_DOTTED_NAME_PATTERN = r"[a-z0-9][a-z0-9.-]{0,62}"
+_DOTTED_NAME_DESCRIPTION = "at most 63 lower-case letters, digits, dots and hyphens"
+_DOTTED_NAME = text(_DOTTED_NAME_PATTERN, _DOTTED_NAME_DESCRIPTION)
+_DOTTED_NAME_OR_EMPTY = text(
+    f"({_DOTTED_NAME_PATTERN})?", f"{_DOTTED_NAME_DESCRIPTION}, or an empty string"
+)
 _DIGEST = text(r"[0-9a-f]{64}", "the SHA-256 digest of the key as 64 lower-case hex digits")
 _HOST = text(r"[A-Za-z0-9]([A-Za-z0-9.:-]{0,252}[A-Za-z0-9])?|::1?", "an IP address")
 _KINDS = list_of(one_of(WorkKind), len(ALL_WORK_KINDS))
@@ -101,7 +103,7 @@
     {
         **_QUEUE_COMMON,
         "open": Field(boolean, False),
-        "data_centre": Field(_DOTTED_OR_EMPTY, ""),
+        "data_centre": Field(_DOTTED_NAME_OR_EMPTY, ""),
         "max_queued": _MAX_QUEUED,
     }
 )
@@ -109,7 +111,7 @@
     {
         **_QUEUE_COMMON,
         "open_to_all": Field(boolean, False),
-        "home_data_centres": Field(list_of(_DOTTED, MAX_DATA_CENTRES), ()),
+        "home_data_centres": Field(list_of(_DOTTED_NAME, MAX_DATA_CENTRES), ()),
         "max_queued_per_team": _MAX_QUEUED,
     }
 )
@@ -123,10 +125,10 @@
 )
 _WORKER = object_of(
     {
-        "name": Field(_DOTTED),
+        "name": Field(_DOTTED_NAME),
         "host": Field(_HOST),
         "port": Field(integer(1, 65_535)),
-        "rack": Field(_DOTTED_OR_EMPTY, ""),
+        "rack": Field(_DOTTED_NAME_OR_EMPTY, ""),
         "cpu_milli": Field(integer(1, MAX_CPU_MILLI)),
         "memory_mb": Field(integer(1, MAX_MEMORY_MB)),
         "accelerators": Field(integer(0, MAX_ACCELERATORS), 0),
@@ -135,11 +137,14 @@
     }
 )
 _SHARD_1 = object_of(
-    {"data_centre": Field(_DOTTED), "workers": Field(list_of(_WORKER, MAX_WORKERS_PER_SHARD), ())}
+    {
+        "data_centre": Field(_DOTTED_NAME),
+        "workers": Field(list_of(_WORKER, MAX_WORKERS_PER_SHARD), ()),
+    }
 )
 
 
-def _same(body: Body) -> Body:
+def _identity(body: Body) -> Body:
     return body
 
 
@@ -153,7 +158,7 @@
 
 
 def _team_to_1(body: Body) -> Body | None:
-    # Version 1 tools see the overall limit; limits per kind of work stay in force behind it.
+    # Version 1 shows only the overall limit; the limits per kind of work remain in force.
     return {"limit": body["limit"], "share": body["share"]}
 
 
@@ -164,42 +169,43 @@
 
 def _queue_from_1(body: Body) -> Body:
     common = {name: body[name] for name in _QUEUE_COMMON}
-    home = (body["data_centre"],) if body["data_centre"] else ()
+    home_data_centres = (body["data_centre"],) if body["data_centre"] else ()
     return {
         **common,
         "open_to_all": body["open"],
-        "home_data_centres": home,
+        "home_data_centres": home_data_centres,
         "max_queued_per_team": body["max_queued"],
     }
 
 
 def _queue_to_1(body: Body) -> Body | None:
-    homes = body["home_data_centres"]
-    if len(homes) > 1:
+    home_data_centres = body["home_data_centres"]
+    if len(home_data_centres) > 1:
         return None
     return {
         **{name: body[name] for name in _QUEUE_COMMON},
         "open": body["open_to_all"],
-        "data_centre": homes[0] if homes else "",
+        "data_centre": home_data_centres[0] if home_data_centres else "",
         "max_queued": body["max_queued_per_team"],
     }
 
 
 @attrs.frozen
 class SchemaVersion:
-    """Describe one version of a kind's body.
+    """Describe one schema version of the body of a kind.
 
-    `kept` names the canonical fields that this version cannot express; a change in this version
-    leaves them as they are. `to_version` returns None when a body cannot be expressed.
+    `preserved` lists the canonical fields that do not exist in this version; a change that is
+    written in this version leaves them as they are. `to_version` returns None if a body cannot be
+    represented in this version.
     """
 
     validator: ObjectValidator
-    to_canonical: Callable[[Body], Body] = _same
-    to_version: Callable[[Body], Body | None] = _same
-    kept: tuple[str, ...] = ()
+    to_canonical: Callable[[Body], Body] = _identity
+    to_version: Callable[[Body], Body | None] = _identity
+    preserved: tuple[str, ...] = ()
 
 
-TYPES: dict[RecordKind, type[Any]] = {
+RECORD_TYPES: dict[RecordKind, type[Any]] = {
     RecordKind.TEAM: Team,
     RecordKind.KEY: Key,
     RecordKind.QUEUE: Queue,
@@ -209,7 +215,7 @@
 
 SCHEMAS: dict[RecordKind, dict[int, SchemaVersion]] = {
     RecordKind.TEAM: {
-        1: SchemaVersion(_TEAM_1, _same, _team_to_1, ("class_limits",)),
+        1: SchemaVersion(_TEAM_1, _identity, _team_to_1, ("class_limits",)),
         2: SchemaVersion(_TEAM_2, _team_from_2, _team_to_2),
     },
     RecordKind.KEY: {1: SchemaVersion(_KEY_1)},
@@ -222,47 +228,47 @@
 }
 
 
-# Rows written by a later release may have fields that this one does not know; they are ignored.
+# Unknown fields are ignored, because a later release may have written the row.
 _CONVERTER = cattrs.Converter(forbid_extra_keys=False, detailed_validation=False)
 
 
 def to_typed_record(kind: str, body: Body) -> TypedRecord:
-    """Return the typed form of a canonical body; raises ValueError, TypeError or KeyError."""
-    found: TypedRecord = _CONVERTER.structure(body, TYPES[RecordKind(kind)])
-    return found
+    """Return the typed record of a canonical body; raises ValueError, TypeError or KeyError."""
+    record: TypedRecord = _CONVERTER.structure(body, RECORD_TYPES[RecordKind(kind)])
+    return record
 
 
 def to_canonical_body(record: TypedRecord) -> Body:
-    """Return the canonical body of a typed record, made of JSON types."""
-    body: Body = _plain(attrs.asdict(record))
+    """Return the canonical body of a typed record, which consists of JSON types."""
+    body: Body = _to_json_types(attrs.asdict(record))
     return body
 
 
-def _plain(value: Any) -> Any:
+def _to_json_types(value: Any) -> Any:
     if isinstance(value, enum.Enum):
         return value.value
     if isinstance(value, dict):
-        return {_plain(key): _plain(item) for key, item in value.items()}
+        return {_to_json_types(key): _to_json_types(item) for key, item in value.items()}
     if isinstance(value, (list, tuple)):
-        return [_plain(item) for item in value]
+        return [_to_json_types(item) for item in value]
     return value
 
 
-def refusal_for_problems(problems: Problems, what: str) -> Refusal:
-    """Return one refusal that lists all problems of an input."""
+def refusal_for_problems(problems: Problems, subject: str) -> Refusal:
+    """Return one refusal that lists the problems of an input."""
     listed = tuple(problems[:MAX_PROBLEMS])
     lines = "; ".join(f"{problem.path}: {problem.message}" for problem in listed[:3])
     count = "1 problem" if len(problems) == 1 else f"{len(problems)} problems"
     return Refusal(
         ErrorKind.BAD_REQUEST,
-        f"{what} has {count}: {lines}",
+        f"{subject} has {count}: {lines}",
         remedy="correct every field listed under problems",
         problems=listed,
     )
 
 
 def check_record_name(kind: str, name: str) -> Refusal | None:
-    """Return why a kind or name is not allowed, or None."""
+    """Return a refusal if a kind or name is not valid, else None."""
     problems: Problems = []
     one_of(RecordKind)(kind, "kind", problems)
     _NAME(name, "name", problems)
@@ -272,10 +278,10 @@
 def parse(
     kind: RecordKind, schema_version: Any, body: Any, current: Body | None = None
 ) -> TypedRecord | Refusal:
-    """Return the typed record of a body in some schema version, or all its problems.
+    """Return the typed record of a body in a schema version, or a refusal with all its problems.
 
-    `current` is the canonical body that the change replaces; what the schema version cannot
-    express is kept from it.
+    `current` is the canonical body that the change replaces; fields that do not exist in the
+    schema version are taken over from it.
     """
     versions = SCHEMAS[kind]
     version = versions.get(schema_version) if type(schema_version) is int else None
@@ -287,22 +293,26 @@
         )
         return refusal_for_problems([problem], f"the {kind} record")
     problems: Problems = []
-    checked = version.validator(body, "body", problems)
-    if checked is not ABSENT:
-        found = version.to_canonical(checked)
-        problems.extend(_CROSS_CHECKS.get(kind, _no_problems)(to_typed_record(kind, found)))
+    validated = version.validator(body, "body", problems)
+    if validated is not ABSENT:
+        canonical = version.to_canonical(validated)
+        problems.extend(
+            _CONSISTENCY_CHECKS.get(kind, _no_problems)(to_typed_record(kind, canonical))
+        )
         if not problems:
             if current is not None:
-                found.update({name: current[name] for name in version.kept if name in current})
-            return to_typed_record(kind, found)
+                canonical.update(
+                    {name: current[name] for name in version.preserved if name in current}
+                )
+            return to_typed_record(kind, canonical)
     return refusal_for_problems(problems, f"the {kind} record")
 
 
 def convert_to_version(kind: str, schema_version: int, body: Body) -> Body | Refusal:
-    """Return a canonical body in a schema version."""
+    """Return a canonical body converted to a schema version, or a refusal."""
     version = SCHEMAS[RecordKind(kind)].get(schema_version)
     try:
-        found = (
+        converted = (
             version.to_version(to_canonical_body(to_typed_record(kind, body)))
             if version is not None
             else None
@@ -310,17 +320,17 @@
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
         return Refusal(
             ErrorKind.INTERNAL,
-            f"this {kind} record was written in a form that this release cannot read: {exc!r}",
-            remedy="read it through an instance of the release that wrote it",
+            f"this {kind} record has a format that this release cannot read: {exc!r}",
+            remedy="read it from an instance that runs the release that wrote it",
         )
-    if found is None:
+    if converted is None:
         others = ", ".join(map(str, SCHEMAS[RecordKind(kind)]))
         return Refusal(
             ErrorKind.BAD_REQUEST,
-            f"this {kind} record cannot be expressed in schema version {schema_version}",
-            remedy=f"ask for another schema version; {kind} has {others}",
+            f"this {kind} record cannot be represented in schema version {schema_version}",
+            remedy=f"request another schema version; {kind} has {others}",
         )
-    return found
+    return converted
 
 
 def _no_problems(_: Any) -> Problems:
@@ -350,12 +360,12 @@
     problems = []
     if not queue.kinds:
         message = "the queue allows no kind of work"
-        problems.append(Problem("body.kinds", message, "name at least one kind"))
+        problems.append(Problem("body.kinds", message, "list at least one kind"))
     if len(set(queue.kinds)) < len(queue.kinds):
-        problems.append(Problem("body.kinds", "a kind is named twice", "name each kind once"))
+        problems.append(Problem("body.kinds", "a kind is listed twice", "list each kind once"))
     if len(set(queue.home_data_centres)) < len(queue.home_data_centres):
-        message = "a data centre is named twice"
-        problems.append(Problem("body.home_data_centres", message, "name each one once"))
+        message = "a data centre is listed twice"
+        problems.append(Problem("body.home_data_centres", message, "list each one once"))
     return problems
 
 
@@ -366,17 +376,17 @@
     for index, worker in enumerate(shard.workers):
         path = f"body.workers[{index}]"
         if worker.name in names:
-            message = f"the worker {worker.name} is named twice"
-            problems.append(Problem(f"{path}.name", message, "name each worker once"))
+            message = f"the worker {worker.name} is listed twice"
+            problems.append(Problem(f"{path}.name", message, "list each worker once"))
         if (worker.host, worker.port) in addresses:
-            message = f"the address {worker.host} {worker.port} is named twice"
+            message = f"the address {worker.host} {worker.port} is listed twice"
             problems.append(Problem(f"{path}.port", message, "give each worker its own address"))
         names.add(worker.name)
         addresses.add((worker.host, worker.port))
     return problems
 
 
-_CROSS_CHECKS: dict[RecordKind, Callable[[Any], Problems]] = {
+_CONSISTENCY_CHECKS: dict[RecordKind, Callable[[Any], Problems]] = {
     RecordKind.TEAM: _team_problems,
     RecordKind.KEY: _key_problems,
     RecordKind.QUEUE: _queue_problems,
--- a/baobabhoist/records/validators.py
+++ b/baobabhoist/records/validators.py
@@ -1,4 +1,4 @@
-"""Check values of unknown origin and collect every problem with its path."""
+"""Validate untrusted values and collect every problem with its path."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from baobabhoist.errors import Problem
 
-MAX_TEXT_LENGTH = 256
-MAX_SHOWN_LENGTH = 40
+MAX_STRING_LENGTH = 256
+MAX_QUOTED_LENGTH = 40
 
 
 class _Absent(enum.Enum):
@@ -23,7 +23,7 @@
 ABSENT = _Absent.ABSENT
 
 Problems = list[Problem]
-# A check returns the converted value, or ABSENT after it has added a problem.
+# Returns the converted value, or ABSENT after adding a problem.
 Validator = Callable[[Any, str, Problems], Any]
 
 
@@ -36,13 +36,13 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value shortened for a message."""
+    """Return a value as text, truncated for use in a message."""
     text = repr(value) if not isinstance(value, int) else hex_or_decimal(value)
-    return text if len(text) <= MAX_SHOWN_LENGTH else text[:MAX_SHOWN_LENGTH] + "..."
+    return text if len(text) <= MAX_QUOTED_LENGTH else text[:MAX_QUOTED_LENGTH] + "..."
 
 
 def hex_or_decimal(value: int) -> str:
-    """Return an integer as text; huge ones in hexadecimal, whose cost is linear."""
+    """Return an integer as text; integers over 64 bits as hex, which takes only linear time."""
     return str(value) if value.bit_length() <= 64 else hex(value)
 
 
@@ -50,7 +50,7 @@
     """Accept an integer within bounds."""
     remedy = f"give an integer from {low} to {high}"
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not int:
             problems.append(Problem(path, f"{format_value(value)} is not an integer", remedy))
             return ABSENT
@@ -59,14 +59,14 @@
             return ABSENT
         return value
 
-    return check
+    return validate
 
 
 def number(low: float, high: float) -> Validator:
     """Accept a finite number within bounds."""
     remedy = f"give a number from {low:g} to {high:g}"
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) not in (int, float):
             problems.append(Problem(path, f"{format_value(value)} is not a number", remedy))
             return ABSENT
@@ -76,94 +76,96 @@
             return ABSENT
         return float(value)
 
-    return check
+    return validate
 
 
 def boolean(value: Any, path: str, problems: Problems) -> Any:
     """Accept true or false."""
     if type(value) is not bool:
-        message = f"{format_value(value)} is not a truth value"
+        message = f"{format_value(value)} is not a boolean"
         problems.append(Problem(path, message, "give true or false"))
         return ABSENT
     return value
 
 
-def text(pattern: str, what: str) -> Validator:
-    """Accept a string that matches a pattern; `what` names it in the remedy."""
+def text(pattern: str, description: str) -> Validator:
+    """Accept a string that matches a pattern; `description` states the pattern in the remedy."""
     compiled = re.compile(pattern)
-    remedy = f"give {what}"
+    remedy = f"give {description}"
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not str:
             problems.append(Problem(path, f"{format_value(value)} is not a string", remedy))
             return ABSENT
-        if len(value) > MAX_TEXT_LENGTH or compiled.fullmatch(value) is None:
+        if len(value) > MAX_STRING_LENGTH or compiled.fullmatch(value) is None:
             problems.append(Problem(path, f"{format_value(value)} is not allowed", remedy))
             return ABSENT
         return value
 
-    return check
+    return validate
 
 
-def one_of(kind: type[enum.StrEnum]) -> Validator:
+def one_of(enum_class: type[enum.StrEnum]) -> Validator:
     """Accept one of the values of an enumeration."""
-    remedy = f"give one of {', '.join(kind)}"
-    members = {member.value: member for member in kind}
+    remedy = f"give one of {', '.join(enum_class)}"
+    members = {member.value: member for member in enum_class}
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not str or value not in members:
             problems.append(Problem(path, f"{format_value(value)} is not known", remedy))
             return ABSENT
         return members[value]
 
-    return check
+    return validate
 
 
-def optional(inner: Validator) -> Validator:
-    """Accept null or what the inner check accepts."""
+def optional(validator: Validator) -> Validator:
+    """Accept null or what the given validator accepts."""
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
-        return None if value is None else inner(value, path, problems)
+    def validate(value: Any, path: str, problems: Problems) -> Any:
+        return None if value is None else validator(value, path, problems)
 
-    return check
+    return validate
 
 
-def list_of(inner: Validator, max_length: int) -> Validator:
+def list_of(item_validator: Validator, max_length: int) -> Validator:
     """Accept a list; the result is a tuple."""
     remedy = f"give a list of at most {max_length} entries"
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not list:
             problems.append(Problem(path, f"{format_value(value)} is not a list", remedy))
             return ABSENT
         if len(value) > max_length:
             problems.append(Problem(path, f"the list has {len(value)} entries", remedy))
             return ABSENT
-        found = [inner(item, f"{path}[{index}]", problems) for index, item in enumerate(value)]
-        return ABSENT if any(item is ABSENT for item in found) else tuple(found)
+        items = [
+            item_validator(item, f"{path}[{index}]", problems) for index, item in enumerate(value)
+        ]
+        return ABSENT if any(item is ABSENT for item in items) else tuple(items)
 
-    return check
+    return validate
 
 
-def mapping_of(key: Validator, inner: Validator) -> Validator:
-    """Accept an object with free keys."""
+def mapping_of(key_validator: Validator, item_validator: Validator) -> Validator:
+    """Accept an object whose keys and values pass the given validators."""
 
-    def check(value: Any, path: str, problems: Problems) -> Any:
+    def validate(value: Any, path: str, problems: Problems) -> Any:
         if type(value) is not dict:
             problems.append(
                 Problem(path, f"{format_value(value)} is not an object", "give an object")
             )
             return ABSENT
-        found = {}
+        valid_items = {}
         for name, item in value.items():
-            inner_path = f"{path}.{str(name)[:MAX_SHOWN_LENGTH]}"
-            checked = key(name, inner_path, problems)
-            result = inner(item, inner_path, problems)
-            if checked is not ABSENT and result is not ABSENT:
-                found[checked] = result
-        return found if len(found) == len(value) else ABSENT
+            item_path = f"{path}.{str(name)[:MAX_QUOTED_LENGTH]}"
+            valid_key = key_validator(name, item_path, problems)
+            valid_item = item_validator(item, item_path, problems)
+            if valid_key is not ABSENT and valid_item is not ABSENT:
+                valid_items[valid_key] = valid_item
+        return valid_items if len(valid_items) == len(value) else ABSENT
 
-    return check
+    return validate
 
 
 @attrs.frozen
@@ -173,30 +175,32 @@
     fields: Mapping[str, Field]
 
     def __call__(self, value: Any, path: str, problems: Problems) -> Any:
-        """Return the checked fields, or ABSENT."""
+        """Return the validated fields, or ABSENT."""
         names = ", ".join(sorted(self.fields))
         if type(value) is not dict:
             message = f"{format_value(value)} is not an object"
             problems.append(Problem(path, message, f"give an object with the fields {names}"))
             return ABSENT
-        before = len(problems)
+        count_before = len(problems)
         for name in value:
             if type(name) is not str or name not in self.fields:
                 remedy = f"remove it; the fields are {names}"
-                inner_path = f"{path}.{str(name)[:MAX_SHOWN_LENGTH]}"
-                problems.append(Problem(inner_path, "the field is unknown", remedy))
-        found = {}
+                field_path = f"{path}.{str(name)[:MAX_QUOTED_LENGTH]}"
+                problems.append(Problem(field_path, "the field is unknown", remedy))
+        validated = {}
         for name, field in self.fields.items():
-            found[name] = _field(value, name, field, f"{path}.{name}", problems)
-        return found if len(problems) == before else ABSENT
+            validated[name] = _validate_field(value, name, field, f"{path}.{name}", problems)
+        return validated if len(problems) == count_before else ABSENT
 
 
 def object_of(fields: Mapping[str, Field]) -> ObjectValidator:
-    """Return the check of an object with exactly these fields."""
+    """Return a validator of objects with exactly these fields."""
     return ObjectValidator(fields)
 
 
-def _field(value: dict[str, Any], name: str, field: Field, path: str, problems: Problems) -> Any:
+def _validate_field(
+    value: dict[str, Any], name: str, field: Field, path: str, problems: Problems
+) -> Any:
     if name in value:
         return field.validator(value[name], path, problems)
     if field.default is ABSENT:
--- a/baobabhoist/tests/test_records_schema.py
+++ b/baobabhoist/tests/test_records_schema.py
@@ -14,7 +14,7 @@
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner),
     max_leaves=10,
 )
-FIELDS = st.sampled_from(
+FIELD_NAMES = st.sampled_from(
     [
         "limit",
         "share",
@@ -43,9 +43,9 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(st.sampled_from(VERSIONS), st.dictionaries(FIELDS, JSON) | JSON)
+@given(st.sampled_from(VERSIONS), st.dictionaries(FIELD_NAMES, JSON) | JSON)
 def test_malformed_bodies_are_refused_with_typed_errors(version, body):
-    """Guard against an exception, or an accepted body that cannot be returned."""
+    """Guard against exceptions, and against accepted bodies that cannot be converted back."""
     kind, number = version
     parsed = parse(kind, number, body)
     if isinstance(parsed, Refusal):
@@ -60,7 +60,7 @@
 
 
 def test_all_problems_are_reported_together():
-    """Guard against operators correcting one field per attempt."""
+    """Guard against operators who can correct only one field per attempt."""
     worker = {"name": "UP", "host": "127.0.0.1", "port": 0, "cpu_milli": "8", "memory_mb": 10**400}
     parsed = parse(RecordKind.SHARD, 1, {"data_centre": 5, "workers": [worker], "extra": 1})
     paths = {problem.path for problem in parsed.problems}
@@ -76,13 +76,13 @@
 
 
 @pytest.mark.parametrize("share", [float("nan"), float("inf"), True, "1", -1, 10**400])
-def test_shares_that_are_no_usable_numbers_are_refused(share):
-    """Guard against a weight that would break every comparison of fairness."""
+def test_shares_that_are_not_numbers_in_range_are_refused(share):
+    """Guard against a weight that breaks the fair-share ordering of teams."""
     assert parse(RecordKind.TEAM, 1, {"limit": 1, "share": share}).problems[0].path == "body.share"
 
 
-def test_an_old_tool_keeps_the_limits_it_cannot_express():
-    """Guard against a version 1 tool lifting limits that a version 2 tool has set."""
+def test_a_version_1_change_keeps_limits_that_only_version_2_has():
+    """Guard against a version 1 tool that removes limits set by a version 2 tool."""
     new = parse(RecordKind.TEAM, 2, {"limits": {"total": 9, "classes": {"batch": 4}}})
     old = parse(RecordKind.TEAM, 1, {"limit": 2, "share": 3}, to_canonical_body(new))
     assert old.class_limits == {WorkKind.BATCH: 4}
@@ -90,8 +90,8 @@
     assert old.limit_for(WorkKind.GANG) == 2
 
 
-def test_a_queue_with_two_homes_is_not_cut_to_one_for_an_old_tool():
-    """Guard against an old tool writing back one home data centre of several."""
+def test_a_queue_with_two_home_data_centres_is_not_truncated_in_version_1():
+    """Guard against a version 1 tool that writes back only one of several home data centres."""
     queue = parse(RecordKind.QUEUE, 2, {"home_data_centres": ["north", "south"]})
     assert convert_to_version("queue", 1, to_canonical_body(queue)).kind is ErrorKind.BAD_REQUEST
     one = parse(RecordKind.QUEUE, 1, {"data_centre": "north", "open": True})
@@ -99,8 +99,8 @@
     assert convert_to_version("queue", 2, to_canonical_body(one))["home_data_centres"] == ["north"]
 
 
-def test_values_that_contradict_each_other_are_refused():
-    """Guard against keys of nobody, limits above the total and workers with one address."""
+def test_inconsistent_values_are_refused():
+    """Guard against keys without an owner, limits above the total and duplicate addresses."""
     digest = "a" * 64
     assert parse(RecordKind.KEY, 1, {"digest": digest}).problems
     assert parse(RecordKind.KEY, 1, {"digest": digest, "team": "t", "operator": True}).problems
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -1,4 +1,4 @@
-"""Test changes of records as transactions, their log and the view."""
+"""Test transactional changes of records, the change log and the record view."""
 
 import asyncio
 
@@ -26,32 +26,32 @@
     return asyncio.run(store.delete(RecordChange(kind, name, 0, None, base_revision), 6.0))
 
 
-def catch_up(store):
+def sync_view(store):
     for row in asyncio.run(store.table.scan("log/")):
         store.view.apply(record_from_row(row))
 
 
 def test_a_change_based_on_an_old_revision_is_a_conflict():
-    """Guard against one operator undoing another's change unseen."""
+    """Guard against an operator who unknowingly overwrites another operator's change."""
     store = new_store()
     assert put(store, "team", "roster", {"limit": 1}).revision == 1
     assert put(store, "team", "roster", {"limit": 2}, 1).revision == 2
-    late = put(store, "team", "roster", {"limit": 3}, 1)
-    assert late.kind is ErrorKind.CONFLICT
-    assert 'If-Match: "2"' in late.remedy
+    stale = put(store, "team", "roster", {"limit": 3}, 1)
+    assert stale.kind is ErrorKind.CONFLICT
+    assert 'If-Match: "2"' in stale.remedy
     assert put(store, "team", "roster", {"limit": 3}).kind is ErrorKind.CONFLICT
     assert put(store, "team", "other", {"limit": 3}, 7).kind is ErrorKind.CONFLICT
 
 
 def test_a_race_on_the_same_record_is_a_conflict_and_on_another_is_not():
-    """Guard against a lost change when two operators commit at once."""
+    """Guard against a lost update when two operators commit at the same time."""
     store = new_store()
     put(store, "team", "roster", {"limit": 1})
-    rival = RecordStore(store.table, RecordView())
+    other_store = RecordStore(store.table, RecordView())
 
     def change(name, base_revision):
         async def run():
-            await rival.put(RecordChange("team", name, 1, {"limit": 9}, base_revision), 5.0)
+            await other_store.put(RecordChange("team", name, 1, {"limit": 9}, base_revision), 5.0)
 
         return run
 
@@ -62,8 +62,8 @@
     assert asyncio.run(store.read("team", "roster")).body["limit"] == 9
 
 
-def test_a_platform_outage_says_what_is_known_of_the_change():
-    """Guard against a change reported as not made that was made."""
+def test_a_platform_outage_reports_whether_the_change_was_made():
+    """Guard against a committed change that is reported as not made."""
     store = new_store()
     store.table.down = True
     refusal = put(store, "team", "roster", {"limit": 1})
@@ -72,8 +72,8 @@
     assert put(store, "team", "roster", {"limit": 1}).outcome is Outcome.UNKNOWN
 
 
-def test_records_in_use_are_not_deleted_and_references_must_lead_somewhere():
-    """Guard against keys without a team and queues without their policy, also in a stale view."""
+def test_records_in_use_are_not_deleted_and_references_must_exist():
+    """Guard against references to missing teams and policies, also when the view is stale."""
     store = new_store()
     key = {"team": "roster", "digest": key_digest("k")}
     assert put(store, "key", "k1", key).problems[0].path == "body.team"
@@ -106,13 +106,13 @@
     assert render_record(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
     assert render_record(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
     first = asyncio.run(store.version("team", "roster", 1))
-    found = diff_bodies(first.body, history[0].body)
-    assert [(item.path, item.old, item.new) for item in found] == [("body.limit", 1, 3)]
+    differences = diff_bodies(first.body, history[0].body)
+    assert [(item.path, item.old, item.new) for item in differences] == [("body.limit", 1, 3)]
     assert asyncio.run(store.version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
 
 
 def test_the_view_applies_only_higher_revisions_and_keeps_its_indexes():
-    """Guard against a deleted or withdrawn key that still opens the door."""
+    """Guard against a deleted or withdrawn key that is still accepted."""
     view = RecordView()
     key = {"team": "roster", "digest": key_digest("k")}
     assert view.apply(Record("key", "k1", 1, 4, key))
@@ -130,8 +130,8 @@
     assert view.find_key("n") is None
 
 
-def test_home_shards_follow_the_records_and_unreadable_records_are_isolated():
-    """Guard against a stale cache of shards and one bad row stopping all records."""
+def test_shards_of_a_data_centre_are_updated_and_unreadable_records_are_isolated():
+    """Guard against a stale cache of shards and a malformed row that blocks all records."""
     view = RecordView()
     view.apply(Record("shard", "b", 1, 1, {"data_centre": "north", "workers": []}))
     view.apply(Record("shard", "a", 1, 2, {"data_centre": "south", "workers": []}))
