--- a/baobabhoist/config/__init__.py
+++ b/baobabhoist/config/__init__.py
@@ -1,1 +1,1 @@
-"""Read and validate the daemon's settings."""
+"""Load and validate the settings of an instance."""
--- a/baobabhoist/config/load.py
+++ b/baobabhoist/config/load.py
@@ -1,4 +1,4 @@
-"""Read a settings file and report all of its faults at once."""
+"""Load a settings file and report all of its problems at once."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class CheckedSettings(Protocol):
-    """Be a class of options that checks itself as a whole."""
+    """Describe a settings class that checks its options against each other."""
 
     def problems(self) -> Iterator[Problem]:
-        """Yield what is wrong across options."""
+        """Yield the errors that concern several options."""
 
     def warnings(self) -> Iterator[Problem]:
-        """Yield what is allowed but unwise."""
+        """Yield settings that are allowed but not recommended."""
 
 
 T = TypeVar("T", bound=CheckedSettings)
@@ -44,7 +44,7 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """Reject a key given twice, which YAML readers otherwise settle in favour of the last."""
+    """Reject duplicate keys; YAML loaders otherwise keep the last value silently."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Hashable, Any]:
         seen: set[Hashable] = set()
@@ -60,36 +60,36 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Return the settings in a file; raises SettingsError listing every problem."""
+    """Return the settings in a file; raises SettingsError that lists every problem."""
     return load_with_warnings(path, Settings).settings
 
 
 def load_with_warnings(path: str, cls: type[T]) -> LoadedSettings[T]:
-    """Return the settings of a class in a file and the warnings; raises SettingsError."""
+    """Return the settings and warnings of a file for a settings class; raises SettingsError."""
     try:
         raw: Any = yaml.load(Path(path).read_text(encoding="utf-8"), _UniqueKeyLoader)
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as exc:
         raise SettingsError(f"cannot read the settings file {path}: {exc}") from exc
     try:
-        return _checked(cls, raw)
+        return _load(cls, raw)
     except SettingsError as exc:
         raise SettingsError(f"the settings file {path} is not valid:\n{exc}") from None
 
 
 def validate_settings(raw: Any) -> LoadedSettings[Settings]:
-    """Return settings made from parsed YAML; raises SettingsError with one line a problem."""
-    return _checked(Settings, raw)
+    """Return the settings in parsed YAML; raises SettingsError with one line per problem."""
+    return _load(Settings, raw)
 
 
-def _checked(cls: type[T], raw: Any) -> LoadedSettings[T]:
+def _load(cls: type[T], raw: Any) -> LoadedSettings[T]:
     settings = parse_settings(cls, raw)
     return LoadedSettings(settings, tuple(settings.warnings()))
 
 
 def parse_settings(cls: type[T], raw: Any) -> T:
-    """Return a class of options made from parsed YAML; raises SettingsError."""
+    """Return an instance of `cls` made from parsed YAML; raises SettingsError."""
     problems: list[Problem] = []
-    settings: Any = _read_section(cls, raw, "", problems)
+    settings: Any = _parse_section(cls, raw, "", problems)
     if settings is not None:
         problems.extend(settings.problems())
     if problems:
@@ -97,38 +97,38 @@
     return cast("T", settings)
 
 
-def _read_section(cls: type, raw: Any, path: str, problems: list[Problem]) -> Any:
-    """Return an instance of `cls`, or None after adding what is wrong to `problems`."""
+def _parse_section(cls: type, raw: Any, path: str, problems: list[Problem]) -> Any:
+    """Return an instance of `cls`, or None after adding its errors to `problems`."""
     if not isinstance(raw, dict):
         problems.append(
             Problem(path or "settings", f"found {type_name(raw)}", "give a mapping of options")
         )
         return None
-    count = len(problems)
+    count_before = len(problems)
     fields = {field.name: field for field in attrs.fields(cls)}
     for key in raw:
         if key not in fields:
-            problems.append(_unknown(_join(path, str(key)), str(key), list(fields)))
+            problems.append(_unknown_option(_join_path(path, str(key)), str(key), list(fields)))
     values: dict[str, Any] = {}
     for name, field in fields.items():
-        place = _join(path, name)
+        option_path = _join_path(path, name)
         if name in raw:
-            values[name] = _read_value(field, raw[name], place, problems)
+            values[name] = _parse_value(field, raw[name], option_path, problems)
         elif field.default is attrs.NOTHING:
             remedy = f"give {option_of(field).describe()}"
-            problems.append(Problem(place, "is missing", remedy))
-    return cls(**values) if len(problems) == count else None
+            problems.append(Problem(option_path, "is missing", remedy))
+    return cls(**values) if len(problems) == count_before else None
 
 
-def _read_value(field: Any, value: Any, path: str, problems: list[Problem]) -> Any:
+def _parse_value(field: Any, value: Any, path: str, problems: list[Problem]) -> Any:
     option = option_of(field)
     if isinstance(option, Section):
         if value is None and option.optional:
             return None
-        return _read_section(option.cls, value, path, problems)
+        return _parse_section(option.cls, value, path, problems)
     if isinstance(option, SectionList) and isinstance(value, list):
         return [
-            _read_section(option.cls, item, f"{path}[{index}]", problems)
+            _parse_section(option.cls, item, f"{path}[{index}]", problems)
             for index, item in enumerate(value)
         ]
     try:
@@ -138,11 +138,11 @@
         return None
 
 
-def _unknown(path: str, key: str, known: list[str]) -> Problem:
-    close = difflib.get_close_matches(key, known, n=1)
-    remedy = f"did you mean {close[0]}?" if close else "remove it or see the settings page"
+def _unknown_option(path: str, key: str, known_names: list[str]) -> Problem:
+    matches = difflib.get_close_matches(key, known_names, n=1)
+    remedy = f"did you mean {matches[0]}?" if matches else "remove it or see the settings page"
     return Problem(path, "is not a setting", remedy)
 
 
-def _join(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f"{path}.{key}" if path else key
--- a/baobabhoist/config/options.py
+++ b/baobabhoist/config/options.py
@@ -1,4 +1,4 @@
-"""Define the types of options; each checks one value and names the remedy."""
+"""Define the option types, which validate single values of a settings file."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 import attrs
 
 METADATA_KEY = "baobabhoist.option"
-PORT_MAX = 65535
+MAX_PORT = 65535
 SHA256_HEX_LENGTH = 64
 
 
 @attrs.frozen
 class Problem:
-    """Report one fault of a settings file: where it is, what it is and what to do."""
+    """Report one problem of a settings file: its path, what is wrong and how to correct it."""
 
     path: str
     message: str
@@ -29,7 +29,7 @@
 
 
 class OptionError(ValueError):
-    """Reject a value; carries the message and the remedy for the problem report."""
+    """Reject a value, with the message and the remedy for the report."""
 
     def __init__(self, message: str, remedy: str) -> None:
         super().__init__(message)
@@ -37,17 +37,17 @@
 
 
 class Option(Protocol):
-    """Check one value of a settings file."""
+    """Validate one value of a settings file."""
 
     def parse(self, value: Any) -> Any:
-        """Return the checked value; raises OptionError."""
+        """Return the validated value; raises OptionError."""
 
     def describe(self) -> str:
-        """Return the accepted values in words, for messages and the settings page."""
+        """Return a description of the accepted values, for messages and the settings page."""
 
 
 def type_name(value: Any) -> str:
-    """Return the name that YAML users know for the type of a value."""
+    """Return the name of the type of a value in the terms of YAML users."""
     names = {bool: "true or false", dict: "a section", list: "a list", str: "text"}
     names |= {int: "a whole number", float: "a number", type(None): "nothing"}
     return names.get(type(value), type(value).__name__)
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Text:
-    """Accept text that matches a pattern; `description` states the pattern for readers."""
+    """Accept text that matches a pattern; `description` states the pattern in words."""
 
     pattern: str = r"(?s).+"
     description: str = "text that is not empty"
@@ -73,12 +73,12 @@
         return value
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return self.description
 
 
 def identifier() -> Text:
-    """Return the option type of instance and data-centre names."""
+    """Return the option type of the names of instances and data centres."""
     description = "1 to 63 lower-case letters, digits, dots or hyphens, a letter or digit first"
     return Text(r"[a-z0-9][a-z0-9.-]{0,62}", description)
 
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class Integer:
-    """Accept a whole number within bounds, both included."""
+    """Accept an integer within inclusive bounds."""
 
     low: int
     high: int
@@ -105,19 +105,19 @@
         return value
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         unit = f" {self.unit}" if self.unit else ""
         return f"a whole number from {self.low} to {self.high}{unit}"
 
 
 def tcp_port() -> Integer:
     """Return the option type of TCP ports."""
-    return Integer(1, PORT_MAX)
+    return Integer(1, MAX_PORT)
 
 
 @attrs.frozen
 class Number:
-    """Accept a number within bounds, both included; infinities and NaN are outside."""
+    """Accept a finite number within inclusive bounds."""
 
     low: float
     high: float
@@ -132,19 +132,19 @@
         return float(value)
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         unit = f" {self.unit}" if self.unit else ""
         return f"a number from {self.low:g} to {self.high:g}{unit}"
 
 
 @attrs.frozen
 class Choice:
-    """Accept one of a few words."""
+    """Accept one of a fixed set of strings."""
 
     choices: tuple[str, ...]
 
     def parse(self, value: Any) -> str:
-        """Return the word; raises OptionError."""
+        """Return the string; raises OptionError."""
         if not isinstance(value, str):
             raise _wrong_type(self, value)
         if value not in self.choices:
@@ -152,13 +152,13 @@
         return value
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "one of " + ", ".join(self.choices)
 
 
 @attrs.frozen
 class IpAddress:
-    """Accept an IP address; VMs are addressed by IP address, so no name is resolved."""
+    """Accept an IP address; host names are rejected, because VMs are addressed by IP address."""
 
     def parse(self, value: Any) -> str:
         """Return the address; raises OptionError."""
@@ -172,13 +172,13 @@
         return value
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "an IP address such as 10.1.2.3"
 
 
 @attrs.frozen
 class BaseUrl:
-    """Accept an http or https address without a query."""
+    """Accept an HTTP or HTTPS URL without a query or fragment."""
 
     def parse(self, value: Any) -> str:
         """Return the address; raises OptionError."""
@@ -186,16 +186,16 @@
             raise _wrong_type(self, value)
         try:
             parts = urlsplit(value)
-            good = parts.scheme in ("http", "https") and bool(parts.hostname)
-            good = good and (parts.port or 1) > 0 and not parts.query and not parts.fragment
+            valid = parts.scheme in ("http", "https") and bool(parts.hostname)
+            valid = valid and (parts.port or 1) > 0 and not parts.query and not parts.fragment
         except ValueError:
-            good = False
-        if not good:
+            valid = False
+        if not valid:
             raise OptionError(f"{value!r} is not an address", f"give {self.describe()}")
         return value
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "an address such as http://10.1.2.3:8080"
 
 
@@ -215,38 +215,38 @@
             raise OptionError(message, "give the path of a readable file") from None
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "the path of a readable file"
 
 
 @attrs.frozen
 class Section:
-    """Accept a mapping that is read as a class of options, or nothing if optional."""
+    """Accept a mapping that is parsed into a settings class, or null if optional."""
 
     cls: type
     optional: bool = False
 
     def parse(self, value: Any) -> Any:
-        """Reject; sections are read by the loader, which goes into them."""
+        """Reject the value; the loader parses sections itself, option by option."""
         raise _wrong_type(self, value)
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "a section"
 
 
 @attrs.frozen
 class SectionList:
-    """Accept a list of mappings, each read as a class of options."""
+    """Accept a list of mappings that are each parsed into a settings class."""
 
     cls: type
 
     def parse(self, value: Any) -> Any:
-        """Reject; sections are read by the loader, which goes into them."""
+        """Reject the value; the loader parses sections itself, option by option."""
         raise _wrong_type(self, value)
 
     def describe(self) -> str:
-        """Return the accepted values in words."""
+        """Return a description of the accepted values."""
         return "a list of sections"
 
 
@@ -257,7 +257,7 @@
     default: Any = attrs.NOTHING,
     factory: Callable[[], Any] | None = None,
 ) -> Any:
-    """Return an attrs field that carries its option type and its description."""
+    """Return an attrs field with an option type and a description as metadata."""
     metadata = {METADATA_KEY: (option, description)}
     if factory is not None:
         return attrs.field(factory=factory, metadata=metadata)
--- a/baobabhoist/config/settings.py
+++ b/baobabhoist/config/settings.py
@@ -1,4 +1,4 @@
-"""Define the daemon's settings and the checks across them."""
+"""Define the settings of the daemon and the checks that span several settings."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     tcp_port,
 )
 
-# Request keys are remembered until their deadline, so the longest deadline bounds that memory.
-DEADLINE_MAX_S = 600.0
-BODY_MAX_BYTES = 1 << 30
+# Request keys are kept until their deadline, so the longest deadline bounds memory use.
+MAX_DEADLINE_S = 600.0
+MAX_BODY_BYTES = 1 << 30
 # An owner renews leases every second; a lease must survive two lost renewals.
-LEASE_MIN_S = 3.0
-LEASE_MAX_S = 120.0
-PRIVATE_KEY_OPEN_BITS = stat.S_IRWXG | stat.S_IRWXO
+MIN_LEASE_S = 3.0
+MAX_LEASE_S = 120.0
+GROUP_AND_OTHER_PERMISSIONS = stat.S_IRWXG | stat.S_IRWXO
 
 
 @attrs.frozen
 class TlsSettings:
-    """Hold the files of one TLS endpoint in PEM form; `ca` makes client certificates needed."""
+    """Hold the PEM files of one TLS endpoint; if `ca` is set, client certificates are required."""
 
     certificate: str = setting(ReadableFile(), "Certificate chain of this instance.")
     key: str = setting(ReadableFile(), "Private key of the certificate.")
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class PeerSettings:
-    """Name another instance."""
+    """Hold the name and address of another instance."""
 
     instance_id: str = setting(identifier(), "Name of the other instance.")
     data_centre: str = setting(identifier(), "Data centre of the other instance.")
@@ -88,17 +88,17 @@
         default=None,
     )
     max_body_bytes: int = setting(
-        Integer(1024, BODY_MAX_BYTES, "bytes"),
+        Integer(1024, MAX_BODY_BYTES, "bytes"),
         "Largest body of a request; larger ones are refused.",
         default=16 << 20,
     )
     max_deadline_s: float = setting(
-        Number(1.0, DEADLINE_MAX_S, "seconds"),
+        Number(1.0, MAX_DEADLINE_S, "seconds"),
         "Longest time a caller's deadline may lie ahead.",
-        default=DEADLINE_MAX_S,
+        default=MAX_DEADLINE_S,
     )
     default_deadline_s: float = setting(
-        Number(0.1, DEADLINE_MAX_S, "seconds"),
+        Number(0.1, MAX_DEADLINE_S, "seconds"),
         "Deadline of a request whose caller sent none.",
         default=30.0,
     )
@@ -113,7 +113,7 @@
         default=30.0,
     )
     task_lease_s: float = setting(
-        Number(LEASE_MIN_S, LEASE_MAX_S, "seconds"),
+        Number(MIN_LEASE_S, MAX_LEASE_S, "seconds"),
         "Time after which a worker stops a task whose lease was not renewed.",
         default=30.0,
     )
@@ -128,11 +128,11 @@
 
     @property
     def is_loopback(self) -> bool:
-        """Tell whether the ports can be reached from this VM only."""
+        """Return whether the ports can be reached only from this VM."""
         return ipaddress.ip_address(self.host).is_loopback
 
     def problems(self) -> Iterator[Problem]:
-        """Yield the faults that concern several settings together."""
+        """Yield the errors that concern several settings together."""
         yield from self._port_problems()
         yield from self._peer_problems()
         if self.default_deadline_s > self.max_deadline_s:
@@ -144,7 +144,7 @@
         if self.clock_skew_s >= self.task_lease_s:
             yield Problem(
                 "clock_skew_s",
-                "is not shorter than task_lease_s, so every lease could be past its end at once",
+                "is not shorter than task_lease_s, so every lease could already be expired",
                 f"give less than {self.task_lease_s:g}",
             )
         if self.peer_tls is not None and not self.peer_tls.ca:
@@ -155,20 +155,22 @@
             )
 
     def warnings(self) -> Iterator[Problem]:
-        """Yield what is allowed but probably not intended."""
+        """Yield settings that are allowed but probably not intended."""
         for section in ("caller_tls", "admin_tls", "peer_tls"):
             tls: TlsSettings | None = getattr(self, section)
             if tls is None and not self.is_loopback:
                 yield Problem(
                     section, f"{self.host} is served without TLS", "give a certificate and a key"
                 )
-            if tls is not None and Path(tls.key).stat().st_mode & PRIVATE_KEY_OPEN_BITS:
+            if tls is not None and Path(tls.key).stat().st_mode & GROUP_AND_OTHER_PERMISSIONS:
                 yield Problem(
                     f"{section}.key", "others can read the private key", "set its mode to 0600"
                 )
         if not self.peers:
             yield Problem(
-                "peers", "lists no other instance, so nothing takes over", "list all instances"
+                "peers",
+                "lists no other instance, so no instance can take over",
+                "list all instances",
             )
         if self.membership_lag_s < self.clock_skew_s:
             yield Problem(
@@ -176,14 +178,16 @@
             )
 
     def _port_problems(self) -> Iterator[Problem]:
-        taken: dict[int, str] = {}
+        field_by_port: dict[int, str] = {}
         for field in ("caller_port", "admin_port", "peer_port"):
-            number = getattr(self, field)
-            if number in taken:
+            port_number = getattr(self, field)
+            if port_number in field_by_port:
                 yield Problem(
-                    field, f"port {number} is also {taken[number]}", "give each its own port"
+                    field,
+                    f"port {port_number} is also {field_by_port[port_number]}",
+                    "give each its own port",
                 )
-            taken[number] = field
+            field_by_port[port_number] = field
 
     def _peer_problems(self) -> Iterator[Problem]:
         names = Counter(peer.instance_id for peer in self.peers)
@@ -192,7 +196,7 @@
             path = f"peers[{index}]"
             if peer.instance_id == self.instance_id:
                 yield Problem(
-                    f"{path}.instance_id", "names this instance itself", "remove the entry"
+                    f"{path}.instance_id", "is the name of this instance", "remove the entry"
                 )
             if names[peer.instance_id] > 1:
                 yield Problem(
