--- a/baobabhoist/__init__.py
+++ b/baobabhoist/__init__.py
@@ -1,3 +1,3 @@
-"""Schedule unlike workloads of many teams on one fleet."""
+"""Schedule heterogeneous workloads of many teams on one fleet of workers."""
 
 __version__ = "0.1.0"
--- a/baobabhoist/errors.py
+++ b/baobabhoist/errors.py
@@ -11,7 +11,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Name each kind of refusal that a caller or operator can meet."""
+    """Enumerate the kinds of refusals that callers and operators can receive."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Problem:
-    """Name one field that is wrong by its path, what is wrong with it and what to do."""
+    """Describe one invalid field: its path, what is wrong and how to correct it."""
 
     path: str
     message: str
@@ -58,10 +58,10 @@
 
 @attrs.frozen
 class Refusal:
-    """State why work was refused, what is known of its execution, and what to do.
+    """State why work was refused, whether it was executed, and what the caller can do.
 
-    Functions return a refusal in place of their result; it is not raised. `retry_after_s`
-    is in seconds, or None when a retry of the same request cannot help.
+    Functions return a refusal in place of their result; it is not raised. `retry_after_s` is
+    None if a retry of the same request cannot succeed.
     """
 
     kind: ErrorKind
@@ -72,7 +72,7 @@
     problems: tuple[Problem, ...] = ()
 
     def to_body(self) -> dict[str, Any]:
-        """Return the error body that callers receive."""
+        """Return the JSON body of an error response."""
         body: dict[str, Any] = {
             "kind": self.kind.value,
             "message": self.message,
@@ -86,16 +86,16 @@
 
 
 def is_refusal(value: object) -> TypeGuard[Refusal]:
-    """Tell whether a function returned a refusal in place of its result."""
+    """Return whether a function returned a refusal in place of its result."""
     return isinstance(value, Refusal)
 
 
 class BaobabhoistError(Exception):
-    """Be the base of the exceptions whose messages reach users."""
+    """Serve as the base class of exceptions whose messages reach users."""
 
 
 class SettingsError(BaobabhoistError):
-    """Report every problem of a settings file at once."""
+    """Report all problems of a settings file at once."""
 
 
 class CodecError(BaobabhoistError):
@@ -103,7 +103,7 @@
 
 
 class LinkClosedError(BaobabhoistError):
-    """Report that a connection ended while a reply was outstanding."""
+    """Report that a connection closed while a reply was pending."""
 
 
 class MessageNotSentError(LinkClosedError):
@@ -111,15 +111,15 @@
 
 
 class MessageTooLargeError(LinkClosedError):
-    """Report that a message exceeds the limit of the protocol; nothing was sent."""
+    """Report that a message exceeds the size limit of the protocol; nothing was sent."""
 
 
 class PlatformError(BaobabhoistError):
-    """Report that the platform gave no usable answer before the deadline."""
+    """Report that the platform gave no valid response before the deadline."""
 
 
 class InvariantViolationError(BaobabhoistError):
-    """Report a step that would break an invariant; the step has no effect."""
+    """Report a step that would violate an invariant; the step has no effect."""
 
 
 HTTP_STATUS: dict[ErrorKind, int] = {
--- a/baobabhoist/model.py
+++ b/baobabhoist/model.py
@@ -1,4 +1,4 @@
-"""Define the data that several packages share."""
+"""Define the data types that several packages share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WorkKind(enum.StrEnum):
-    """Name the kinds of work."""
+    """Enumerate the kinds of work."""
 
     REQUEST = "request"
     BATCH = "batch"
@@ -20,7 +20,7 @@
 
 
 class Urgency(enum.StrEnum):
-    """Name the classes of urgency; the urgent class may preempt."""
+    """Enumerate the urgency classes; urgent work may preempt other work."""
 
     NORMAL = "normal"
     URGENT = "urgent"
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Resources:
-    """Hold an amount of each resource: millicores, MiB, devices and slots."""
+    """Hold an amount of each resource, in millicores, MiB, devices and slots."""
 
     cpu_milli: int = 0
     memory_mb: int = 0
@@ -36,7 +36,7 @@
     slots: int = 1
 
     def fits_in(self, other: Resources) -> bool:
-        """Tell whether this amount is available in another."""
+        """Return whether another amount has at least this much of each resource."""
         return (
             self.cpu_milli <= other.cpu_milli
             and self.memory_mb <= other.memory_mb
@@ -45,7 +45,7 @@
         )
 
     def plus(self, other: Resources) -> Resources:
-        """Return the sum of both amounts."""
+        """Return the sum of this amount and another."""
         return Resources(
             self.cpu_milli + other.cpu_milli,
             self.memory_mb + other.memory_mb,
@@ -54,7 +54,7 @@
         )
 
     def minus(self, other: Resources) -> Resources:
-        """Return this amount less the other; it may go below zero."""
+        """Return this amount minus another; the result may be negative."""
         return Resources(
             self.cpu_milli - other.cpu_milli,
             self.memory_mb - other.memory_mb,
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class WorkerSpec:
-    """Describe one worker as the shard record names it."""
+    """Describe one worker of a shard record."""
 
     name: str
     host: str
@@ -94,9 +94,9 @@
 
 @attrs.frozen
 class Request:
-    """Describe a caller's request on its way to the owner of its key's home shard.
+    """Describe a caller's request that is routed to the owner of its key's home shard.
 
-    `first_attempt` is true only for an id that the entry VM made and sends for the first time,
+    `first_attempt` is true only if the entry VM generated the id and sends it for the first time,
     so that no other owner can have seen it.
     """
 
@@ -109,7 +109,7 @@
 
 @attrs.frozen
 class Answer:
-    """Hold the whole answer to a request."""
+    """Hold the complete answer to a request."""
 
     request_id: str
     status: int
@@ -131,7 +131,7 @@
 class EndedTask:
     """Describe a task that a worker reports as ended, with its stored answer.
 
-    An inventory may omit a large body, which a `QueryOutcome` returns.
+    An inventory may omit a large body; `QueryOutcome` returns it.
     """
 
     task_id: str
@@ -142,7 +142,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Name the states of a job; the last three are final."""
+    """Enumerate the states of a job; the last three are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -152,7 +152,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """Name the states of one task of a job."""
+    """Enumerate the states of one task of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -167,7 +167,7 @@
 
 @attrs.frozen
 class TaskSpec:
-    """Describe one task, gang member or replica of a job as its submitter declares it."""
+    """Describe one task, gang member or replica of a job as submitted."""
 
     payload: bytes
     resources: Resources
@@ -176,9 +176,9 @@
 
 @attrs.frozen
 class JobSpec:
-    """Describe a job as a team submits it; the deadline is in Unix seconds.
+    """Describe a job as submitted by a team; the deadline is in Unix seconds.
 
-    The tasks of a service are its replicas. A service has no deadline (infinity).
+    The tasks of a service are its replicas. A service has no deadline: the value is infinity.
     """
 
     job_id: str
@@ -210,7 +210,7 @@
 
 @attrs.frozen
 class JobExplanation:
-    """Explain what each group of a job's tasks waits for, by the number of tasks."""
+    """Explain a job's state; `waiting` counts its waiting tasks by what they wait for."""
 
     job_id: str
     state: JobState
--- a/baobabhoist/outcome.py
+++ b/baobabhoist/outcome.py
@@ -1,4 +1,4 @@
-"""Define what is known about the execution of a piece of work."""
+"""Define whether a piece of work is known to have run."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Say what is known about the execution of a piece of work."""
+    """Enumerate what can be known about the execution of a piece of work."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
