--- a/baobabhoist/config/load.py
+++ b/baobabhoist/config/load.py
@@ -15,7 +15,7 @@
     Problem,
     Section,
     SectionList,
-    option_of,
+    get_option,
     type_name,
 )
 from baobabhoist.config.settings import Settings
@@ -115,13 +115,13 @@
         if name in raw:
             values[name] = _parse_value(field, raw[name], option_path, problems)
         elif field.default is attrs.NOTHING:
-            remedy = f"give {option_of(field).describe()}"
+            remedy = f"give {get_option(field).describe()}"
             problems.append(Problem(option_path, "is missing", remedy))
     return cls(**values) if len(problems) == count_before else None
 
 
 def _parse_value(field: Any, value: Any, path: str, problems: list[Problem]) -> Any:
-    option = option_of(field)
+    option = get_option(field)
     if isinstance(option, Section):
         if value is None and option.optional:
             return None
--- a/baobabhoist/config/options.py
+++ b/baobabhoist/config/options.py
@@ -264,12 +264,12 @@
     return attrs.field(default=default, metadata=metadata)
 
 
-def option_of(field: Any) -> Option:
+def get_option(field: Any) -> Option:
     """Return the option type of a field made by `setting`."""
     option: Option = field.metadata[METADATA_KEY][0]
     return option
 
 
-def description_of(field: Any) -> str:
+def get_description(field: Any) -> str:
     """Return the description of a field made by `setting`."""
     return str(field.metadata[METADATA_KEY][1])
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -243,14 +243,14 @@
     async def _read_state(self, job_id: str) -> StateReply:
         """Read the state of a job from the store; raises StoreError or ValueError."""
         key = job_row_key(job_id)
-        rows = await self.store.read(JOBS_TABLE, key.part, first=job_id, last=job_id + "0")
+        rows = await self.store.read(JOBS_TABLE, key.part, start=job_id, end=job_id + "0")
         rows_by_key = {row.key: row for row in rows.rows}
         stored = rows_by_key.get(key)
         if stored is None or stored.value is None:
             return StateReply()
         job = decode_job(job_id, stored.value, stored.version)
         phase = JobPhase.CANCELLED if cancel_row_key(job_id) in rows_by_key else JobPhase.QUEUED
-        progress = await self.store.read(PROGRESS_TABLE, "", first=job_id, last=job_id + "0")
+        progress = await self.store.read(PROGRESS_TABLE, "", start=job_id, end=job_id + "0")
         for row in progress.rows:
             if row.value is not None:
                 stored_phase = progress_rows.decode(row.value).phase
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -92,11 +92,11 @@
         self._next_probe_ms = 0.0
         self._probe_task: asyncio.Task[None] | None = None
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Return the rows of a partition in a range of keys."""
         if self._use_direct():
-            return await self.direct.read(table, part, first=first, last=last)
-        return _to_rows(await self._relay(RelayRead(table, part, first, last), CALL_TIMEOUT_S))
+            return await self.direct.read(table, part, start=start, end=end)
+        return _to_rows(await self._relay(RelayRead(table, part, start, end), CALL_TIMEOUT_S))
 
     async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return the rows of a table that changed after a version."""
@@ -131,7 +131,7 @@
             return _to_relayed_commit(await self.direct.commit(_to_txn(message)))
         if isinstance(message, RelayRead):
             rows = await self.direct.read(
-                message.table, message.part, first=message.first, last=message.last
+                message.table, message.part, start=message.first, end=message.last
             )
         else:
             rows = await self.direct.poll_changes(message.table, message.after, message.wait_ms)
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -47,9 +47,9 @@
         self._store = store
         self._metrics = metrics
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Return the rows of a partition in a range of keys."""
-        return await self._measure("read", self._store.read(table, part, first=first, last=last))
+        return await self._measure("read", self._store.read(table, part, start=start, end=end))
 
     async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return the rows of a table that changed after a version."""
--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -20,8 +20,8 @@
     MAX_DEADLINE_S,
     MAX_MEMORY_MB,
     MAX_SLOTS,
+    NAME_DESCRIPTION,
     NAME_PATTERN,
-    NAME_REMEDY,
     refusal_for_problems,
     text,
 )
@@ -79,7 +79,7 @@
 JOB = object_of(
     {
         **_TASK_FIELDS,
-        "queue": Field(text(NAME_PATTERN, NAME_REMEDY)),
+        "queue": Field(text(NAME_PATTERN, NAME_DESCRIPTION)),
         "kind": Field(one_of(WorkKind)),
         "tasks": Field(optional(list_of(object_of(_TASK_FIELDS), MAX_TASKS)), None),
         "replicas": Field(optional(integer(1, MAX_TASKS)), None),
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -233,7 +233,7 @@
         if isinstance(limit, Refusal):
             self.refuse(limit)
             return
-        found = await self.store().history(kind, name, limit)
+        found = await self.store().read_history(kind, name, limit)
         if isinstance(found, Refusal):
             self.refuse(found)
             return
@@ -272,8 +272,8 @@
         if isinstance(revision, Refusal):
             return revision
         if revision:
-            return await self.store().version(kind, name, revision)
-        latest = await self.store().history(kind, name, 1)
+            return await self.store().read_version(kind, name, revision)
+        latest = await self.store().read_history(kind, name, 1)
         return latest if isinstance(latest, Refusal) else latest[0]
 
 
--- a/baobabhoist/platform/store.py
+++ b/baobabhoist/platform/store.py
@@ -38,16 +38,16 @@
         self._commit_timeout = AdaptiveTimeout()
         self._page_size = AdaptivePageSize()
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Return the rows of a part from all its pages; raises StoreError."""
         query: dict[str, Any] = {"table": table, "part": part}
-        if last:
-            query["to"] = last
+        if end:
+            query["to"] = end
         rows: list[StoredRow] = []
         first_version: int | None = None
         while True:
-            if first:
-                query["from"] = first
+            if start:
+                query["from"] = start
             page = await self._fetch_page(query)
             new_rows = [row for row in _parse_rows(page) if not rows or row.key != rows[-1].key]
             rows += new_rows
@@ -58,7 +58,7 @@
             if not page.field("hasMore") or not new_rows:
                 return RowSet(tuple(rows), first_version, _int_field(page, "nowMs"))
             # The next page repeats this row, because `from` is inclusive.
-            first = new_rows[-1].key.key
+            start = new_rows[-1].key.key
 
     async def _fetch_page(self, query: dict[str, Any]) -> HttpResponse:
         page_query = {**query, "limit": self._page_size.rows}
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -98,8 +98,8 @@
         found = await self.state.rows.read(
             self.get_argument("table"),
             self.get_argument("part", ""),
-            first=self.get_argument("from", ""),
-            last=self.get_argument("to", ""),
+            start=self.get_argument("from", ""),
+            end=self.get_argument("to", ""),
         )
         self.write_rows(found.rows[:limit], found.version, hasMore=len(found.rows) > limit)
 
--- a/baobabhoist/records/schema.py
+++ b/baobabhoist/records/schema.py
@@ -46,7 +46,7 @@
 )
 
 NAME_PATTERN = r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
-NAME_REMEDY = "at most 63 lower-case letters, digits and inner hyphens"
+NAME_DESCRIPTION = "at most 63 lower-case letters, digits and inner hyphens"
 # These bounds keep sums over a fleet of 10,000 workers well within 64 bits.
 MAX_PLACES = 10_000_000
 MAX_SHARE = 1_000_000.0
@@ -64,8 +64,8 @@
 
 Body = dict[str, Any]
 
-_NAME = text(NAME_PATTERN, NAME_REMEDY)
-_NAME_OR_EMPTY = text(f"({NAME_PATTERN})?", f"{NAME_REMEDY}, or an empty string")
+_NAME = text(NAME_PATTERN, NAME_DESCRIPTION)
+_NAME_OR_EMPTY = text(f"({NAME_PATTERN})?", f"{NAME_DESCRIPTION}, or an empty string")
 # Data centres, racks and workers follow the rules of the settings, which allow dots in names.
 _DOTTED_NAME_PATTERN = r"[a-z0-9][a-z0-9.-]{0,62}"
 _DOTTED_NAME_DESCRIPTION = "at most 63 lower-case letters, digits, dots and hyphens"
@@ -275,7 +275,7 @@
     return refusal_for_problems(problems, "the address of the record") if problems else None
 
 
-def parse(
+def parse_body(
     kind: RecordKind, schema_version: Any, body: Any, current: Body | None = None
 ) -> TypedRecord | Refusal:
     """Return the typed record of a body in a schema version, or a refusal with all its problems.
--- a/baobabhoist/records/store.py
+++ b/baobabhoist/records/store.py
@@ -23,7 +23,7 @@
 from baobabhoist.records.schema import (
     check_record_name,
     convert_to_version,
-    parse,
+    parse_body,
     to_canonical_body,
 )
 from baobabhoist.records.view import Record, RecordView
@@ -88,7 +88,7 @@
                 return refusal
         return await self._commit_with_retries(change, now, self._prepare_delete)
 
-    async def history(
+    async def read_history(
         self, kind: str, name: str, limit: int = DEFAULT_HISTORY_LIMIT
     ) -> list[Record] | Refusal:
         """Return the latest versions of a record, newest first."""
@@ -107,7 +107,7 @@
             return _unavailable(exc)
         return versions or _not_found(kind, name)
 
-    async def version(self, kind: str, name: str, revision: int) -> Record | Refusal:
+    async def read_version(self, kind: str, name: str, revision: int) -> Record | Refusal:
         """Return the version of a record that was written at a revision."""
         refusal = check_record_name(kind, name)
         if refusal is not None:
@@ -205,7 +205,7 @@
         self, change: RecordChange, record: Record | None, view: RecordView
     ) -> Record | Refusal:
         body = record.body if record is not None else None
-        parsed = parse(RecordKind(change.kind), change.schema_version, change.body, body)
+        parsed = parse_body(RecordKind(change.kind), change.schema_version, change.body, body)
         if isinstance(parsed, Refusal):
             return parsed
         refusal = check_references(view, parsed, change.name)
--- a/baobabhoist/store/row_store.py
+++ b/baobabhoist/store/row_store.py
@@ -83,8 +83,8 @@
 class RowStore(Protocol):
     """Read, poll and change rows; every method may raise StoreError."""
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
-        """Return the rows of a part with keys from `first` up to but excluding `last`."""
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
+        """Return the rows of a part with keys from `start` up to but excluding `end`."""
 
     async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return the rows changed after a version, waiting up to `wait_ms` for a change."""
--- a/baobabhoist/testing/rows.py
+++ b/baobabhoist/testing/rows.py
@@ -39,15 +39,15 @@
     commits: int = 0
     _ticks: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Return the rows of a part in a range of keys."""
         self._check_up()
         found = [
             row
             for key, row in self.rows.items()
             if (key.table, key.part) == (table, part)
-            and key.key >= first
-            and (not last or key.key < last)
+            and key.key >= start
+            and (not end or key.key < end)
         ]
         found.sort(key=lambda row: row.key.key)
         return RowSet(tuple(found), self.version, self._clock())
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -28,13 +28,13 @@
         self.failed: set[tuple[str, str]] = set()
         self.answered: list[tuple[str, str]] = []
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> RowSet:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Fail if this is the first read of a jobs partition."""
         if part and (table, part) not in self.failed:
             self.failed.add((table, part))
             raise StoreUnansweredError("no answer")
         self.answered.append((table, part))
-        return await super().read(table, part, first=first, last=last)
+        return await super().read(table, part, start=start, end=end)
 
 
 def store_job_and_progress(rows: MemoryRows) -> None:
@@ -78,14 +78,14 @@
 
     class CountingRows(MemoryRows):
         async def read(
-            self, table: str, part: str = "", *, first: str = "", last: str = ""
+            self, table: str, part: str = "", *, start: str = "", end: str = ""
         ) -> RowSet:
             nonlocal in_flight, max_in_flight
             in_flight += 1
             max_in_flight = max(max_in_flight, in_flight)
             await asyncio.sleep(0)
             in_flight -= 1
-            return await super().read(table, part, first=first, last=last)
+            return await super().read(table, part, start=start, end=end)
 
     asyncio.run(CellLoader(CountingRows(), DIRECTORY).read_missing())
     assert 1 < max_in_flight <= 6
--- a/baobabhoist/tests/test_gateway_guides.py
+++ b/baobabhoist/tests/test_gateway_guides.py
@@ -12,7 +12,7 @@
 from baobabhoist.gateway.bodies import JobBody, read_job
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.records.kinds import RecordKind
-from baobabhoist.records.schema import parse
+from baobabhoist.records.schema import parse_body
 from baobabhoist.records.view import Record, RecordView
 
 DOCS = Path(__file__).parents[2] / "docs"
@@ -42,7 +42,7 @@
     view = RecordView()
     for revision, record in enumerate(yaml.safe_load_all(text), 1):
         kind = RecordKind(record["kind"])
-        parsed = parse(kind, record["schema_version"], record["body"])
+        parsed = parse_body(kind, record["schema_version"], record["body"])
         assert not isinstance(parsed, Refusal), parsed
         view.apply(Record(kind, record["name"], 1, revision, {}))
     assert {kind for kind, _ in view.records} == set(RecordKind)
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -96,7 +96,7 @@
     put(store, "team", "roster", {"limit": 1})
     delete(store, "team", "roster", 1)
     put(store, "team", "roster", {"limits": {"total": 3}}, version=2)
-    history = asyncio.run(store.history("team", "roster"))
+    history = asyncio.run(store.read_history("team", "roster"))
     assert [(record.revision, record.schema_version) for record in history] == [
         (3, 2),
         (2, 1),
@@ -105,10 +105,10 @@
     assert history[0].changed_by == "tess"
     assert render_record(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
     assert render_record(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
-    first = asyncio.run(store.version("team", "roster", 1))
+    first = asyncio.run(store.read_version("team", "roster", 1))
     differences = diff_bodies(first.body, history[0].body)
     assert [(item.path, item.old, item.new) for item in differences] == [("body.limit", 1, 3)]
-    assert asyncio.run(store.version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
+    assert asyncio.run(store.read_version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
 
 
 def test_the_view_applies_only_higher_revisions_and_keeps_its_indexes():
