--- a/baobabhoist/config/options.py
+++ b/baobabhoist/config/options.py
@@ -185,9 +185,9 @@
         if not isinstance(value, str):
             raise _wrong_type(self, value)
         try:
-            parts = urlsplit(value)
-            valid = parts.scheme in ("http", "https") and bool(parts.hostname)
-            valid = valid and (parts.port or 1) > 0 and not parts.query and not parts.fragment
+            url = urlsplit(value)
+            valid = url.scheme in ("http", "https") and bool(url.hostname)
+            valid = valid and (url.port or 1) > 0 and not url.query and not url.fragment
         except ValueError:
             valid = False
         if not valid:
--- a/baobabhoist/platform/__init__.py
+++ b/baobabhoist/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapt the users' platform: the only package that knows the names on its wire."""
+"""Adapt the system to the users' platform; no other package knows its wire format."""
--- a/baobabhoist/platform/adaptive_timeout.py
+++ b/baobabhoist/platform/adaptive_timeout.py
@@ -24,9 +24,9 @@
             return MAX_TIMEOUT_S
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, LATENCY_MULTIPLIER * self.recent_peak_s))
 
-    def record_response(self, seconds: float) -> None:
+    def record_response(self, response_s: float) -> None:
         """Raise the recorded peak to a response time, or let it decay."""
-        self.recent_peak_s = max(seconds, self.recent_peak_s * (1.0 - DECAY_PER_RESPONSE))
+        self.recent_peak_s = max(response_s, self.recent_peak_s * (1.0 - DECAY_PER_RESPONSE))
 
     def record_timeout(self) -> None:
         """Count a timeout as a slow response, so that retries do not overload a slow store."""
--- a/baobabhoist/platform/decode.py
+++ b/baobabhoist/platform/decode.py
@@ -156,8 +156,10 @@
     }
     version = _int_field(body, "version")
     queues = {route.queue.name: route.queue for route in routes}
-    limit = _int_field(_object_field(body, "limits"), "maxBodyBytes") or DEFAULT_MAX_BODY_BYTES
-    return CellConfig(version, CellRules(version, queues, teams), routes, keys, limit)
+    max_body_bytes = (
+        _int_field(_object_field(body, "limits"), "maxBodyBytes") or DEFAULT_MAX_BODY_BYTES
+    )
+    return CellConfig(version, CellRules(version, queues, teams), routes, keys, max_body_bytes)
 
 
 def _parse_route(entry: dict[str, Any]) -> Route:
--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -23,8 +23,8 @@
 CREDENTIAL_HEADER = "X-Credential"
 # The deadline of the caller, in ms from now.
 DEADLINE_HEADER = "X-Deadline-Ms"
-DEFAULT_WAIT_MS = 3_000.0
-MAX_WAIT_MS = 60_000.0
+DEFAULT_DEADLINE_MS = 3_000.0
+MAX_DEADLINE_MS = 60_000.0
 
 _STATUS_BY_KIND = {
     ErrorKind.BAD_REQUEST: 400,
@@ -83,7 +83,9 @@
         """Return the call if its route and key allow it, or answer with a refusal."""
         host = self.request.host.partition(":")[0]
         key = self.request.headers.get(CREDENTIAL_HEADER, "")
-        self._call = ApiCall(host, self.request.path, key, monotonic_ms() + self._caller_wait_ms())
+        self._call = ApiCall(
+            host, self.request.path, key, monotonic_ms() + self._caller_deadline_ms()
+        )
         admitted = self._job_api.admit(self._call)
         if isinstance(admitted, Refusal):
             self._respond(admitted)
@@ -91,28 +93,28 @@
         self._admitted = admitted
         return admitted
 
-    def _caller_wait_ms(self) -> float:
+    def _caller_deadline_ms(self) -> float:
         header = self.request.headers.get(DEADLINE_HEADER, "")
-        return min(float(header), MAX_WAIT_MS) if header.isdigit() else DEFAULT_WAIT_MS
+        return min(float(header), MAX_DEADLINE_MS) if header.isdigit() else DEFAULT_DEADLINE_MS
 
-    def _respond(self, content: dict[str, Any] | Refusal, not_found_status: int = 404) -> None:
-        if not isinstance(content, Refusal):
-            self._send_json(200, content)
+    def _respond(self, result: dict[str, Any] | Refusal, not_found_status: int = 404) -> None:
+        if not isinstance(result, Refusal):
+            self._send_json(200, result)
             return
-        status = _STATUS_BY_KIND.get(content.kind, 500)
-        status = not_found_status if content.kind is ErrorKind.NOT_FOUND else status
-        if content.retry_after_s is not None:
-            self.set_header("Retry-After", str(round(content.retry_after_s)))
-        self._metrics.count_refusal(content.kind.value)
+        status = _STATUS_BY_KIND.get(result.kind, 500)
+        status = not_found_status if result.kind is ErrorKind.NOT_FOUND else status
+        if result.retry_after_s is not None:
+            self.set_header("Retry-After", str(round(result.retry_after_s)))
+        self._metrics.count_refusal(result.kind.value)
         emit(
             log,
             Event.CALL_REFUSED,
             path=self.request.path,
             method=self.request.method,
             status=status,
-            reason=content.message,
+            reason=result.message,
         )
-        self._send_json(status, content.to_body())
+        self._send_json(status, result.to_body())
 
     def _send_json(self, status: int, body: dict[str, Any]) -> None:
         admitted = self._admitted
@@ -131,7 +133,7 @@
         self._node = node
 
     def get(self) -> None:
-        """Answer 200 or 503."""
+        """Answer 200 if the instance is ready, else 503."""
         self.set_status(200 if self._node.is_ready() else 503)
 
 
@@ -145,36 +147,38 @@
     def get(self) -> None:
         """Answer with the metrics in text format."""
         self._node.refresh_metrics()
-        content, headers = self._node.metrics.exposition()
+        text, headers = self._node.metrics.exposition()
         for name, value in headers.items():
             self.set_header(name, value)
-        self.finish(content)
+        self.finish(text)
 
 
 class HttpServers:
     """Own the HTTP servers of one instance."""
 
     def __init__(self, node: Node) -> None:
-        desk = {"desk": node.job_api, "metrics": node.metrics}
-        calls = Application([(r".*", JobApiHandler, desk)])
-        ready = Application([(r"/-/ready", ReadinessHandler, {"node": node})])
-        metrics = Application([(r"/metrics", MetricsHandler, {"node": node})])
-        self._calls = HTTPServer(calls, idle_connection_timeout=60, no_keep_alive=False)
-        self._ready = HTTPServer(ready)
-        self._metrics = HTTPServer(metrics)
+        job_api_args = {"desk": node.job_api, "metrics": node.metrics}
+        job_api_app = Application([(r".*", JobApiHandler, job_api_args)])
+        readiness_app = Application([(r"/-/ready", ReadinessHandler, {"node": node})])
+        metrics_app = Application([(r"/metrics", MetricsHandler, {"node": node})])
+        self._job_api_server = HTTPServer(
+            job_api_app, idle_connection_timeout=60, no_keep_alive=False
+        )
+        self._readiness_server = HTTPServer(readiness_app)
+        self._metrics_server = HTTPServer(metrics_app)
         self._cfg = node.cfg
 
     def start(self) -> None:
         """Listen on the configured addresses."""
-        _listen(self._calls, self._cfg.caller_address)
-        _listen(self._ready, self._cfg.ready_address)
-        _listen(self._metrics, f"{self._cfg.host}:{self._cfg.metrics_port}")
+        _listen(self._job_api_server, self._cfg.caller_address)
+        _listen(self._readiness_server, self._cfg.ready_address)
+        _listen(self._metrics_server, f"{self._cfg.host}:{self._cfg.metrics_port}")
 
     async def stop(self) -> None:
         """Accept no new connections from callers and close the open ones."""
-        self._calls.stop()
+        self._job_api_server.stop()
         async with asyncio.timeout(1.0):
-            await self._calls.close_all_connections()
+            await self._job_api_server.close_all_connections()
 
 
 def _listen(server: HTTPServer, address: str) -> None:
--- a/baobabhoist/records/changes.py
+++ b/baobabhoist/records/changes.py
@@ -77,10 +77,10 @@
             f"the {kind} {name} does not exist; the change is based on revision {base_revision}",
             remedy="create it with the header If-None-Match: *",
         )
-    cause = f"is based on revision {base_revision}" if base_revision else "creates it"
+    reason = f"is based on revision {base_revision}" if base_revision else "creates it"
     return Refusal(
         ErrorKind.CONFLICT,
-        f"the {kind} {name} is at revision {expected_revision}; the change {cause}",
+        f"the {kind} {name} is at revision {expected_revision}; the change {reason}",
         remedy="read the record again, apply the change to it and send it with the header "
         f'If-Match: "{expected_revision}"',
     )
--- a/baobabhoist/records/kinds.py
+++ b/baobabhoist/records/kinds.py
@@ -43,8 +43,8 @@
 class Team:
     """Hold a team's fair-share weight and its upper limits in places (concurrently running tasks).
 
-    `class_limits` sets lower limits for single kinds of work; a kind without an entry is bounded
-    by `limit` alone.
+    `class_limits` further restricts single kinds of work; a kind without an entry is bounded by
+    `limit` alone.
     """
 
     limit: int
--- a/baobabhoist/records/validators.py
+++ b/baobabhoist/records/validators.py
@@ -23,7 +23,7 @@
 ABSENT = _Absent.ABSENT
 
 Problems = list[Problem]
-# Returns the converted value, or ABSENT after adding a problem.
+# A validator returns the converted value, or ABSENT after adding a problem.
 Validator = Callable[[Any, str, Problems], Any]
 
 
--- a/baobabhoist/store/__init__.py
+++ b/baobabhoist/store/__init__.py
@@ -1,1 +1,1 @@
-"""Access the platform's transactional tables and its membership list."""
+"""Define the interfaces of the shared stores and access the platform's tables and members."""
--- a/baobabhoist/store/table.py
+++ b/baobabhoist/store/table.py
@@ -39,13 +39,13 @@
     revisions: dict[str, int]
 
 
-async def call_with_timeout(seconds: float, call: Coroutine[Any, Any, T]) -> T:
-    """Return the result of a call to the platform; raises TimeoutError after `seconds`.
+async def call_with_timeout(timeout_s: float, call: Coroutine[Any, Any, T]) -> T:
+    """Return the result of a call to the platform; raises TimeoutError after `timeout_s`.
 
     After a timeout the call continues in the background, because it cannot be undone.
     """
     task = asyncio.create_task(call)
-    done, _ = await asyncio.wait((task,), timeout=max(0.0, seconds))
+    done, _ = await asyncio.wait((task,), timeout=max(0.0, timeout_s))
     if done:
         return task.result()
     # Retrieves a late exception, which asyncio would otherwise log as never retrieved.
