--- a/baobabhoist/jobs/coordinator.py
+++ b/baobabhoist/jobs/coordinator.py
@@ -33,8 +33,8 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL_S = 0.1
-# Progress is written for many tasks at once. If the last write is lost, the next coordinator asks
-# the shards again for the outcomes that are missing.
+# The progress of many tasks is written at once. After a change of coordinator, the next one asks
+# the shards again for outcomes that were not written yet.
 FLUSH_INTERVAL_S = 2.0
 RESCAN_INTERVAL_S = 15.0
 # Keeps one job from filling the queue of a shard in one step.
@@ -147,13 +147,13 @@
 
     async def statuses(self, runs: Sequence[JobRun]) -> tuple[JobStatus, ...]:
         """Return the statuses of several jobs with one query to each shard."""
-        report, unresponsive = await self._query_running_tasks(runs)
+        report, unresponsive = await self._query_shards(runs)
         running = frozenset(report.running)
         return tuple(run.status(running, unresponsive) for run in runs)
 
     async def explain(self, run: JobRun) -> JobExplanation:
         """Return why the tasks of a job are waiting."""
-        report, unresponsive = await self._query_running_tasks([run])
+        report, unresponsive = await self._query_shards([run])
         waiting: dict[str, int] = {}
         for index, task in enumerate(run.tasks):
             task_id = run.task_id(index)
@@ -330,9 +330,7 @@
         finally:
             self._cancelling_jobs.discard(job_id)
 
-    async def _query_running_tasks(
-        self, runs: Sequence[JobRun]
-    ) -> tuple[TasksReport, frozenset[str]]:
+    async def _query_shards(self, runs: Sequence[JobRun]) -> tuple[TasksReport, frozenset[str]]:
         """Return what the shards report of the jobs' tasks, and which shards did not respond."""
         task_ids_by_shard: dict[str, list[str]] = {}
         for run in runs:
--- a/baobabhoist/jobs/state.py
+++ b/baobabhoist/jobs/state.py
@@ -51,7 +51,7 @@
     (AttemptState.SUCCEEDED, JobState.SUCCEEDED),
 )
 
-_TASK_STATES = {
+_TASK_STATE_BY_ATTEMPT = {
     AttemptState.WAITING: TaskState.QUEUED,
     AttemptState.SENT: TaskState.QUEUED,
     AttemptState.SUCCEEDED: TaskState.SUCCEEDED,
@@ -109,7 +109,7 @@
     cancel_requested: bool = False
     revision: int = 0
     dirty: bool = False
-    _first_open: int = 0
+    _first_open_index: int = 0
 
     @tasks.default
     def _new_tasks(self) -> list[TaskProgress]:
@@ -321,7 +321,7 @@
         counts: Counter[TaskState] = Counter()
         for index, task in enumerate(self.tasks):
             is_running = task.state in OPEN_ATTEMPTS and self.task_id(index) in (running or ())
-            counts[TaskState.RUNNING if is_running else _TASK_STATES[task.state]] += 1
+            counts[TaskState.RUNNING if is_running else _TASK_STATE_BY_ATTEMPT[task.state]] += 1
         state, reason = self.state, next((task.reason for task in self.tasks if task.reason), "")
         own_unresponsive = {
             self.shard_of(index) for index in self.possibly_sent_tasks()
@@ -368,13 +368,11 @@
             for task in self.tasks
         ]
 
-    def restore_progress(self, row: list[list[Any]]) -> None:
+    def restore_progress(self, rows: list[list[Any]]) -> None:
         """Restore the stored progress; `resume` handles attempts that may be in flight."""
-        for task, stored in zip(self.tasks, row, strict=True):
-            task.state = AttemptState(stored[0])
-            task.generation, task.failure_count, task.has_intent, task.shard, task.reason = stored[
-                1:
-            ]
+        for task, row in zip(self.tasks, rows, strict=True):
+            task.state = AttemptState(row[0])
+            task.generation, task.failure_count, task.has_intent, task.shard, task.reason = row[1:]
 
     def resume(self) -> None:
         """Set every attempt that may be in flight to be sent again, which returns its outcome.
@@ -396,12 +394,12 @@
         return self.spec.idempotent and task.generation == 0 and not is_gang
 
     def _open_tasks(self) -> Iterator[int]:
-        for index in range(self._first_open, len(self.tasks)):
+        for index in range(self._first_open_index, len(self.tasks)):
             if self.tasks[index].state in OPEN_ATTEMPTS:
                 yield index
-            elif index == self._first_open:
+            elif index == self._first_open_index:
                 # Tasks end roughly in order, so later scans can skip the leading ended ones.
-                self._first_open += 1
+                self._first_open_index += 1
 
     def _record_end(self, task: TaskProgress, now: float, succeeded: bool, reason: str) -> None:
         task.reason = "" if self.cancel_requested else reason
--- a/baobabhoist/ownership/claim.py
+++ b/baobabhoist/ownership/claim.py
@@ -111,13 +111,13 @@
             return []
         if isinstance(event, EVENTS_WITHOUT_SNAPSHOT):
             return handler(self, event, now)
-        before = self._snapshot()
+        snapshot = self._snapshot()
         state, token = self.state, self.token
         try:
             actions = handler(self, event, now)
             check_transition(self, state, token)
         except Exception:
-            self._restore(before)
+            self._restore(snapshot)
             raise
         return actions
 
@@ -188,7 +188,7 @@
         changed = self._change_state(CLAIMING)
         return [*changed, self._advance_epoch(event.epoch)]
 
-    def _commit_epoch(self, event: ClaimRequested, now: float) -> list[ClaimAction]:
+    def _request_epoch(self, event: ClaimRequested, now: float) -> list[ClaimAction]:
         if self.awaiting_epoch:
             return self._start_claim(event, now)
         if event.epoch is None or self.is_epoch_committed:
@@ -232,7 +232,7 @@
             return self._lose_shard(now, back_off=False)
         sent_at = now if event.sent_at is None else event.sent_at
         last_confirmed = self.confirmed_at.get(worker)
-        if last_confirmed is None or sent_at - last_confirmed > self.times.worker_gone_after_s:
+        if last_confirmed is None or sent_at - last_confirmed > self.times.worker_expires_after_s:
             self.unverified_workers[worker] = sent_at
         self.tokens_before_claim.setdefault(worker, event.previous_token)
         self.accepted_tokens[worker] = self.token
@@ -290,9 +290,9 @@
 
     def _token_refused(self, event: FenceRefused, now: float) -> list[ClaimAction]:
         if event.highest_token <= self.token:
-            is_known = event.worker in self.workers and not self.awaiting_epoch
-            is_stale = event.highest_token < self.token and is_known
-            return [PresentToken(event.worker, self.token)] if is_stale else []
+            expects_worker = event.worker in self.workers and not self.awaiting_epoch
+            is_outdated = event.highest_token < self.token and expects_worker
+            return [PresentToken(event.worker, self.token)] if is_outdated else []
         self.highest_token_seen = max(self.highest_token_seen, event.highest_token)
         return self._lose_shard(now)
 
@@ -347,7 +347,7 @@
 
     def _have_leases_expired(self, worker: str) -> bool:
         first_reading, last_reading = self.reported_gone.get(worker, (0.0, 0.0))
-        return last_reading - first_reading > self.times.worker_gone_after_s
+        return last_reading - first_reading > self.times.worker_expires_after_s
 
     def _expire_missing_workers(self) -> None:
         """Count the unresolved workers as expired if the leases of all of them have ended.
@@ -405,8 +405,8 @@
             return []
         self._expire_missing_workers()
         if self.unresolved_workers():
-            usable = self.fenced_workers and self.state is CLAIMING
-            return self._change_state(PARTIAL) if usable else []
+            is_partial = self.fenced_workers and self.state is CLAIMING
+            return self._change_state(PARTIAL) if is_partial else []
         self.provisional_token = None
         if self.state is OWNED:
             return []
@@ -441,8 +441,8 @@
     def _snapshot(self) -> dict[str, Any]:
         return {name: _copy_collection(getattr(self, name)) for name in _MUTABLE_FIELDS}
 
-    def _restore(self, before: dict[str, Any]) -> None:
-        for name, value in before.items():
+    def _restore(self, snapshot: dict[str, Any]) -> None:
+        for name, value in snapshot.items():
             setattr(self, name, value)
 
 
@@ -461,7 +461,7 @@
 
 _TRANSITION_TABLE: tuple[tuple[type, tuple[ClaimState, ...], Any], ...] = (
     (ClaimRequested, (IDLE, LOST), ShardClaim._start_claim),
-    (ClaimRequested, (CLAIMING, PARTIAL, OWNED), ShardClaim._commit_epoch),
+    (ClaimRequested, (CLAIMING, PARTIAL, OWNED), ShardClaim._request_epoch),
     (EpochGranted, (CLAIMING, PARTIAL), ShardClaim._epoch_granted),
     (EpochGranted, (OWNED,), ShardClaim._epoch_committed),
     (EpochUnavailable, (CLAIMING,), ShardClaim._epoch_unavailable),
--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -42,7 +42,7 @@
     hand_over_timeout_s: float = 5.0
 
     @property
-    def worker_gone_after_s(self) -> float:
+    def worker_expires_after_s(self) -> float:
         """Return how long a worker must be reported gone until all its leases have expired."""
         return self.membership_lag_s + self.max_lease_s
 
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -75,7 +75,7 @@
         self.unreachable_pairs = set()
         self.first_sent = {}
         self.run_counts = {}
-        self.told_not_run = set()
+        self.reported_not_run = set()
         self.generated_count = 0
 
     def _new_instance(self, index):
@@ -163,7 +163,7 @@
             if worker.is_up and is_active and not inst.claim.can_dispatch_to(worker.name):
                 self._perform(inst, events.PresentToken(worker.name, inst.claim.token))
 
-    def read_members(self, inst, lag):
+    def read_membership_list(self, inst, lag):
         """Read the membership list, which shows the state `lag` seconds ago."""
         for worker in self.workers.values():
             is_gone = not worker.was_up(self.now - lag)
@@ -338,7 +338,7 @@
 
     def _answer(self, request_id, result):
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
-            self.told_not_run.add(request_id)
+            self.reported_not_run.add(request_id)
 
     def renew_leases(self, inst):
         """Send a lease renewal to every fenced worker."""
@@ -415,7 +415,7 @@
         """Assert the guarantees; places in the pool count as used by other shards."""
         run_twice = [key for key, n in self.run_counts.items() if n > 1]
         assert not run_twice, f"{run_twice} ran more than once"
-        assert not self.told_not_run & set(self.run_counts), (
+        assert not self.reported_not_run & set(self.run_counts), (
             "not_run was reported for a request that ran"
         )
         running = sum(len(worker.running) for worker in self.workers.values())
--- a/baobabhoist/tests/test_ownership_machine.py
+++ b/baobabhoist/tests/test_ownership_machine.py
@@ -22,7 +22,7 @@
         self.system = SimulatedShard(3, workers)
         self.system.run_until_owned(self.system.instances[0])
 
-    def active_instance(self, index):
+    def unpaused_instance(self, index):
         inst = self.system.instances[index]
         return None if inst.is_paused else inst
 
@@ -36,10 +36,10 @@
             for inst in self.system.instances
             if inst.claim.fenced_workers and not inst.is_paused
         ]
-        return owners[index % len(owners)] if owners else self.active_instance(index)
+        return owners[index % len(owners)] if owners else self.unpaused_instance(index)
 
     @rule(index=INSTANCES, key=st.integers(-3, 5), send=st.booleans())
-    def work(self, index, key, send):
+    def send_work(self, index, key, send):
         """Send a generated id or a copy of a keyed request to an owner, which dispatches it."""
         inst = self.owner(index)
         if inst is not None:
@@ -50,7 +50,7 @@
                 self.system.deliver_all(inst, ("run",))
 
     @rule(key=st.integers(0, 5))
-    def copy_key(self, key):
+    def duplicate_key(self, key):
         for inst in self.system.instances:
             self.system.send_request(inst, f"key-{key}")
 
@@ -63,7 +63,7 @@
 
     @rule(index=INSTANCES)
     def take_over(self, index):
-        inst = self.active_instance(index)
+        inst = self.unpaused_instance(index)
         if inst is not None:
             self.system.request_claim(inst)
             self.system.deliver_all(inst, FENCING_KINDS)
@@ -88,7 +88,7 @@
             self.system.deliver(position % len(self.system.messages), is_duplicated)
 
     @rule(position=st.integers(0, 30))
-    def lose(self, position):
+    def lose_message(self, position):
         if self.system.messages:
             del self.system.messages[position % len(self.system.messages)]
 
@@ -102,21 +102,21 @@
             getattr(self.system, step)(inst)
 
     @rule(index=INSTANCES, places=st.sampled_from([-1, 0, 1]))
-    def move_places(self, index, places):
+    def transfer_places(self, index, places):
         inst = self.owner(index)
         if inst is not None:
             self.system.transfer_places(inst, places)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 1.0, 5.0]))
-    def pass_time(self, seconds):
+    def advance_time(self, seconds):
         self.system.now += seconds
 
     @rule(index=INSTANCES, lag=st.sampled_from([0.0, 3.0]))
-    def read_members_for_a_long_time(self, index, lag):
-        inst = self.active_instance(index)
+    def read_membership_for_long(self, index, lag):
+        inst = self.unpaused_instance(index)
         if inst is not None:
             for pause_s in (14.0, 3.0, 0.0):
-                self.system.read_members(inst, lag)
+                self.system.read_membership_list(inst, lag)
                 self.system.now += pause_s
 
     @rule(index=INSTANCES, is_paused=st.booleans())
--- a/specs/core_protocol.py
+++ b/specs/core_protocol.py
@@ -298,7 +298,7 @@
                     )
             elif not inst.usable & bit:
                 yield from self._fence_steps(s, i, w)
-            elif inst.unverified & bit and self._do_others_confirm(s, i, w):
+            elif inst.unverified & bit and self._have_others_confirmed(s, i, w):
                 verified = inst._replace(unverified=inst.unverified & ~bit)
                 yield f"instance {i} verified worker {w}", with_instance(s, i, verified)
 
@@ -342,7 +342,7 @@
             key=SETTLED if worker.key else inst.key,
         )
 
-    def _do_others_confirm(self, s: State, i: int, w: int) -> bool:
+    def _have_others_confirmed(self, s: State, i: int, w: int) -> bool:
         inst = s.instances[i]
         return all(
             s.workers[other].up and s.workers[other].token == inst.token
@@ -360,12 +360,14 @@
         if inst.key != QUEUED:
             return
         settled = with_instance(s, i, inst._replace(key=SETTLED))
-        ready = inst.usable & ~inst.unverified
-        holds_token = any(ready & 1 << w and s.workers[w].token == inst.token for w in WORKERS)
+        usable_workers = inst.usable & ~inst.unverified
+        holds_token = any(
+            usable_workers & 1 << w and s.workers[w].token == inst.token for w in WORKERS
+        )
         if holds_token or not self.rules.confirm_before_not_run:
             yield f"instance {i} answers not_run", settled._replace(told_not_run=True)
         for w in WORKERS:
-            if ready & 1 << w and len(s.messages) < self.bounds.in_flight:
+            if usable_workers & 1 << w and len(s.messages) < self.bounds.in_flight:
                 call = ("run_key", i, w, inst.token)
                 yield f"instance {i} sends the key to worker {w}", with_message(settled, call)
 
