--- a/baobabhoist/ownership/claim.py
+++ b/baobabhoist/ownership/claim.py
@@ -55,8 +55,8 @@
 class ShardClaim:
     """Track one instance's claim on one shard.
 
-    `instance_id` must be unique to each start of an instance: workers would obey two processes
-    that present equal tokens.
+    `instance_id` must be unique to each start of an instance: workers would accept calls from
+    both of two processes that present equal tokens.
     """
 
     shard: str
--- a/baobabhoist/ownership/tokens.py
+++ b/baobabhoist/ownership/tokens.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen(order=True)
 class Token:
-    """Order the claims on a shard; a worker obeys only the highest token that it has accepted.
+    """Order the claims on a shard; a worker accepts calls only under the highest one it has seen.
 
     `epoch` is advanced by compare-and-set on the shard's row in the table. `round` is advanced
     locally while the table is unavailable.
--- a/baobabhoist/tests/simulated_shard.py
+++ b/baobabhoist/tests/simulated_shard.py
@@ -54,7 +54,7 @@
     keys: RequestKeyLedger = attrs.Factory(RequestKeyLedger)
     quota: QuotaLedger = attrs.Factory(lambda: QuotaLedger(SHARD))
     queue: dict = attrs.Factory(dict)
-    inherited: tuple | None = None
+    handed_over_queue: tuple | None = None
     refused_at: dict = attrs.Factory(dict)
     is_paused: bool = False
 
@@ -73,7 +73,7 @@
         self.messages = []
         # Pairs of an instance index and a worker that cannot reach each other.
         self.unreachable_pairs = set()
-        self.first_sent = {}
+        self.first_sent_at = {}
         self.run_counts = {}
         self.reported_not_run = set()
         self.generated_count = 0
@@ -105,7 +105,7 @@
         elif isinstance(action, events.AdvanceEpoch):
             self._advance_epoch(inst, action)
         elif isinstance(action, events.ApplyInventory):
-            self._take_inventory(inst, action)
+            self._apply_inventory(inst, action)
         elif isinstance(action, events.StateChanged):
             self._state_changed(inst, action.state)
 
@@ -126,7 +126,7 @@
             self._accept_queue(inst)
         elif state in (events.ClaimState.LOST, events.ClaimState.IDLE):
             for request_id, result in inst.keys.settle_open_keys(self.clock(inst)):
-                self._answer(request_id, result)
+                self._record_reply(request_id, result)
             inst.queue.clear()
             inst.refused_at.clear()
 
@@ -141,15 +141,15 @@
         token, keys, sender = content
         is_accepted = inst.claim.state not in events.ACTIVE_STATES
         if is_accepted:
-            inst.inherited = (token, keys)
+            inst.handed_over_queue = (token, keys)
         reply = events.HandOverAccepted() if is_accepted else events.HandOverRefused()
         self._to_instance(sender, "event", reply)
 
     def _accept_queue(self, inst):
-        if inst.inherited is None:
+        if inst.handed_over_queue is None:
             return
-        token, keys = inst.inherited
-        inst.inherited = None
+        token, keys = inst.handed_over_queue
+        inst.handed_over_queue = None
         if inst.claim.directly_succeeds(token):
             for request_id in inst.keys.import_queued(keys, self.clock(inst)):
                 inst.queue[request_id] = True
@@ -267,7 +267,7 @@
     def _on_fenced(self, inst, worker, content):
         self.apply_event(inst, content[0])
 
-    def _take_inventory(self, inst, action):
+    def _apply_inventory(self, inst, action):
         inst.quota.adopt(action.worker, action.running)
         inst.keys.apply_inventory(action.worker, action.running, action.ended, self.clock(inst))
         for task in (*action.running, *action.ended):
@@ -308,7 +308,7 @@
             generated = request(f"generated-{self.generated_count}", self.clock(inst), True)
             self._to_instance(inst, "request", generated)
         else:
-            sent_at = self.first_sent.setdefault(request_id, self.clock(inst))
+            sent_at = self.first_sent_at.setdefault(request_id, self.clock(inst))
             self._to_instance(inst, "request", request(request_id, sent_at))
 
     def dispatch(self, inst):
@@ -334,9 +334,9 @@
                 if entry.seen_only_here or inst.claim.is_confirmed_since(at):
                     del inst.queue[request_id]
                     refusal = Refusal("queue_full", "full")
-                    self._answer(request_id, inst.keys.record_not_run(request_id, refusal))
+                    self._record_reply(request_id, inst.keys.record_not_run(request_id, refusal))
 
-    def _answer(self, request_id, result):
+    def _record_reply(self, request_id, result):
         if isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN:
             self.reported_not_run.add(request_id)
 
--- a/baobabhoist/tests/test_jobs_state.py
+++ b/baobabhoist/tests/test_jobs_state.py
@@ -77,9 +77,9 @@
     run = new_run(tasks=1)
     (first,) = send_all(run, 0.0)
     run.apply_result(0, UNKNOWN, 1.0)
-    (again,) = send_all(run, 100.0)
-    assert (again.request_id, again.shard) == (first.request_id, first.shard)
-    assert not again.first_attempt
+    (retried,) = send_all(run, 100.0)
+    assert (retried.request_id, retried.shard) == (first.request_id, first.shard)
+    assert not retried.first_attempt
 
 
 def test_refused_task_gets_a_new_id_that_needs_a_stored_intent():
--- a/baobabhoist/tests/test_ownership_machine.py
+++ b/baobabhoist/tests/test_ownership_machine.py
@@ -50,7 +50,7 @@
                 self.system.deliver_all(inst, ("run",))
 
     @rule(key=st.integers(0, 5))
-    def duplicate_key(self, key):
+    def send_key_to_all_instances(self, key):
         for inst in self.system.instances:
             self.system.send_request(inst, f"key-{key}")
 
@@ -79,7 +79,7 @@
             self.system.deliver_all(successor, ("queue",))
 
     @rule(index=INSTANCES, kinds=MESSAGE_KINDS)
-    def exchange(self, index, kinds):
+    def deliver_messages(self, index, kinds):
         self.system.deliver_all(self.system.instances[index], kinds)
 
     @rule(position=st.integers(0, 30), is_duplicated=st.booleans())
--- a/baobabhoist/tests/test_ownership_request_keys_of_jobs.py
+++ b/baobabhoist/tests/test_ownership_request_keys_of_jobs.py
@@ -36,8 +36,8 @@
     ledger.record_dispatch("job.0.0", "worker-1")
     for now in (WINDOW_S + 1, 3 * WINDOW_S, 9 * WINDOW_S):
         ledger.expire(now)
-    again = request(0.0, first=False, idempotent=True)
-    assert isinstance(ledger.admit(again, 9 * WINDOW_S), JoinExisting)
+    repeated = request(0.0, first=False, idempotent=True)
+    assert isinstance(ledger.admit(repeated, 9 * WINDOW_S), JoinExisting)
 
 
 def test_key_of_a_running_task_from_an_inventory_does_not_expire_after_the_window():
@@ -45,8 +45,8 @@
     ledger = RequestKeyLedger(taken_over_at=5.0)
     ledger.apply_inventory("worker-1", [RunningTask("job.0.0", "roster", Resources())], [], 5.0)
     ledger.expire(5.0 + 2 * WINDOW_S)
-    again = request(0.0, first=False, idempotent=True)
-    assert isinstance(ledger.admit(again, 5.0 + 2 * WINDOW_S), JoinExisting)
+    repeated = request(0.0, first=False, idempotent=True)
+    assert isinstance(ledger.admit(repeated, 5.0 + 2 * WINDOW_S), JoinExisting)
 
 
 def test_result_of_a_long_task_expires_one_window_after_its_end():
--- a/specs/core_protocol.py
+++ b/specs/core_protocol.py
@@ -65,7 +65,7 @@
 
 
 class Worker(NamedTuple):
-    """Hold the token of a worker, if it is up, its number of plain tasks and if it ran the key."""
+    """Hold a worker's token and number of plain tasks, and whether it is up and ran the key."""
 
     token: int
     up: bool
@@ -79,9 +79,11 @@
     `fenced` workers have confirmed the token, `resolved` ones are fenced or expired, `usable`
     ones are fenced and connected, and `unverified` ones wait until the others have confirmed.
     `confirmed` is true if the epoch of the token is in the table. `places` is the quota escrow
-    if `has_full_escrow`, and the takeover cap otherwise. `key_is_new` is true if the key was not
-    sent before the takeover. `provisional_token` is the token under which the shard was owned
-    before the table confirmed it.
+    if `has_full_escrow`, and the takeover cap otherwise. `end_reports` counts the ends of tasks
+    that the instance has yet to process, and `unconfirmed` the places of ended tasks that the
+    worker has yet to confirm by a later call. `key_is_new` is true if the key was not sent before
+    the takeover. `provisional_token` is the token under which the shard was owned before the
+    table confirmed it.
     """
 
     status: int = IDLE
@@ -458,7 +460,7 @@
         return invariants
 
     def _has_single_owner(self, fields: dict[str, Any]) -> bool:
-        """Return whether no worker obeyed a stale token and no two instances hold the same one."""
+        """Return whether no worker accepted a stale token and no two instances share a token."""
         if fields["stale_effect"]:
             return False
         first, second = fields["instances"]
