--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -125,14 +125,14 @@
 
 @attrs.frozen
 class WorkerReportedGone:
-    """Report on each reading of the membership list that shows a worker as gone."""
+    """Report that a reading of the membership list shows a worker as gone; sent for each one."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerReportedLive:
-    """Report on each reading of the membership list that shows a worker as live."""
+    """Report that a reading of the membership list shows a worker as live."""
 
     worker: str
 
@@ -146,7 +146,7 @@
 
 @attrs.frozen
 class Tick:
-    """Trigger the check of stored deadlines."""
+    """Trigger a check of the deadlines that the claim has stored."""
 
 
 @attrs.frozen
