--- /dev/null
+++ b/baobabhoist/control/election.py
@@ -0,0 +1,344 @@
+"""Elect the cell's owner: claim the cell, keep the claim alive and release it."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from baobabhoist.control.claim import (
+    CONFIRMATION_VALID_MS,
+    HEARTBEAT_INTERVAL_MS,
+    ISOLATION_BACKOFF_MS,
+    REASONS_PREVIOUS_OWNER_STOPPED,
+    TAKEOVER_WINDOW_MS,
+    ClaimReason,
+    ClaimRow,
+    IsolationDetector,
+    OwnerLinkState,
+    decode_claim,
+    encode_claim,
+    find_claim_reason,
+)
+from baobabhoist.control.clock import monotonic_ms
+from baobabhoist.control.config import ActiveConfig
+from baobabhoist.control.links import OWNER_HEARTBEAT_INTERVAL_S, Identity, LinkServer, OwnerLink
+from baobabhoist.control.messages import OwnerHeartbeat
+from baobabhoist.control.owner import CellOwner, OwnershipTerm
+from baobabhoist.control.owner_router import OwnerRouter
+from baobabhoist.control.row_schema import CELL_TABLE, HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
+from baobabhoist.control.settings import NodeSettings
+from baobabhoist.errors import LinkClosedError
+from baobabhoist.observability.events import Event, emit
+from baobabhoist.peer.link import Link
+from baobabhoist.store.rows import RowsConflict, RowStore, RowsTxn, StoredRow, StoreError
+
+log = logging.getLogger(__name__)
+
+CLAIM_CHECK_INTERVAL_S = 0.1
+# Random delay before a claim, so that instances do not all claim at the same moment.
+CLAIM_JITTER_S = 0.06
+# Resources that an owner needs; a smaller machine delays its claim, so that larger ones win.
+RECOMMENDED_CORES = 1.0
+RECOMMENDED_LINK_MBPS = 50.0
+MAX_SMALL_MACHINE_DELAY_S = 0.5
+# Pause between polls of the claim while the link shows that the owner is alive.
+CLAIM_POLL_PAUSE_S = 1.5
+# Successful polls are further apart than this only if a poll between them failed.
+MAX_READ_GAP_MS = 1_700.0
+# One pause and one long poll; a claim that was read longer ago may be out of date.
+MAX_READ_AGE_MS = 3_200.0
+
+OwnerFactory = Callable[[OwnershipTerm, Callable[[], bool], Callable[[str], None]], CellOwner]
+
+
+class OwnerElection:
+    """Run this instance's side of the election of the cell's owner."""
+
+    def __init__(
+        self,
+        cfg: NodeSettings,
+        store: RowStore,
+        config: ActiveConfig,
+        identity: Identity,
+        owner_router: OwnerRouter,
+        link_server: LinkServer,
+        owner_link: OwnerLink,
+        make_owner: OwnerFactory,
+    ) -> None:
+        self.is_draining = False
+        # Polls the cell's table without waiting for the pause to end.
+        self.poll_now: Callable[[], None] = lambda: None
+        self._cfg = cfg
+        self._store = store
+        self._config = config
+        self._identity = identity
+        self._owner_router = owner_router
+        self._link_server = link_server
+        self._owner_link = owner_link
+        self._make_owner = make_owner
+        self._claim: ClaimRow | None = None
+        self._claim_version = 0
+        self._heartbeat_version = 0
+        self._heartbeat_changed_ms = monotonic_ms()
+        self._read_ms = -1e12
+        self._has_read = False
+        self._check_requested = asyncio.Event()
+        self._takeover_times_ms: list[float] = []
+        self._isolation_detector = IsolationDetector()
+        # Earliest time of the next claim, on the local clock.
+        self._next_claim_ms = 0.0
+        self._owner_task: asyncio.Task[None] | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def recheck(self) -> None:
+        """Check the claim now, because the state of the owner link changed."""
+        self.poll_now()
+        self._check_requested.set()
+
+    def poll_pause_s(self) -> float:
+        """Return the pause between polls of the cell's table, in seconds."""
+        is_owner = self._owner_router.local_owner is not None
+        return (
+            CLAIM_POLL_PAUSE_S
+            if is_owner or self._owner_link.state is OwnerLinkState.CONNECTED
+            else 0.0
+        )
+
+    async def release(self, reason: str) -> None:
+        """Release the cell, so that another instance can take it over immediately."""
+        owner = self._owner_router.local_owner
+        if owner is None:
+            return
+        claim = ClaimRow("", "", "", owner.ownership.generation)
+        owner.stop()
+        if await owner.progress_writer.release(encode_claim(claim), owner.cell):
+            emit(log, Event.CLAIM_RELEASED, token=owner.ownership.token)
+            self._notify_links(OwnerHeartbeat(owns=False))
+        self._step_down(reason)
+
+    # Changes of the cell's table.
+
+    def apply_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
+        """Apply new versions of the claim and of the heartbeat."""
+        for row in rows:
+            if row.key == OWNER_ROW_KEY and row.version >= self._claim_version:
+                self._apply_claim(row)
+            elif row.key == HEARTBEAT_ROW_KEY and row.version > self._heartbeat_version:
+                self._heartbeat_version = row.version
+                self._heartbeat_changed_ms = monotonic_ms()
+
+    def _apply_claim(self, row: StoredRow) -> None:
+        if row.value is None or row.version == self._claim_version:
+            return
+        try:
+            claim = decode_claim(row.value)
+        except ValueError as exc:
+            emit(log, Event.ROW_UNREADABLE, table=CELL_TABLE, row=row.key.key, detail=exc)
+            return
+        self._record_takeover(claim)
+        self._claim, self._claim_version = claim, row.version
+        self._heartbeat_changed_ms = monotonic_ms()
+        emit(
+            log,
+            Event.CLAIM_SEEN,
+            owner=claim.node,
+            version=row.version,
+            generation=claim.generation,
+        )
+        if claim.boot != self._identity.boot_id and self._owner_router.local_owner is not None:
+            self._step_down(f"{claim.node or 'nobody'} has the claim")
+        self._owner_link.connect_to(claim)
+        self._check_requested.set()
+
+    def _record_takeover(self, claim: ClaimRow) -> None:
+        """Count takeovers from owners that did not release the cell."""
+        previous = self._claim
+        if previous is not None and not previous.is_released and not claim.is_released:
+            self._takeover_times_ms.append(monotonic_ms())
+
+    def _count_recent_takeovers(self) -> int:
+        since = monotonic_ms() - TAKEOVER_WINDOW_MS
+        self._takeover_times_ms = [t for t in self._takeover_times_ms if t > since]
+        return len(self._takeover_times_ms)
+
+    def note_read(self, sent_ms: float) -> None:
+        """Record that a poll of the table, sent at `sent_ms`, was answered."""
+        now = monotonic_ms()
+        if sent_ms - self._read_ms > MAX_READ_GAP_MS:
+            # The store was unavailable, so the owner could not write heartbeats either.
+            self._heartbeat_changed_ms = now
+        self._read_ms = now
+        self._has_read = True
+
+    # The claim.
+
+    async def run_claims(self) -> None:
+        """Claim the cell whenever there is a reason to, until cancelled."""
+        while True:
+            try:
+                async with asyncio.timeout(CLAIM_CHECK_INTERVAL_S):
+                    await self._check_requested.wait()
+            except TimeoutError:
+                pass
+            self._check_requested.clear()
+            reason = self._find_reason()
+            if reason is not ClaimReason.NONE:
+                await asyncio.sleep(self._claim_delay_s())
+                if self._find_reason() is reason:
+                    await self._try_claim(reason)
+
+    def _find_reason(self) -> ClaimReason:
+        is_fresh = monotonic_ms() - self._read_ms < MAX_READ_AGE_MS
+        if (
+            not (self._has_read and is_fresh)
+            or self.is_draining
+            or self._owner_router.local_owner is not None
+        ):
+            return ClaimReason.NONE
+        if self._config.current is None or monotonic_ms() < self._next_claim_ms:
+            return ClaimReason.NONE
+        heartbeat_age_ms = monotonic_ms() - self._heartbeat_changed_ms
+        return find_claim_reason(
+            self._claim,
+            self._owner_link.state,
+            heartbeat_age_ms,
+            self._identity.boot_id,
+            self._count_recent_takeovers(),
+        )
+
+    def _claim_delay_s(self) -> float:
+        cores = min(1.0, self._cfg.cores / RECOMMENDED_CORES)
+        link = min(1.0, self._cfg.link_mbps / RECOMMENDED_LINK_MBPS)
+        shortfall = 1.0 - min(cores, link)
+        return shortfall * MAX_SMALL_MACHINE_DELAY_S + random.random() * CLAIM_JITTER_S
+
+    async def _try_claim(self, reason: ClaimReason) -> None:
+        generation = self._claim.generation + 1 if self._claim is not None else 0
+        address = self._cfg.advertised_peer_address
+        claim = ClaimRow(self._identity.node, self._identity.boot_id, address, generation)
+        expected = {OWNER_ROW_KEY: self._claim_version}
+        if reason not in REASONS_PREVIOUS_OWNER_STOPPED and self._heartbeat_version:
+            expected[HEARTBEAT_ROW_KEY] = self._heartbeat_version
+        txn = RowsTxn(expected, {OWNER_ROW_KEY: encode_claim(claim)})
+        try:
+            outcome = await self._store.commit(txn)
+        except StoreError as exc:
+            # The claim may have been written without an answer.
+            emit(log, Event.CLAIM_FAILED, reason=reason.value, detail=exc)
+            await self._read_back_claim(claim, reason)
+            return
+        if isinstance(outcome, RowsConflict):
+            for row in outcome.rows:
+                self.apply_rows([row], False)
+            return
+        self._become_owner(claim, outcome.version, reason)
+
+    async def _read_back_claim(self, claim: ClaimRow, reason: ClaimReason) -> None:
+        """Become the owner if a claim that got no answer was written after all."""
+        try:
+            rows = await self._store.read(OWNER_ROW_KEY.table)
+        except StoreError as exc:
+            log.debug("reading back the claim failed: %s", exc)
+            return
+        for row in rows.rows:
+            if row.key == OWNER_ROW_KEY and row.value == encode_claim(claim):
+                self._become_owner(claim, row.version, reason)
+
+    def _become_owner(
+        self,
+        claim: ClaimRow,
+        version: int,
+        reason: ClaimReason,
+    ) -> None:
+        if self._owner_router.local_owner is not None:
+            return
+        now = monotonic_ms()
+        self._claim, self._claim_version = claim, version
+        self._owner_link.connect_to(None)
+        previous_owner_until_ms = now
+        if reason not in REASONS_PREVIOUS_OWNER_STOPPED:
+            previous_owner_until_ms = max(now, self._heartbeat_changed_ms + CONFIRMATION_VALID_MS)
+        ownership = OwnershipTerm(version, claim.generation, now, previous_owner_until_ms)
+        emit(
+            log,
+            Event.CLAIM_WON,
+            token=version,
+            generation=claim.generation,
+            reason=reason.value,
+            wait_ms=round(previous_owner_until_ms - now),
+        )
+        owner = self._make_owner(ownership, self._may_start, self._step_down)
+        self._isolation_detector = IsolationDetector(last_sufficient_ms=now)
+        self._owner_router.local_owner = owner
+        self._identity.is_owner = True
+        self._owner_task = asyncio.create_task(owner.run())
+        self._owner_task.add_done_callback(self._handle_owner_end)
+
+    def _handle_owner_end(self, task: asyncio.Task[None]) -> None:
+        """Step down if the owner's task crashed: heartbeats alone must not keep the cell."""
+        if not task.cancelled() and task.exception() is not None:
+            emit(log, Event.TASK_CRASHED, detail=repr(task.exception()))
+            log.error("the task of the cell's owner crashed", exc_info=task.exception())
+            self._step_down("the owner's task failed")
+
+    def _may_start(self) -> bool:
+        owner = self._owner_router.local_owner
+        return (
+            owner is not None
+            and monotonic_ms() - owner.progress_writer.heartbeat_confirmed_ms
+            < CONFIRMATION_VALID_MS
+        )
+
+    def _step_down(self, reason: str) -> None:
+        owner = self._owner_router.local_owner
+        if owner is None:
+            return
+        emit(log, Event.CLAIM_LOST, token=owner.ownership.token, reason=reason)
+        self._owner_router.local_owner = None
+        self._identity.is_owner = False
+        if self._owner_task is not None:
+            self._owner_task.cancel()
+        owner.stop()
+        self._heartbeat_changed_ms = monotonic_ms()
+        if self._claim is not None:
+            self._owner_link.connect_to(self._claim)
+
+    async def run_link_heartbeats(self) -> None:
+        """Send heartbeats over the links, which also works while the store is unavailable."""
+        while True:
+            owner = self._owner_router.local_owner
+            if owner is not None:
+                self._notify_links(OwnerHeartbeat())
+                if self._isolation_detector.is_isolated(
+                    len(self._link_server.links), monotonic_ms()
+                ):
+                    self._next_claim_ms = monotonic_ms() + ISOLATION_BACKOFF_MS
+                    await self.release("no instance is linked to this one")
+            await asyncio.sleep(OWNER_HEARTBEAT_INTERVAL_S)
+
+    def _notify_links(self, message: Any) -> None:
+        for link in list(self._link_server.links.values()):
+            self._notify(link, message)
+
+    def _notify(self, link: Link, message: Any) -> None:
+        task = asyncio.create_task(_notify_unless_closed(link, message))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def run_store_heartbeats(self) -> None:
+        """Write heartbeats to the store while this process is the owner."""
+        while True:
+            owner = self._owner_router.local_owner
+            if owner is not None:
+                await owner.progress_writer.write_heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_MS / 1000)
+
+
+async def _notify_unless_closed(link: Link, message: Any) -> None:
+    try:
+        await link.notify(message)
+    except LinkClosedError as exc:
+        log.debug("a link closed before the owner's notification was sent: %s", exc)
--- /dev/null
+++ b/baobabhoist/control/job_api.py
@@ -0,0 +1,265 @@
+"""Serve callers: accept, query and cancel jobs, and count the pending ones."""
+
+from __future__ import annotations
+
+import logging
+import re
+from typing import Any
+
+import attrs
+
+from baobabhoist.cell import progress_rows
+from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
+from baobabhoist.control.clock import StoreClock, monotonic_ms
+from baobabhoist.control.config import ActiveConfig, CellConfig, Route
+from baobabhoist.control.interfaces import Decoder
+from baobabhoist.control.job_writer import JobWriter, WriteStatus
+from baobabhoist.control.messages import (
+    CancelNotice,
+    JobNotice,
+    PendingQuery,
+    PendingReply,
+    StateQuery,
+    StateReply,
+)
+from baobabhoist.control.owner_router import OwnerRouter
+from baobabhoist.control.row_schema import (
+    JOBS_TABLE,
+    PROGRESS_TABLE,
+    JobRow,
+    cancel_row_key,
+    decode_job,
+    encode_job,
+    job_row_key,
+)
+from baobabhoist.errors import ErrorKind, LinkClosedError, Refusal
+from baobabhoist.model import Outcome
+from baobabhoist.observability.events import Event, emit
+from baobabhoist.store.rows import RowStore, StoreError
+
+log = logging.getLogger(__name__)
+
+JOB_ID = re.compile(r"[0-9a-f]{16}")
+RETRY_AFTER_S = 1.0
+# Sent when another instance can probably serve the call now.
+RETRY_ELSEWHERE_S = 0.0
+QUERY_TIMEOUT_S = 0.5
+# Part of a caller's deadline that is reserved for sending the answer.
+ANSWER_RESERVE_MS = 150.0
+# Keys are checked only while the configuration is younger than this fraction of revoke_ms, the
+# time within which a withdrawn key must stop working.
+MAX_KEY_AGE_FRACTION = 0.85
+
+
+@attrs.frozen
+class ApiCall:
+    """Hold the fields common to all calls; `deadline_ms` is on the local clock."""
+
+    host: str
+    path: str
+    key: str
+    deadline_ms: float
+
+
+@attrs.frozen
+class AdmittedCall:
+    """Hold a call admitted by its route and key; `job_id` is empty for a call to the queue."""
+
+    cfg: CellConfig
+    route: Route
+    team: str
+    job_id: str
+
+
+def unavailable_refusal(message: str, retry_after_s: float = RETRY_AFTER_S) -> Refusal:
+    """Return the refusal of a call that this instance cannot serve now."""
+    return Refusal(
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        message,
+        remedy="retry after the given time",
+        retry_after_s=retry_after_s,
+    )
+
+
+def unknown_outcome_refusal(message: str) -> Refusal:
+    """Return the refusal of a call whose outcome is unknown."""
+    return Refusal(
+        ErrorKind.OUTCOME_UNKNOWN,
+        message,
+        Outcome.UNKNOWN,
+        remedy="retry with the same id; a repeated call has no further effect",
+    )
+
+
+def _unknown_job_refusal(job_id: str) -> Refusal:
+    return Refusal(ErrorKind.NOT_FOUND, f"there is no job {job_id}", remedy="check the id")
+
+
+@attrs.define
+class JobApi:
+    """Answer calls from the configuration, the owner and the store, without state of its own."""
+
+    config: ActiveConfig
+    store: RowStore
+    job_writer: JobWriter
+    decoder: Decoder
+    clock: StoreClock
+    owner_router: OwnerRouter
+    revoke_ms: float
+    row_max_bytes: int
+
+    def admit(self, call: ApiCall) -> AdmittedCall | Refusal:
+        """Return the admitted call with its route and team, or the refusal."""
+        cfg = self.config.current
+        if cfg is None:
+            return unavailable_refusal("no configuration has been loaded yet")
+        route = cfg.find_route(call.host, call.path)
+        if route is None:
+            return Refusal(
+                ErrorKind.NOT_FOUND, f"no queue at {call.path}", remedy="check host and path"
+            )
+        team = ""
+        if not route.queue.is_public:
+            if self.config.age_ms(monotonic_ms()) > MAX_KEY_AGE_FRACTION * self.revoke_ms:
+                return unavailable_refusal("the active keys may be out of date", RETRY_ELSEWHERE_S)
+            if call.key not in cfg.team_by_key:
+                kind = ErrorKind.KEY_REJECTED if call.key else ErrorKind.KEY_MISSING
+                emit(log, Event.KEY_REFUSED, queue=route.queue.name, version=cfg.version)
+                return Refusal(kind, "the key is not valid", remedy="send a key of the team")
+            team = cfg.team_by_key[call.key]
+        job_id = call.path[len(route.prefix) :].partition("?")[0]
+        return AdmittedCall(cfg, route, team, job_id)
+
+    async def submit(self, call: ApiCall, admitted: AdmittedCall, body: bytes) -> Refusal | None:
+        """Store a job; return None once it is accepted."""
+        if JOB_ID.fullmatch(admitted.job_id) is None:
+            message = f"{admitted.job_id!r} is not a job id"
+            return Refusal(ErrorKind.BAD_REQUEST, message, remedy="give 16 hex digits")
+        if len(body) > admitted.cfg.body_max_bytes:
+            message = f"a body may have at most {admitted.cfg.body_max_bytes} bytes"
+            return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy="send a smaller job")
+        spec = self.decoder.decode_job(body)
+        if isinstance(spec, Refusal):
+            return spec
+        return await self._store_job(call, admitted, spec)
+
+    async def _store_job(
+        self, call: ApiCall, admitted: AdmittedCall, spec: JobSpec
+    ) -> Refusal | None:
+        queue = admitted.route.queue
+        row = JobRow(queue.name, queue.service, admitted.team, self.clock.now_ms(), spec)
+        value = encode_job(row)
+        if len(value) > self.row_max_bytes:
+            message = f"the job would take {len(value)} bytes in the store"
+            remedy = f"send a job of at most {self.row_max_bytes} bytes"
+            return Refusal(ErrorKind.BODY_TOO_LARGE, message, remedy=remedy)
+        start_ms = monotonic_ms()
+        result = await self.job_writer.store_job(
+            admitted.job_id, value, call.deadline_ms - ANSWER_RESERVE_MS
+        )
+        emit(
+            log,
+            Event.JOB_STORED,
+            job=admitted.job_id,
+            queue=queue.name,
+            team=admitted.team,
+            config=admitted.cfg.version,
+            config_age_ms=round(self.config.age_ms(monotonic_ms())),
+            outcome=result.status.value,
+            version=result.version,
+            took_ms=round(monotonic_ms() - start_ms),
+        )
+        if result.status is WriteStatus.REFUSED:
+            return self._store_refusal("the store cannot accept jobs now")
+        if result.status is WriteStatus.UNKNOWN:
+            return unknown_outcome_refusal("the store did not confirm whether the job was stored")
+        if result.status is WriteStatus.NEW:
+            self.owner_router.notify(JobNotice(admitted.job_id, value, result.version))
+        return None
+
+    async def job_state(self, admitted: AdmittedCall) -> str | Refusal:
+        """Return the state of a job."""
+        reply = await self._find_state(admitted.job_id)
+        if isinstance(reply, Refusal):
+            return reply
+        if not reply.state:
+            return _unknown_job_refusal(admitted.job_id)
+        if reply.team and reply.team != admitted.team:
+            return Refusal(
+                ErrorKind.FORBIDDEN, "the job belongs to another team", remedy="use its key"
+            )
+        return reply.state
+
+    async def cancel(self, call: ApiCall, admitted: AdmittedCall) -> Refusal | None:
+        """Cancel a job; return None once the cancellation is stored."""
+        reply = await self._find_state(admitted.job_id)
+        if isinstance(reply, Refusal):
+            return reply
+        if not reply.state:
+            return _unknown_job_refusal(admitted.job_id)
+        if reply.state in FINAL_PHASES:
+            return None
+        result = await self.job_writer.store_cancellation(
+            admitted.job_id, call.deadline_ms - ANSWER_RESERVE_MS
+        )
+        emit(log, Event.CANCEL_STORED, job=admitted.job_id, outcome=result.status.value)
+        if result.status is WriteStatus.REFUSED:
+            return self._store_refusal("the store cannot accept cancellations now")
+        if result.status is WriteStatus.UNKNOWN:
+            return unknown_outcome_refusal(
+                "the store did not confirm whether the job was cancelled"
+            )
+        self.owner_router.notify(CancelNotice(admitted.job_id))
+        return None
+
+    async def count_pending_jobs(self, admitted: AdmittedCall) -> int | Refusal:
+        """Return the number of jobs of a queue that have not started."""
+        queue = admitted.route.queue.name
+        reply = await self._ask_owner(PendingQuery(queue))
+        if isinstance(reply, PendingReply):
+            return reply.jobs
+        return unavailable_refusal("the owner of the queue cannot be reached")
+
+    def _store_refusal(self, message: str) -> Refusal:
+        """Return the refusal of a write; callers of a cut-off instance retry elsewhere at once."""
+        return unavailable_refusal(
+            message, RETRY_AFTER_S if self.owner_router.is_owner_reachable else RETRY_ELSEWHERE_S
+        )
+
+    async def _find_state(self, job_id: str) -> StateReply | Refusal:
+        if JOB_ID.fullmatch(job_id) is None:
+            return StateReply()
+        reply = await self._ask_owner(StateQuery(job_id))
+        if isinstance(reply, StateReply) and reply.state:
+            return reply
+        try:
+            return await self._read_state(job_id)
+        except (StoreError, ValueError) as exc:
+            emit(log, Event.STATE_UNKNOWN, job=job_id, detail=exc)
+            return unavailable_refusal(
+                "neither the owner nor the store returned the state of the job"
+            )
+
+    async def _read_state(self, job_id: str) -> StateReply:
+        """Read the state of a job from the store; raises StoreError or ValueError."""
+        key = job_row_key(job_id)
+        rows = await self.store.read(JOBS_TABLE, key.part, first=job_id, last=job_id + "0")
+        rows_by_key = {row.key: row for row in rows.rows}
+        stored = rows_by_key.get(key)
+        if stored is None or stored.value is None:
+            return StateReply()
+        job = decode_job(job_id, stored.value, stored.version)
+        phase = JobPhase.CANCELLED if cancel_row_key(job_id) in rows_by_key else JobPhase.QUEUED
+        progress = await self.store.read(PROGRESS_TABLE, "", first=job_id, last=job_id + "0")
+        for row in progress.rows:
+            if row.value is not None:
+                stored_phase = progress_rows.decode(row.value).phase
+                phase = stored_phase if stored_phase in FINAL_PHASES else phase
+        return StateReply(phase.value, job.queue, job.team)
+
+    async def _ask_owner(self, query: Any) -> Any:
+        try:
+            return await self.owner_router.call(query, QUERY_TIMEOUT_S)
+        except (LinkClosedError, TimeoutError) as exc:
+            log.debug("the owner did not answer: %s", exc)
+            return None
--- /dev/null
+++ b/baobabhoist/control/store_health.py
@@ -0,0 +1,81 @@
+"""Track whether the store can be reached, and measure how long its calls take."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from typing import TypeVar
+
+import attrs
+
+from baobabhoist.control.clock import monotonic_ms
+from baobabhoist.control.metrics import NodeMetrics
+from baobabhoist.store.rows import (
+    HistoryLostError,
+    Rows,
+    RowsCommitted,
+    RowsConflict,
+    RowStore,
+    RowsTxn,
+    StoreError,
+    StoreRefusedError,
+)
+
+T = TypeVar("T")
+
+
+@attrs.define
+class StoreHealth:
+    """Hold when the store last answered and when a call last failed, on the local clock."""
+
+    last_answer_ms: float = -1e12
+    last_failure_ms: float = -1e12
+
+    def is_unreachable(self) -> bool:
+        """Return whether the last call failed, in which case the next will probably fail too."""
+        return self.last_failure_ms > self.last_answer_ms
+
+    def is_unreachable_for(self, ms: float) -> bool:
+        """Return whether the store has been unreachable for more than a number of ms."""
+        return self.is_unreachable() and monotonic_ms() - self.last_answer_ms > ms
+
+
+class MonitoredStore:
+    """Forward calls to a store, and record the outcome and duration of each."""
+
+    def __init__(self, store: RowStore, metrics: NodeMetrics) -> None:
+        self.health = StoreHealth()
+        self._store = store
+        self._metrics = metrics
+
+    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+        """Return the rows of a partition in a range of keys."""
+        return await self._measure("read", self._store.read(table, part, first=first, last=last))
+
+    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+        """Return the rows of a table that changed after a version."""
+        return await self._measure("follow", self._store.follow(table, after_version, wait_ms))
+
+    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+        """Apply a transaction."""
+        return await self._measure("commit", self._store.commit(txn))
+
+    async def _measure(self, call: str, answer: Awaitable[T]) -> T:
+        start_ms = monotonic_ms()
+        outcome = "ok"
+        try:
+            result = await answer
+        except HistoryLostError:
+            outcome = "history_lost"
+            self.health.last_answer_ms = monotonic_ms()
+            raise
+        except StoreError as exc:
+            outcome = "refused" if isinstance(exc, StoreRefusedError) else "unanswered"
+            # An answer to a later call is more recent evidence about the store.
+            if self.health.last_answer_ms < start_ms:
+                self.health.last_failure_ms = monotonic_ms()
+            raise
+        else:
+            self.health.last_answer_ms = monotonic_ms()
+            return result
+        finally:
+            self._metrics.observe_store_call(call, outcome, (monotonic_ms() - start_ms) / 1000)
--- /dev/null
+++ b/baobabhoist/control/table_follower.py
@@ -0,0 +1,117 @@
+"""Follow a table: read a snapshot of it, then poll for its changes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Iterable, Sequence
+
+from baobabhoist.control.clock import StoreClock, monotonic_ms
+from baobabhoist.observability.events import Event, emit
+from baobabhoist.store.rows import HistoryLostError, Rows, RowStore, StoredRow, StoreError
+
+log = logging.getLogger(__name__)
+
+RETRY_INTERVAL_S = 0.15
+# Long polls are short because each answer also confirms that the known rows are current.
+POLL_WAIT_MS = 1_000
+
+RowsCallback = Callable[[Sequence[StoredRow], bool], None]
+
+
+class TableFollower:
+    """Follow one table.
+
+    `on_rows` gets rows and whether they are a snapshot of the table. `confirmed_ms` is when the
+    last answered call was sent, on the local clock. With a `known_version` no snapshot is read:
+    the caller already has the rows up to that version.
+    """
+
+    def __init__(
+        self,
+        store: RowStore,
+        table: str,
+        on_rows: RowsCallback,
+        clock: StoreClock,
+        *,
+        partitions: Iterable[str] = ("",),
+        pause_s: Callable[[], float] = lambda: 0.0,
+        on_confirmed: Callable[[float], None] | None = None,
+        known_version: int = 0,
+    ) -> None:
+        self.confirmed_ms = -1e12
+        self.version = known_version
+        self._store = store
+        self._table = table
+        self._on_rows = on_rows
+        self._clock = clock
+        self._partitions = tuple(partitions)
+        self._pause_s = pause_s
+        self._on_confirmed = on_confirmed
+        self._is_connected = False
+        self._poll_requested = asyncio.Event()
+
+    async def run(self) -> None:
+        """Follow until cancelled."""
+        is_loaded = self.version > 0
+        while True:
+            try:
+                if not is_loaded:
+                    await self.load()
+                    is_loaded = True
+                await self._poll()
+            except HistoryLostError:
+                emit(log, Event.HISTORY_LOST, table=self._table, version=self.version)
+                is_loaded = False
+            except StoreError as exc:
+                self._log_disconnected(exc)
+                await asyncio.sleep(RETRY_INTERVAL_S)
+
+    async def load(self) -> None:
+        """Read a snapshot of the table; raises StoreError."""
+        sent_ms = monotonic_ms()
+        reads = (self._store.read(self._table, partition) for partition in self._partitions)
+        snapshots: list[Rows] = await asyncio.gather(*reads)
+        # Partitions may differ in version; the first poll repeats the changes after the oldest.
+        self.version = min(rows.version for rows in snapshots)
+        self._on_rows([row for rows in snapshots for row in rows.rows], True)
+        self._confirm(snapshots[-1], sent_ms)
+
+    async def _poll(self) -> None:
+        sent_ms = monotonic_ms()
+        changes = await self._store.follow(self._table, self.version, POLL_WAIT_MS)
+        self.version = max(self.version, changes.version)
+        if changes.rows:
+            self._on_rows(changes.rows, False)
+        self._confirm(changes, sent_ms)
+        await self._pause()
+
+    async def _pause(self) -> None:
+        """Wait for the pause between polls, or until a poll is requested."""
+        pause_s = self._pause_s()
+        if pause_s <= 0.0:
+            return
+        try:
+            async with asyncio.timeout(pause_s):
+                await self._poll_requested.wait()
+        except TimeoutError:
+            return
+        self._poll_requested.clear()
+
+    def poll_now(self) -> None:
+        """Poll without waiting for the pause to end."""
+        self._poll_requested.set()
+
+    def _confirm(self, rows: Rows, sent_ms: float) -> None:
+        self._clock.observe(rows.now_ms)
+        self.confirmed_ms = sent_ms
+        if not self._is_connected:
+            self._is_connected = True
+            emit(log, Event.TABLE_FOLLOWED, table=self._table, version=self.version)
+        if self._on_confirmed is not None:
+            self._on_confirmed(sent_ms)
+
+    def _log_disconnected(self, exc: StoreError) -> None:
+        if self._is_connected:
+            self._is_connected = False
+            emit(log, Event.TABLE_LOST, table=self._table, version=self.version, detail=exc)
--- /dev/null
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -0,0 +1,87 @@
+"""Test how a table is followed through store outages and lost history."""
+
+import asyncio
+
+import pytest
+
+from baobabhoist.control import table_follower as table_follower_module
+from baobabhoist.control.clock import StoreClock
+from baobabhoist.control.table_follower import TableFollower
+from baobabhoist.store.rows import RowKey, RowsTxn
+from baobabhoist.testing.rows import MemoryRows
+
+KEY = RowKey("t", "", "k")
+
+
+@pytest.fixture(autouse=True)
+def no_retry_delay(monkeypatch):
+    monkeypatch.setattr(table_follower_module, "RETRY_INTERVAL_S", 0.0)
+
+
+def put(rows, value):
+    rows.apply(RowsTxn({}, {KEY: value}))
+
+
+async def run_event_loop(times=30):
+    for _ in range(times):
+        await asyncio.sleep(0)
+
+
+def run_with_follower(test):
+    """Run a test next to a follower, with the store, the rows seen and the follower."""
+
+    async def run():
+        rows, seen = MemoryRows(), []
+
+        def record(changed, is_snapshot):
+            seen.extend((row.value, is_snapshot) for row in changed)
+
+        follower = TableFollower(rows, "t", record, StoreClock())
+        task = asyncio.create_task(follower.run())
+        await run_event_loop()
+        await test(rows, seen, follower)
+        task.cancel()
+
+    asyncio.run(run())
+
+
+def test_changes_follow_the_snapshot():
+    """Guard against a change that is in neither the snapshot nor the polled changes."""
+
+    async def test(rows, seen, follower):
+        put(rows, b"1")
+        await run_event_loop()
+        assert seen == [(b"1", False)]
+
+    run_with_follower(test)
+
+
+def test_lost_history_leads_to_a_new_snapshot():
+    """Guard against missing a change whose history the store has dropped."""
+
+    async def test(rows, seen, follower):
+        put(rows, b"1")
+        rows.history_from = rows.version + 1
+        rows.log.clear()
+        await run_event_loop()
+        assert (b"1", True) in seen
+
+    run_with_follower(test)
+
+
+def test_following_continues_after_an_outage():
+    """Guard against a follower that stops at the first failed call."""
+
+    async def test(rows, seen, follower):
+        rows.down = True
+        await run_event_loop()
+        confirmed = follower.confirmed_ms
+        put(rows, b"2")
+        await run_event_loop()
+        assert seen == []
+        assert follower.confirmed_ms == confirmed
+        rows.down = False
+        await run_event_loop()
+        assert seen == [(b"2", False)]
+
+    run_with_follower(test)
