--- a/baobabhoist/quota/ledger.py
+++ b/baobabhoist/quota/ledger.py
@@ -114,7 +114,7 @@
     def release_worker(self, worker: str) -> list[str]:
         """Release all places of a worker on which nothing can run any more, and return its tasks.
 
-        Call it only when the worker is excused (see `ownership.claim`).
+        Call it only when the claim counts the worker as expired (see `ownership.claim`).
         """
         task_ids = [
             task_id for task_id, (_, on_worker) in self.running.items() if on_worker == worker
