--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -11,7 +11,7 @@
 from baobabhoist.model import EndedTask, RunningTask
 
 if TYPE_CHECKING:
-    from baobabhoist.daemon.shard import ShardOwner
+    from baobabhoist.daemon.shard_owner import ShardOwner
 
 
 @attrs.define
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -19,11 +19,11 @@
     team_policies,
     use_elsewhere,
 )
+from baobabhoist.daemon.record_sync import RecordSync
 from baobabhoist.daemon.routing import RequestRouter
-from baobabhoist.daemon.shard import ShardOwner
 from baobabhoist.daemon.shard_jobs import ShardJobs
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.daemon.shutdown import Drain
-from baobabhoist.daemon.sync import RecordSync
 from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
 from baobabhoist.errors import NotSentError
 from baobabhoist.gateway.admin import admin_app
--- a/baobabhoist/daemon/digests.py
+++ b/baobabhoist/daemon/digests.py
@@ -9,7 +9,7 @@
 from baobabhoist.peer.messages import ShardDigest
 
 if TYPE_CHECKING:
-    from baobabhoist.daemon.shard import ShardOwner
+    from baobabhoist.daemon.shard_owner import ShardOwner
 
 
 def digest_of(owner: ShardOwner) -> ShardDigest:
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -13,7 +13,7 @@
 
 from baobabhoist.daemon.digests import digest_of
 from baobabhoist.daemon.preemption import stop_message
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.observability.events import Event, emit
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -14,7 +14,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import WebSocketException
 
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -4,7 +4,7 @@
 
 import time
 
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.jobs.messages import HoldReply, TasksReport
 from baobabhoist.model import Request, Task
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from baobabhoist.daemon.adoption import Adoption
+from baobabhoist.daemon.claim_driver import Fencing
 from baobabhoist.daemon.dispatch import (
     CALL_TIMEOUT_S,
     Dispatcher,
@@ -23,7 +24,6 @@
     outcome_unknown,
     result_of_fate,
 )
-from baobabhoist.daemon.fencing import Fencing
 from baobabhoist.daemon.forwarding import (
     Forward,
     Forwarder,
@@ -35,9 +35,9 @@
     pack,
     send_nowhere,
 )
-from baobabhoist.daemon.places import ShardPlaces
 from baobabhoist.daemon.preemption import PREEMPTED, preempt
-from baobabhoist.daemon.requests import RequestBook
+from baobabhoist.daemon.request_registry import RequestBook
+from baobabhoist.daemon.shard_quota import ShardPlaces
 from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from baobabhoist import invariants
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.model import Task
 from baobabhoist.observability.metrics import Metrics
 from baobabhoist.peer.link import TRAFFIC
--- a/baobabhoist/tests/gateways.py
+++ b/baobabhoist/tests/gateways.py
@@ -27,7 +27,7 @@
 from baobabhoist.records.changes import record_of
 from baobabhoist.records.keys import digest
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 OPERATOR = {"X-Operator-Key": "operator"}
 ROSTER = {"X-Team-Key": "roster-key"}
--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -3,9 +3,9 @@
 import asyncio
 import time
 
-from baobabhoist.daemon import dispatch, fencing, shard
+from baobabhoist.daemon import claim_driver, dispatch, shard_owner
 from baobabhoist.daemon.dispatch import ShardTimes
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.ownership.claim import ShardClaim
@@ -20,11 +20,11 @@
 def quicken(monkeypatch):
     """Shorten the periods of owners, so that tests need not wait for them."""
     for name, value in {"RENEW_INTERVAL_S": 0.05, "CONFIRM_INTERVAL_S": 0.05}.items():
-        monkeypatch.setattr(fencing, name, value)
-    monkeypatch.setattr(fencing, "RETRY_INTERVAL_S", 0.01)
-    monkeypatch.setattr(fencing, "TICK_INTERVAL_S", 0.02)
+        monkeypatch.setattr(claim_driver, name, value)
+    monkeypatch.setattr(claim_driver, "RETRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr(claim_driver, "TICK_INTERVAL_S", 0.02)
     monkeypatch.setattr(dispatch, "QUERY_INTERVAL_S", 0.01)
-    monkeypatch.setattr(shard, "TICK_INTERVAL_S", 0.02)
+    monkeypatch.setattr(shard_owner, "TICK_INTERVAL_S", 0.02)
 
 
 class MemoryLink:
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -11,8 +11,8 @@
 from baobabhoist.peer.messages import PlacesWanted
 from baobabhoist.quota.escrow import decode
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.shards import Rack, quicken, request, until
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
+from baobabhoist.tests.shard_harness import Rack, quicken, request, until
 
 LONG = b'{"run_s": 60}'
 
--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from baobabhoist.daemon import handover, shard
+from baobabhoist.daemon import handover, shard_owner
 from baobabhoist.model import Answer, Outcome
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.tests.shards import Rack, quicken, request
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
+from baobabhoist.tests.shard_harness import Rack, quicken, request
 from baobabhoist.upstream.messages import FenceWorker
 
 
@@ -81,7 +81,9 @@
     assert outcomes(monkeypatch, interlope, "fresh") == [Outcome.UNKNOWN]
 
 
-@pytest.mark.parametrize(("module", "name"), [(shard, "CONTINUITY_S"), (handover, "SETTLED_MAX")])
+@pytest.mark.parametrize(
+    ("module", "name"), [(shard_owner, "CONTINUITY_S"), (handover, "SETTLED_MAX")]
+)
 def test_knowledge_ends_when_it_is_old_or_incomplete(monkeypatch, module, name):
     """Guard against a sender that resumed meanwhile, and against keys too many to send."""
     monkeypatch.setattr(module, name, -1)
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -20,7 +20,7 @@
     WorkKind,
 )
 from baobabhoist.records.kinds import Policy
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 GIVE_UP_S = 10.0
 
--- a/baobabhoist/tests/test_daemon_sync.py
+++ b/baobabhoist/tests/test_daemon_record_sync.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from baobabhoist.daemon.sync import RecordSync, encode
+from baobabhoist.daemon.record_sync import RecordSync, encode
 from baobabhoist.errors import LinkClosedError, PlatformError
 from baobabhoist.peer.messages import RecordEntries
 from baobabhoist.records.changes import change
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 
 class Network:
--- a/baobabhoist/tests/test_daemon_routing.py
+++ b/baobabhoist/tests/test_daemon_routing.py
@@ -12,7 +12,7 @@
 from baobabhoist.model import Answer, Outcome
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, ShardDigest
-from baobabhoist.tests.shards import request
+from baobabhoist.tests.shard_harness import request
 
 
 class FakePeers:
--- a/baobabhoist/tests/test_daemon_shard.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -14,8 +14,8 @@
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.results import Preemption
 from baobabhoist.testing.worker import Worker
-from baobabhoist.tests.shards import CAPACITY, Rack, queried, quicken, request, until
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
+from baobabhoist.tests.shard_harness import CAPACITY, Rack, queried, quicken, request, until
 from baobabhoist.upstream.messages import FenceWorker, RunTask
 
 LONG = b'{"run_s": 60}'
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -28,7 +28,7 @@
 from baobabhoist.testing.cluster import free_port
 from baobabhoist.testing.network import Relay
 from baobabhoist.tests.certificates import Authority
-from baobabhoist.tests.shards import request, until
+from baobabhoist.tests.shard_harness import request, until
 
 
 @contextlib.asynccontextmanager
--- a/baobabhoist/tests/test_quota_classes.py
+++ b/baobabhoist/tests/test_quota_classes.py
@@ -5,15 +5,15 @@
 import attrs
 
 from baobabhoist.daemon.digests import digest_of
-from baobabhoist.daemon.places import ShardPlaces
 from baobabhoist.daemon.policies import class_limits
+from baobabhoist.daemon.shard_quota import ShardPlaces
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Answer, Outcome, Resources, RunningTask, WorkKind
 from baobabhoist.quota.classes import class_key
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.shards import Rack, quicken, request, until
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
+from baobabhoist.tests.shard_harness import Rack, quicken, request, until
 
 BATCH = class_key("team", WorkKind.BATCH)
 
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -9,7 +9,7 @@
 from baobabhoist.records.keys import accept, digest
 from baobabhoist.records.store import Change, RecordStore, as_written
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 
 def new_store():
