--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -7,7 +7,13 @@
 
 import attrs
 
-from baobabhoist.daemon.dispatch import Ended, Lost, NeverRan, Superseded, result_of_fate
+from baobabhoist.daemon.dispatch import (
+    Completed,
+    LostTask,
+    NotStarted,
+    Superseded,
+    result_of_outcome,
+)
 from baobabhoist.model import EndedTask, RunningTask
 
 if TYPE_CHECKING:
@@ -71,9 +77,9 @@
         owner.places.adopt(worker, adopted)
         # Open calls report their own end; taking it twice would break the keys' states.
         foreign = [done for done in ended if done.task_id not in owner.in_flight]
-        owner.book.answers.inherit(worker, foreign)
+        owner.requests.answers.note_omitted_bodies(worker, foreign)
         for request_id, result in owner.keys.inherit(worker, adopted, foreign, now):
-            owner.spawn(owner.book.give_whole(request_id, result))
+            owner.spawn(owner.requests.deliver_with_body(request_id, result))
         for task_id in self._adopted.missing(worker, [task.task_id for task in running]):
             if self._adopted.remove(worker, task_id):
                 self._release(task_id, True)
@@ -88,13 +94,13 @@
         if not self._adopted.remove(worker, task_id):
             return
         owner = self._owner
-        fate = await owner.dispatcher.resolve(task_id, float("inf"), worker)
+        fate = await owner.dispatcher.resolve_outcome(task_id, float("inf"), worker)
         if isinstance(fate, Superseded):
             return
-        self._release(task_id, isinstance(fate, Ended) and fate.succeeded)
+        self._release(task_id, isinstance(fate, Completed) and fate.succeeded)
         # The worker reported it as running before, so `never` only means that it forgot it.
-        known = Lost() if isinstance(fate, NeverRan) else fate
-        owner.finish(task_id, result_of_fate(task_id, known))
+        known = LostTask() if isinstance(fate, NotStarted) else fate
+        owner.finish(task_id, result_of_outcome(task_id, known))
         owner.dispatch(owner.now)
 
     def _release(self, task_id: str, succeeded: bool) -> None:
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from baobabhoist.config.settings import Settings, TlsSettings
-from baobabhoist.daemon.digests import digest_of
-from baobabhoist.daemon.dispatch import ShardTimes
+from baobabhoist.daemon.digests import build_digest
+from baobabhoist.daemon.dispatch import LeaseSettings
 from baobabhoist.daemon.escrow import Escrow
 from baobabhoist.daemon.jobs import Jobs
 from baobabhoist.daemon.owners import BUSY_STATES, Owners, Place
@@ -211,7 +211,7 @@
     def heartbeat(self) -> Heartbeat:
         """Describe this instance to its peers."""
         busy = self.busy_owners()
-        self._own_digests = [digest_of(owner) for owner in busy]
+        self._own_digests = [build_digest(owner) for owner in busy]
         return Heartbeat(
             self.cfg.instance_id,
             self.cfg.data_centre,
@@ -331,7 +331,7 @@
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            digests = [*self.mesh.digests(), *map(digest_of, self.busy_owners())]
+            digests = [*self.mesh.digests(), *map(build_digest, self.busy_owners())]
             for owner in self.busy_owners():
                 elsewhere, part = use_elsewhere(slots, owner.shard, digests)
                 owner.scheduler.set_fleet_usage(elsewhere, part)
@@ -354,7 +354,7 @@
             claim,
             workers,
             self.table,
-            times=ShardTimes(self.cfg.task_lease_s, self.cfg.clock_skew_s),
+            times=LeaseSettings(self.cfg.task_lease_s, self.cfg.clock_skew_s),
             forward=self._forward,
             send_hand_over=self.owners.send_hand_over,
             inherited=inherited,
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from baobabhoist.daemon.dispatch import CALL_TIMEOUT_S, Leases
+from baobabhoist.daemon.dispatch import WORKER_CALL_TIMEOUT_S, WorkerLeases
 from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError
 from baobabhoist.model import EndedTask, RunningTask
 from baobabhoist.observability.events import Event, emit
@@ -116,7 +116,7 @@
         claim: ShardClaim,
         table: Table,
         pool: WorkerPool,
-        leases: Leases,
+        leases: WorkerLeases,
         holder: Holder,
         clock: Callable[[], float],
     ) -> None:
@@ -370,7 +370,7 @@
         token = self.claim.token
         call = RenewLeases(token, self._leases.extend(worker, sent_at))
         try:
-            reply = await self._pool.call(worker, call, CALL_TIMEOUT_S)
+            reply = await self._pool.call(worker, call, WORKER_CALL_TIMEOUT_S)
         except LinkClosedError:
             return
         except TimeoutError:
--- a/baobabhoist/daemon/digests.py
+++ b/baobabhoist/daemon/digests.py
@@ -12,7 +12,7 @@
     from baobabhoist.daemon.shard_owner import ShardOwner
 
 
-def digest_of(owner: ShardOwner) -> ShardDigest:
+def build_digest(owner: ShardOwner) -> ShardDigest:
     """Return the use, the spare places and the unmet wishes of a shard by team."""
     quota = owner.quota
     # What a class limit keeps waiting asks neither for places nor for workers.
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -26,20 +26,20 @@
 
 log = logging.getLogger(__name__)
 
-CALL_TIMEOUT_S = 1.0
-LEASE_S = 3.0
+WORKER_CALL_TIMEOUT_S = 1.0
+DEFAULT_LEASE_S = 3.0
 QUERY_INTERVAL_S = 0.2
 # A worker that answers late still does so within this time after the deadline; then the
 # task is stopped, because nothing else would end it.
-OVERRUN_S = 5.0
+DEADLINE_GRACE_S = 5.0
 # Longest wait for one reply; after it the owner asks for the outcome and waits again.
-LONGEST_CALL_S = 3600.0
+MAX_CALL_TIMEOUT_S = 3600.0
 
 HTTP_OK = 200
 
 
 @attrs.frozen
-class Ended:
+class Completed:
     """Know that the task ended, with its stored answer.
 
     `confirmed` tells that the worker held this owner's token when it reported the end.
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class NeverRan:
+class NotStarted:
     """Know that the worker did not start the task and never will under this id."""
 
     reason: str
@@ -65,35 +65,35 @@
 
 
 @attrs.frozen
-class Lost:
+class LostTask:
     """Know only that the task no longer runs: its lease expired or its worker restarted."""
 
 
-Fate = Ended | NeverRan | Superseded | Lost
+DispatchOutcome = Completed | NotStarted | Superseded | LostTask
 
 
 @attrs.frozen
-class ShardTimes:
+class LeaseSettings:
     """Hold the periods that the settings give, in seconds."""
 
-    lease_s: float = LEASE_S
+    lease_s: float = DEFAULT_LEASE_S
     clock_skew_s: float = 0.5
 
 
-class Observer(Protocol):
+class TaskObserver(Protocol):
     """Learn what a shard decides and how long its tasks take; times are in seconds."""
 
-    def started(self, task: Task, now: float) -> None:
+    def task_started(self, task: Task, now: float) -> None:
         """Learn that a task was sent to its worker."""
 
-    def ended(self, task: Task, seconds: float) -> None:
+    def task_ended(self, task: Task, seconds: float) -> None:
         """Learn how long a task was with its worker."""
 
-    def decided(self, task: Task, seconds: float) -> None:
+    def placement_decided(self, task: Task, seconds: float) -> None:
         """Learn the processor time of one placement."""
 
 
-class Calls(Protocol):
+class WorkerCaller(Protocol):
     """Send calls to workers."""
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
@@ -101,22 +101,22 @@
 
 
 @attrs.define
-class Leases:
+class WorkerLeases:
     """Know when the leases on each worker have certainly expired; times are Unix seconds."""
 
     lease_s: float
     clock_skew_s: float
-    latest: dict[str, float] = attrs.Factory(dict)
+    latest_deadlines: dict[str, float] = attrs.Factory(dict)
 
     def extend(self, worker: str, now: float) -> float:
         """Return the deadline of a lease that is about to be sent, and remember it."""
         deadline = now + self.lease_s
-        self.latest[worker] = max(deadline, self.latest.get(worker, 0.0))
+        self.latest_deadlines[worker] = max(deadline, self.latest_deadlines.get(worker, 0.0))
         return deadline
 
-    def expired(self, worker: str, now: float) -> bool:
+    def all_expired(self, worker: str, now: float) -> bool:
         """Tell whether no lease that was ever sent to the worker can still hold."""
-        return now > self.latest.get(worker, 0.0) + self.clock_skew_s
+        return now > self.latest_deadlines.get(worker, 0.0) + self.clock_skew_s
 
 
 class Dispatcher:
@@ -124,8 +124,8 @@
 
     def __init__(
         self,
-        calls: Calls,
-        leases: Leases,
+        calls: WorkerCaller,
+        leases: WorkerLeases,
         token: Callable[[], Token],
         on_refused: Callable[[str, Token], Awaitable[None]],
         clock: Callable[[], float],
@@ -137,39 +137,39 @@
         self._clock = clock
         self._restarts: Counter[str] = Counter()
 
-    def worker_restarted(self, worker: str) -> None:
+    def count_worker_restart(self, worker: str) -> None:
         """Note that a worker may have forgotten what it was sent before."""
         self._restarts[worker] += 1
 
-    async def execute(self, task: Task, worker: str) -> Fate:
+    async def execute(self, task: Task, worker: str) -> DispatchOutcome:
         """Run a task and return what became of it; it may take past the task's deadline."""
         now, token, restarts = self._clock(), self._token(), self._restarts[worker]
         call = RunTask(token, task, self._leases.extend(worker, now))
-        patience = min(task.deadline - now + OVERRUN_S, LONGEST_CALL_S)
+        patience = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
         try:
             reply = await self._calls.call(worker, call, patience)
         except NotSentError:
-            return NeverRan("the worker is not connected")
+            return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
-            return await self.resolve(task.task_id, task.deadline, worker, restarts)
+            return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
         match reply:
             case TaskEnded():
-                return Ended(reply.succeeded, reply.body, reply.token == self._token())
+                return Completed(reply.succeeded, reply.body, reply.token == self._token())
             case TaskRefused(reason="duplicate"):
-                return await self.resolve(task.task_id, task.deadline, worker, restarts)
+                return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
             case TaskRefused():
-                return NeverRan(reply.reason)
+                return NotStarted(reply.reason)
             case TokenRefused():
                 await self._on_refused(worker, reply.highest)
                 if reply.highest < token:
-                    return NeverRan("the worker restarted and must be fenced again")
+                    return NotStarted("the worker restarted and must be fenced again")
                 return Superseded(sent=False)
         log.error("worker %s answered RunTask with %s", worker, type(reply).__name__)
-        return await self.resolve(task.task_id, task.deadline, worker, restarts)
+        return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
 
-    async def resolve(
+    async def resolve_outcome(
         self, task_id: str, deadline: float, worker: str, restarts: int | None = None
-    ) -> Fate:
+    ) -> DispatchOutcome:
         """Ask the worker what became of a task until it is known or its lease has expired.
 
         `restarts` is the worker's number of restarts before the task was sent; after another
@@ -178,40 +178,40 @@
         before = self._restarts[worker] if restarts is None else restarts
         while True:
             fate = await self._query(task_id, worker)
-            if isinstance(fate, NeverRan) and self._restarts[worker] != before:
-                return Lost()
+            if isinstance(fate, NotStarted) and self._restarts[worker] != before:
+                return LostTask()
             if fate is not None:
                 return fate
             now = self._clock()
-            if now > deadline + OVERRUN_S:
+            if now > deadline + DEADLINE_GRACE_S:
                 await self._stop(task_id, worker)
             await asyncio.sleep(QUERY_INTERVAL_S)
 
-    async def _query(self, task_id: str, worker: str) -> Fate | None:
+    async def _query(self, task_id: str, worker: str) -> DispatchOutcome | None:
         try:
             report = await self._calls.call(
-                worker, QueryOutcome(self._token(), task_id), CALL_TIMEOUT_S
+                worker, QueryOutcome(self._token(), task_id), WORKER_CALL_TIMEOUT_S
             )
         except (LinkClosedError, TimeoutError):
-            return Lost() if self._leases.expired(worker, self._clock()) else None
+            return LostTask() if self._leases.all_expired(worker, self._clock()) else None
         match report:
             case TokenRefused(highest):
                 await self._on_refused(worker, highest)
                 return Superseded(sent=True) if highest > self._token() else None
             case OutcomeReport(ended=EndedTask() as ended):
-                return Ended(ended.succeeded, ended.body)
+                return Completed(ended.succeeded, ended.body)
             case OutcomeReport(state="never"):
-                return NeverRan("the worker never started it")
+                return NotStarted("the worker never started it")
         return None
 
     async def _stop(self, task_id: str, worker: str) -> None:
         try:
-            await self._calls.call(worker, StopTask(self._token(), task_id), CALL_TIMEOUT_S)
+            await self._calls.call(worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             log.info("worker %s did not confirm the stop of %s", worker, task_id)
 
 
-def result_of_end(task_id: str, succeeded: bool, body: bytes) -> Result:
+def completed_result(task_id: str, succeeded: bool, body: bytes) -> Result:
     """Return the result of a task that its worker reports as ended."""
     if succeeded:
         return Answer(task_id, HTTP_OK, body)
@@ -223,7 +223,7 @@
     )
 
 
-def never_ran(reason: str) -> Refusal:
+def not_started_refusal(reason: str) -> Refusal:
     """Return the refusal of a task that its worker did not start."""
     return Refusal(
         ErrorKind.NO_CAPACITY,
@@ -233,7 +233,7 @@
     )
 
 
-def outcome_unknown(reason: str) -> Refusal:
+def outcome_unknown_refusal(reason: str) -> Refusal:
     """Return the refusal of a task that may have run."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
@@ -243,7 +243,7 @@
     )
 
 
-def not_owner(shard: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
+def not_owner_refusal(shard: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
     """Return the refusal of an instance that does not own the shard, or no longer does."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
@@ -254,11 +254,11 @@
     )
 
 
-def result_of_fate(task_id: str, fate: Fate) -> Result:
+def result_of_outcome(task_id: str, fate: DispatchOutcome) -> Result:
     """Return the result of a task of which this is known."""
     match fate:
-        case Ended(succeeded, body):
-            return result_of_end(task_id, succeeded, body)
-        case NeverRan(reason):
-            return never_ran(reason)
-    return outcome_unknown("the worker did not report what became of the task")
+        case Completed(succeeded, body):
+            return completed_result(task_id, succeeded, body)
+        case NotStarted(reason):
+            return not_started_refusal(reason)
+    return outcome_unknown_refusal("the worker did not report what became of the task")
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from baobabhoist.daemon.digests import digest_of
-from baobabhoist.daemon.preemption import stop_message
+from baobabhoist.daemon.digests import build_digest
+from baobabhoist.daemon.preemption import build_stop_message
 from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
@@ -313,7 +313,7 @@
                 action = PreemptionAction(policy.preempt_action.value)
                 account.told[task_id] = now
                 owner.stopping.add(task_id)
-                message = stop_message(owner, task_id, action)
+                message = build_stop_message(owner, task_id, action)
                 owner.spawn(_tell(owner, worker, message))
 
     # Transfers.
@@ -356,7 +356,7 @@
 
     def _wanted(self, owner: ShardOwner) -> dict[str, int]:
         """Return the queued tasks by team that only lack a place."""
-        digest = digest_of(owner)
+        digest = build_digest(owner)
         room = max(0, digest.free_slots)
         return {
             team: min(count, room)
@@ -380,7 +380,7 @@
         return TeamNeeds(team, pool, tuple(shards))
 
     def _others(self, owner: ShardOwner) -> Iterable[ShardDigest]:
-        own = (digest_of(other) for other in self._usable() if other is not owner)
+        own = (build_digest(other) for other in self._usable() if other is not owner)
         return [*self._instance.peer_digests(), *own]
 
     async def _move_out(
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -13,12 +13,12 @@
 from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
 
 # Work that starts within this time is not worth a forward.
-FORWARD_AFTER_S = 0.05
+FORWARD_DELAY_S = 0.05
 # Digests of other shards are up to 0.3 s old; a forward that was refused waits longer.
-RETRY_AFTER_S = 0.5
-FORWARDS_PER_TICK = 32
+FORWARD_RETRY_DELAY_S = 0.5
+MAX_FORWARDS_PER_TICK = 32
 
-Forward = Callable[[Request], tuple[str, Awaitable[Result]] | None]
+ForwardRequest = Callable[[Request], tuple[str, Awaitable[Result]] | None]
 """Send a request to another shard and return that shard with the pending result.
 
 None means that no other shard has room.
@@ -26,7 +26,7 @@
 
 
 @attrs.define(eq=False)
-class Open:
+class PendingRequest:
     """Hold a request that has no result yet; `forward_at` is in Unix seconds.
 
     `target` is the shard that has the request while `forwarding` is set.
@@ -36,18 +36,18 @@
     fut: asyncio.Future[Result]
     forward_at: float
     opened_at: float = 0.0
-    forwarded: bool = False
-    forwarding: bool = False
+    arrived_forwarded: bool = False
+    is_forwarding: bool = False
     target: str = ""
 
 
-def is_queued(keys: KeyLedger, entry: Open) -> bool:
+def is_queued(keys: KeyLedger, entry: PendingRequest) -> bool:
     """Tell whether a request waits in the queue of this shard."""
     known = keys.entries.get(entry.req.request_id)
-    return known is not None and known.state is KeyState.QUEUED and not entry.forwarding
+    return known is not None and known.state is KeyState.QUEUED and not entry.is_forwarding
 
 
-class Queue(Protocol):
+class TaskQueue(Protocol):
     """Cancel and queue tasks."""
 
     def cancel(self, task_id: str) -> bool:
@@ -57,10 +57,10 @@
         """Queue a task, or return why it can never run here."""
 
 
-class Home(Protocol):
+class HomeShard(Protocol):
     """Be the shard that keeps the state of the keys of forwarded requests."""
 
-    open: dict[str, Open]
+    open: dict[str, PendingRequest]
     keys: KeyLedger
 
     @property
@@ -68,7 +68,7 @@
         """Tell whether the shard may start work."""
 
     @property
-    def queue(self) -> Queue:
+    def queue(self) -> TaskQueue:
         """Return the scheduler."""
 
     @property
@@ -94,7 +94,7 @@
 class Forwarder:
     """Offer waiting requests to other shards; a forwarded one is never forwarded again."""
 
-    def __init__(self, home: Home, forward: Forward) -> None:
+    def __init__(self, home: HomeShard, forward: ForwardRequest) -> None:
         self._home = home
         self._forward = forward
 
@@ -106,10 +106,10 @@
         if not home.usable:
             return
         for entry in list(home.open.values()):
-            if sent >= FORWARDS_PER_TICK:
+            if sent >= MAX_FORWARDS_PER_TICK:
                 return
             work = (entry.req.task.team, entry.req.task.kind)
-            due = now >= entry.forward_at and not entry.forwarded
+            due = now >= entry.forward_at and not entry.arrived_forwarded
             if not due or work in without_room or not is_queued(home.keys, entry):
                 continue
             # The next owner of this shard cannot know what was forwarded: it answers unknown for
@@ -122,35 +122,35 @@
             else:
                 entry.target, running = sent_to
                 home.queue.cancel(entry.req.request_id)
-                entry.forwarding = True
+                entry.is_forwarding = True
                 sent += 1
                 home.spawn(self._await(entry, running))
 
-    def out(self) -> set[str]:
+    def forwarded_ids(self) -> set[str]:
         """Return the requests that other shards have now."""
-        return {name for name, entry in self._home.open.items() if entry.forwarding}
+        return {name for name, entry in self._home.open.items() if entry.is_forwarding}
 
-    def targets(self, task_ids: Iterable[str]) -> dict[str, str]:
+    def forward_targets(self, task_ids: Iterable[str]) -> dict[str, str]:
         """Return the shards that have those of these requests that were forwarded."""
         entries = ((name, self._home.open.get(name)) for name in task_ids)
-        return {name: entry.target for name, entry in entries if entry and entry.forwarding}
+        return {name: entry.target for name, entry in entries if entry and entry.is_forwarding}
 
-    def freeze(self) -> None:
+    def mark_forwarded_dispatched(self) -> None:
         """Count what other shards have as dispatched, before the queue is given up."""
         for entry in self._home.open.values():
             known = self._home.keys.entries.get(entry.req.request_id)
-            if entry.forwarding and known is not None and known.state is KeyState.QUEUED:
+            if entry.is_forwarding and known is not None and known.state is KeyState.QUEUED:
                 self._home.keys.dispatched(entry.req.request_id)
 
-    async def _await(self, entry: Open, running: Awaitable[Result]) -> None:
+    async def _await(self, entry: PendingRequest, running: Awaitable[Result]) -> None:
         """Take the result of the other shard; what it certainly did not run waits here again."""
         result = await running
         home, now = self._home, self._home.now
-        entry.forwarding = False
+        entry.is_forwarding = False
         not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         queued = is_queued(home.keys, entry)
         if queued and not_run and now < entry.req.task.deadline and home.usable:
-            entry.forward_at = now + RETRY_AFTER_S
+            entry.forward_at = now + FORWARD_RETRY_DELAY_S
             refusal = home.queue.enqueue(entry.req.task, now)
             if refusal is None:
                 home.dispatch(now)
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -5,8 +5,8 @@
 import heapq
 from collections.abc import Awaitable, Callable, Mapping
 
-from baobabhoist.daemon.dispatch import outcome_unknown
-from baobabhoist.daemon.forwarding import Open
+from baobabhoist.daemon.dispatch import outcome_unknown_refusal
+from baobabhoist.daemon.forwarding import PendingRequest
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Answer, Request
 from baobabhoist.ownership.keys import KeyEntry, KeyLedger, KeyState, QueuedKey
@@ -14,21 +14,25 @@
 from baobabhoist.peer.messages import HandOver, KeyResult
 
 # About 3 MB of ids. A peer takes them well within the time that a hand-over may last.
-SETTLED_MAX = 50_000
+MAX_SETTLED_IDS = 50_000
 # The sender may resume its ownership when the receiver has not answered for 2 s; what it then
 # does is missing from the message.
-CONTINUITY_S = 1.5
+MAX_HAND_OVER_AGE_S = 1.5
 
 SendHandOver = Callable[[str, HandOver], Awaitable[bool | None]]
 
 
-async def send_nowhere(successor: str, message: HandOver) -> bool | None:
+async def refuse_hand_over(successor: str, message: HandOver) -> bool | None:
     """Refuse a hand-over, for an owner without peers."""
     return False
 
 
-def pack(
-    shard: str, token: Token, sender: str, keys: KeyLedger, open_requests: Mapping[str, Open]
+def build_hand_over(
+    shard: str,
+    token: Token,
+    sender: str,
+    keys: KeyLedger,
+    open_requests: Mapping[str, PendingRequest],
 ) -> HandOver:
     """Return the message; the queued keys cannot be called not run here after this.
 
@@ -44,14 +48,14 @@
     )
     told = queued | {result.request_id for result in results}
     settled = {n: entry.forget_at for n, entry in keys.entries.items() if n not in told}
-    if len(settled) > SETTLED_MAX:
+    if len(settled) > MAX_SETTLED_IDS:
         return HandOver(shard, token, sender, requests, results)
     return HandOver(shard, token, sender, requests, results, settled, keys.taken_over_at)
 
 
-def accept(message: HandOver, keys: KeyLedger, now: float) -> list[Request]:
+def accept_hand_over(message: HandOver, keys: KeyLedger, now: float) -> list[Request]:
     """Take the results into the ledger and return the requests that may run here."""
-    lost = outcome_unknown("the previous owner of the shard had the request")
+    lost = outcome_unknown_refusal("the previous owner of the shard had the request")
     for name, forget_at in message.settled.items():
         if name not in keys.entries:
             keys.entries[name] = KeyEntry(KeyState.UNKNOWN, forget_at, False, lost)
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 PERCENT = 100
-PREEMPTED = Refusal(
+PREEMPTED_REFUSAL = Refusal(
     ErrorKind.PREEMPTED,
     "the task was stopped to make room for other work or to keep a limit",
     Outcome.RAN,
@@ -25,7 +25,7 @@
 )
 
 
-class Owner(Protocol):
+class PreemptionOwner(Protocol):
     """Be the shard whose workers are told."""
 
     claim: ShardClaim
@@ -36,7 +36,7 @@
         """Send a worker a call; tell whether it was confirmed."""
 
 
-async def preempt(owner: Owner, wanted: Preemption) -> None:
+async def apply_preemption(owner: PreemptionOwner, wanted: Preemption) -> None:
     """Ask a worker to checkpoint, throttle or stop a task so that another one fits."""
     token, task_id = owner.claim.token, wanted.task_id
     emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task)
@@ -49,10 +49,10 @@
             owner.scheduler.throttled(task_id, wanted.cpu_milli)
     elif wanted.action is not PreemptionAction.NEVER:
         owner.stopping.add(task_id)
-        await owner.tell_worker(wanted.worker, stop_message(owner, task_id, wanted.action))
+        await owner.tell_worker(wanted.worker, build_stop_message(owner, task_id, wanted.action))
 
 
-def stop_message(owner: Owner, task_id: str, action: PreemptionAction) -> Any:
+def build_stop_message(owner: PreemptionOwner, task_id: str, action: PreemptionAction) -> Any:
     """Return the message that ends a task, with its progress saved if so wished."""
     checkpoint = action is PreemptionAction.CHECKPOINT
     return (CheckpointTask if checkpoint else StopTask)(owner.claim.token, task_id)
--- a/baobabhoist/daemon/request_registry.py
+++ b/baobabhoist/daemon/request_registry.py
@@ -5,46 +5,46 @@
 import asyncio
 from collections.abc import Callable, Container
 
-from baobabhoist.daemon.answers import Resolve, StoredAnswers
-from baobabhoist.daemon.dispatch import not_owner, outcome_unknown
-from baobabhoist.daemon.forwarding import FORWARD_AFTER_S, Open
+from baobabhoist.daemon.answers import AnswerStore, ResolveOutcome
+from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
+from baobabhoist.daemon.forwarding import FORWARD_DELAY_S, PendingRequest
 from baobabhoist.errors import InvariantBreachError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
 from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
 
 # asyncio takes no infinite timeout; work without a deadline waits again after this time.
-LONGEST_WAIT_S = 86400.0
+MAX_WAIT_S = 86400.0
 FINAL_STATES = (KeyState.ANSWERED, KeyState.NOT_RUN)
 
 
-class RequestBook:
+class RequestRegistry:
     """Give each request one result, however many callers wait for it."""
 
     def __init__(
-        self, shard: str, keys: KeyLedger, resolve: Resolve, clock: Callable[[], float]
+        self, shard: str, keys: KeyLedger, resolve: ResolveOutcome, clock: Callable[[], float]
     ) -> None:
-        self.open: dict[str, Open] = {}
+        self.open: dict[str, PendingRequest] = {}
         self.keys = keys
-        self.answers = StoredAnswers(resolve)
+        self.answers = AnswerStore(resolve)
         self._shard = shard
         self._clock = clock
 
-    def entry(self, req: Request, now: float) -> Open:
+    def get_or_create(self, req: Request, now: float) -> PendingRequest:
         """Return the entry of a request without a result."""
         entry = self.open.get(req.request_id)
         if entry is None:
             fut: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-            entry = Open(req, fut, now + FORWARD_AFTER_S, now)
+            entry = PendingRequest(req, fut, now + FORWARD_DELAY_S, now)
             self.open[req.request_id] = entry
         return entry
 
-    async def wait(self, req: Request, entry: Open) -> Result | None:
+    async def wait_for_result(self, req: Request, entry: PendingRequest) -> Result | None:
         """Return the result of a request, or None when its deadline passes first."""
         if entry.fut.done():
             return entry.fut.result()
         while (left_s := req.task.deadline - self._clock()) > 0:
             # `wait` leaves the future alone when this caller goes away, for the others that wait.
-            timeout = min(left_s, LONGEST_WAIT_S)
+            timeout = min(left_s, MAX_WAIT_S)
             done, _ = await asyncio.wait((entry.fut,), timeout=timeout)
             if done:
                 return entry.fut.result()
@@ -59,27 +59,29 @@
             result = result if both else known.result
         elif known is not None:
             try:
-                kept = self.answers.trim(request_id, result, known.worker)
+                kept = self.answers.strip_body(request_id, result, known.worker)
                 stored = self.keys.answered(request_id, kept)
                 result = result if stored is kept else stored
             except InvariantBreachError:
-                result = outcome_unknown("the owner holds no consistent state for the request")
-        self.give(request_id, result)
+                result = outcome_unknown_refusal(
+                    "the owner holds no consistent state for the request"
+                )
+        self.deliver(request_id, result)
         return result
 
-    def give(self, request_id: str, result: Result) -> None:
+    def deliver(self, request_id: str, result: Result) -> None:
         """Give a result to those who wait, without storing it."""
         entry = self.open.pop(request_id, None)
         if entry is not None and not entry.fut.done():
             entry.fut.set_result(result)
 
-    async def give_whole(self, request_id: str, result: Result) -> None:
+    async def deliver_with_body(self, request_id: str, result: Result) -> None:
         """Give a kept result with its body."""
         entry = self.open.get(request_id)
         if entry is not None:
-            self.give(request_id, await self.answers.whole(entry.req, result))
+            self.deliver(request_id, await self.answers.load_body(entry.req, result))
 
-    def give_up(self, elsewhere: Container[str], moved: bool) -> None:
+    def drop_unfinished(self, elsewhere: Container[str], moved: bool) -> None:
         """Answer what can no longer be decided here, but for what is `elsewhere`.
 
         After a move the next owner may run the queue, so nothing is called not run.
@@ -89,14 +91,14 @@
                 continue
             certain = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
             outcome = Outcome.NOT_RUN if certain and not moved else Outcome.UNKNOWN
-            self.give(request_id, not_owner(self._shard, outcome))
+            self.deliver(request_id, not_owner_refusal(self._shard, outcome))
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Answer everything that is still open, because the owner ends."""
         for request_id in list(self.open):
-            self.give(request_id, not_owner(self._shard, Outcome.UNKNOWN))
+            self.deliver(request_id, not_owner_refusal(self._shard, Outcome.UNKNOWN))
 
-    def expire(self, now: float) -> None:
+    def expire_keys(self, now: float) -> None:
         """Forget the keys whose time has passed."""
         if self.keys.expire(now):
-            self.answers.forget(self.keys.entries)
+            self.answers.retain(self.keys.entries)
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from baobabhoist.daemon.dispatch import not_owner, outcome_unknown
+from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
 from baobabhoist.errors import (
     ErrorKind,
     LinkClosedError,
@@ -29,7 +29,7 @@
 ASK_AGAIN_S = 0.05
 # The owner answers at the deadline at the latest; its answer needs time to arrive.
 ANSWER_MARGIN_S = 0.5
-LONGEST_CALL_S = 3600.0
+MAX_CALL_TIMEOUT_S = 3600.0
 
 
 class Owner(Protocol):
@@ -94,7 +94,7 @@
         """Answer a request that another instance relayed."""
         req = message.request
         owner = self._owners.get(req.shard)
-        result: Result = not_owner(req.shard)
+        result: Result = not_owner_refusal(req.shard)
         if owner is not None:
             counted = _is_counted(req)
             self.open_requests += counted
@@ -145,7 +145,9 @@
                 break
             await asyncio.sleep(ASK_AGAIN_S * self._rng.uniform(0.5, 1.5))
         if maybe_ran:
-            return outcome_unknown("the owner of the shard was lost after it had the request")
+            return outcome_unknown_refusal(
+                "the owner of the shard was lost after it had the request"
+            )
         return _no_owner(req)
 
     async def _ask(self, req: Request, forwarded: bool) -> Result | LostRelay:
@@ -154,8 +156,8 @@
             return await owner.submit(req, forwarded)
         peer = self._peers.owner_of(req.shard)
         if peer is None:
-            return not_owner(req.shard)
-        left_s = min(req.task.deadline - self._clock() + ANSWER_MARGIN_S, LONGEST_CALL_S)
+            return not_owner_refusal(req.shard)
+        left_s = min(req.task.deadline - self._clock() + ANSWER_MARGIN_S, MAX_CALL_TIMEOUT_S)
         try:
             reply = await self._peers.call(peer, RelayRequest(req, forwarded), left_s)
         except NotSentError:
@@ -203,7 +205,7 @@
     """
     claims_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
     if claims_not_run and maybe_ran and req.task.idempotent:
-        return outcome_unknown("an earlier owner of the shard may have run the request")
+        return outcome_unknown_refusal("an earlier owner of the shard may have run the request")
     return result
 
 
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -24,7 +24,7 @@
     def report_tasks(self, task_ids: tuple[str, ...], now: float) -> TasksReport:
         """Return which tasks run and why the others wait."""
         owner = self._owner
-        elsewhere = owner.forwarder.targets(task_ids)
+        elsewhere = owner.forwarder.forward_targets(task_ids)
         running = tuple(name for name in task_ids if owner.running_on(name) is not None)
         waiting = {
             name: owner.scheduler.explain(name, now).message
@@ -49,7 +49,7 @@
                 owner.stopping.add(task_id)
                 stop = StopTask(owner.claim.token, task_id)
                 owner.spawn(self._stop(worker, stop))
-        return owner.forwarder.targets(task_ids)
+        return owner.forwarder.forward_targets(task_ids)
 
     async def _stop(self, worker: str, stop: StopTask) -> None:
         await self._owner.tell_worker(worker, stop)
@@ -84,7 +84,7 @@
             task = placement.task
             req = Request(task.task_id, owner.shard, task.submitted_at, task, True)
             if isinstance(owner.keys.admit(req, now), Run):
-                owner.book.entry(req, now)
+                owner.requests.get_or_create(req, now)
                 owner.start(placement, now)
             else:
                 owner.take_back(task.task_id, now)
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -11,32 +11,32 @@
 from baobabhoist.daemon.adoption import Adoption
 from baobabhoist.daemon.claim_driver import Fencing
 from baobabhoist.daemon.dispatch import (
-    CALL_TIMEOUT_S,
+    WORKER_CALL_TIMEOUT_S,
+    Completed,
     Dispatcher,
-    Ended,
-    Leases,
-    Lost,
-    NeverRan,
-    Observer,
-    ShardTimes,
+    LeaseSettings,
+    LostTask,
+    NotStarted,
     Superseded,
-    not_owner,
-    outcome_unknown,
-    result_of_fate,
+    TaskObserver,
+    WorkerLeases,
+    not_owner_refusal,
+    outcome_unknown_refusal,
+    result_of_outcome,
 )
 from baobabhoist.daemon.forwarding import (
-    Forward,
     Forwarder,
+    ForwardRequest,
 )
 from baobabhoist.daemon.handover import (
-    CONTINUITY_S,
+    MAX_HAND_OVER_AGE_S,
     SendHandOver,
-    accept,
-    pack,
-    send_nowhere,
+    accept_hand_over,
+    build_hand_over,
+    refuse_hand_over,
 )
-from baobabhoist.daemon.preemption import PREEMPTED, preempt
-from baobabhoist.daemon.request_registry import RequestBook
+from baobabhoist.daemon.preemption import PREEMPTED_REFUSAL, apply_preemption
+from baobabhoist.daemon.request_registry import RequestRegistry
 from baobabhoist.daemon.shard_quota import ShardPlaces
 from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
@@ -71,16 +71,16 @@
         table: Table,
         escrow: Callable[[str], Mapping[str, int] | None] = lambda shard: None,
         *,
-        times: ShardTimes | None = None,
-        forward: Forward = lambda _: None,
-        send_hand_over: SendHandOver = send_nowhere,
+        times: LeaseSettings | None = None,
+        forward: ForwardRequest = lambda _: None,
+        send_hand_over: SendHandOver = refuse_hand_over,
         inherited: HandOver | None = None,
         make_link: Callable[[WorkerSpec, OnChange], WorkerConnection] = WorkerLink,
         clock: Callable[[], float] = time.time,
-        observer: Observer | None = None,
+        observer: TaskObserver | None = None,
     ) -> None:
         specs = list(workers)
-        times = times or ShardTimes()
+        times = times or LeaseSettings()
         self.shard = claim.shard
         self.claim = claim
         self.quota = QuotaLedger(claim.shard)
@@ -107,13 +107,15 @@
         self._owned_before = False
         self._moved = False
         self.pool = WorkerPool(specs, self._connection_changed, make_link)
-        self.leases = Leases(times.lease_s, times.clock_skew_s)
+        self.leases = WorkerLeases(times.lease_s, times.clock_skew_s)
         self.fencing = Fencing(claim, table, self.pool, self.leases, self, clock)
         self.dispatcher = Dispatcher(
             self.pool, self.leases, lambda: self.claim.token, self.fencing.refused, clock
         )
-        self.book = RequestBook(self.shard, self.keys, self.dispatcher.resolve, clock)
-        self.open = self.book.open
+        self.requests = RequestRegistry(
+            self.shard, self.keys, self.dispatcher.resolve_outcome, clock
+        )
+        self.open = self.requests.open
         self.forwarder = Forwarder(self, forward)
 
     async def run(self) -> None:
@@ -126,14 +128,14 @@
         try:
             await self.fencing.run()
             self._give_up()
-            while self._tasks and (self.in_flight or self.forwarder.out()):
+            while self._tasks and (self.in_flight or self.forwarder.forwarded_ids()):
                 await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
             ticking.cancel()
             for task in self._tasks:
                 task.cancel()
             self.pool.stop()
-            self.book.end()
+            self.requests.close()
 
     @property
     def usable(self) -> bool:
@@ -160,11 +162,11 @@
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
         """Return the answer to a request, or the reason why there is none."""
         if not self.usable:
-            return not_owner(self.shard)
+            return not_owner_refusal(self.shard)
         now = self._clock()
         if self.claim.state is not ShardState.OWNED and not req.first_attempt:
             # Only the inventories of all workers tell whether this key has run.
-            return not_owner(self.shard)
+            return not_owner_refusal(self.shard)
         if req.request_id in self.barred:
             return Refusal(ErrorKind.CANCELLED, "the task was cancelled")
         result = await self._submit(req, forwarded, now)
@@ -175,32 +177,32 @@
         refused = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         if not refused or req.first_attempt or await self.fencing.confirmed(self._clock()):
             return result
-        return not_owner(self.shard, Outcome.UNKNOWN)
+        return not_owner_refusal(self.shard, Outcome.UNKNOWN)
 
     async def _submit(self, req: Request, forwarded: bool, now: float) -> Result:
         decision = self.keys.admit(req, now)
         if isinstance(decision, Reply):
-            return await self.book.answers.whole(req, decision.result)
-        entry = self.book.entry(req, now)
+            return await self.requests.answers.load_body(req, decision.result)
+        entry = self.requests.get_or_create(req, now)
         if not isinstance(decision, Join):
-            entry.forwarded = forwarded
+            entry.arrived_forwarded = forwarded
             refusal = self.places.never_starts(req.task) or self.scheduler.enqueue(req.task, now)
             if refusal is not None:
                 return self.finish(req.request_id, refusal)
             self.dispatch(now)
-        result = await self.book.wait(req, entry)
+        result = await self.requests.wait_for_result(req, entry)
         return self._deadline_passed(req) if result is None else result
 
     def _deadline_passed(self, req: Request) -> Result:
         entry = self.open.get(req.request_id)
-        if entry is not None and not entry.forwarding and self.scheduler.cancel(req.request_id):
+        if entry is not None and not entry.is_forwarding and self.scheduler.cancel(req.request_id):
             late = Refusal(
                 ErrorKind.DEADLINE_PASSED,
                 "the deadline passed in the queue",
                 remedy="send the request under a new key with a later deadline",
             )
             return self.finish(req.request_id, late)
-        return outcome_unknown("the deadline passed while the task was with a worker")
+        return outcome_unknown_refusal("the deadline passed while the task was with a worker")
 
     def dispatch(self, now: float) -> None:
         """Start what fits now; bounded batches leave room for other work in between."""
@@ -214,7 +216,7 @@
         decision_s = (time.perf_counter() - begun) / max(1, len(batch))
         for placement in batch:
             if self._observer is not None:
-                self._observer.decided(placement.task, decision_s)
+                self._observer.placement_decided(placement.task, decision_s)
             self.start(placement, now)
         if len(batch) >= BATCH:
             asyncio.get_running_loop().call_soon(lambda: self.dispatch(self._clock()))
@@ -234,7 +236,7 @@
             return
         self.in_flight[task.task_id] = worker
         if self._observer is not None:
-            self._observer.started(task, now)
+            self._observer.task_started(task, now)
         self.spawn(self._execute(placement))
 
     def _enqueue_again(self, task: Task, now: float) -> None:
@@ -261,24 +263,26 @@
         if isinstance(fate, Superseded):
             self._superseded(task.task_id, fate)
             return
-        succeeded = isinstance(fate, Ended) and fate.succeeded
-        if isinstance(fate, NeverRan):
+        succeeded = isinstance(fate, Completed) and fate.succeeded
+        if isinstance(fate, NotStarted):
             # A refused start says nothing about the worker's health or the task's size.
             self.take_back(task.task_id, now)
             stopped = False
         else:
             if self._observer is not None:
-                self._observer.ended(task, now - begun)
-            if isinstance(fate, Ended) and fate.confirmed:
+                self._observer.task_ended(task, now - begun)
+            if isinstance(fate, Completed) and fate.confirmed:
                 self.places.confirmed.add(task.task_id)
             stopped = task.task_id in self.stopping and not succeeded
             self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
         self.stopping.discard(task.task_id)
-        if isinstance(fate, Lost) and self.keys.retry(task.task_id, task.deadline, now):
+        if isinstance(fate, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
             self._enqueue_again(task, now)
         else:
-            ended = isinstance(fate, Ended)
-            result = PREEMPTED if stopped and ended else result_of_fate(task.task_id, fate)
+            ended = isinstance(fate, Completed)
+            result = (
+                PREEMPTED_REFUSAL if stopped and ended else result_of_outcome(task.task_id, fate)
+            )
             self.finish(task.task_id, result)
         self.dispatch(now)
 
@@ -287,7 +291,7 @@
         known = self.keys.entries.get(task_id)
         once = known is not None and known.dispatches <= 1
         outcome = Outcome.NOT_RUN if once and not fate.sent else Outcome.UNKNOWN
-        self.book.give(task_id, not_owner(self.shard, outcome))
+        self.requests.deliver(task_id, not_owner_refusal(self.shard, outcome))
 
     def _kind_of(self, task_id: str) -> WorkKind:
         # Only the tasks of gangs take places before their requests arrive, for a hold.
@@ -296,12 +300,12 @@
 
     def finish(self, request_id: str, result: Result) -> Result:
         """Store the result of a request and give it to those who wait."""
-        return self.book.finish(request_id, result)
+        return self.requests.finish(request_id, result)
 
     def _give_up(self) -> None:
-        self.forwarder.freeze()
-        elsewhere = self.in_flight.keys() | self.forwarder.out()
-        self.book.give_up(elsewhere, self._moved)
+        self.forwarder.mark_forwarded_dispatched()
+        elsewhere = self.in_flight.keys() | self.forwarder.forwarded_ids()
+        self.requests.drop_unfinished(elsewhere, self._moved)
 
     # What the fencing reports.
 
@@ -323,7 +327,7 @@
 
     def worker_restarted(self, worker: str) -> None:
         """Learn that a worker may have forgotten the tasks it was sent."""
-        self.dispatcher.worker_restarted(worker)
+        self.dispatcher.count_worker_restart(worker)
 
     def renewal_mark(self) -> int:
         """Return the number of the last end that is known before a renewal is sent."""
@@ -348,8 +352,8 @@
         """Send the queue; tell whether it was taken, None when that is not known."""
         emit(log, Event.HAND_OVER_STARTED, shard=self.shard, instance_id=successor)
         self._moved = True
-        self.forwarder.freeze()
-        message = pack(self.shard, token, self.claim.instance_id, self.keys, self.open)
+        self.forwarder.mark_forwarded_dispatched()
+        message = build_hand_over(self.shard, token, self.claim.instance_id, self.keys, self.open)
         return await self._send_hand_over(successor, message)
 
     # What the instance reports.
@@ -409,7 +413,7 @@
     async def tell_worker(self, worker: str, message: Any) -> bool:
         """Send a worker a call; tell whether it was confirmed."""
         try:
-            reply = await self.pool.call(worker, message, CALL_TIMEOUT_S)
+            reply = await self.pool.call(worker, message, WORKER_CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             log.info("worker %s did not confirm %s", worker, type(message).__name__)
             return False
@@ -445,7 +449,7 @@
         now, message = self._clock(), self._inherited
         if message is None or message.known_since is None:
             return now
-        fresh = now - self._inherited_at <= CONTINUITY_S
+        fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
         return message.known_since if fresh and self.fencing.follows(message.token) else now
 
     def _begin_ownership(self) -> None:
@@ -458,8 +462,8 @@
     def _take_queue(self, message: HandOver) -> None:
         """Queue what the previous owner handed over, once all inventories are known."""
         now = self._clock()
-        for req in accept(message, self.keys, now):
-            self.book.entry(req, now)
+        for req in accept_hand_over(message, self.keys, now):
+            self.requests.get_or_create(req, now)
             refusal = self.scheduler.enqueue(req.task, now)
             if refusal is not None:
                 self.finish(req.request_id, refusal)
@@ -475,7 +479,7 @@
                 continue
 
     def _tick_once(self, now: float) -> None:
-        self.book.expire(now)
+        self.requests.expire_keys(now)
         for task_id in [name for name, until in self.barred.items() if until <= now]:
             del self.barred[task_id]
         for task in self.scheduler.expire(now):
@@ -484,7 +488,7 @@
         for task, refusal in self.scheduler.given_up():
             self.finish(task.task_id, refusal)
         for preemption in self.scheduler.preemptions():
-            self.spawn(preempt(self, preemption))
+            self.spawn(apply_preemption(self, preemption))
         self.refresh_places()
         self.dispatch(now)
         self.forwarder.tick(now)
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -22,15 +22,15 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def started(self, task: Task, now: float) -> None:
+    def task_started(self, task: Task, now: float) -> None:
         """Observe how long a task waited; its time of submission is another VM's clock."""
         self._metrics.waited(task.team, task.kind.value, max(0.0, now - task.submitted_at))
 
-    def ended(self, task: Task, seconds: float) -> None:
+    def task_ended(self, task: Task, seconds: float) -> None:
         """Observe how long a task was with its worker."""
         self._metrics.served(task.team, task.kind.value, seconds)
 
-    def decided(self, task: Task, seconds: float) -> None:
+    def placement_decided(self, task: Task, seconds: float) -> None:
         """Observe the processor time of one placement."""
         self._metrics.decided(task.team, task.kind.value, seconds)
 
--- a/baobabhoist/tests/shard_harness.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -4,7 +4,7 @@
 import time
 
 from baobabhoist.daemon import claim_driver, dispatch, shard_owner
-from baobabhoist.daemon.dispatch import ShardTimes
+from baobabhoist.daemon.dispatch import LeaseSettings
 from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
@@ -117,7 +117,7 @@
             self.specs,
             self.table,
             lambda shard: self.limit,
-            times=ShardTimes(options.pop("lease_s", 3.0), 0.0),
+            times=LeaseSettings(options.pop("lease_s", 3.0), 0.0),
             make_link=make_link,
             **options,
         )
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabhoist.daemon.digests import digest_of
+from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.escrow import Escrow
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
@@ -36,7 +36,7 @@
         return self.owners
 
     def peer_digests(self):
-        return [digest_of(owner) for owner in self.peer.owners] if self.peer else []
+        return [build_digest(owner) for owner in self.peer.owners] if self.peer else []
 
     async def call_owner(self, shard, message, timeout_s):
         return await self.peer.escrow.give(message)
--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    ("module", "name"), [(shard_owner, "CONTINUITY_S"), (handover, "SETTLED_MAX")]
+    ("module", "name"), [(shard_owner, "MAX_HAND_OVER_AGE_S"), (handover, "MAX_SETTLED_IDS")]
 )
 def test_knowledge_ends_when_it_is_old_or_incomplete(monkeypatch, module, name):
     """Guard against a sender that resumed meanwhile, and against keys too many to send."""
--- a/baobabhoist/tests/test_daemon_routing.py
+++ b/baobabhoist/tests/test_daemon_routing.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist.daemon import routing
-from baobabhoist.daemon.dispatch import not_owner
+from baobabhoist.daemon.dispatch import not_owner_refusal
 from baobabhoist.daemon.routing import RequestRouter
 from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
 from baobabhoist.model import Answer, Outcome
@@ -63,7 +63,7 @@
 
 def test_a_relay_that_was_not_sent_stays_a_first_attempt():
     """Guard against `unknown` for a request that no owner can have seen."""
-    peers = FakePeers(NotSentError("no link"), not_owner("r"), b"done")
+    peers = FakePeers(NotSentError("no link"), not_owner_refusal("r"), b"done")
     ask(peers, request("r1"))
     assert all(message.request.first_attempt for message in peers.relayed)
 
@@ -91,7 +91,7 @@
 
 def test_an_owner_that_lost_the_shard_after_dispatch_leads_to_the_next_owner():
     """Guard against an answer that is given up while the new owner can still learn it."""
-    peers = FakePeers(not_owner("r", Outcome.UNKNOWN), b"done")
+    peers = FakePeers(not_owner_refusal("r", Outcome.UNKNOWN), b"done")
     assert ask(peers, request("r1")).body == b"done"
     assert [message.request.first_attempt for message in peers.relayed] == [True, False]
 
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from baobabhoist.daemon.preemption import preempt
+from baobabhoist.daemon.preemption import apply_preemption
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome
 from baobabhoist.ownership.events import ShardState
@@ -384,7 +384,7 @@
     rack.begin(owner.submit(request("first", LONG)))
     await until(lambda: owner.running_on("first"))
     second = rack.begin(owner.submit(request("second")))
-    await until(owner.forwarder.out)
+    await until(owner.forwarder.forwarded_ids)
     await higher_token(rack)
     await until(lambda: owner.claim.state is ShardState.LOST)
     await asyncio.sleep(0.02)
@@ -428,5 +428,5 @@
     stopped = rack.begin(owner.submit(request("stopped", LONG, idempotent=True)))
     await until(lambda: owner.running_on("stopped"))
     worker = owner.running_on("stopped")
-    await preempt(owner, Preemption("stopped", worker, PreemptionAction.STOP, "urgent"))
+    await apply_preemption(owner, Preemption("stopped", worker, PreemptionAction.STOP, "urgent"))
     assert (await stopped).kind is ErrorKind.PREEMPTED
--- a/baobabhoist/tests/test_jobs_state.py
+++ b/baobabhoist/tests/test_jobs_state.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabhoist.daemon.preemption import PREEMPTED
+from baobabhoist.daemon.preemption import PREEMPTED_REFUSAL
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.jobs.rows import job_row, run_of
 from baobabhoist.jobs.state import JobRun
@@ -159,9 +159,9 @@
     run.retries = 0
     for attempt in range(5):
         send_all(run, attempt * 100.0)
-        run.result(0, PREEMPTED, attempt * 100.0)
+        run.result(0, PREEMPTED_REFUSAL, attempt * 100.0)
     assert run.state is JobState.QUEUED
     run = job(tasks=1, idempotent=False)
     send_all(run, 0.0)
-    run.result(0, PREEMPTED, 1.0)
+    run.result(0, PREEMPTED_REFUSAL, 1.0)
     assert run.state is JobState.FAILED
--- a/baobabhoist/tests/test_quota_classes.py
+++ b/baobabhoist/tests/test_quota_classes.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from baobabhoist.daemon.digests import digest_of
+from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.policies import class_limits
 from baobabhoist.daemon.shard_quota import ShardPlaces
 from baobabhoist.errors import ErrorKind
@@ -92,7 +92,7 @@
             assert isinstance(await owner.submit(request("now")), Answer)
             assert [n for n in range(3) if owner.running_on(f"b{n}")] == [0]
             assert "batch work" in owner.scheduler.explain("b1", owner.now).message
-            digest = digest_of(owner)
+            digest = build_digest(owner)
             assert (digest.unmet, digest.class_spare) == ({}, {BATCH: 0})
             owner.places.classes.limits = {BATCH: 0}
             req = request("never", idempotent=True)
