--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class Adopted:
+class AdoptedTasks:
     """Hold the tasks that earlier owners started, by worker."""
 
     tasks: dict[str, dict[str, RunningTask]] = attrs.Factory(dict)
@@ -36,7 +36,7 @@
         here.update((task.task_id, task) for task in new)
         return new
 
-    def missing(self, worker: str, running: Iterable[str]) -> list[str]:
+    def find_missing(self, worker: str, running: Iterable[str]) -> list[str]:
         """Return the adopted tasks that a later report of the worker no longer names."""
         here = self.tasks.get(worker, {})
         return list(here.keys() - set(running)) if here else []
@@ -53,18 +53,20 @@
         return self.tasks.get(worker, {}).pop(task_id, None) is not None
 
 
-class Adoption:
+class TaskAdoption:
     """Count adopted tasks against capacity and places until they have ended."""
 
     def __init__(self, owner: ShardOwner) -> None:
         self._owner = owner
-        self._adopted = Adopted()
+        self._adopted = AdoptedTasks()
 
     def worker_of(self, task_id: str) -> str | None:
         """Return the worker that runs an adopted task."""
         return self._adopted.worker_of(task_id)
 
-    def inventory(self, worker: str, running: list[RunningTask], ended: list[EndedTask]) -> None:
+    def take_inventory(
+        self, worker: str, running: list[RunningTask], ended: list[EndedTask]
+    ) -> None:
         """Count what a worker runs already and take the answers that it has stored."""
         owner, now = self._owner, self._owner.now
         # A lease of the previous owner may have been renewed just before the token was taken.
@@ -74,19 +76,19 @@
             # A worker that slept past a lease still names a task that was queued again here.
             owner.scheduler.cancel(task.task_id)
         owner.scheduler.adopt(worker, adopted, now)
-        owner.places.adopt(worker, adopted)
+        owner.shard_quota.adopt(worker, adopted)
         # Open calls report their own end; taking it twice would break the keys' states.
         foreign = [done for done in ended if done.task_id not in owner.in_flight]
         owner.requests.answers.note_omitted_bodies(worker, foreign)
         for request_id, result in owner.keys.inherit(worker, adopted, foreign, now):
             owner.spawn(owner.requests.deliver_with_body(request_id, result))
-        for task_id in self._adopted.missing(worker, [task.task_id for task in running]):
+        for task_id in self._adopted.find_missing(worker, [task.task_id for task in running]):
             if self._adopted.remove(worker, task_id):
                 self._release(task_id, True)
 
-    def reported(self, worker: str, running: Iterable[str]) -> None:
+    def reconcile(self, worker: str, running: Iterable[str]) -> None:
         """Take the names of the tasks that a worker runs."""
-        for task_id in self._adopted.missing(worker, running):
+        for task_id in self._adopted.find_missing(worker, running):
             self._owner.spawn(self._end(worker, task_id))
 
     async def _end(self, worker: str, task_id: str) -> None:
@@ -107,4 +109,4 @@
         owner = self._owner
         if task_id in owner.scheduler.running:
             owner.scheduler.ended(task_id, succeeded, owner.now)
-        owner.places.ended(task_id)
+        owner.shard_quota.ended(task_id)
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -282,8 +282,8 @@
     async def _members_read(self, members: MemberList) -> None:
         gone = members.gone()
         for owner in list(self.owners.owners.values()):
-            owner.set_leaving(members.leaving() | self.view.drained_workers(owner.shard))
-            await owner.fencing.members_read(gone)
+            owner.set_leaving_workers(members.leaving() | self.view.drained_workers(owner.shard))
+            await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
             self.mesh.forget(name)
         listed = [
@@ -318,13 +318,13 @@
             leaving = self.members.leaving()
             for owner in list(self.owners.owners.values()):
                 await owner.set_workers(self.view.workers_of(owner.shard))
-                owner.set_leaving(leaving | self.view.drained_workers(owner.shard))
+                owner.set_leaving_workers(leaving | self.view.drained_workers(owner.shard))
                 self._set_policies(owner)
             self.escrow.limits_changed()
 
     def _set_policies(self, owner: ShardOwner) -> None:
         owner.scheduler.set_policies(queue_policies(self.view), team_policies(self.view))
-        owner.places.classes.limits = class_limits(self.view, owner.shard)
+        owner.shard_quota.class_ledger.limits = class_limits(self.view, owner.shard)
 
     async def _share_usage(self) -> None:
         """Tell the decisions of each shard what its teams use elsewhere."""
@@ -360,7 +360,7 @@
             inherited=inherited,
             observer=MetricsObserver(self.metrics),
         )
-        owner.set_leaving(self.members.leaving() | self.view.drained_workers(owner.shard))
+        owner.set_leaving_workers(self.members.leaving() | self.view.drained_workers(owner.shard))
         self._set_policies(owner)
         return owner
 
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -56,16 +56,16 @@
 log = logging.getLogger(__name__)
 
 RENEW_INTERVAL_S = 1.0
-RETRY_INTERVAL_S = 0.1
+FENCE_RETRY_INTERVAL_S = 0.1
 TICK_INTERVAL_S = 0.2
 # A takeover must end within 5 s, 2 s of which pass until the owner counts as dead.
-CLAIM_TABLE_DEADLINE_S = 0.7
-CONFIRM_INTERVAL_S = 1.0
+CLAIM_TABLE_TIMEOUT_S = 0.7
+EPOCH_CONFIRM_INTERVAL_S = 1.0
 # Renewals in a row that time out until the connection is replaced.
-SILENT_RENEWALS = 2
+MAX_RENEWAL_TIMEOUTS = 2
 FENCE_CALL_TIMEOUT_S = 2.0
 CONFIRM_ATTEMPTS = 3
-CONFIRM_SAMPLE = 3
+CONFIRM_SAMPLE_SIZE = 3
 
 ENDED_STATES = (ShardState.LOST, ShardState.IDLE)
 
@@ -74,25 +74,27 @@
 ROUTINE_EVENTS = (WorkerConfirmed, WorkerReportedLive, WorkerReportedGone)
 
 
-class Holder(Protocol):
+class ClaimListener(Protocol):
     """Be told by the fencing what changes for the shard."""
 
-    def state_changed(self, state: ShardState) -> None:
+    def on_state_changed(self, state: ShardState) -> None:
         """Take the new state of the claim."""
 
-    def inventory(self, worker: str, running: list[RunningTask], ended: list[EndedTask]) -> None:
+    def on_inventory(
+        self, worker: str, running: list[RunningTask], ended: list[EndedTask]
+    ) -> None:
         """Take the inventory of a worker that holds the token, before it gets work."""
 
     def renewal_mark(self) -> int:
         """Return a mark of what is known before a renewal is sent."""
 
-    def leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
+    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Take a worker's report of what it runs, with the mark taken before the call."""
 
-    def worker_restarted(self, worker: str) -> None:
+    def on_worker_restarted(self, worker: str) -> None:
         """Learn that a worker may have forgotten the tasks it was sent."""
 
-    def usable_workers_changed(self) -> None:
+    def update_usable_workers(self) -> None:
         """Compare the workers that may get work with those that do."""
 
     async def send_queue(self, successor: str, token: Token) -> bool | None:
@@ -100,7 +102,7 @@
 
 
 @attrs.define
-class Inventory:
+class WorkerInventory:
     """Collect the pages of one worker's inventory."""
 
     running: list[RunningTask] = attrs.Factory(list)
@@ -108,7 +110,7 @@
     previous: Token | None = None
 
 
-class Fencing:
+class ClaimDriver:
     """Perform the actions of the claim machine and feed it what happens."""
 
     def __init__(
@@ -117,7 +119,7 @@
         table: Table,
         pool: WorkerPool,
         leases: WorkerLeases,
-        holder: Holder,
+        listener: ClaimListener,
         clock: Callable[[], float],
     ) -> None:
         self.claim = claim
@@ -128,7 +130,7 @@
         self._table = table
         self._pool = pool
         self._leases = leases
-        self._holder = holder
+        self._listener = listener
         self._clock = clock
         self._row_key = f"shard/{claim.shard}"
         self._tasks: set[asyncio.Task[None]] = set()
@@ -167,19 +169,19 @@
             await self._settled.wait()
         return self.ended.is_set()
 
-    def follows(self, token: Token) -> bool:
+    def directly_follows(self, token: Token) -> bool:
         """Tell whether every worker held this token until it took one of this claim."""
         return all(self._held_before.get(worker) == token for worker in self.claim.workers)
 
-    async def confirmed(self, at: float) -> bool:
+    async def confirm_owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; may ask workers."""
         for _ in range(CONFIRM_ATTEMPTS):
             if self.claim.confirmed_after(at) or self.ended.is_set():
                 break
-            await asyncio.wait((self.confirm_soon(),))
+            await asyncio.wait((self.start_confirmation(),))
         return self.claim.confirmed_after(at)
 
-    def confirm_soon(self) -> asyncio.Task[None]:
+    def start_confirmation(self) -> asyncio.Task[None]:
         """Ask some workers to confirm the token; calls at the same time share one round."""
         if self._confirming is None or self._confirming.done():
             self._confirming = asyncio.create_task(self._ask_workers())
@@ -187,16 +189,16 @@
 
     async def _ask_workers(self) -> None:
         workers = [name for name in self.claim.fenced if self._pool.connected(name)]
-        chosen = workers[:CONFIRM_SAMPLE]
+        chosen = workers[:CONFIRM_SAMPLE_SIZE]
         await asyncio.gather(*(self._renew_worker(worker) for worker in chosen))
 
-    async def refused(self, worker: str, highest: Token) -> None:
+    async def on_token_refused(self, worker: str, highest: Token) -> None:
         """Note that a worker obeys a higher token."""
         if highest > self.claim.token:
             emit(log, Event.TOKEN_REFUSED, worker=worker, token=highest)
         await self.apply(FenceRefused(worker, highest))
 
-    async def connection_changed(self, worker: str, connected: bool) -> None:
+    async def on_connection_changed(self, worker: str, connected: bool) -> None:
         """Take a new or ended connection to a worker."""
         await self.apply(WorkerConnected(worker) if connected else WorkerDisconnected(worker))
 
@@ -206,7 +208,7 @@
         if names != self.claim.workers:
             await self.apply(WorkersChanged(names))
 
-    async def members_read(self, gone: set[str]) -> None:
+    async def on_membership_read(self, gone: set[str]) -> None:
         """Take one reading of the membership list."""
         for worker in self.claim.workers:
             event = WorkerReportedGone if worker in gone else WorkerReportedLive
@@ -229,7 +231,7 @@
         for action in actions:
             await self._perform(action)
         if actions or unverified or not isinstance(event, ROUTINE_EVENTS):
-            self._holder.usable_workers_changed()
+            self._listener.update_usable_workers()
 
     def _note_end(self) -> None:
         if self._began and self.claim.state in ENDED_STATES:
@@ -248,11 +250,11 @@
                 emit(log, Event.SHARD_STATE, shard=shard, state=state.value, token=token)
                 if state is not ShardState.HANDING_OVER:
                     self._settled.set()
-                self._holder.state_changed(state)
+                self._listener.on_state_changed(state)
 
     async def _want(self) -> None:
         try:
-            row = await within(CLAIM_TABLE_DEADLINE_S, self._table.read(self._row_key))
+            row = await within(CLAIM_TABLE_TIMEOUT_S, self._table.read(self._row_key))
             epoch: int | None = _epoch_of(row.value)
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
@@ -263,7 +265,7 @@
         self, expected: int, target: int
     ) -> EpochGranted | EpochConflict | EpochUnavailable:
         owner, key = self.claim.instance_id, self._row_key
-        until = time.monotonic() + CLAIM_TABLE_DEADLINE_S
+        until = time.monotonic() + CLAIM_TABLE_TIMEOUT_S
         try:
             row = await within(until - time.monotonic(), self._table.read(key))
             held = _epoch_of(row.value)
@@ -287,7 +289,7 @@
     async def _confirm_epoch(self) -> None:
         """Advance the epoch once the table answers again after a claim by round."""
         while True:
-            await asyncio.sleep(CONFIRM_INTERVAL_S)
+            await asyncio.sleep(EPOCH_CONFIRM_INTERVAL_S)
             if self.claim.confirmed:
                 continue
             try:
@@ -297,7 +299,7 @@
             await self.apply(ClaimWanted(epoch))
 
     async def _send_queue(self, successor: str, token: Token) -> None:
-        taken = await self._holder.send_queue(successor, token)
+        taken = await self._listener.send_queue(successor, token)
         if taken is not None:
             await self.apply(HandOverTaken() if taken else HandOverRefused())
 
@@ -317,7 +319,7 @@
                 sent_at = self._clock()
                 reply = await self._try_fence(worker, token)
                 if reply is None:
-                    await asyncio.sleep(RETRY_INTERVAL_S)
+                    await asyncio.sleep(FENCE_RETRY_INTERVAL_S)
                     continue
                 break
             else:
@@ -326,20 +328,20 @@
             if self._presenting.get(worker) == token:
                 del self._presenting[worker]
         if isinstance(reply, TokenRefused):
-            await self.refused(worker, reply.highest)
+            await self.on_token_refused(worker, reply.highest)
         elif self.claim.token == token:
             # An earlier token of this claim shows that the worker has not forgotten since.
             claimant = self.claim.instance_id
             if reply.previous is None or reply.previous.instance_id != claimant:
-                self._holder.worker_restarted(worker)
+                self._listener.on_worker_restarted(worker)
             self._held_before.setdefault(worker, reply.previous)
-            self._holder.inventory(worker, reply.running, reply.ended)
+            self._listener.on_inventory(worker, reply.running, reply.ended)
             running, ended = tuple(reply.running), tuple(reply.ended)
             await self.apply(WorkerFenced(worker, token, running, ended, reply.previous, sent_at))
 
-    async def _try_fence(self, worker: str, token: Token) -> TokenRefused | Inventory | None:
+    async def _try_fence(self, worker: str, token: Token) -> TokenRefused | WorkerInventory | None:
         """Present the token and read the whole inventory, which may come in pages."""
-        found = Inventory()
+        found = WorkerInventory()
         call: Any = FenceWorker(self.claim.shard, token)
         try:
             while True:
@@ -366,7 +368,7 @@
                     self._spawn(self._renew_worker(worker))
 
     async def _renew_worker(self, worker: str) -> None:
-        sent_at, mark = self._clock(), self._holder.renewal_mark()
+        sent_at, mark = self._clock(), self._listener.renewal_mark()
         token = self.claim.token
         call = RenewLeases(token, self._leases.extend(worker, sent_at))
         try:
@@ -378,14 +380,14 @@
             return
         self._silent.pop(worker, None)
         if isinstance(reply, TokenRefused):
-            await self.refused(worker, reply.highest)
+            await self.on_token_refused(worker, reply.highest)
         elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced:
             await self.apply(WorkerConfirmed(worker, token, sent_at))
-            self._holder.leases_renewed(worker, reply, mark)
+            self._listener.on_leases_renewed(worker, reply, mark)
 
     def _count_silence(self, worker: str) -> None:
         self._silent[worker] = self._silent.get(worker, 0) + 1
-        if self._silent[worker] >= SILENT_RENEWALS:
+        if self._silent[worker] >= MAX_RENEWAL_TIMEOUTS:
             del self._silent[worker]
             self._pool.replace(worker)
 
--- a/baobabhoist/daemon/digests.py
+++ b/baobabhoist/daemon/digests.py
@@ -14,13 +14,13 @@
 
 def build_digest(owner: ShardOwner) -> ShardDigest:
     """Return the use, the spare places and the unmet wishes of a shard by team."""
-    quota = owner.quota
+    quota = owner.quota_ledger
     # What a class limit keeps waiting asks neither for places nor for workers.
     waiting = [
         entry
-        for entry in owner.open.values()
+        for entry in owner.pending.values()
         if is_queued(owner.keys, entry)
-        and not owner.places.is_full(entry.req.task.team, entry.req.task.kind)
+        and not owner.shard_quota.is_class_full(entry.req.task.team, entry.req.task.kind)
     ]
     unmet = Counter(entry.req.task.team for entry in waiting)
     teams = set(quota.escrow) | set(quota.used)
@@ -33,5 +33,5 @@
         owner.free_slots(),
         len(waiting),
         dict(unmet),
-        owner.places.class_spare(),
+        owner.shard_quota.class_headroom(),
     )
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -100,7 +100,9 @@
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
                 log.warning("a step on the escrow rows was refused")
-            waiting = any(owner.quota.cap is not None for owner in self._instance.busy_owners())
+            waiting = any(
+                owner.quota_ledger.cap is not None for owner in self._instance.busy_owners()
+            )
             try:
                 async with asyncio.timeout(WAITING_INTERVAL_S if waiting else INTERVAL_S):
                     await self._wake.wait()
@@ -114,7 +116,10 @@
             or self._clock() >= self._read_at
             or any(known.row.pending_limit is not None for known in self.known.values())
             or any(account.in_doubt for account in self._accounts.values())
-            or any(owner.quota.cap is not None or self._wanted(owner) for owner in self._usable())
+            or any(
+                owner.quota_ledger.cap is not None or self._wanted(owner)
+                for owner in self._usable()
+            )
         )
 
     async def cycle(self) -> None:
@@ -143,7 +148,7 @@
     def limits_changed(self) -> None:
         """Apply lowered limits of the records at once, before the rows follow."""
         for owner in self._usable():
-            if owner.quota.cap is None:
+            if owner.quota_ledger.cap is None:
                 self._set_ceilings(owner)
                 owner.dispatch(self._clock())
         self._wake.set()
@@ -157,14 +162,14 @@
         nothing = PlacesGiven(wanted.team, 0)
         owners = {owner.shard: owner for owner in self._usable()}
         owner = owners.get(wanted.from_shard)
-        if owner is None or owner.quota.cap is not None:
+        if owner is None or owner.quota_ledger.cap is not None:
             return nothing
         account = self._account(owner)
         if wanted.team in account.in_doubt or self._wanted(owner).get(wanted.team):
             return nothing
         try:
             row = _known(wanted.team, await self._instance.table.read(_key(wanted.team)))
-            places = min(wanted.places, owner.quota.giveable(wanted.team))
+            places = min(wanted.places, owner.quota_ledger.giveable(wanted.team))
             given = await self._move_out(account, wanted.team, row, places, wanted.to_shard)
         except (PlatformError, InvariantBreachError):
             return nothing
@@ -255,19 +260,19 @@
         if not owner.claim.escrow_usable:
             return
         held = {team: known.row.held(owner.shard) for team, known in self.known.items()}
-        arrived = owner.quota.cap is not None
+        arrived = owner.quota_ledger.cap is not None
         if arrived:
-            owner.use_escrow(held)
+            owner.lift_takeover_cap(held)
         for team, places in held.items():
-            more = places - owner.quota.escrow.get(team, 0)
+            more = places - owner.quota_ledger.escrow.get(team, 0)
             if team in account.in_doubt or not more:
                 continue
             if more > 0:
-                owner.quota.put_in(team, more)
+                owner.quota_ledger.put_in(team, more)
                 arrived = True
             else:
                 log.error("shard %s holds %d places of %s too many", owner.shard, -more, team)
-                owner.quota.escrow[team] = places
+                owner.quota_ledger.escrow[team] = places
         self._set_ceilings(owner)
         if arrived:
             owner.scheduler.places_changed()
@@ -282,7 +287,7 @@
                 row = _refused_none(escrow.set_limit(team, row, limit), row)
             lowered = row.pending_limit is not None
             ceiling = escrow.ceilings(row).get(owner.shard, 0) if lowered else None
-            owner.quota.set_ceiling(team, ceiling)
+            owner.quota_ledger.set_ceiling(team, ceiling)
 
     # What a lowered limit asks for.
 
@@ -290,10 +295,10 @@
         owner = account.owner
         for team, known in list(self.known.items()):
             pending = known.row.pending_limit is not None
-            if not pending or team in account.in_doubt or owner.quota.cap is not None:
+            if not pending or team in account.in_doubt or owner.quota_ledger.cap is not None:
                 continue
-            over = known.row.held(owner.shard) - owner.quota.allowed(team)
-            places = min(over, owner.quota.giveable(team))
+            over = known.row.held(owner.shard) - owner.quota_ledger.allowed(team)
+            places = min(over, owner.quota_ledger.giveable(team))
             if places > 0:
                 await self._move_out(account, team, known, places, None)
 
@@ -301,10 +306,10 @@
         """Checkpoint or stop what exceeds a lowered limit; requests end by themselves soon."""
         owner, now = account.owner, self._clock()
         account.told = {k: at for k, at in account.told.items() if now - at < TELL_AGAIN_S}
-        for team in [team for team, used in owner.quota.used.items() if used]:
-            for task_id in owner.quota.excess(team):
+        for team in [team for team, used in owner.quota_ledger.used.items() if used]:
+            for task_id in owner.quota_ledger.excess(team):
                 placed = owner.scheduler.running.get(task_id)
-                worker = owner.running_on(task_id)
+                worker = owner.worker_of(task_id)
                 is_request = placed is not None and placed.placement.task.kind is WorkKind.REQUEST
                 if is_request or worker is None or task_id in account.told:
                     continue
@@ -312,7 +317,7 @@
                 policy = self._instance.view.policy_of(queue)
                 action = PreemptionAction(policy.preempt_action.value)
                 account.told[task_id] = now
-                owner.stopping.add(task_id)
+                owner.stopping_tasks.add(task_id)
                 message = build_stop_message(owner, task_id, action)
                 owner.spawn(_tell(owner, worker, message))
 
@@ -321,7 +326,7 @@
     async def _demand(self, account: Account) -> list[PlacesWanted]:
         """Take places from the pool, and return what to ask other shards for."""
         owner = account.owner
-        if owner.quota.cap is not None:
+        if owner.quota_ledger.cap is not None:
             return []
         wanted = self._wanted(owner)
         others = self._others(owner) if wanted else []
@@ -399,17 +404,17 @@
         moved = escrow.move(team, known.row, steps)
         if isinstance(moved, Refusal):
             return False
-        owner.quota.take_out(team, places)
+        owner.quota_ledger.take_out(team, places)
         account.in_doubt[team] = known.revision
         outcome = await self._commit(account, team, known.revision, moved)
         if not outcome:
-            owner.quota.put_in(team, places)
+            owner.quota_ledger.put_in(team, places)
         return outcome
 
     async def _commit(self, account: Account, team: str, revision: int, row: EscrowRow) -> bool:
         """Commit a row; an answer that is lost leaves the team in doubt."""
         owner = account.owner
-        shards = {owner.shard: owner.fencing.row_revision}
+        shards = {owner.shard: owner.claim_driver.row_revision}
         txn = escrow.transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
         outcome = await self._instance.table.commit(txn)
         account.in_doubt.pop(team, None)
@@ -421,7 +426,7 @@
 
 
 async def _tell(owner: ShardOwner, worker: str, message: Any) -> None:
-    await owner.tell_worker(worker, message)
+    await owner.call_worker(worker, message)
 
 
 def _key(team: str) -> str:
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -60,11 +60,11 @@
 class HomeShard(Protocol):
     """Be the shard that keeps the state of the keys of forwarded requests."""
 
-    open: dict[str, PendingRequest]
+    pending: dict[str, PendingRequest]
     keys: KeyLedger
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether the shard may start work."""
 
     @property
@@ -75,7 +75,7 @@
     def now(self) -> float:
         """Return the time in Unix seconds."""
 
-    def owned_at(self, at: float) -> bool:
+    def was_owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; if not, find out.
 
         No worker of this shard would refuse the forward of an owner that was superseded.
@@ -103,9 +103,9 @@
         home, sent = self._home, 0
         # Where one request of a team and kind finds no room, the others find none in this tick.
         without_room: set[tuple[str, WorkKind]] = set()
-        if not home.usable:
+        if not home.is_usable:
             return
-        for entry in list(home.open.values()):
+        for entry in list(home.pending.values()):
             if sent >= MAX_FORWARDS_PER_TICK:
                 return
             work = (entry.req.task.team, entry.req.task.kind)
@@ -114,7 +114,7 @@
                 continue
             # The next owner of this shard cannot know what was forwarded: it answers unknown for
             # keys that are older than its takeover, but it may run idempotent work again.
-            if entry.req.task.idempotent or not home.owned_at(entry.opened_at):
+            if entry.req.task.idempotent or not home.was_owned_at(entry.opened_at):
                 continue
             sent_to = self._forward(entry.req)
             if sent_to is None:
@@ -128,16 +128,16 @@
 
     def forwarded_ids(self) -> set[str]:
         """Return the requests that other shards have now."""
-        return {name for name, entry in self._home.open.items() if entry.is_forwarding}
+        return {name for name, entry in self._home.pending.items() if entry.is_forwarding}
 
     def forward_targets(self, task_ids: Iterable[str]) -> dict[str, str]:
         """Return the shards that have those of these requests that were forwarded."""
-        entries = ((name, self._home.open.get(name)) for name in task_ids)
+        entries = ((name, self._home.pending.get(name)) for name in task_ids)
         return {name: entry.target for name, entry in entries if entry and entry.is_forwarding}
 
     def mark_forwarded_dispatched(self) -> None:
         """Count what other shards have as dispatched, before the queue is given up."""
-        for entry in self._home.open.values():
+        for entry in self._home.pending.values():
             known = self._home.keys.entries.get(entry.req.request_id)
             if entry.is_forwarding and known is not None and known.state is KeyState.QUEUED:
                 self._home.keys.dispatched(entry.req.request_id)
@@ -149,7 +149,7 @@
         entry.is_forwarding = False
         not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         queued = is_queued(home.keys, entry)
-        if queued and not_run and now < entry.req.task.deadline and home.usable:
+        if queued and not_run and now < entry.req.task.deadline and home.is_usable:
             entry.forward_at = now + FORWARD_RETRY_DELAY_S
             refusal = home.queue.enqueue(entry.req.task, now)
             if refusal is None:
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -212,8 +212,8 @@
     async def release_idle(self) -> None:
         """Give up the shards that no successor took, once nothing is open in them."""
         for owner in list(self.owners.values()):
-            if not owner.open_requests():
-                await owner.fencing.release()
+            if not owner.pending_count():
+                await owner.claim_driver.release()
 
     def best(self, shard: str, others_only: bool = False) -> str | None:
         """Return the live instance that should own a shard."""
@@ -221,14 +221,14 @@
         return ranked[0] if ranked else None
 
     async def _hand_over(self, owner: ShardOwner, successor: str) -> None:
-        if await owner.fencing.hand_over(successor):
+        if await owner.claim_driver.hand_over(successor):
             emit(log, Event.HAND_OVER_FINISHED, shard=owner.shard, instance_id=successor)
         else:
             log.warning("instance %s did not take shard %s", successor, owner.shard)
 
     async def _drive(self, shard: str, owner: ShardOwner) -> None:
         running = asyncio.create_task(owner.run())
-        ended = asyncio.create_task(owner.fencing.ended.wait())
+        ended = asyncio.create_task(owner.claim_driver.ended.wait())
         try:
             await asyncio.wait((running, ended), return_when=asyncio.FIRST_COMPLETED)
             if self.owners.get(shard) is owner:
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -30,9 +30,9 @@
 
     claim: ShardClaim
     scheduler: Scheduler
-    stopping: set[str]
+    stopping_tasks: set[str]
 
-    async def tell_worker(self, worker: str, message: Any) -> bool:
+    async def call_worker(self, worker: str, message: Any) -> bool:
         """Send a worker a call; tell whether it was confirmed."""
 
 
@@ -45,11 +45,11 @@
         had = placed.task.resources.cpu_milli if placed is not None else 0
         percent = wanted.cpu_milli * PERCENT // had if had else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
-        if await owner.tell_worker(wanted.worker, message):
+        if await owner.call_worker(wanted.worker, message):
             owner.scheduler.throttled(task_id, wanted.cpu_milli)
     elif wanted.action is not PreemptionAction.NEVER:
-        owner.stopping.add(task_id)
-        await owner.tell_worker(wanted.worker, build_stop_message(owner, task_id, wanted.action))
+        owner.stopping_tasks.add(task_id)
+        await owner.call_worker(wanted.worker, build_stop_message(owner, task_id, wanted.action))
 
 
 def build_stop_message(owner: PreemptionOwner, task_id: str, action: PreemptionAction) -> Any:
--- a/baobabhoist/daemon/request_registry.py
+++ b/baobabhoist/daemon/request_registry.py
@@ -23,7 +23,7 @@
     def __init__(
         self, shard: str, keys: KeyLedger, resolve: ResolveOutcome, clock: Callable[[], float]
     ) -> None:
-        self.open: dict[str, PendingRequest] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.keys = keys
         self.answers = AnswerStore(resolve)
         self._shard = shard
@@ -31,11 +31,11 @@
 
     def get_or_create(self, req: Request, now: float) -> PendingRequest:
         """Return the entry of a request without a result."""
-        entry = self.open.get(req.request_id)
+        entry = self.pending.get(req.request_id)
         if entry is None:
             fut: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
             entry = PendingRequest(req, fut, now + FORWARD_DELAY_S, now)
-            self.open[req.request_id] = entry
+            self.pending[req.request_id] = entry
         return entry
 
     async def wait_for_result(self, req: Request, entry: PendingRequest) -> Result | None:
@@ -71,13 +71,13 @@
 
     def deliver(self, request_id: str, result: Result) -> None:
         """Give a result to those who wait, without storing it."""
-        entry = self.open.pop(request_id, None)
+        entry = self.pending.pop(request_id, None)
         if entry is not None and not entry.fut.done():
             entry.fut.set_result(result)
 
     async def deliver_with_body(self, request_id: str, result: Result) -> None:
         """Give a kept result with its body."""
-        entry = self.open.get(request_id)
+        entry = self.pending.get(request_id)
         if entry is not None:
             self.deliver(request_id, await self.answers.load_body(entry.req, result))
 
@@ -95,7 +95,7 @@
 
     def close(self) -> None:
         """Answer everything that is still open, because the owner ends."""
-        for request_id in list(self.open):
+        for request_id in list(self.pending):
             self.deliver(request_id, not_owner_refusal(self._shard, Outcome.UNKNOWN))
 
     def expire_keys(self, now: float) -> None:
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -36,7 +36,7 @@
     """Be a shard that this instance may own."""
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether work may be accepted."""
 
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
@@ -152,7 +152,7 @@
 
     async def _ask(self, req: Request, forwarded: bool) -> Result | LostRelay:
         owner = self._owners.get(req.shard)
-        if owner is not None and owner.usable:
+        if owner is not None and owner.is_usable:
             return await owner.submit(req, forwarded)
         peer = self._peers.owner_of(req.shard)
         if peer is None:
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -25,11 +25,11 @@
         """Return which tasks run and why the others wait."""
         owner = self._owner
         elsewhere = owner.forwarder.forward_targets(task_ids)
-        running = tuple(name for name in task_ids if owner.running_on(name) is not None)
+        running = tuple(name for name in task_ids if owner.worker_of(name) is not None)
         waiting = {
             name: owner.scheduler.explain(name, now).message
             for name in task_ids
-            if owner.running_on(name) is None and name in owner.open and name not in elsewhere
+            if owner.worker_of(name) is None and name in owner.pending and name not in elsewhere
         }
         return TasksReport(running, waiting, elsewhere)
 
@@ -41,18 +41,18 @@
         owner, until = self._owner, time.time() + BARRED_S
         refusal = Refusal(ErrorKind.CANCELLED, "the task was cancelled")
         for task_id in task_ids:
-            owner.barred[task_id] = until
+            owner.cancelled_until[task_id] = until
             if owner.cancel_queued(task_id, refusal):
                 continue
-            worker = owner.running_on(task_id)
+            worker = owner.worker_of(task_id)
             if worker is not None:
-                owner.stopping.add(task_id)
+                owner.stopping_tasks.add(task_id)
                 stop = StopTask(owner.claim.token, task_id)
                 owner.spawn(self._stop(worker, stop))
         return owner.forwarder.forward_targets(task_ids)
 
     async def _stop(self, worker: str, stop: StopTask) -> None:
-        await self._owner.tell_worker(worker, stop)
+        await self._owner.call_worker(worker, stop)
 
     def hold(self, job_id: str, tasks: tuple[Task, ...], deadline: float, now: float) -> HoldReply:
         """Hold capacity and places for as many of the tasks as possible.
@@ -60,7 +60,7 @@
         The number is found by halving, so that a large gang costs few plans.
         """
         scheduler = self._owner.scheduler
-        spare = self._owner.places.spare
+        spare = self._owner.shard_quota.headroom
         count = min(len(tasks), spare(tasks[0].team, tasks[0].kind)) if tasks else 0
         if job_id in scheduler.book.reservations:
             count = len(tasks)
@@ -85,9 +85,9 @@
             req = Request(task.task_id, owner.shard, task.submitted_at, task, True)
             if isinstance(owner.keys.admit(req, now), Run):
                 owner.requests.get_or_create(req, now)
-                owner.start(placement, now)
+                owner.start_task(placement, now)
             else:
-                owner.take_back(task.task_id, now)
+                owner.release_unsent(task.task_id, now)
         return True
 
     def release_hold(self, job_id: str) -> None:
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Coroutine, Iterable, Mapping
 from typing import Any
 
-from baobabhoist.daemon.adoption import Adoption
-from baobabhoist.daemon.claim_driver import Fencing
+from baobabhoist.daemon.adoption import TaskAdoption
+from baobabhoist.daemon.claim_driver import ClaimDriver
 from baobabhoist.daemon.dispatch import (
     WORKER_CALL_TIMEOUT_S,
     Completed,
@@ -83,16 +83,16 @@
         times = times or LeaseSettings()
         self.shard = claim.shard
         self.claim = claim
-        self.quota = QuotaLedger(claim.shard)
-        self.quota.begin_takeover()
+        self.quota_ledger = QuotaLedger(claim.shard)
+        self.quota_ledger.begin_takeover()
         self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
-        self.places = ShardPlaces(self.quota, self._kind_of)
-        self.scheduler = Scheduler.over(specs, self.places)
-        self.scheduler.lines.is_full = self.places.is_full
-        self.leaving: set[str] = set()
-        self.barred: dict[str, float] = {}
+        self.shard_quota = ShardPlaces(self.quota_ledger, self._kind_of)
+        self.scheduler = Scheduler.over(specs, self.shard_quota)
+        self.scheduler.lines.is_full = self.shard_quota.is_class_full
+        self.leaving_workers: set[str] = set()
+        self.cancelled_until: dict[str, float] = {}
         # Tasks that a worker was asked to end; their end says nothing about health or size.
-        self.stopping: set[str] = set()
+        self.stopping_tasks: set[str] = set()
         self._escrow = escrow
         self._send_hand_over = send_hand_over
         self._inherited = inherited
@@ -100,7 +100,7 @@
         self._clock = clock
         self._observer = observer
         self.in_flight: dict[str, str] = {}
-        self.adoption = Adoption(self)
+        self.adoption = TaskAdoption(self)
         self._up: set[str] = set()
         self._specs = {spec.name: spec for spec in specs}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -108,14 +108,18 @@
         self._moved = False
         self.pool = WorkerPool(specs, self._connection_changed, make_link)
         self.leases = WorkerLeases(times.lease_s, times.clock_skew_s)
-        self.fencing = Fencing(claim, table, self.pool, self.leases, self, clock)
+        self.claim_driver = ClaimDriver(claim, table, self.pool, self.leases, self, clock)
         self.dispatcher = Dispatcher(
-            self.pool, self.leases, lambda: self.claim.token, self.fencing.refused, clock
+            self.pool,
+            self.leases,
+            lambda: self.claim.token,
+            self.claim_driver.on_token_refused,
+            clock,
         )
         self.requests = RequestRegistry(
             self.shard, self.keys, self.dispatcher.resolve_outcome, clock
         )
-        self.open = self.requests.open
+        self.pending = self.requests.pending
         self.forwarder = Forwarder(self, forward)
 
     async def run(self) -> None:
@@ -126,7 +130,7 @@
         self.pool.start()
         ticking = asyncio.create_task(self._tick())
         try:
-            await self.fencing.run()
+            await self.claim_driver.run()
             self._give_up()
             while self._tasks and (self.in_flight or self.forwarder.forwarded_ids()):
                 await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -138,7 +142,7 @@
             self.requests.close()
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether work may be accepted."""
         return self.claim.state in USABLE_STATES
 
@@ -152,22 +156,22 @@
         """Return the time in Unix seconds."""
         return self._clock()
 
-    def owned_at(self, at: float) -> bool:
+    def was_owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; if not, find out."""
         if self.claim.confirmed_after(at):
             return True
-        self.fencing.confirm_soon()
+        self.claim_driver.start_confirmation()
         return False
 
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
         """Return the answer to a request, or the reason why there is none."""
-        if not self.usable:
+        if not self.is_usable:
             return not_owner_refusal(self.shard)
         now = self._clock()
         if self.claim.state is not ShardState.OWNED and not req.first_attempt:
             # Only the inventories of all workers tell whether this key has run.
             return not_owner_refusal(self.shard)
-        if req.request_id in self.barred:
+        if req.request_id in self.cancelled_until:
             return Refusal(ErrorKind.CANCELLED, "the task was cancelled")
         result = await self._submit(req, forwarded, now)
         return await self._certain(req, result)
@@ -175,7 +179,11 @@
     async def _certain(self, req: Request, result: Result) -> Result:
         """Withdraw a `not_run` if another owner may run a copy of the request by now."""
         refused = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-        if not refused or req.first_attempt or await self.fencing.confirmed(self._clock()):
+        if (
+            not refused
+            or req.first_attempt
+            or await self.claim_driver.confirm_owned_at(self._clock())
+        ):
             return result
         return not_owner_refusal(self.shard, Outcome.UNKNOWN)
 
@@ -186,7 +194,9 @@
         entry = self.requests.get_or_create(req, now)
         if not isinstance(decision, Join):
             entry.arrived_forwarded = forwarded
-            refusal = self.places.never_starts(req.task) or self.scheduler.enqueue(req.task, now)
+            refusal = self.shard_quota.permanent_refusal(req.task) or self.scheduler.enqueue(
+                req.task, now
+            )
             if refusal is not None:
                 return self.finish(req.request_id, refusal)
             self.dispatch(now)
@@ -194,7 +204,7 @@
         return self._deadline_passed(req) if result is None else result
 
     def _deadline_passed(self, req: Request) -> Result:
-        entry = self.open.get(req.request_id)
+        entry = self.pending.get(req.request_id)
         if entry is not None and not entry.is_forwarding and self.scheduler.cancel(req.request_id):
             late = Refusal(
                 ErrorKind.DEADLINE_PASSED,
@@ -206,7 +216,7 @@
 
     def dispatch(self, now: float) -> None:
         """Start what fits now; bounded batches leave room for other work in between."""
-        if not self.usable:
+        if not self.is_usable:
             return
         begun = time.perf_counter()
         try:
@@ -217,22 +227,22 @@
         for placement in batch:
             if self._observer is not None:
                 self._observer.placement_decided(placement.task, decision_s)
-            self.start(placement, now)
+            self.start_task(placement, now)
         if len(batch) >= BATCH:
             asyncio.get_running_loop().call_soon(lambda: self.dispatch(self._clock()))
 
-    def start(self, placement: Placement, now: float) -> None:
+    def start_task(self, placement: Placement, now: float) -> None:
         """Send a placed task to its worker."""
         task, worker = placement.task, placement.worker
         if not (self.claim.may_dispatch(worker) and self.pool.connected(worker)):
-            self.take_back(task.task_id, now)
+            self.release_unsent(task.task_id, now)
             self._worker_down(worker)
             self._enqueue_again(task, now)
             return
         try:
             self.keys.dispatched(task.task_id, worker)
         except InvariantBreachError:
-            self.take_back(task.task_id, now)
+            self.release_unsent(task.task_id, now)
             return
         self.in_flight[task.task_id] = worker
         if self._observer is not None:
@@ -241,15 +251,15 @@
 
     def _enqueue_again(self, task: Task, now: float) -> None:
         """Queue a task again as it was declared, not with what it was granted."""
-        entry = self.open.get(task.task_id)
+        entry = self.pending.get(task.task_id)
         declared = entry.req.task if entry is not None else task
         refusal = self.scheduler.enqueue(declared, now)
         if refusal is not None:
             self.finish(task.task_id, refusal)
 
-    def take_back(self, task_id: str, now: float) -> None:
+    def release_unsent(self, task_id: str, now: float) -> None:
         """Free what a placed task holds that was not sent."""
-        self.places.confirmed.add(task_id)
+        self.shard_quota.confirmed_ends.add(task_id)
         self.scheduler.ended(task_id, False, now, preempted=True)
 
     async def _execute(self, placement: Placement) -> None:
@@ -266,16 +276,16 @@
         succeeded = isinstance(fate, Completed) and fate.succeeded
         if isinstance(fate, NotStarted):
             # A refused start says nothing about the worker's health or the task's size.
-            self.take_back(task.task_id, now)
+            self.release_unsent(task.task_id, now)
             stopped = False
         else:
             if self._observer is not None:
                 self._observer.task_ended(task, now - begun)
             if isinstance(fate, Completed) and fate.confirmed:
-                self.places.confirmed.add(task.task_id)
-            stopped = task.task_id in self.stopping and not succeeded
+                self.shard_quota.confirmed_ends.add(task.task_id)
+            stopped = task.task_id in self.stopping_tasks and not succeeded
             self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
-        self.stopping.discard(task.task_id)
+        self.stopping_tasks.discard(task.task_id)
         if isinstance(fate, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
             self._enqueue_again(task, now)
         else:
@@ -295,7 +305,7 @@
 
     def _kind_of(self, task_id: str) -> WorkKind:
         # Only the tasks of gangs take places before their requests arrive, for a hold.
-        entry = self.open.get(task_id)
+        entry = self.pending.get(task_id)
         return entry.req.task.kind if entry is not None else WorkKind.GANG
 
     def finish(self, request_id: str, result: Result) -> Result:
@@ -309,37 +319,39 @@
 
     # What the fencing reports.
 
-    def state_changed(self, state: ShardState) -> None:
+    def on_state_changed(self, state: ShardState) -> None:
         """Take the new state of the claim."""
         if state is ShardState.OWNED and not self._owned_before:
             self._owned_before = True
             self._begin_ownership()
-        self.refresh_places()
+        self.refresh_escrow()
 
-    def inventory(self, worker: str, running: list[RunningTask], ended: list[EndedTask]) -> None:
+    def on_inventory(
+        self, worker: str, running: list[RunningTask], ended: list[EndedTask]
+    ) -> None:
         """Take the inventory of a worker that holds the token, before it gets work."""
-        self.adoption.inventory(worker, running, ended)
+        self.adoption.take_inventory(worker, running, ended)
 
-    def leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
+    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Compare a worker's report with the tasks that were adopted."""
-        self.places.worker_confirmed(worker, mark)
-        self.adoption.reported(worker, reply.running)
+        self.shard_quota.worker_confirmed(worker, mark)
+        self.adoption.reconcile(worker, reply.running)
 
-    def worker_restarted(self, worker: str) -> None:
+    def on_worker_restarted(self, worker: str) -> None:
         """Learn that a worker may have forgotten the tasks it was sent."""
         self.dispatcher.count_worker_restart(worker)
 
     def renewal_mark(self) -> int:
         """Return the number of the last end that is known before a renewal is sent."""
-        return self.quota.mark()
+        return self.quota_ledger.mark()
 
-    def usable_workers_changed(self) -> None:
+    def update_usable_workers(self) -> None:
         """Compare the workers that may get work with those that do."""
         for worker in self.claim.workers:
             usable = (
                 self.claim.may_dispatch(worker)
                 and self.pool.connected(worker)
-                and worker not in self.leaving
+                and worker not in self.leaving_workers
             )
             if usable and worker not in self._up:
                 self._up.add(worker)
@@ -353,7 +365,9 @@
         emit(log, Event.HAND_OVER_STARTED, shard=self.shard, instance_id=successor)
         self._moved = True
         self.forwarder.mark_forwarded_dispatched()
-        message = build_hand_over(self.shard, token, self.claim.instance_id, self.keys, self.open)
+        message = build_hand_over(
+            self.shard, token, self.claim.instance_id, self.keys, self.pending
+        )
         return await self._send_hand_over(successor, message)
 
     # What the instance reports.
@@ -367,41 +381,41 @@
         self.pool.set_workers(workers)
         for worker in gone:
             self._worker_down(worker)
-        await self.fencing.set_workers(spec.name for spec in workers)
+        await self.claim_driver.set_workers(spec.name for spec in workers)
 
-    def set_leaving(self, leaving: set[str]) -> None:
+    def set_leaving_workers(self, leaving: set[str]) -> None:
         """Take the workers that leave or are drained; they get no new work from now on."""
-        for worker in leaving - self.leaving:
+        for worker in leaving - self.leaving_workers:
             emit(log, Event.WORKER_LEAVING, worker=worker)
             self.scheduler.worker_leaving(worker)
             self._up.discard(worker)
-        self.leaving = set(leaving)
-        self.usable_workers_changed()
+        self.leaving_workers = set(leaving)
+        self.update_usable_workers()
 
-    def refresh_places(self) -> None:
+    def refresh_escrow(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
-        if self.quota.cap is not None and self.claim.escrow_usable:
+        if self.quota_ledger.cap is not None and self.claim.escrow_usable:
             places = self._escrow(self.shard)
             if places is not None:
-                self.use_escrow(places)
+                self.lift_takeover_cap(places)
 
-    def use_escrow(self, places: Mapping[str, int]) -> None:
+    def lift_takeover_cap(self, places: Mapping[str, int]) -> None:
         """End the takeover cap; the places were read after the table confirmed the epoch."""
-        self.quota.uncap(dict(places))
+        self.quota_ledger.uncap(dict(places))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
         """Return the slots of usable workers that no task holds."""
         slots = sum(self._specs[worker].capacity.slots for worker in self._up)
-        return max(0, slots - len(self.quota.running))
+        return max(0, slots - len(self.quota_ledger.running))
 
-    def running_on(self, task_id: str) -> str | None:
+    def worker_of(self, task_id: str) -> str | None:
         """Return the worker that runs a task, or None."""
         return self.in_flight.get(task_id) or self.adoption.worker_of(task_id)
 
-    def open_requests(self) -> int:
+    def pending_count(self) -> int:
         """Return the number of requests without a result."""
-        return len(self.open)
+        return len(self.pending)
 
     def cancel_queued(self, task_id: str, refusal: Refusal) -> bool:
         """Drop a queued task; tell whether it was still queued."""
@@ -410,7 +424,7 @@
         self.finish(task_id, refusal)
         return True
 
-    async def tell_worker(self, worker: str, message: Any) -> bool:
+    async def call_worker(self, worker: str, message: Any) -> bool:
         """Send a worker a call; tell whether it was confirmed."""
         try:
             reply = await self.pool.call(worker, message, WORKER_CALL_TIMEOUT_S)
@@ -433,7 +447,7 @@
     async def _connection_changed(self, worker: str, connected: bool) -> None:
         event = Event.WORKER_CONNECTED if connected else Event.WORKER_DISCONNECTED
         emit(log, event, worker=worker)
-        await self.fencing.connection_changed(worker, connected)
+        await self.claim_driver.on_connection_changed(worker, connected)
 
     def _worker_down(self, worker: str) -> None:
         if worker in self._up:
@@ -450,7 +464,11 @@
         if message is None or message.known_since is None:
             return now
         fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
-        return message.known_since if fresh and self.fencing.follows(message.token) else now
+        return (
+            message.known_since
+            if fresh and self.claim_driver.directly_follows(message.token)
+            else now
+        )
 
     def _begin_ownership(self) -> None:
         """Decide from when on keys are known: a planned hand-over leaves no gap."""
@@ -480,8 +498,8 @@
 
     def _tick_once(self, now: float) -> None:
         self.requests.expire_keys(now)
-        for task_id in [name for name, until in self.barred.items() if until <= now]:
-            del self.barred[task_id]
+        for task_id in [name for name, until in self.cancelled_until.items() if until <= now]:
+            del self.cancelled_until[task_id]
         for task in self.scheduler.expire(now):
             late = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
             self.finish(task.task_id, late)
@@ -489,6 +507,6 @@
             self.finish(task.task_id, refusal)
         for preemption in self.scheduler.preemptions():
             self.spawn(apply_preemption(self, preemption))
-        self.refresh_places()
+        self.refresh_escrow()
         self.dispatch(now)
         self.forwarder.tick(now)
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -21,82 +21,82 @@
     starts and ends, so that one mark stands for the same ends in both.
     """
 
-    quota: QuotaLedger
+    team_ledger: QuotaLedger
     kind_of: Callable[[str], WorkKind]
-    classes: ClassLedger = attrs.field()
-    confirmed: set[str] = attrs.Factory(set)
+    class_ledger: ClassLedger = attrs.field()
+    confirmed_ends: set[str] = attrs.Factory(set)
 
-    @classes.default
+    @class_ledger.default
     def _new_classes(self) -> ClassLedger:
-        ledger = ClassLedger(self.quota.shard)
+        ledger = ClassLedger(self.team_ledger.shard)
         ledger.begin_takeover()
         return ledger
 
-    def never_starts(self, task: Task) -> Refusal | None:
+    def permanent_refusal(self, task: Task) -> Refusal | None:
         """Return why a task cannot start here whatever ends, or None.
 
         Work that is not idempotent can be forwarded; other work would wait here for ever.
         """
-        limit = self.classes.limits.get(class_key(task.team, task.kind))
+        limit = self.class_ledger.limits.get(class_key(task.team, task.kind))
         return self._full(task.team, task.kind) if limit == 0 and task.idempotent else None
 
     def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a place, or return the reason why there is none."""
         kind = self.kind_of(task_id)
-        if self.is_full(team, kind):
+        if self.is_class_full(team, kind):
             return self._full(team, kind)
-        refusal = self.quota.start(team, task_id, worker)
+        refusal = self.team_ledger.start(team, task_id, worker)
         if refusal is None:
-            self.classes.start(class_key(team, kind), task_id, worker)
+            self.class_ledger.start(class_key(team, kind), task_id, worker)
         return refusal
 
     def ended(self, task_id: str) -> None:
         """Give the place of a task back, if it still holds one."""
-        confirmed = task_id in self.confirmed
-        self.confirmed.discard(task_id)
-        for ledger in (self.quota, self.classes):
+        confirmed = task_id in self.confirmed_ends
+        self.confirmed_ends.discard(task_id)
+        for ledger in (self.team_ledger, self.class_ledger):
             if task_id in ledger.running:
                 ledger.ended(task_id, confirmed)
 
     def adopt(self, worker: str, running: Iterable[RunningTask]) -> None:
         """Count the tasks that a worker reports when it is fenced."""
         tasks = list(running)
-        self.quota.adopt(worker, tasks)
-        self.classes.adopt(worker, tasks)
+        self.team_ledger.adopt(worker, tasks)
+        self.class_ledger.adopt(worker, tasks)
 
     def worker_confirmed(self, worker: str, mark: int) -> None:
         """Release the places of ends that were known before an accepted call was sent."""
-        self.quota.worker_confirmed(worker, mark)
-        self.classes.worker_confirmed(worker, mark)
+        self.team_ledger.worker_confirmed(worker, mark)
+        self.class_ledger.worker_confirmed(worker, mark)
 
-    def is_full(self, team: str, kind: WorkKind) -> bool:
+    def is_class_full(self, team: str, kind: WorkKind) -> bool:
         """Tell whether the class limit of a team keeps this kind of work waiting here."""
-        if not self.classes.limits:
+        if not self.class_ledger.limits:
             return False
         self._follow_cap()
-        return not self.classes.spare(class_key(team, kind))
+        return not self.class_ledger.spare(class_key(team, kind))
 
-    def spare(self, team: str, kind: WorkKind) -> int:
+    def headroom(self, team: str, kind: WorkKind) -> int:
         """Return how many tasks of a team and kind may start here now."""
-        if self.is_full(team, kind):
+        if self.is_class_full(team, kind):
             return 0
-        places = max(0, self.quota.allowed(team) - self.quota.used[team])
-        return min(places, self.classes.spare(class_key(team, kind)))
+        places = max(0, self.team_ledger.allowed(team) - self.team_ledger.used[team])
+        return min(places, self.class_ledger.spare(class_key(team, kind)))
 
-    def class_spare(self) -> dict[str, int]:
+    def class_headroom(self) -> dict[str, int]:
         """Return how many tasks of each limited class may start here now."""
         self._follow_cap()
-        return {key: self.classes.spare(key) for key in self.classes.limits}
+        return {key: self.class_ledger.spare(key) for key in self.class_ledger.limits}
 
     def _full(self, team: str, kind: WorkKind) -> Refusal:
         return Refusal(
             ErrorKind.TEAM_LIMIT,
-            f"team {team} runs as much {kind.value} work as it may in {self.quota.shard}",
+            f"team {team} runs as much {kind.value} work as it may in {self.team_ledger.shard}",
             remedy=f"wait for {kind.value} work of the team to end, or use a new key",
             retry_after_s=1.0,
         )
 
     def _follow_cap(self) -> None:
         # The quota ledger ends the takeover cap when the table has confirmed the epoch.
-        if self.quota.cap is None:
-            self.classes.cap = None
+        if self.team_ledger.cap is None:
+            self.class_ledger.cap = None
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -72,10 +72,10 @@
 
     def _read_shard(self, owner: ShardOwner) -> None:
         fairness = owner.scheduler.fairness
-        teams = set(owner.quota.escrow) | set(owner.quota.used)
+        teams = set(owner.quota_ledger.escrow) | set(owner.quota_ledger.used)
         for team in teams:
             self._metrics.set_share(team, owner.shard, fairness.dominant(team))
-            self._metrics.set_escrow(team, owner.shard, owner.quota.allowed(team))
+            self._metrics.set_escrow(team, owner.shard, owner.quota_ledger.allowed(team))
         self._metrics.set_packing(owner.shard, packing(owner.scheduler.index))
 
 
--- a/baobabhoist/tests/shard_harness.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -19,9 +19,9 @@
 
 def quicken(monkeypatch):
     """Shorten the periods of owners, so that tests need not wait for them."""
-    for name, value in {"RENEW_INTERVAL_S": 0.05, "CONFIRM_INTERVAL_S": 0.05}.items():
+    for name, value in {"RENEW_INTERVAL_S": 0.05, "EPOCH_CONFIRM_INTERVAL_S": 0.05}.items():
         monkeypatch.setattr(claim_driver, name, value)
-    monkeypatch.setattr(claim_driver, "RETRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr(claim_driver, "FENCE_RETRY_INTERVAL_S", 0.01)
     monkeypatch.setattr(claim_driver, "TICK_INTERVAL_S", 0.02)
     monkeypatch.setattr(dispatch, "QUERY_INTERVAL_S", 0.01)
     monkeypatch.setattr(shard_owner, "TICK_INTERVAL_S", 0.02)
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -80,7 +80,7 @@
         return decode("team", self.table.rows["escrow/team"].value)
 
     def held(self):
-        return [self.owner(number).quota.escrow.get("team", 0) for number in (0, 1)]
+        return [self.owner(number).quota_ledger.escrow.get("team", 0) for number in (0, 1)]
 
     def check(self):
         """Compare the places in use with the row, which must hold at least as many."""
@@ -116,10 +116,10 @@
     """Guard against places used by a new owner that the last one was giving away."""
     assert pair.held() == [2, 2]
     new, _ = await pair.racks[0].owned("next")
-    assert new.quota.allowed("team") == 0
+    assert new.quota_ledger.allowed("team") == 0
     pair.nodes[0].owners[:] = [new]
     await pair.cycle()
-    assert new.quota.allowed("team") == 2
+    assert new.quota_ledger.allowed("team") == 2
 
 
 @scenario(4)
@@ -128,8 +128,8 @@
     owner = pair.owner(0)
     for number in range(4):
         pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
-    await until(lambda: owner.quota.used["team"] == 2)
-    while owner.quota.used["team"] < 4:
+    await until(lambda: owner.quota_ledger.used["team"] == 2)
+    while owner.quota_ledger.used["team"] < 4:
         await pair.cycle()
         pair.check()
         assert sum(pair.held()) <= 4
@@ -144,10 +144,10 @@
     owner.scheduler._unlimit_at = float("inf")
     for number in range(3):
         pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
-    await until(lambda: owner.quota.used["team"] == 2)
-    while owner.quota.escrow["team"] < 3:
+    await until(lambda: owner.quota_ledger.used["team"] == 2)
+    while owner.quota_ledger.escrow["team"] < 3:
         await pair.cycle()
-    assert owner.quota.used["team"] == 3
+    assert owner.quota_ledger.used["team"] == 3
 
 
 async def lose_commit(pair, before):
@@ -195,10 +195,10 @@
     """Guard against a team that keeps running above a lowered limit."""
     owner = pair.owner(0)
     running = pair.racks[0].begin(owner.submit(request("t1", b'{"run_s": 0.2}', shard="r1")))
-    await until(lambda: owner.quota.used["team"] == 1)
+    await until(lambda: owner.quota_ledger.used["team"] == 1)
     set_limit(pair.view, 0)
     pair.nodes[0].escrow.limits_changed()
-    assert owner.quota.allowed("team") == 0
+    assert owner.quota_ledger.allowed("team") == 0
     waiting = pair.racks[0].begin(owner.submit(request("t2", shard="r1")))
     # Requests are left to end; their places return after the worker confirmed a later call.
     assert isinstance(await running, Answer)
@@ -214,7 +214,7 @@
 
 def _raised(pair):
     pair.racks[0].begin(pair.cycle())
-    return pair.owner(0).quota.allowed("team") > 0
+    return pair.owner(0).quota_ledger.allowed("team") > 0
 
 
 @scenario(4)
--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -25,7 +25,7 @@
     await asyncio.sleep(0.01)
     sent_at = time.time()
     assert isinstance(await old.submit(request("ran", first_attempt=False)), Answer)
-    assert await old.fencing.hand_over("b")
+    assert await old.claim_driver.hand_over("b")
     await between()
     new, _ = await rack.owned("b", inherited=taken[0])
     return new, sent_at
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -61,13 +61,13 @@
 class FakeOwner:
     def __init__(self, claim, inherited):
         self.shard, self.claim, self.inherited = "s1", claim, inherited
-        self.fencing = FakeFencing(claim)
+        self.claim_driver = FakeFencing(claim)
         claim.state = ShardState.OWNED
 
     async def run(self):
-        await self.fencing.ended.wait()
+        await self.claim_driver.ended.wait()
 
-    def open_requests(self):
+    def pending_count(self):
         return 0
 
 
@@ -208,7 +208,7 @@
         setting.owners.claim("s1")
         owner = setting.owners.owners["s1"]
         await setting.owners.hand_over_all()
-        assert owner.fencing.handed_to == "other"
+        assert owner.claim_driver.handed_to == "other"
         await setting.owners.finished()
         assert not setting.claimed
 
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -58,7 +58,7 @@
     rack.limit = {"team": 1}
     owner, _ = await rack.owned("a")
     dispatched = asyncio.ensure_future(owner.submit(request("running", SHORT)))
-    await until(lambda: owner.running_on("running"))
+    await until(lambda: owner.worker_of("running"))
     queued = asyncio.ensure_future(owner.submit(request("queued")))
     await asyncio.sleep(0.02)
     await higher_token(rack)
@@ -90,7 +90,7 @@
 async def test_a_resumed_owner_can_start_nothing(rack):
     """Guard against an owner that was paused during a takeover and starts work afterwards."""
     old, _ = await rack.owned("a")
-    old.fencing._count_silence = lambda worker: None
+    old.claim_driver._count_silence = lambda worker: None
     await higher_token(rack)
     result = await old.submit(request("late"))
     assert (result.kind, result.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
@@ -107,13 +107,13 @@
     rack.begin(old.submit(request("long", SHORT)))
     await until(lambda: any(worker.running for worker in rack.workers.values()))
     new, _ = await rack.owned("b")
-    assert new.quota.used["team"] == 1
+    assert new.quota_ledger.used["team"] == 1
     # A repeated key gets its stored answer, whose large body the worker still has.
     again = await new.submit(request("done", large, first_attempt=False))
     assert again.body == done.body
     joined = await new.submit(request("long", SHORT, first_attempt=False))
     assert isinstance(joined, Answer)
-    await until(lambda: new.quota.used["team"] == 0)
+    await until(lambda: new.quota_ledger.used["team"] == 0)
     assert sum("long" in worker.ended for worker in rack.workers.values()) == 1
 
 
@@ -133,13 +133,13 @@
     """Guard against a limit exceeded by an owner whose epoch the table has not confirmed."""
     old, _ = await rack.owned("a")
     rack.begin(old.submit(request("long", LONG)))
-    await until(lambda: old.running_on("long"))
+    await until(lambda: old.worker_of("long"))
     rack.table.down = True
     new, _ = rack.owner("b")
     new.claim.highest_seen = old.claim.token
     rack.start(new)
     await until(lambda: new.claim.state is ShardState.OWNED)
-    assert new.quota.allowed("team") == 1
+    assert new.quota_ledger.allowed("team") == 1
     waiting = asyncio.ensure_future(new.submit(request("next")))
     await asyncio.sleep(0.1)
     assert not waiting.done()
@@ -147,7 +147,7 @@
     # The table confirms the epoch later, and the full escrow returns without a gap in ownership.
     assert isinstance(await asyncio.wait_for(waiting, 5), Answer)
     assert new.claim.confirmed
-    assert new.quota.allowed("team") == 8
+    assert new.quota_ledger.allowed("team") == 8
     assert rack.table.rows["shard/r"].value["epoch"] == new.claim.token.epoch
 
 
@@ -164,7 +164,7 @@
                 others = [other for other in claimants.values() if other is not owner]
                 if not any(other.claim.state is ShardState.OWNED for other in others):
                     task = rack.start(owner)
-                    await owner.fencing.ended.wait()
+                    await owner.claim_driver.ended.wait()
                     await asyncio.wait((task,), timeout=0.1)
                     seen = owner.claim.highest_seen
                     owner, _ = rack.owner(owner.claim.instance_id)
@@ -200,12 +200,12 @@
     """Guard against idempotent work that runs in two places, or a place used twice."""
     owner, links = await rack.owned("a", lease_s=0.4)
     result = asyncio.ensure_future(owner.submit(request("twice", SHORT, idempotent=True)))
-    await until(lambda: owner.running_on("twice"))
-    first = owner.running_on("twice")
+    await until(lambda: owner.worker_of("twice"))
+    first = owner.worker_of("twice")
     other = ({"w1", "w2"} - {first}).pop()
     links[first].cut()
     await asyncio.sleep(0.05)
-    assert owner.quota.used["team"] == 1
+    assert owner.quota_ledger.used["team"] == 1
     assert not links[other].sent(RunTask)
     assert isinstance(await result, Answer)
     sent = [call for link in links.values() for call in link.sent(RunTask)]
@@ -219,7 +219,7 @@
     """Guard against `not_run` for work that a worker ran and has forgotten."""
     owner, links = await rack.owned("a")
     result = asyncio.ensure_future(owner.submit(request("forgotten", LONG)))
-    await until(lambda: owner.running_on("forgotten"))
+    await until(lambda: owner.worker_of("forgotten"))
     links["w1"].cut()
     rack.workers["w1"] = Worker("w1", CAPACITY)
     links["w1"].up = True
@@ -231,11 +231,11 @@
 async def test_a_leaving_worker_gets_no_new_work(rack):
     """Guard against work sent to a worker that leaves, and against a worker lost for good."""
     owner, links = await rack.owned("a")
-    owner.set_leaving({"w1"})
+    owner.set_leaving_workers({"w1"})
     for number in range(4):
         await owner.submit(request(f"t{number}"))
     assert not links["w1"].sent(RunTask)
-    owner.set_leaving({"w2"})
+    owner.set_leaving_workers({"w2"})
     await owner.submit(request("back"))
     assert len(links["w1"].sent(RunTask)) == 1
 
@@ -260,7 +260,7 @@
     rack.limit = {"team": 1}
     owner, _ = await rack.owned("a")
     running = asyncio.ensure_future(owner.submit(request("running", LONG, deadline_s=0.2)))
-    await until(lambda: owner.running_on("running"))
+    await until(lambda: owner.worker_of("running"))
     queued = await owner.submit(request("queued", deadline_s=0.1))
     assert queued.outcome is Outcome.NOT_RUN
     assert (await running).outcome is Outcome.UNKNOWN
@@ -278,10 +278,10 @@
 
     old, _ = await rack.owned("a", send_hand_over=send)
     running = asyncio.ensure_future(old.submit(request("running", SHORT)))
-    await until(lambda: old.running_on("running"))
+    await until(lambda: old.worker_of("running"))
     queued = asyncio.ensure_future(old.submit(request("queued")))
     await asyncio.sleep(0.02)
-    assert await old.fencing.hand_over("b")
+    assert await old.claim_driver.hand_over("b")
     moved = await queued
     assert isinstance(moved, Refusal)
     assert (moved.kind, moved.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.UNKNOWN)
@@ -316,7 +316,7 @@
         return True
 
     old, _ = await rack.owned("a", send_hand_over=send)
-    assert await old.fencing.hand_over("c")
+    assert await old.claim_driver.hand_over("c")
     before = time.time()
     await rack.owned("b")
     new, _ = await rack.owned("c", inherited=taken[0])
@@ -336,9 +336,9 @@
     old, _ = await rack.owned("a", send_hand_over=send)
     first_sent_at = time.time() + 1.0
     running = rack.begin(old.submit(request("once", LONG, first_sent_at=first_sent_at)))
-    await until(lambda: old.running_on("once"))
-    name = old.running_on("once")
-    assert await old.fencing.hand_over("b")
+    await until(lambda: old.worker_of("once"))
+    name = old.worker_of("once")
+    assert await old.claim_driver.hand_over("b")
     running.cancel()
     rack.workers[name].running.clear()
     new, _ = await rack.owned("b", inherited=taken[0])
@@ -362,7 +362,7 @@
 
     owner, _ = await rack.owned("a", forward=forward)
     rack.begin(owner.submit(request("first", SHORT)))
-    await until(lambda: owner.running_on("first"))
+    await until(lambda: owner.worker_of("first"))
     assert isinstance(await owner.submit(request("second")), Answer)
     assert asked == ["second"]
 
@@ -382,7 +382,7 @@
 
     owner, _ = await rack.owned("a", forward=forward)
     rack.begin(owner.submit(request("first", LONG)))
-    await until(lambda: owner.running_on("first"))
+    await until(lambda: owner.worker_of("first"))
     second = rack.begin(owner.submit(request("second")))
     await until(owner.forwarder.forwarded_ids)
     await higher_token(rack)
@@ -400,7 +400,7 @@
     forwarded = []
     owner, _ = await rack.owned("a", forward=lambda req: forwarded.append(req.request_id))
     rack.begin(owner.submit(request("first", LONG)))
-    await until(lambda: owner.running_on("first"))
+    await until(lambda: owner.worker_of("first"))
     await higher_token(rack)
     second = await owner.submit(request("second", first_attempt=False, first_sent_at=time.time()))
     assert second.outcome is Outcome.UNKNOWN
@@ -414,7 +414,7 @@
     forwarded = []
     owner, _ = await rack.owned("a", forward=lambda req: forwarded.append(req.request_id))
     rack.begin(owner.submit(request("first", SHORT)))
-    await until(lambda: owner.running_on("first"))
+    await until(lambda: owner.worker_of("first"))
     plain = rack.begin(owner.submit(request("plain")))
     again = rack.begin(owner.submit(request("again", idempotent=True)))
     await asyncio.gather(plain, again)
@@ -426,7 +426,7 @@
     """Guard against preemption and lowered limits that count as failures of the task."""
     owner, _ = await rack.owned("a")
     stopped = rack.begin(owner.submit(request("stopped", LONG, idempotent=True)))
-    await until(lambda: owner.running_on("stopped"))
-    worker = owner.running_on("stopped")
+    await until(lambda: owner.worker_of("stopped"))
+    worker = owner.worker_of("stopped")
     await apply_preemption(owner, Preemption("stopped", worker, PreemptionAction.STOP, "urgent"))
     assert (await stopped).kind is ErrorKind.PREEMPTED
--- a/baobabhoist/tests/test_quota_classes.py
+++ b/baobabhoist/tests/test_quota_classes.py
@@ -36,7 +36,7 @@
     quota = QuotaLedger("r")
     quota.begin_takeover()
     places = ShardPlaces(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
-    places.classes.limits = {BATCH: 2}
+    places.class_ledger.limits = {BATCH: 2}
     running = [
         RunningTask(f"{kind.value}-{n}", "team", Resources(), kind) for n, kind in enumerate(kinds)
     ]
@@ -47,7 +47,7 @@
 def test_a_new_owner_counts_the_kinds_that_already_run():
     """Guard against a takeover after which a kind starts again up to its full limit."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.quota.uncap({"team": 9})
+    places.team_ledger.uncap({"team": 9})
     assert places.start("team", "batch-8", "w1") is None
     refused = places.start("team", "batch-9", "w1")
     assert (refused.kind, "batch" in refused.message) == (ErrorKind.TEAM_LIMIT, True)
@@ -57,7 +57,7 @@
 def test_a_new_owner_under_the_takeover_cap_starts_no_more_of_a_kind_than_it_found():
     """Guard against an excess while workers are not fenced that may run more of the kind."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.confirmed.add("request-1")
+    places.confirmed_ends.add("request-1")
     places.ended("request-1")
     assert places.start("team", "batch-8", "w1") is not None
     assert places.start("team", "request-8", "w1") is None
@@ -66,11 +66,11 @@
 def test_an_unconfirmed_end_does_not_free_the_part_of_a_class():
     """Guard against a start while a new owner may still count the ended task."""
     places = places_after_takeover([])
-    places.quota.uncap({"team": 9})
+    places.team_ledger.uncap({"team": 9})
     assert [places.start("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
     places.ended("batch-0")
     assert places.start("team", "batch-2", "w2") is not None
-    places.worker_confirmed("w1", places.quota.mark())
+    places.worker_confirmed("w1", places.team_ledger.mark())
     assert places.start("team", "batch-2", "w2") is None
 
 
@@ -82,25 +82,25 @@
         rack = Rack(MemoryTable())
         try:
             owner, _ = await rack.owned("a")
-            owner.places.classes.limits = {BATCH: 1}
+            owner.shard_quota.class_ledger.limits = {BATCH: 1}
             calls = []
             for n in range(3):
                 req = request(f"b{n}", b'{"run_s": 60}' if n == 0 else b"x")
                 req = attrs.evolve(req, task=attrs.evolve(req.task, kind=WorkKind.BATCH))
                 calls.append(asyncio.ensure_future(owner.submit(req)))
-            await until(lambda: len(owner.open) == 3 and owner.running_on("b0"))
+            await until(lambda: len(owner.pending) == 3 and owner.worker_of("b0"))
             assert isinstance(await owner.submit(request("now")), Answer)
-            assert [n for n in range(3) if owner.running_on(f"b{n}")] == [0]
+            assert [n for n in range(3) if owner.worker_of(f"b{n}")] == [0]
             assert "batch work" in owner.scheduler.explain("b1", owner.now).message
             digest = build_digest(owner)
             assert (digest.unmet, digest.class_spare) == ({}, {BATCH: 0})
-            owner.places.classes.limits = {BATCH: 0}
+            owner.shard_quota.class_ledger.limits = {BATCH: 0}
             req = request("never", idempotent=True)
             req = attrs.evolve(req, task=attrs.evolve(req.task, kind=WorkKind.BATCH))
             refused = await owner.submit(req)
             # The coordinator of a job sends a refused task to another shard.
             assert (refused.kind, refused.outcome) == (ErrorKind.TEAM_LIMIT, Outcome.NOT_RUN)
-            owner.places.classes.limits = {BATCH: 2}
+            owner.shard_quota.class_ledger.limits = {BATCH: 2}
             assert all(isinstance(result, Answer) for result in await asyncio.gather(*calls[1:]))
             calls[0].cancel()
         finally:
