--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -9,22 +9,22 @@
 from baobabhoist.config.settings import Settings, TlsSettings
 from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.dispatch import LeaseSettings
-from baobabhoist.daemon.escrow import Escrow
-from baobabhoist.daemon.jobs import Jobs
-from baobabhoist.daemon.owners import BUSY_STATES, Owners, Place
+from baobabhoist.daemon.escrow import EscrowManager
+from baobabhoist.daemon.jobs import JobManager
+from baobabhoist.daemon.owners import ACTIVE_STATES, LocalInstance, OwnershipManager
 from baobabhoist.daemon.policies import (
     FleetSlots,
     class_limits,
     queue_policies,
     team_policies,
-    use_elsewhere,
+    usage_elsewhere,
 )
 from baobabhoist.daemon.record_sync import RecordSync
 from baobabhoist.daemon.routing import RequestRouter
 from baobabhoist.daemon.shard_jobs import ShardJobs
 from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.daemon.shutdown import Drain
-from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
+from baobabhoist.daemon.telemetry import GaugeUpdater, MetricsObserver
 from baobabhoist.errors import NotSentError
 from baobabhoist.gateway.admin import admin_app
 from baobabhoist.gateway.callers import caller_app
@@ -65,7 +65,7 @@
 TLS_CHECK_INTERVAL_S = 2.0
 USAGE_INTERVAL_S = 0.5
 # Members of this kind that name a port are instances, also when no settings list them.
-ENTRY_KIND = "entry"
+ENTRY_MEMBER_KIND = "entry"
 RECORD_MESSAGES = (RecordPull, RecordEntries, RecordSnapshot)
 
 
@@ -99,7 +99,7 @@
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
         platform = PlatformTable(cfg.platform_url)
-        self.table: Table = WatchedTable(platform, LOG_HEAD, lambda: self.sync.pull_soon())
+        self.table: Table = WatchedTable(platform, LOG_HEAD, lambda: self.sync.request_pull())
         self.view = RecordView()
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
@@ -117,8 +117,8 @@
             on_heartbeat=self._heard,
             tls=self.tls,
         )
-        self.owners = Owners(
-            Place(cfg.instance_id, cfg.data_centre, cfg.vm_weight),
+        self.ownership = OwnershipManager(
+            LocalInstance(cfg.instance_id, cfg.data_centre, cfg.vm_weight),
             self.shards,
             self.mesh,
             self._make_owner,
@@ -126,15 +126,15 @@
                 membership_lag_s=cfg.membership_lag_s, longest_lease_s=cfg.task_lease_s
             ),
         )
-        self.router = RequestRouter(self.owners.owners, self.mesh, self.shards.data_centre_of)
-        self.jobs = Jobs(self)
-        self.escrow = Escrow(self)
+        self.router = RequestRouter(self.ownership.owners, self.mesh, self.shards.data_centre_of)
+        self.jobs = JobManager(self)
+        self.escrow = EscrowManager(self)
         self.open_requests = OpenRequests()
         # As of the last heartbeat: forwarding asks often, and older figures serve it as well.
         self._own_digests: list[ShardDigest] = []
         self.drain = Drain(
             self.open_requests,
-            self.owners,
+            self.ownership,
             lambda: self.router.open_requests,
             self._close_callers,
         )
@@ -195,7 +195,7 @@
             self._reload_tls(),
             self.jobs.run(),
             self.escrow.run(),
-            Gauges(self.metrics, self, lambda: self.view.revision).run(),
+            GaugeUpdater(self.metrics, self, lambda: self.view.revision).run(),
         ]
         async with asyncio.TaskGroup() as tg:
             running = [tg.create_task(loop) for loop in loops]
@@ -210,7 +210,7 @@
 
     def heartbeat(self) -> Heartbeat:
         """Describe this instance to its peers."""
-        busy = self.busy_owners()
+        busy = self.active_owners()
         self._own_digests = [build_digest(owner) for owner in busy]
         return Heartbeat(
             self.cfg.instance_id,
@@ -240,12 +240,12 @@
 
     def owned_shards(self) -> list[str]:
         """Return the shards that this instance owns fully."""
-        owners = self.owners.owners.items()
+        owners = self.ownership.owners.items()
         return [name for name, owner in owners if owner.claim.state is ShardState.OWNED]
 
     def local_shard(self, shard: str) -> ShardJobs | None:
         """Return a shard that this instance owns fully, or None."""
-        owner = self.owners.owners.get(shard)
+        owner = self.ownership.owners.get(shard)
         if owner is None or owner.claim.state is not ShardState.OWNED:
             return None
         return ShardJobs(owner)
@@ -265,23 +265,25 @@
 
     async def _on_peer_message(self, message: Any) -> Any | None:
         if isinstance(message, RelayRequest):
-            return await self.router.answer(message)
+            return await self.router.handle_relay(message)
         if isinstance(message, RECORD_MESSAGES):
             return await self.sync.receive(message)
         if isinstance(message, HandOver):
-            return self.owners.take(message)
+            return self.ownership.accept_hand_over(message)
         if isinstance(message, PlacesWanted):
-            return await self.escrow.give(message)
+            return await self.escrow.grant(message)
         if isinstance(message, JOB_MESSAGES):
             return await self.jobs.handle(message)
         return Ack()
 
     def _heard(self, beat: Heartbeat) -> None:
-        self._spawn(self.sync.heard(beat.instance_id, beat.records_revision, beat.cut_off_s))
+        self._spawn(
+            self.sync.on_peer_revision(beat.instance_id, beat.records_revision, beat.cut_off_s)
+        )
 
     async def _members_read(self, members: MemberList) -> None:
         gone = members.gone()
-        for owner in list(self.owners.owners.values()):
+        for owner in list(self.ownership.owners.values()):
             owner.set_leaving_workers(members.leaving() | self.view.drained_workers(owner.shard))
             await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
@@ -289,7 +291,7 @@
         listed = [
             PeerAddress(member.name, member.data_centre, member.host, member.port)
             for member in members.members.values()
-            if member.kind == ENTRY_KIND and member.port and member.state != "gone"
+            if member.kind == ENTRY_MEMBER_KIND and member.port and member.state != "gone"
         ]
         back = [self._addresses[name] for name in self._addresses if name not in gone]
         own = self.cfg.instance_id
@@ -308,7 +310,7 @@
 
     async def _own_shards(self) -> None:
         await self.sync.loaded.wait()
-        await self.owners.run()
+        await self.ownership.run()
 
     async def _apply_records(self) -> None:
         """Bring changed records into the running shards."""
@@ -316,11 +318,11 @@
             await self.sync.changed.wait()
             self.sync.changed.clear()
             leaving = self.members.leaving()
-            for owner in list(self.owners.owners.values()):
+            for owner in list(self.ownership.owners.values()):
                 await owner.set_workers(self.view.workers_of(owner.shard))
                 owner.set_leaving_workers(leaving | self.view.drained_workers(owner.shard))
                 self._set_policies(owner)
-            self.escrow.limits_changed()
+            self.escrow.apply_lowered_limits()
 
     def _set_policies(self, owner: ShardOwner) -> None:
         owner.scheduler.set_policies(queue_policies(self.view), team_policies(self.view))
@@ -331,9 +333,9 @@
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            digests = [*self.mesh.digests(), *map(build_digest, self.busy_owners())]
-            for owner in self.busy_owners():
-                elsewhere, part = use_elsewhere(slots, owner.shard, digests)
+            digests = [*self.mesh.digests(), *map(build_digest, self.active_owners())]
+            for owner in self.active_owners():
+                elsewhere, part = usage_elsewhere(slots, owner.shard, digests)
                 owner.scheduler.set_fleet_usage(elsewhere, part)
 
     async def _reload_tls(self) -> None:
@@ -356,7 +358,7 @@
             self.table,
             times=LeaseSettings(self.cfg.task_lease_s, self.cfg.clock_skew_s),
             forward=self._forward,
-            send_hand_over=self.owners.send_hand_over,
+            send_hand_over=self.ownership.send_hand_over,
             inherited=inherited,
             observer=MetricsObserver(self.metrics),
         )
@@ -367,10 +369,10 @@
     def _forward(self, req: Request) -> Any:
         return self.router.forward(req, self._own_digests)
 
-    def busy_owners(self) -> list[ShardOwner]:
+    def active_owners(self) -> list[ShardOwner]:
         """Return the shards that this instance works for."""
-        owners = self.owners.owners.values()
-        return [owner for owner in owners if owner.claim.state in BUSY_STATES]
+        owners = self.ownership.owners.values()
+        return [owner for owner in owners if owner.claim.state in ACTIVE_STATES]
 
     def _spawn(self, coro: Any) -> None:
         task = asyncio.create_task(coro)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -27,19 +27,19 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.5
-WAITING_INTERVAL_S = 0.1
+RECONCILE_INTERVAL_S = 0.5
+TAKEOVER_INTERVAL_S = 0.1
 # Rows are read this often when no shard here lacks places. Lowered limits come with the records
 # and received places with the donor's reply, so that neither waits for this.
-IDLE_READ_S = 5.0
-PAGE = 1000
-CALL_S = 2.0
+IDLE_READ_INTERVAL_S = 5.0
+SCAN_PAGE_SIZE = 1000
+TRANSFER_CALL_TIMEOUT_S = 2.0
 # A task that was told to stop is told again after this time.
-TELL_AGAIN_S = 5.0
+STOP_RETRY_INTERVAL_S = 5.0
 
 
 @attrs.frozen
-class Known:
+class VersionedRow:
     """Hold a team's row as it was read; `revision` is 0 for an absent row."""
 
     revision: int
@@ -47,7 +47,7 @@
 
 
 @attrs.define
-class Account:
+class ShardAccount:
     """Hold what one owned shard does with the rows.
 
     `in_doubt` maps a team to the revision of the row that a transfer without an answer checks:
@@ -57,16 +57,16 @@
     owner: ShardOwner
     planner: TransferPlanner = attrs.Factory(TransferPlanner)
     in_doubt: dict[str, int] = attrs.Factory(dict)
-    told: dict[str, float] = attrs.Factory(dict)
+    stop_sent_at: dict[str, float] = attrs.Factory(dict)
 
 
-class Instance(Protocol):
+class EscrowContext(Protocol):
     """Be what the escrow needs of the instance."""
 
     table: Table
     view: RecordView
 
-    def busy_owners(self) -> list[ShardOwner]:
+    def active_owners(self) -> list[ShardOwner]:
         """Return the shards that this instance works for."""
 
     def peer_digests(self) -> list[ShardDigest]:
@@ -76,14 +76,14 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
 
 
-class Escrow:
+class EscrowManager:
     """Own the transactions on escrow rows of all shards of this instance."""
 
-    def __init__(self, instance: Instance, clock: Callable[[], float] = time.time) -> None:
-        self.known: dict[str, Known] = {}
+    def __init__(self, instance: EscrowContext, clock: Callable[[], float] = time.time) -> None:
+        self.rows: dict[str, VersionedRow] = {}
         self._instance = instance
         self._clock = clock
-        self._accounts: dict[str, Account] = {}
+        self._accounts: dict[str, ShardAccount] = {}
         self._wake = asyncio.Event()
         self._read_at = 0.0
         # Between the reading of a row and its use no other step may move this shard's places.
@@ -94,17 +94,19 @@
         while True:
             try:
                 if self._is_due():
-                    await self.cycle()
-                    self._read_at = self._clock() + IDLE_READ_S
+                    await self.reconcile()
+                    self._read_at = self._clock() + IDLE_READ_INTERVAL_S
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
                 log.warning("a step on the escrow rows was refused")
             waiting = any(
-                owner.quota_ledger.cap is not None for owner in self._instance.busy_owners()
+                owner.quota_ledger.cap is not None for owner in self._instance.active_owners()
             )
             try:
-                async with asyncio.timeout(WAITING_INTERVAL_S if waiting else INTERVAL_S):
+                async with asyncio.timeout(
+                    TAKEOVER_INTERVAL_S if waiting else RECONCILE_INTERVAL_S
+                ):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -114,7 +116,7 @@
         return (
             self._wake.is_set()
             or self._clock() >= self._read_at
-            or any(known.row.pending_limit is not None for known in self.known.values())
+            or any(known.row.pending_limit is not None for known in self.rows.values())
             or any(account.in_doubt for account in self._accounts.values())
             or any(
                 owner.quota_ledger.cap is not None or self._wanted(owner)
@@ -122,7 +124,7 @@
             )
         )
 
-    async def cycle(self) -> None:
+    async def reconcile(self) -> None:
         """Read the rows once and act on them; raises PlatformError."""
         # Only a row read after the table confirmed the epoch holds a shard's full escrow: the
         # transactions of an earlier owner fail from then on.
@@ -145,7 +147,7 @@
         for wish in wishes:
             await self._ask(wish)
 
-    def limits_changed(self) -> None:
+    def apply_lowered_limits(self) -> None:
         """Apply lowered limits of the records at once, before the rows follow."""
         for owner in self._usable():
             if owner.quota_ledger.cap is None:
@@ -153,7 +155,7 @@
                 owner.dispatch(self._clock())
         self._wake.set()
 
-    async def give(self, wanted: PlacesWanted) -> PlacesGiven:
+    async def grant(self, wanted: PlacesWanted) -> PlacesGiven:
         """Transfer free places to another shard and return how many."""
         async with self._lock:
             return await self._give(wanted)
@@ -185,35 +187,35 @@
         return PlacesGiven(wanted.team, places if given else 0)
 
     def _usable(self) -> list[ShardOwner]:
-        return [owner for owner in self._instance.busy_owners() if owner.claim.escrow_usable]
+        return [owner for owner in self._instance.active_owners() if owner.claim.escrow_usable]
 
-    def _account(self, owner: ShardOwner) -> Account:
+    def _account(self, owner: ShardOwner) -> ShardAccount:
         known = self._accounts.get(owner.shard)
         if known is None or known.owner is not owner:
-            known = self._accounts[owner.shard] = Account(owner)
+            known = self._accounts[owner.shard] = ShardAccount(owner)
         return known
 
     # The rows.
 
     async def _read(self) -> None:
-        found: dict[str, Known] = {}
+        found: dict[str, VersionedRow] = {}
         after = ""
         while True:
-            rows = await self._instance.table.scan("escrow/", after, PAGE)
+            rows = await self._instance.table.scan("escrow/", after, SCAN_PAGE_SIZE)
             for row in rows:
                 team = row.key.removeprefix("escrow/")
                 found[team] = _known(team, row)
-            if len(rows) < PAGE:
+            if len(rows) < SCAN_PAGE_SIZE:
                 break
             after = rows[-1].key
-        self.known = found
+        self.rows = found
 
     async def _maintain(self) -> None:
         """Write the rows that the records ask for; of several instances one succeeds."""
         view = self._instance.view
         changed: dict[str, tuple[int, EscrowRow]] = {}
         for team, record in view.teams().items():
-            known = self.known.get(team)
+            known = self.rows.get(team)
             if known is None:
                 row = escrow.initial(record.limit, view.shards())
                 changed[team] = (0, row)
@@ -235,13 +237,13 @@
             outcome = await self._instance.table.commit(txn)
             if isinstance(outcome, Committed):
                 for team, (_, row) in changed.items():
-                    self.known[team] = Known(outcome.revisions[_key(team)], row)
+                    self.rows[team] = VersionedRow(outcome.revisions[_key(team)], row)
             else:
                 await self._read()
 
-    async def _settle_doubts(self, account: Account) -> None:
+    async def _settle_doubts(self, account: ShardAccount) -> None:
         for team, revision in list(account.in_doubt.items()):
-            known = self.known.get(team)
+            known = self.rows.get(team)
             if known is not None and known.revision == revision:
                 # Any later revision makes a transaction that is still on its way fail.
                 writes = {_key(team): escrow.encode(known.row)}
@@ -250,16 +252,16 @@
                 )
                 if isinstance(outcome, Committed):
                     new_revision = outcome.revisions[_key(team)]
-                    self.known[team] = Known(new_revision, known.row)
+                    self.rows[team] = VersionedRow(new_revision, known.row)
                     del account.in_doubt[team]
             elif known is not None:
                 del account.in_doubt[team]
 
-    def _sync(self, account: Account) -> None:
+    def _sync(self, account: ShardAccount) -> None:
         owner = account.owner
         if not owner.claim.escrow_usable:
             return
-        held = {team: known.row.held(owner.shard) for team, known in self.known.items()}
+        held = {team: known.row.held(owner.shard) for team, known in self.rows.items()}
         arrived = owner.quota_ledger.cap is not None
         if arrived:
             owner.lift_takeover_cap(held)
@@ -280,7 +282,7 @@
 
     def _set_ceilings(self, owner: ShardOwner) -> None:
         teams = self._instance.view.teams()
-        for team, known in self.known.items():
+        for team, known in self.rows.items():
             limit = teams[team].limit if team in teams else 0
             row = known.row
             if limit < _target(row):
@@ -291,9 +293,9 @@
 
     # What a lowered limit asks for.
 
-    async def _return_excess(self, account: Account) -> None:
+    async def _return_excess(self, account: ShardAccount) -> None:
         owner = account.owner
-        for team, known in list(self.known.items()):
+        for team, known in list(self.rows.items()):
             pending = known.row.pending_limit is not None
             if not pending or team in account.in_doubt or owner.quota_ledger.cap is not None:
                 continue
@@ -302,35 +304,37 @@
             if places > 0:
                 await self._move_out(account, team, known, places, None)
 
-    def _stop_excess(self, account: Account) -> None:
+    def _stop_excess(self, account: ShardAccount) -> None:
         """Checkpoint or stop what exceeds a lowered limit; requests end by themselves soon."""
         owner, now = account.owner, self._clock()
-        account.told = {k: at for k, at in account.told.items() if now - at < TELL_AGAIN_S}
+        account.stop_sent_at = {
+            k: at for k, at in account.stop_sent_at.items() if now - at < STOP_RETRY_INTERVAL_S
+        }
         for team in [team for team, used in owner.quota_ledger.used.items() if used]:
             for task_id in owner.quota_ledger.excess(team):
                 placed = owner.scheduler.running.get(task_id)
                 worker = owner.worker_of(task_id)
                 is_request = placed is not None and placed.placement.task.kind is WorkKind.REQUEST
-                if is_request or worker is None or task_id in account.told:
+                if is_request or worker is None or task_id in account.stop_sent_at:
                     continue
                 queue = placed.placement.task.queue if placed is not None else ""
                 policy = self._instance.view.policy_of(queue)
                 action = PreemptionAction(policy.preempt_action.value)
-                account.told[task_id] = now
+                account.stop_sent_at[task_id] = now
                 owner.stopping_tasks.add(task_id)
                 message = build_stop_message(owner, task_id, action)
                 owner.spawn(_tell(owner, worker, message))
 
     # Transfers.
 
-    async def _demand(self, account: Account) -> list[PlacesWanted]:
+    async def _demand(self, account: ShardAccount) -> list[PlacesWanted]:
         """Take places from the pool, and return what to ask other shards for."""
         owner = account.owner
         if owner.quota_ledger.cap is not None:
             return []
         wanted = self._wanted(owner)
         others = self._others(owner) if wanted else []
-        needs = [self._needs(owner, team, wanted.get(team, 0), others) for team in self.known]
+        needs = [self._needs(owner, team, wanted.get(team, 0), others) for team in self.rows]
         wishes = []
         for step in account.planner.plan(needs, self._clock()):
             if step.target != owner.shard or step.team in account.in_doubt:
@@ -341,9 +345,9 @@
                 wishes.append(PlacesWanted(step.team, step.places, step.source, step.target))
         return wishes
 
-    async def _take_from_pool(self, account: Account, step: Transfer) -> None:
+    async def _take_from_pool(self, account: ShardAccount, step: Transfer) -> None:
         """Move places here; they are used once a later reading of the row shows them."""
-        owner, known = account.owner, self.known[step.team]
+        owner, known = account.owner, self.rows[step.team]
         taken = Move(owner.shard, owner.claim.token.epoch, step.places)
         moved = escrow.move(step.team, known.row, [taken])
         if not isinstance(moved, Refusal):
@@ -351,10 +355,10 @@
 
     async def _ask(self, wish: PlacesWanted) -> None:
         if any(owner.shard == wish.from_shard for owner in self._usable()):
-            await self.give(wish)
+            await self.grant(wish)
             return
         try:
-            await self._instance.call_owner(wish.from_shard, wish, CALL_S)
+            await self._instance.call_owner(wish.from_shard, wish, TRANSFER_CALL_TIMEOUT_S)
             self._wake.set()
         except (LinkClosedError, TimeoutError):
             log.info("the owner of %s did not answer the wish for places", wish.from_shard)
@@ -372,7 +376,7 @@
     def _needs(
         self, owner: ShardOwner, team: str, wanted: int, others: Iterable[ShardDigest]
     ) -> TeamNeeds:
-        row = self.known[team].row
+        row = self.rows[team].row
         pool = 0 if row.pending_limit is not None else row.pool
         shards = [ShardNeeds(owner.shard, 0, wanted)]
         if row.pending_limit is None:
@@ -389,7 +393,12 @@
         return [*self._instance.peer_digests(), *own]
 
     async def _move_out(
-        self, account: Account, team: str, known: Known, places: int, target: str | None
+        self,
+        account: ShardAccount,
+        team: str,
+        known: VersionedRow,
+        places: int,
+        target: str | None,
     ) -> bool:
         """Move places to another shard or the pool; tell whether that is known to be done.
 
@@ -411,7 +420,9 @@
             owner.quota_ledger.put_in(team, places)
         return outcome
 
-    async def _commit(self, account: Account, team: str, revision: int, row: EscrowRow) -> bool:
+    async def _commit(
+        self, account: ShardAccount, team: str, revision: int, row: EscrowRow
+    ) -> bool:
         """Commit a row; an answer that is lost leaves the team in doubt."""
         owner = account.owner
         shards = {owner.shard: owner.claim_driver.row_revision}
@@ -420,7 +431,7 @@
         account.in_doubt.pop(team, None)
         if not isinstance(outcome, Committed):
             return False
-        self.known[team] = Known(outcome.revisions[_key(team)], row)
+        self.rows[team] = VersionedRow(outcome.revisions[_key(team)], row)
         self._wake.set()
         return True
 
@@ -433,10 +444,10 @@
     return escrow.row_key(team)
 
 
-def _known(team: str, row: Row) -> Known:
+def _known(team: str, row: Row) -> VersionedRow:
     if row.value is None:
         raise PlatformError(f"team {team} has no escrow row")
-    return Known(row.revision, escrow.decode(team, row.value))
+    return VersionedRow(row.revision, escrow.decode(team, row.value))
 
 
 def _target(row: EscrowRow) -> int:
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -56,9 +56,9 @@
 CALL_TIMEOUT_S = 2.0
 # The owner of a home shard asks other owners in turn before it answers for many jobs.
 LIST_TIMEOUT_S = 2 * CALL_TIMEOUT_S
-OWNED_INTERVAL_S = 0.25
-LIST_PAGE = 500
-LIST_MAX = 2000
+OWNERSHIP_POLL_INTERVAL_S = 0.25
+LIST_PAGE_SIZE = 500
+MAX_LISTED_JOBS = 2000
 
 
 class LocalShard(Protocol):
@@ -83,7 +83,7 @@
         """Give a hold back."""
 
 
-class Node(Protocol):
+class JobContext(Protocol):
     """Be what jobs need of the instance."""
 
     table: Table
@@ -130,10 +130,10 @@
     return {shard: tuple(found) for shard, found in names.items()}
 
 
-class ShardDirectory:
+class ShardClient:
     """Reach shards on this instance directly and others over the peer links."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: JobContext) -> None:
         self._node = node
 
     async def run(self, req: Request) -> Answer | Refusal:
@@ -187,14 +187,14 @@
         """Return the reply of a shard's owner, or None when there is none."""
         local = self._node.local_shard(shard)
         if local is not None:
-            return await answer_shard_call(local, message)
+            return await handle_shard_call(local, message)
         try:
             return await self._node.call_owner(shard, message, CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             return None
 
 
-async def answer_shard_call(shard: LocalShard, message: Any) -> Any | None:
+async def handle_shard_call(shard: LocalShard, message: Any) -> Any | None:
     """Answer a call about the tasks of a shard that this instance owns."""
     now = time.time()
     match message:
@@ -212,12 +212,12 @@
     return None
 
 
-class Jobs:
+class JobManager:
     """Accept jobs from callers and coordinate those whose home shards are owned here."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: JobContext) -> None:
         self._node = node
-        self._directory = ShardDirectory(node)
+        self._directory = ShardClient(node)
         self._coordinator = JobCoordinator(node.table, self._directory, node.policy_of)
 
     async def run(self) -> None:
@@ -280,7 +280,7 @@
         """
         prefix = "team_job/" if team is None else f"team_job/{team}/"
         try:
-            rows = await self._scan(prefix, LIST_MAX)
+            rows = await self._scan(prefix, MAX_LISTED_JOBS)
             # A job that ends between the two scans is read from the table, with its last state.
             homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
             wanted = [job_id_of(row) for row in rows]
@@ -314,9 +314,9 @@
         rows: list[Row] = []
         while most is None or len(rows) < most:
             after = rows[-1].key if rows else ""
-            page = await self._node.table.scan(prefix, after=after, limit=LIST_PAGE)
+            page = await self._node.table.scan(prefix, after=after, limit=LIST_PAGE_SIZE)
             rows.extend(page)
-            if len(page) < LIST_PAGE:
+            if len(page) < LIST_PAGE_SIZE:
                 break
         return [row for row in rows[:most] if row.value is not None]
 
@@ -325,9 +325,9 @@
     ) -> dict[str, JobStatus]:
         """Return what the coordinators of jobs report; unreachable ones are left out."""
         queries = [
-            JobsQuery(home, names[start : start + LIST_PAGE])
+            JobsQuery(home, names[start : start + LIST_PAGE_SIZE])
             for home, names in _by_shard({name: homes[name] for name in job_ids}).items()
-            for start in range(0, len(names), LIST_PAGE)
+            for start in range(0, len(names), LIST_PAGE_SIZE)
         ]
         reports = await asyncio.gather(*[self._ask_home(query) for query in queries])
         return {status.job_id: status for report in reports for status in report.statuses}
@@ -368,7 +368,7 @@
         shard = self._node.local_shard(message.shard)
         if shard is None:
             return JobReply(refusal=_unreachable(message.shard))
-        return await answer_shard_call(shard, message)
+        return await handle_shard_call(shard, message)
 
     async def _load(self, job_id: str) -> JobRun | None:
         known = self._coordinator.runs.get(job_id)
@@ -425,7 +425,7 @@
     async def _follow_ownership(self) -> None:
         while True:
             self._coordinator.own(self._node.owned_shards())
-            await asyncio.sleep(OWNED_INTERVAL_S)
+            await asyncio.sleep(OWNERSHIP_POLL_INTERVAL_S)
 
 
 def _platform_down(exc: PlatformError) -> Refusal:
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -26,26 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.25
+CLAIM_CHECK_INTERVAL_S = 0.25
 # Peers that run already are heard within this time after a start or a pause.
-LISTEN_S = 1.0
-PAUSE_S = 1.0
+DISCOVERY_PERIOD_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 # Each lower rank waits this much longer for the instances ahead of it to claim.
-RANK_DELAY_S = 0.75
+CLAIM_DELAY_PER_RANK_S = 0.75
 # When a network partition ends, the workers of the other data centre can be reached before its
 # instances are heard: a peer's new link and first heartbeat take up to about 1.5 s.
-REMOTE_DELAY_S = 1.5
-REACH_TIMEOUT_S = 0.5
-REACH_SAMPLE = 3
-HAND_OVER_CALL_S = 2.0
+REMOTE_CLAIM_DELAY_S = 1.5
+REACHABILITY_TIMEOUT_S = 0.5
+REACHABILITY_SAMPLE_SIZE = 3
+HAND_OVER_TIMEOUT_S = 2.0
 # A better-placed instance must have been there this long before a shard moves to it.
-REBALANCE_AFTER_S = 20.0
+REBALANCE_DELAY_S = 20.0
 
-BUSY_STATES = (ShardState.PARTIAL, ShardState.OWNED, ShardState.HANDING_OVER)
+ACTIVE_STATES = (ShardState.PARTIAL, ShardState.OWNED, ShardState.HANDING_OVER)
 
 
 @attrs.frozen
-class Place:
+class LocalInstance:
     """Say where an instance runs and how large its VM is."""
 
     instance_id: str
@@ -82,14 +82,14 @@
 MakeOwner = Callable[[ShardClaim, list[WorkerSpec], HandOver | None], ShardOwner]
 
 
-async def reachable(workers: list[WorkerSpec]) -> bool:
+async def is_any_reachable(workers: list[WorkerSpec]) -> bool:
     """Tell whether one of a few workers answers on a new connection."""
-    for spec in random.sample(workers, min(REACH_SAMPLE, len(workers))):
+    for spec in random.sample(workers, min(REACHABILITY_SAMPLE_SIZE, len(workers))):
         try:
             # Some middleboxes accept a connection that they cannot deliver; only the worker
             # completes the handshake.
             async with (
-                asyncio.timeout(REACH_TIMEOUT_S),
+                asyncio.timeout(REACHABILITY_TIMEOUT_S),
                 connect(f"ws://{spec.host}:{spec.port}", **WEBSOCKET_OPTIONS),
             ):
                 return True
@@ -98,19 +98,19 @@
     return False
 
 
-class Owners:
+class OwnershipManager:
     """Hold the owner of each shard that this instance has or claims."""
 
     def __init__(
         self,
-        place: Place,
+        place: LocalInstance,
         shards: Shards,
         peers: Peers,
         make_owner: MakeOwner,
         *,
         times: ClaimTimes | None = None,
         clock: Callable[[], float] = time.time,
-        reach: Callable[[list[WorkerSpec]], Any] = reachable,
+        reach: Callable[[list[WorkerSpec]], Any] = is_any_reachable,
     ) -> None:
         self.owners: dict[str, ShardOwner] = {}
         self.draining = False
@@ -135,11 +135,11 @@
     async def run(self) -> None:
         """Claim what should be claimed until cancelled."""
         self._last_tick = self._clock()
-        self._listen_until = self._last_tick + LISTEN_S
+        self._listen_until = self._last_tick + DISCOVERY_PERIOD_S
         try:
             while True:
                 await self.tick()
-                await asyncio.sleep(INTERVAL_S)
+                await asyncio.sleep(CLAIM_CHECK_INTERVAL_S)
         finally:
             for task in self._running:
                 task.cancel()
@@ -147,9 +147,9 @@
     async def tick(self) -> None:
         """Compare what is owned with what should be."""
         now = self._clock()
-        if now - self._last_tick > INTERVAL_S + PAUSE_S:
+        if now - self._last_tick > CLAIM_CHECK_INTERVAL_S + PAUSE_THRESHOLD_S:
             # This process was paused: what it knows of its peers is as old as the pause.
-            self._listen_until = now + LISTEN_S
+            self._listen_until = now + DISCOVERY_PERIOD_S
             self._unowned_since.clear()
         self._last_tick = now
         if self.draining or now < self._listen_until:
@@ -166,7 +166,7 @@
         workers = self._shards.workers_of(shard)
         names = tuple(spec.name for spec in workers)
         claim = self._claims.get(shard)
-        if claim is None or claim.state in BUSY_STATES:
+        if claim is None or claim.state in ACTIVE_STATES:
             seen = claim.highest_seen if claim is not None else None
             claim = ShardClaim(shard, self._claimant, names, times=self._times)
             claim.highest_seen = seen or claim.highest_seen
@@ -178,7 +178,7 @@
         self._running.add(task)
         task.add_done_callback(self._running.discard)
 
-    def take(self, message: HandOver) -> HandOverTaken:
+    def accept_hand_over(self, message: HandOver) -> HandOverTaken:
         """Take a shard that another instance hands over."""
         refused = self.draining or message.shard not in self._shards.names()
         if not refused and message.shard not in self.owners:
@@ -189,7 +189,7 @@
     async def send_hand_over(self, successor: str, message: HandOver) -> bool | None:
         """Send a shard's queue; tell whether it was taken, None when that is not known."""
         try:
-            reply = await self._peers.call(successor, message, HAND_OVER_CALL_S)
+            reply = await self._peers.call(successor, message, HAND_OVER_TIMEOUT_S)
         except NotSentError:
             return False
         except (LinkClosedError, TimeoutError):
@@ -200,11 +200,11 @@
         """Give every shard to the next instance; a shard without a successor is kept."""
         self.draining = True
         for shard, owner in list(self.owners.items()):
-            successor = self.best(shard, others_only=True)
+            successor = self.preferred_instance(shard, others_only=True)
             if successor is not None:
                 await self._hand_over(owner, successor)
 
-    async def finished(self) -> None:
+    async def wait_finished(self) -> None:
         """Wait until no owner is left."""
         while self._running:
             await asyncio.wait(set(self._running))
@@ -215,7 +215,7 @@
             if not owner.pending_count():
                 await owner.claim_driver.release()
 
-    def best(self, shard: str, others_only: bool = False) -> str | None:
+    def preferred_instance(self, shard: str, others_only: bool = False) -> str | None:
         """Return the live instance that should own a shard."""
         ranked = self._ranked(shard, others_only)
         return ranked[0] if ranked else None
@@ -258,7 +258,9 @@
             # A data centre that is cut off from this one serves its shards itself.
             self._unowned_since[shard] = self._clock()
             return False
-        return now - since >= position * RANK_DELAY_S + (0.0 if local else REMOTE_DELAY_S)
+        return now - since >= position * CLAIM_DELAY_PER_RANK_S + (
+            0.0 if local else REMOTE_CLAIM_DELAY_S
+        )
 
     def _ranked(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
@@ -273,7 +275,7 @@
 
     def _consider_moving(self, shard: str, now: float) -> None:
         """Hand a shard to an instance that has been better placed for a while, one at a time."""
-        better = self.best(shard)
+        better = self.preferred_instance(shard)
         if better is None or better == self._place.instance_id:
             self._better_since.pop(shard, None)
             return
@@ -283,7 +285,7 @@
             return
         owner = self.owners[shard]
         settled = owner.claim.state is ShardState.OWNED
-        if settled and now - since > REBALANCE_AFTER_S and self._moving is None:
+        if settled and now - since > REBALANCE_DELAY_S and self._moving is None:
             self._moving = shard
             del self._better_since[shard]
             task = asyncio.create_task(self._move(owner, better))
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -67,7 +67,7 @@
         self.total = sum(self.by_shard.values())
 
 
-def use_elsewhere(
+def usage_elsewhere(
     slots: FleetSlots, shard: str, digests: Iterable[ShardDigest]
 ) -> tuple[dict[str, float], float]:
     """Return each team's share of the fleet's slots outside a shard, and that shard's part."""
--- a/baobabhoist/daemon/record_sync.py
+++ b/baobabhoist/daemon/record_sync.py
@@ -30,10 +30,10 @@
 POLL_INTERVAL_S = 0.5
 # An instance that does not poll for its data centre still looks now and then, in case the
 # one that does has failed in a way that its heartbeats do not show.
-LAZY_POLL_INTERVAL_S = 5.0
-PAGE = 1000
-KEPT_ENTRIES = 2000
-PEER_CALL_S = 2.0
+STANDBY_POLL_INTERVAL_S = 5.0
+SCAN_PAGE_SIZE = 1000
+MAX_RECENT_ENTRIES = 2000
+PEER_CALL_TIMEOUT_S = 2.0
 
 
 class Peers(Protocol):
@@ -46,12 +46,12 @@
         """Send a message to every connected peer, or to those of one data centre."""
 
 
-def encode(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """Return a record as JSON, the form in which the table has it."""
     return orjson.dumps(attrs.asdict(record))
 
 
-def decode(data: bytes) -> Record:
+def decode_record(data: bytes) -> Record:
     """Return the record in JSON, without fields that only a later release knows."""
     known = {field.name for field in attrs.fields(Record)}
     return Record(**{name: value for name, value in orjson.loads(data).items() if name in known})
@@ -78,7 +78,7 @@
         self._data_centre = data_centre
         self._clock = clock
         self._confirmed_at = clock()
-        self._recent: deque[Record] = deque(maxlen=KEPT_ENTRIES)
+        self._recent: deque[Record] = deque(maxlen=MAX_RECENT_ENTRIES)
         self._wake = asyncio.Event()
         self._pulling = False
 
@@ -92,7 +92,7 @@
             self._wake.clear()
             lazy = self.loaded.is_set() and not self.is_poller()
             try:
-                async with asyncio.timeout(LAZY_POLL_INTERVAL_S if lazy else POLL_INTERVAL_S):
+                async with asyncio.timeout(STANDBY_POLL_INTERVAL_S if lazy else POLL_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -101,7 +101,7 @@
         """Return for how many seconds no answer of the platform confirmed the records."""
         return max(0.0, self._clock() - self._confirmed_at)
 
-    def pull_soon(self) -> None:
+    def request_pull(self) -> None:
         """Pull now, because a change was accepted."""
         self._wake.set()
 
@@ -111,9 +111,9 @@
             await self._load()
         applied: list[Record] = []
         while True:
-            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), PAGE)
+            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), SCAN_PAGE_SIZE)
             applied += self._apply([record_of(row) for row in rows])
-            if len(rows) < PAGE:
+            if len(rows) < SCAN_PAGE_SIZE:
                 break
         self._confirm(self._clock())
         self._set_loaded()
@@ -126,9 +126,9 @@
         records: list[Record] = []
         after = ""
         while head:
-            rows = await self._table.scan(RECORD_PREFIX, after, PAGE)
+            rows = await self._table.scan(RECORD_PREFIX, after, SCAN_PAGE_SIZE)
             records += [record_of(row) for row in rows]
-            if len(rows) < PAGE:
+            if len(rows) < SCAN_PAGE_SIZE:
                 break
             after = rows[-1].key
         # Later versions come with the log, in order.
@@ -137,7 +137,9 @@
             emit(log, Event.RECORDS_LOADED, revision=head)
             self._announce()
 
-    async def heard(self, instance_id: str, revision: int, platform_age_s: float) -> None:
+    async def on_peer_revision(
+        self, instance_id: str, revision: int, platform_age_s: float
+    ) -> None:
         """Take a peer's revision and for how long it has been cut off from the platform."""
         self._confirm(self._clock() - platform_age_s, revision)
         if revision <= self._view.revision or self._pulling or self.peers is None:
@@ -145,7 +147,7 @@
         self._pulling = True
         try:
             reply = await self.peers.call(
-                instance_id, RecordPull(self._view.revision), PEER_CALL_S
+                instance_id, RecordPull(self._view.revision), PEER_CALL_TIMEOUT_S
             )
             await self.receive(reply)
         except (LinkClosedError, TimeoutError):
@@ -159,11 +161,11 @@
             case RecordPull(after):
                 return self._reply(after)
             case RecordEntries(_, entries):
-                applied = self._apply([decode(entry) for entry in entries])
+                applied = self._apply([decode_record(entry) for entry in entries])
                 if applied:
                     self._set_loaded()
             case RecordSnapshot(revision, records):
-                if self._view.restore([decode(record) for record in records], revision):
+                if self._view.restore([decode_record(record) for record in records], revision):
                     emit(log, Event.RECORDS_LOADED, revision=revision)
                     self._recent.clear()
                     self._set_loaded()
@@ -207,11 +209,11 @@
     def _reply(self, after: int) -> RecordEntries | RecordSnapshot:
         entries = [record for record in self._recent if record.revision > after]
         if entries and entries[0].revision == after + 1:
-            return RecordEntries(self._instance_id, tuple(map(encode, entries)))
-        records = tuple(encode(record) for record in self._view.snapshot())
+            return RecordEntries(self._instance_id, tuple(map(encode_record, entries)))
+        records = tuple(encode_record(record) for record in self._view.snapshot())
         return RecordSnapshot(self._view.revision, records)
 
     async def _push(self, records: list[Record]) -> None:
         if self.peers is not None:
-            message = RecordEntries(self._instance_id, tuple(map(encode, records)))
+            message = RecordEntries(self._instance_id, tuple(map(encode_record, records)))
             await self.peers.broadcast(message, self._data_centre)
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -24,11 +24,11 @@
 from baobabhoist.quota.classes import class_key
 
 # A takeover lasts up to 5 s; a request that no owner has seen waits that long for one.
-PATIENCE_S = 6.0
-FORWARD_PATIENCE_S = 0.5
-ASK_AGAIN_S = 0.05
+OWNER_WAIT_S = 6.0
+FORWARD_OWNER_WAIT_S = 0.5
+RETRY_INTERVAL_S = 0.05
 # The owner answers at the deadline at the latest; its answer needs time to arrive.
-ANSWER_MARGIN_S = 0.5
+REPLY_MARGIN_S = 0.5
 MAX_CALL_TIMEOUT_S = 3600.0
 
 
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class LostRelay:
+class RelayFailure:
     """Know that the relay broke; `sent` tells whether the owner may have the request."""
 
     sent: bool
@@ -86,11 +86,11 @@
         counted = _is_counted(req)
         self.open_requests += counted
         try:
-            return await self._ask_until(req, False, PATIENCE_S)
+            return await self._ask_until(req, False, OWNER_WAIT_S)
         finally:
             self.open_requests -= counted
 
-    async def answer(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
+    async def handle_relay(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
         """Answer a request that another instance relayed."""
         req = message.request
         owner = self._owners.get(req.shard)
@@ -127,7 +127,7 @@
         # A draw in proportion to the room keeps many owners from choosing the same shard.
         (target, _), *_ = self._rng.choices(chosen, [room for _, room in chosen])
         forwarded = attrs.evolve(req, shard=target.shard, first_attempt=True)
-        return target.shard, self._ask_until(forwarded, True, FORWARD_PATIENCE_S)
+        return target.shard, self._ask_until(forwarded, True, FORWARD_OWNER_WAIT_S)
 
     async def _ask_until(self, req: Request, forwarded: bool, patience_s: float) -> Result:
         deadline = req.task.deadline
@@ -136,42 +136,42 @@
         while True:
             result = await self._ask(req, forwarded)
             if not _ask_again(result):
-                assert not isinstance(result, LostRelay)
+                assert not isinstance(result, RelayFailure)
                 return _truthful(result, req, maybe_ran)
             if _maybe_ran(result):
                 maybe_ran = True
                 req = attrs.evolve(req, first_attempt=False)
             if self._clock() >= (deadline if maybe_ran else patient_until):
                 break
-            await asyncio.sleep(ASK_AGAIN_S * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
         if maybe_ran:
             return outcome_unknown_refusal(
                 "the owner of the shard was lost after it had the request"
             )
         return _no_owner(req)
 
-    async def _ask(self, req: Request, forwarded: bool) -> Result | LostRelay:
+    async def _ask(self, req: Request, forwarded: bool) -> Result | RelayFailure:
         owner = self._owners.get(req.shard)
         if owner is not None and owner.is_usable:
             return await owner.submit(req, forwarded)
         peer = self._peers.owner_of(req.shard)
         if peer is None:
             return not_owner_refusal(req.shard)
-        left_s = min(req.task.deadline - self._clock() + ANSWER_MARGIN_S, MAX_CALL_TIMEOUT_S)
+        left_s = min(req.task.deadline - self._clock() + REPLY_MARGIN_S, MAX_CALL_TIMEOUT_S)
         try:
             reply = await self._peers.call(peer, RelayRequest(req, forwarded), left_s)
         except NotSentError:
-            return LostRelay(sent=False)
+            return RelayFailure(sent=False)
         except MessageTooLargeError as exc:
             return Refusal(ErrorKind.BODY_TOO_LARGE, str(exc), remedy="send a smaller body")
         except (LinkClosedError, TimeoutError):
-            return LostRelay(sent=True)
+            return RelayFailure(sent=True)
         match reply:
             case RelayAnswer(answer):
                 return answer
             case RelayRefusal(_, refusal):
                 return refusal
-        return LostRelay(sent=True)
+        return RelayFailure(sent=True)
 
 
 def _room(digest: ShardDigest, task: Task) -> int:
@@ -186,14 +186,14 @@
     return req.task.kind is WorkKind.REQUEST
 
 
-def _ask_again(result: Result | LostRelay) -> bool:
-    if isinstance(result, LostRelay):
+def _ask_again(result: Result | RelayFailure) -> bool:
+    if isinstance(result, RelayFailure):
         return True
     return isinstance(result, Refusal) and result.kind is ErrorKind.SHARD_UNAVAILABLE
 
 
-def _maybe_ran(result: Result | LostRelay) -> bool:
-    if isinstance(result, LostRelay):
+def _maybe_ran(result: Result | RelayFailure) -> bool:
+    if isinstance(result, RelayFailure):
         return result.sent
     return isinstance(result, Refusal) and result.outcome is Outcome.UNKNOWN
 
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -37,7 +37,7 @@
 )
 from baobabhoist.daemon.preemption import PREEMPTED_REFUSAL, apply_preemption
 from baobabhoist.daemon.request_registry import RequestRegistry
-from baobabhoist.daemon.shard_quota import ShardPlaces
+from baobabhoist.daemon.shard_quota import ShardQuota
 from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
@@ -86,7 +86,7 @@
         self.quota_ledger = QuotaLedger(claim.shard)
         self.quota_ledger.begin_takeover()
         self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
-        self.shard_quota = ShardPlaces(self.quota_ledger, self._kind_of)
+        self.shard_quota = ShardQuota(self.quota_ledger, self._kind_of)
         self.scheduler = Scheduler.over(specs, self.shard_quota)
         self.scheduler.lines.is_full = self.shard_quota.is_class_full
         self.leaving_workers: set[str] = set()
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define
-class ShardPlaces:
+class ShardQuota:
     """Pass places between scheduler and ledgers and add which ends are confirmed.
 
     An end is confirmed when its report carries this owner's token, or nothing was sent.
--- a/baobabhoist/daemon/shutdown.py
+++ b/baobabhoist/daemon/shutdown.py
@@ -12,10 +12,10 @@
 log = logging.getLogger(__name__)
 
 # The balancer reads /readyz about once a second; callers it still sends here are served.
-BALANCER_S = 1.5
+BALANCER_DELAY_S = 1.5
 CHECK_INTERVAL_S = 0.05
 # Answers already written to the sockets leave the process within this time.
-FLUSH_S = 0.2
+FLUSH_DELAY_S = 0.2
 
 
 class OpenRequests(Protocol):
@@ -30,7 +30,7 @@
         """Refuse new requests from now on."""
 
 
-class Owners(Protocol):
+class ShardReleaser(Protocol):
     """Give the shards away."""
 
     async def hand_over_all(self) -> None:
@@ -46,10 +46,10 @@
     def __init__(
         self,
         requests: OpenRequests,
-        owners: Owners,
+        owners: ShardReleaser,
         open_work: Callable[[], int],
         close_callers: Callable[[], Awaitable[None]],
-        balancer_s: float = BALANCER_S,
+        balancer_delay_s: float = BALANCER_DELAY_S,
     ) -> None:
         self.started = asyncio.Event()
         self.finished = asyncio.Event()
@@ -57,7 +57,7 @@
         self._owners = owners
         self._open_work = open_work
         self._close_callers = close_callers
-        self._balancer_s = balancer_s
+        self._balancer_delay_s = balancer_delay_s
 
     async def start(self) -> None:
         """Begin the drain and return at once; further calls have no effect."""
@@ -69,14 +69,14 @@
         emit(log, Event.DRAIN_STARTED, open_requests=self._open_work())
         self._requests.leave_balancer()
         await self._owners.hand_over_all()
-        await asyncio.sleep(self._balancer_s)
+        await asyncio.sleep(self._balancer_delay_s)
         self._requests.begin_drain()
         while self._open_work() or self._requests.count:
             # A successor may have appeared since.
             await self._owners.hand_over_all()
             await asyncio.sleep(CHECK_INTERVAL_S)
         await self._owners.release_idle()
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(FLUSH_DELAY_S)
         await self._close_callers()
         emit(log, Event.DRAIN_FINISHED)
         self.finished.set()
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -35,31 +35,31 @@
         self._metrics.decided(task.team, task.kind.value, seconds)
 
 
-class Fleet(Protocol):
+class GaugeSource(Protocol):
     """Be what the gauges are read from."""
 
-    def busy_owners(self) -> Iterable[ShardOwner]:
+    def active_owners(self) -> Iterable[ShardOwner]:
         """Return the shards that this instance works for."""
 
 
-class Gauges:
+class GaugeUpdater:
     """Own the gauges and counters that are read at intervals."""
 
-    def __init__(self, metrics: Metrics, fleet: Fleet, revision: Callable[[], int]) -> None:
+    def __init__(self, metrics: Metrics, source: GaugeSource, revision: Callable[[], int]) -> None:
         self._metrics = metrics
-        self._fleet = fleet
+        self._source = source
         self._revision = revision
         self._breaches_seen: dict[int, int] = {}
 
     async def run(self) -> None:
         """Read until cancelled."""
         while True:
-            self.read()
+            self.update()
             await asyncio.sleep(GAUGE_INTERVAL_S)
 
-    def read(self) -> None:
+    def update(self) -> None:
         """Set every gauge to its present value."""
-        owners = list(self._fleet.busy_owners())
+        owners = list(self._source.active_owners())
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
         self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
@@ -76,10 +76,10 @@
         for team in teams:
             self._metrics.set_share(team, owner.shard, fairness.dominant(team))
             self._metrics.set_escrow(team, owner.shard, owner.quota_ledger.allowed(team))
-        self._metrics.set_packing(owner.shard, packing(owner.scheduler.index))
+        self._metrics.set_packing(owner.shard, packing_ratio(owner.scheduler.index))
 
 
-def packing(index: CapacityIndex) -> float:
+def packing_ratio(index: CapacityIndex) -> float:
     """Return the bound fraction, from 0 to 1, of the resource that is scarcest."""
     free = [
         sum(amounts) for amounts in zip(*(w.free for w in index.workers.values()), strict=True)
--- a/baobabhoist/tests/shard_harness.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -17,7 +17,7 @@
 CAPACITY = Resources(16000, 65536, 0, 4)
 
 
-def quicken(monkeypatch):
+def shorten_intervals(monkeypatch):
     """Shorten the periods of owners, so that tests need not wait for them."""
     for name, value in {"RENEW_INTERVAL_S": 0.05, "EPOCH_CONFIRM_INTERVAL_S": 0.05}.items():
         monkeypatch.setattr(claim_driver, name, value)
@@ -90,7 +90,7 @@
         return [message for message in self.calls if isinstance(message, kind)]
 
 
-class Rack:
+class ShardHarness:
     """Hold the workers of one shard and the owners that compete for it."""
 
     def __init__(self, table, names=("w1", "w2"), run_s=0.0, shard="r"):
@@ -101,7 +101,7 @@
         self.limit = {"team": 8}
         self.tasks = []
 
-    def owner(self, name, **options):
+    def make_owner(self, name, **options):
         """Return an owner and its links by worker; call `start` to run it."""
         links = {}
 
@@ -125,17 +125,17 @@
 
     def start(self, owner):
         """Run an owner in the background."""
-        return self.begin(owner.run())
+        return self.spawn(owner.run())
 
-    def begin(self, coro):
+    def spawn(self, coro):
         """Run a coroutine until the rack is closed."""
         task = asyncio.ensure_future(coro)
         self.tasks.append(task)
         return task
 
-    async def owned(self, name, **options):
+    async def start_owner(self, name, **options):
         """Start an owner and wait until it owns the shard."""
-        owner, links = self.owner(name, **options)
+        owner, links = self.make_owner(name, **options)
         self.start(owner)
         await until(lambda: owner.claim.state is ShardState.OWNED)
         return owner, links
@@ -174,6 +174,6 @@
     return Request(name, more.pop("shard", "r"), first_sent_at, task, first_attempt)
 
 
-def queried(link):
+def queried_task_ids(link):
     """Return the ids whose outcome was asked for over a link."""
     return [message.task_id for message in link.sent(QueryOutcome)]
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -5,21 +5,21 @@
 import pytest
 
 from baobabhoist.daemon.digests import build_digest
-from baobabhoist.daemon.escrow import Escrow
+from baobabhoist.daemon.escrow import EscrowManager
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
 from baobabhoist.peer.messages import PlacesWanted
 from baobabhoist.quota.escrow import decode
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.memory_table import MemoryTable
-from baobabhoist.tests.shard_harness import Rack, quicken, request, until
+from baobabhoist.tests.shard_harness import ShardHarness, request, shorten_intervals, until
 
 LONG = b'{"run_s": 60}'
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    quicken(monkeypatch)
+    shorten_intervals(monkeypatch)
 
 
 class Node:
@@ -30,16 +30,16 @@
         self.view = view
         self.owners = []
         self.peer = None
-        self.escrow = Escrow(self)
+        self.escrow = EscrowManager(self)
 
-    def busy_owners(self):
+    def active_owners(self):
         return self.owners
 
     def peer_digests(self):
         return [build_digest(owner) for owner in self.peer.owners] if self.peer else []
 
     async def call_owner(self, shard, message, timeout_s):
-        return await self.peer.escrow.give(message)
+        return await self.peer.escrow.grant(message)
 
 
 def set_limit(view, limit):
@@ -58,20 +58,20 @@
             body = {"data_centre": "north", "workers": []}
             view.apply(Record("shard", shard, 1, number + 10, body))
         self.view = view
-        self.racks = [Rack(self.table, shard=shard) for shard in ("r1", "r2")]
+        self.racks = [ShardHarness(self.table, shard=shard) for shard in ("r1", "r2")]
         self.nodes = [Node(self.table, view) for _ in self.racks]
         self.nodes[0].peer, self.nodes[1].peer = self.nodes[1], self.nodes[0]
 
     async def start(self):
         for rack, node in zip(self.racks, self.nodes, strict=True):
             rack.limit = None
-            owner, _ = await rack.owned(f"owner-of-{rack.shard}")
+            owner, _ = await rack.start_owner(f"owner-of-{rack.shard}")
             node.owners.append(owner)
         await self.cycle()
 
     async def cycle(self):
         for node in self.nodes:
-            await node.escrow.cycle()
+            await node.escrow.reconcile()
 
     def owner(self, number):
         return self.nodes[number].owners[0]
@@ -115,7 +115,7 @@
 async def test_a_new_owner_has_no_escrow_before_it_reads_the_row(pair):
     """Guard against places used by a new owner that the last one was giving away."""
     assert pair.held() == [2, 2]
-    new, _ = await pair.racks[0].owned("next")
+    new, _ = await pair.racks[0].start_owner("next")
     assert new.quota_ledger.allowed("team") == 0
     pair.nodes[0].owners[:] = [new]
     await pair.cycle()
@@ -127,7 +127,7 @@
     """Guard against a shard that waits while another holds its team's places unused."""
     owner = pair.owner(0)
     for number in range(4):
-        pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
+        pair.racks[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 2)
     while owner.quota_ledger.used["team"] < 4:
         await pair.cycle()
@@ -143,7 +143,7 @@
     owner = pair.owner(0)
     owner.scheduler._unlimit_at = float("inf")
     for number in range(3):
-        pair.racks[0].begin(owner.submit(request(f"t{number}", LONG, shard="r1")))
+        pair.racks[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 2)
     while owner.quota_ledger.escrow["team"] < 3:
         await pair.cycle()
@@ -162,7 +162,7 @@
         raise PlatformError("the answer was lost")
 
     table.commit = lossy
-    given = await pair.nodes[1].escrow.give(PlacesWanted("team", 1, "r2", "r1"))
+    given = await pair.nodes[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
     assert given.places == 0
 
 
@@ -184,8 +184,8 @@
 @scenario(4)
 async def test_a_donor_that_lost_its_shard_gives_nothing(pair):
     """Guard against a paused owner that gives away places which its successor uses."""
-    await pair.racks[1].owned("successor")
-    given = await pair.nodes[1].escrow.give(PlacesWanted("team", 1, "r2", "r1"))
+    await pair.racks[1].start_owner("successor")
+    given = await pair.nodes[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
     assert given.places == 0
     assert pair.row().places == {"r1": 2, "r2": 2}
 
@@ -194,12 +194,12 @@
 async def test_a_lowered_limit_stops_starts_at_once_and_returns_places(pair):
     """Guard against a team that keeps running above a lowered limit."""
     owner = pair.owner(0)
-    running = pair.racks[0].begin(owner.submit(request("t1", b'{"run_s": 0.2}', shard="r1")))
+    running = pair.racks[0].spawn(owner.submit(request("t1", b'{"run_s": 0.2}', shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 1)
     set_limit(pair.view, 0)
-    pair.nodes[0].escrow.limits_changed()
+    pair.nodes[0].escrow.apply_lowered_limits()
     assert owner.quota_ledger.allowed("team") == 0
-    waiting = pair.racks[0].begin(owner.submit(request("t2", shard="r1")))
+    waiting = pair.racks[0].spawn(owner.submit(request("t2", shard="r1")))
     # Requests are left to end; their places return after the worker confirmed a later call.
     assert isinstance(await running, Answer)
     while pair.row().limit > 0:
@@ -213,7 +213,7 @@
 
 
 def _raised(pair):
-    pair.racks[0].begin(pair.cycle())
+    pair.racks[0].spawn(pair.cycle())
     return pair.owner(0).quota_ledger.allowed("team") > 0
 
 
@@ -222,6 +222,6 @@
     """Guard against a platform outage that stops work within the limits."""
     pair.table.down = True
     with pytest.raises(PlatformError):
-        await pair.nodes[0].escrow.cycle()
+        await pair.nodes[0].escrow.reconcile()
     assert isinstance(await pair.owner(0).submit(request("t1", shard="r1")), Answer)
     pair.table.down = False
--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -9,7 +9,7 @@
 from baobabhoist.model import Answer, Outcome
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.tests.memory_table import MemoryTable
-from baobabhoist.tests.shard_harness import Rack, quicken, request
+from baobabhoist.tests.shard_harness import ShardHarness, request, shorten_intervals
 from baobabhoist.upstream.messages import FenceWorker
 
 
@@ -21,22 +21,22 @@
         taken.append(message)
         return True
 
-    old, _ = await rack.owned("a", send_hand_over=send)
+    old, _ = await rack.start_owner("a", send_hand_over=send)
     await asyncio.sleep(0.01)
     sent_at = time.time()
     assert isinstance(await old.submit(request("ran", first_attempt=False)), Answer)
     assert await old.claim_driver.hand_over("b")
     await between()
-    new, _ = await rack.owned("b", inherited=taken[0])
+    new, _ = await rack.start_owner("b", inherited=taken[0])
     return new, sent_at
 
 
 def outcomes(monkeypatch, between, *names):
     """Submit keys that were first sent before the hand-over, and return their outcomes."""
-    quicken(monkeypatch)
+    shorten_intervals(monkeypatch)
 
     async def body():
-        rack = Rack(MemoryTable())
+        rack = ShardHarness(MemoryTable())
         try:
             new, sent_at = await handed_over(rack, lambda: between(rack))
             found = []
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from baobabhoist.daemon import jobs as daemon_jobs
-from baobabhoist.daemon.jobs import Jobs
+from baobabhoist.daemon.jobs import JobManager
 from baobabhoist.errors import ErrorKind, NotSentError, Refusal
 from baobabhoist.jobs import state
 from baobabhoist.jobs.messages import HoldReply, TasksReport
@@ -104,7 +104,7 @@
         async def main():
             table, shards = MemoryTable(), {"rack-1": Shard()}
             here, there = Node(table, shards, ["rack-1"]), Node(table, shards, [])
-            jobs, others = Jobs(here), Jobs(there)
+            jobs, others = JobManager(here), JobManager(there)
             there.other = jobs
             running = asyncio.create_task(jobs.run())
             jobs._coordinator.own(here.owned)
@@ -180,8 +180,8 @@
 
 def test_all_unfinished_jobs_of_a_queue_are_found_however_many_there_are(two, monkeypatch):
     """Guard against deleting a queue whose jobs are beyond the end of a bounded list."""
-    monkeypatch.setattr(daemon_jobs, "LIST_PAGE", 2)
-    monkeypatch.setattr(daemon_jobs, "LIST_MAX", 2)
+    monkeypatch.setattr(daemon_jobs, "LIST_PAGE_SIZE", 2)
+    monkeypatch.setattr(daemon_jobs, "MAX_LISTED_JOBS", 2)
 
     async def scenario(here, jobs, there, others):
         for name in ("j1", "j2", "j3", "j4"):
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from baobabhoist.daemon.owners import Owners, Place
+from baobabhoist.daemon.owners import LocalInstance, OwnershipManager
 from baobabhoist.daemon.shutdown import Drain
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.gateway.drain import OpenRequests
@@ -81,8 +81,8 @@
         async def reach(workers):
             return reachable
 
-        self.owners = Owners(
-            Place(me, data_centre),
+        self.owners = OwnershipManager(
+            LocalInstance(me, data_centre),
             FakeShards(),
             peers,
             lambda claim, workers, inherited: FakeOwner(claim, inherited),
@@ -192,7 +192,7 @@
         await setting.owners.hand_over_all()
         await setting.pass_time(5)
         message = HandOver("s1", Token(1, 0, "x"), "x", (), (), ())
-        assert setting.owners.take(message) == HandOverTaken("s1", False)
+        assert setting.owners.accept_hand_over(message) == HandOverTaken("s1", False)
         assert not setting.claimed
 
     run(body)
@@ -209,7 +209,7 @@
         owner = setting.owners.owners["s1"]
         await setting.owners.hand_over_all()
         assert owner.claim_driver.handed_to == "other"
-        await setting.owners.finished()
+        await setting.owners.wait_finished()
         assert not setting.claimed
 
     run(body)
@@ -257,7 +257,7 @@
         async def close():
             closed.append((requests.count, work[0]))
 
-        drain = Drain(requests, owners, lambda: work[0], close, balancer_s=0.05)
+        drain = Drain(requests, owners, lambda: work[0], close, balancer_delay_s=0.05)
         running = asyncio.ensure_future(drain.run())
         assert requests.enter() is None
         await drain.start()
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -3,7 +3,12 @@
 import asyncio
 from types import SimpleNamespace
 
-from baobabhoist.daemon.owners import LISTEN_S, Owners, Place, reachable
+from baobabhoist.daemon.owners import (
+    DISCOVERY_PERIOD_S,
+    LocalInstance,
+    OwnershipManager,
+    is_any_reachable,
+)
 from baobabhoist.model import Resources, WorkerSpec
 from baobabhoist.ownership.rendezvous import Candidate, rank
 from baobabhoist.testing.cluster import free_port
@@ -51,8 +56,13 @@
         return now[0] >= reachable_at
 
     async def body():
-        owners = Owners(
-            Place("n1", data_centre), Shards(), peers, None, clock=lambda: now[0], reach=reach
+        owners = OwnershipManager(
+            LocalInstance("n1", data_centre),
+            Shards(),
+            peers,
+            None,
+            clock=lambda: now[0],
+            reach=reach,
         )
         owners.claim = lambda shard: claimed.append(now[0])
         while now[0] < until and not claimed:
@@ -82,7 +92,9 @@
     now, claimed, peers = [100.0], [], Peers()
 
     async def body():
-        owners = Owners(Place("n1", "south"), Shards(), peers, None, clock=lambda: now[0])
+        owners = OwnershipManager(
+            LocalInstance("n1", "south"), Shards(), peers, None, clock=lambda: now[0]
+        )
         owners.claim = lambda shard: claimed.append(now[0])
         peers.beats = lambda: [SimpleNamespace(**BETTER)]
         owners._unowned_since["s"] = 1.0
@@ -103,11 +115,11 @@
         port = free_port()
         spec = WorkerSpec("w1", "127.0.0.1", port, "r", Resources())
         async with await asyncio.start_server(lambda *_: asyncio.sleep(9), "127.0.0.1", port):
-            return await reachable([spec])
+            return await is_any_reachable([spec])
 
     assert asyncio.run(body()) is False
 
 
 def test_a_local_shard_is_claimed_without_that_delay():
     """Guard against slower takeovers inside a data centre."""
-    assert claims("south", reachable_at=99.0, heard_at=99.0)[0] <= LISTEN_S
+    assert claims("south", reachable_at=99.0, heard_at=99.0)[0] <= DISCOVERY_PERIOD_S
--- a/baobabhoist/tests/test_daemon_record_sync.py
+++ b/baobabhoist/tests/test_daemon_record_sync.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabhoist.daemon.record_sync import RecordSync, encode
+from baobabhoist.daemon.record_sync import RecordSync, encode_record
 from baobabhoist.errors import LinkClosedError, PlatformError
 from baobabhoist.peer.messages import RecordEntries
 from baobabhoist.records.changes import change
@@ -80,13 +80,13 @@
         with pytest.raises(PlatformError):
             await late.pull()
         assert not late.loaded.is_set()
-        await late.heard("first", 3, 0.0)
+        await late.on_peer_revision("first", 3, 0.0)
         assert late.loaded.is_set()
         assert limits(late) == {"a": 3, "b": 2}
         # Later entries are relayed one by one.
         await put(first._table, "b", 5)
         await first.pull()
-        await late.heard("first", 4, 0.0)
+        await late.on_peer_revision("first", 4, 0.0)
         assert limits(late) == {"a": 3, "b": 5}
 
     asyncio.run(scenario())
@@ -106,7 +106,7 @@
         await table.commit(change("team", "a", 1, None, current, head))
         await peer.pull()
         peer._recent.clear()
-        await late.heard("peer", 4, 0.0)
+        await late.on_peer_revision("peer", 4, 0.0)
         assert limits(late) == {"b": 2}
 
     asyncio.run(scenario())
@@ -121,10 +121,10 @@
         def entry(revision):
             return Record("team", f"t{revision}", 1, revision, {"limit": 1, "share": 1.0})
 
-        await sync.receive(RecordEntries("p", (encode(entry(1)), encode(entry(3)))))
+        await sync.receive(RecordEntries("p", (encode_record(entry(1)), encode_record(entry(3)))))
         assert sync._view.revision == 1
-        await sync.receive(RecordEntries("p", (encode(entry(2)), encode(entry(3)))))
-        await sync.receive(RecordEntries("p", (encode(entry(1)),)))
+        await sync.receive(RecordEntries("p", (encode_record(entry(2)), encode_record(entry(3)))))
+        await sync.receive(RecordEntries("p", (encode_record(entry(1)),)))
         return sync._view.revision
 
     assert asyncio.run(scenario()) == 3
@@ -157,7 +157,7 @@
         now[0] = 150.0
         assert sync.cut_off_s() == 50.0
         # A peer that reached the platform 10 s ago and knows no later record confirms them.
-        await sync.heard("peer", 0, 10.0)
+        await sync.on_peer_revision("peer", 0, 10.0)
         assert sync.cut_off_s() == 10.0
 
     asyncio.run(scenario())
--- a/baobabhoist/tests/test_daemon_routing.py
+++ b/baobabhoist/tests/test_daemon_routing.py
@@ -41,8 +41,8 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(routing, "ASK_AGAIN_S", 0.001)
-    monkeypatch.setattr(routing, "PATIENCE_S", 0.1)
+    monkeypatch.setattr(routing, "RETRY_INTERVAL_S", 0.001)
+    monkeypatch.setattr(routing, "OWNER_WAIT_S", 0.1)
 
 
 def ask(peers, req):
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -15,7 +15,14 @@
 from baobabhoist.scheduling.results import Preemption
 from baobabhoist.testing.worker import Worker
 from baobabhoist.tests.memory_table import MemoryTable
-from baobabhoist.tests.shard_harness import CAPACITY, Rack, queried, quicken, request, until
+from baobabhoist.tests.shard_harness import (
+    CAPACITY,
+    ShardHarness,
+    queried_task_ids,
+    request,
+    shorten_intervals,
+    until,
+)
 from baobabhoist.upstream.messages import FenceWorker, RunTask
 
 LONG = b'{"run_s": 60}'
@@ -24,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    quicken(monkeypatch)
+    shorten_intervals(monkeypatch)
 
 
 def scenario(**options):
@@ -33,7 +40,7 @@
     def wrap(test):
         def run():
             async def body():
-                rack = Rack(MemoryTable(), **options)
+                rack = ShardHarness(MemoryTable(), **options)
                 try:
                     await test(rack)
                 finally:
@@ -56,7 +63,7 @@
 async def test_an_owner_that_lost_its_token_answers_truthfully_and_stops(rack):
     """Guard against `not_run` for dispatched work, and a queue that outlives the ownership."""
     rack.limit = {"team": 1}
-    owner, _ = await rack.owned("a")
+    owner, _ = await rack.start_owner("a")
     dispatched = asyncio.ensure_future(owner.submit(request("running", SHORT)))
     await until(lambda: owner.worker_of("running"))
     queued = asyncio.ensure_future(owner.submit(request("queued")))
@@ -76,8 +83,8 @@
 async def test_a_queued_key_that_another_owner_may_have_is_not_called_not_run(rack):
     """Guard against `not_run` for a key of which a copy may run under the next owner."""
     rack.limit = {"team": 1}
-    owner, _ = await rack.owned("a")
-    rack.begin(owner.submit(request("running", SHORT)))
+    owner, _ = await rack.start_owner("a")
+    rack.spawn(owner.submit(request("running", SHORT)))
     later = time.time() + 5
     again = request("resent", first_attempt=False, first_sent_at=later)
     queued = asyncio.ensure_future(owner.submit(again))
@@ -89,7 +96,7 @@
 @scenario()
 async def test_a_resumed_owner_can_start_nothing(rack):
     """Guard against an owner that was paused during a takeover and starts work afterwards."""
-    old, _ = await rack.owned("a")
+    old, _ = await rack.start_owner("a")
     old.claim_driver._count_silence = lambda worker: None
     await higher_token(rack)
     result = await old.submit(request("late"))
@@ -101,12 +108,12 @@
 async def test_a_new_owner_counts_adopted_tasks_and_knows_ended_ones(rack):
     """Guard against places used twice and requests run twice after a takeover."""
     rack.limit = {"team": 2}
-    old, _ = await rack.owned("a")
+    old, _ = await rack.start_owner("a")
     large = b"y" * 10_000
     done = await old.submit(request("done", large))
-    rack.begin(old.submit(request("long", SHORT)))
+    rack.spawn(old.submit(request("long", SHORT)))
     await until(lambda: any(worker.running for worker in rack.workers.values()))
-    new, _ = await rack.owned("b")
+    new, _ = await rack.start_owner("b")
     assert new.quota_ledger.used["team"] == 1
     # A repeated key gets its stored answer, whose large body the worker still has.
     again = await new.submit(request("done", large, first_attempt=False))
@@ -120,9 +127,9 @@
 @scenario()
 async def test_a_key_that_no_inventory_names_is_unknown_after_a_takeover(rack):
     """Guard against a second run of a request that the last owner may have dispatched."""
-    await rack.owned("a")
+    await rack.start_owner("a")
     before = time.time() - 1.0
-    new, _ = await rack.owned("b")
+    new, _ = await rack.start_owner("b")
     result = await new.submit(request("maybe", first_attempt=False, first_sent_at=before))
     assert result.outcome is Outcome.UNKNOWN
     assert not any(worker.ended for worker in rack.workers.values())
@@ -131,11 +138,11 @@
 @scenario()
 async def test_a_takeover_without_the_table_uses_only_the_places_in_use(rack):
     """Guard against a limit exceeded by an owner whose epoch the table has not confirmed."""
-    old, _ = await rack.owned("a")
-    rack.begin(old.submit(request("long", LONG)))
+    old, _ = await rack.start_owner("a")
+    rack.spawn(old.submit(request("long", LONG)))
     await until(lambda: old.worker_of("long"))
     rack.table.down = True
-    new, _ = rack.owner("b")
+    new, _ = rack.make_owner("b")
     new.claim.highest_seen = old.claim.token
     rack.start(new)
     await until(lambda: new.claim.state is ShardState.OWNED)
@@ -156,7 +163,7 @@
     """Guard against two claimants that outbid each other for ever, or both own the shard."""
     for down in (False, True):
         rack.table.down = down
-        claimants = {name: rack.owner(f"{name}{down}")[0] for name in ("a", "b")}
+        claimants = {name: rack.make_owner(f"{name}{down}")[0] for name in ("a", "b")}
 
         async def contend(name, claimants=claimants):
             while True:
@@ -167,7 +174,7 @@
                     await owner.claim_driver.ended.wait()
                     await asyncio.wait((task,), timeout=0.1)
                     seen = owner.claim.highest_seen
-                    owner, _ = rack.owner(owner.claim.instance_id)
+                    owner, _ = rack.make_owner(owner.claim.instance_id)
                     owner.claim.highest_seen = seen
                     claimants[name] = owner
                 # Each claimant waits a random time of its own after a loss.
@@ -187,18 +194,18 @@
 @scenario(names=("w1",))
 async def test_a_lost_reply_is_asked_for_and_not_run_again(rack):
     """Guard against a second run, or a lost answer, when a worker's connection breaks."""
-    owner, links = await rack.owned("a")
+    owner, links = await rack.start_owner("a")
     links["w1"].lose_next_reply = True
     result = await owner.submit(request("once", SHORT))
     assert isinstance(result, Answer)
-    assert "once" in queried(links["w1"])
+    assert "once" in queried_task_ids(links["w1"])
     assert len(links["w1"].sent(RunTask)) == 1
 
 
 @scenario()
 async def test_an_unreachable_worker_holds_its_place_until_the_lease_has_expired(rack):
     """Guard against idempotent work that runs in two places, or a place used twice."""
-    owner, links = await rack.owned("a", lease_s=0.4)
+    owner, links = await rack.start_owner("a", lease_s=0.4)
     result = asyncio.ensure_future(owner.submit(request("twice", SHORT, idempotent=True)))
     await until(lambda: owner.worker_of("twice"))
     first = owner.worker_of("twice")
@@ -217,7 +224,7 @@
 @scenario(names=("w1",))
 async def test_a_restarted_worker_does_not_make_unknown_work_not_run(rack):
     """Guard against `not_run` for work that a worker ran and has forgotten."""
-    owner, links = await rack.owned("a")
+    owner, links = await rack.start_owner("a")
     result = asyncio.ensure_future(owner.submit(request("forgotten", LONG)))
     await until(lambda: owner.worker_of("forgotten"))
     links["w1"].cut()
@@ -230,7 +237,7 @@
 @scenario()
 async def test_a_leaving_worker_gets_no_new_work(rack):
     """Guard against work sent to a worker that leaves, and against a worker lost for good."""
-    owner, links = await rack.owned("a")
+    owner, links = await rack.start_owner("a")
     owner.set_leaving_workers({"w1"})
     for number in range(4):
         await owner.submit(request(f"t{number}"))
@@ -243,7 +250,7 @@
 @scenario()
 async def test_workers_are_added_and_removed_while_the_shard_is_owned(rack):
     """Guard against an added worker used before its fence, and a removed one used at all."""
-    owner, links = await rack.owned("a")
+    owner, links = await rack.start_owner("a")
     rack.workers["w3"] = Worker("w3", CAPACITY)
     spec = attrs.evolve(rack.specs[0], name="w3")
     await owner.set_workers([spec])
@@ -258,7 +265,7 @@
 async def test_a_deadline_ends_the_wait_with_what_is_known(rack):
     """Guard against a caller that waits past its deadline, and an untrue outcome there."""
     rack.limit = {"team": 1}
-    owner, _ = await rack.owned("a")
+    owner, _ = await rack.start_owner("a")
     running = asyncio.ensure_future(owner.submit(request("running", LONG, deadline_s=0.2)))
     await until(lambda: owner.worker_of("running"))
     queued = await owner.submit(request("queued", deadline_s=0.1))
@@ -276,7 +283,7 @@
         taken.append(message)
         return True
 
-    old, _ = await rack.owned("a", send_hand_over=send)
+    old, _ = await rack.start_owner("a", send_hand_over=send)
     running = asyncio.ensure_future(old.submit(request("running", SHORT)))
     await until(lambda: old.worker_of("running"))
     queued = asyncio.ensure_future(old.submit(request("queued")))
@@ -285,7 +292,7 @@
     moved = await queued
     assert isinstance(moved, Refusal)
     assert (moved.kind, moved.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.UNKNOWN)
-    new, _ = await rack.owned("b", inherited=taken[0])
+    new, _ = await rack.start_owner("b", inherited=taken[0])
     assert isinstance(await new.submit(request("queued", first_attempt=False)), Answer)
     assert isinstance(await running, Answer)
     # A planned hand-over leaves no gap, so a key that was sent before it still runs.
@@ -301,7 +308,7 @@
     worker = rack.workers["w1"]
     for number in range(1300):
         worker.ended[f"e{number}"] = EndedTask(f"e{number}", "team", True, b"z" * 2000)
-    owner, _ = await rack.owned("a")
+    owner, _ = await rack.start_owner("a")
     again = await owner.submit(request("e1299", first_attempt=False, first_sent_at=0.0))
     assert again.body == b"z" * 2000
 
@@ -315,11 +322,11 @@
         taken.append(message)
         return True
 
-    old, _ = await rack.owned("a", send_hand_over=send)
+    old, _ = await rack.start_owner("a", send_hand_over=send)
     assert await old.claim_driver.hand_over("c")
     before = time.time()
-    await rack.owned("b")
-    new, _ = await rack.owned("c", inherited=taken[0])
+    await rack.start_owner("b")
+    new, _ = await rack.start_owner("c", inherited=taken[0])
     early = request("early", first_attempt=False, first_sent_at=before)
     assert (await new.submit(early)).outcome is Outcome.UNKNOWN
 
@@ -333,15 +340,15 @@
         taken.append(message)
         return True
 
-    old, _ = await rack.owned("a", send_hand_over=send)
+    old, _ = await rack.start_owner("a", send_hand_over=send)
     first_sent_at = time.time() + 1.0
-    running = rack.begin(old.submit(request("once", LONG, first_sent_at=first_sent_at)))
+    running = rack.spawn(old.submit(request("once", LONG, first_sent_at=first_sent_at)))
     await until(lambda: old.worker_of("once"))
     name = old.worker_of("once")
     assert await old.claim_driver.hand_over("b")
     running.cancel()
     rack.workers[name].running.clear()
-    new, _ = await rack.owned("b", inherited=taken[0])
+    new, _ = await rack.start_owner("b", inherited=taken[0])
     again = request("once", LONG, first_attempt=False, first_sent_at=first_sent_at)
     assert (await new.submit(again)).outcome is Outcome.UNKNOWN
 
@@ -360,8 +367,8 @@
 
         return "elsewhere", refuse()
 
-    owner, _ = await rack.owned("a", forward=forward)
-    rack.begin(owner.submit(request("first", SHORT)))
+    owner, _ = await rack.start_owner("a", forward=forward)
+    rack.spawn(owner.submit(request("first", SHORT)))
     await until(lambda: owner.worker_of("first"))
     assert isinstance(await owner.submit(request("second")), Answer)
     assert asked == ["second"]
@@ -380,10 +387,10 @@
 
         return "elsewhere", answer()
 
-    owner, _ = await rack.owned("a", forward=forward)
-    rack.begin(owner.submit(request("first", LONG)))
+    owner, _ = await rack.start_owner("a", forward=forward)
+    rack.spawn(owner.submit(request("first", LONG)))
     await until(lambda: owner.worker_of("first"))
-    second = rack.begin(owner.submit(request("second")))
+    second = rack.spawn(owner.submit(request("second")))
     await until(owner.forwarder.forwarded_ids)
     await higher_token(rack)
     await until(lambda: owner.claim.state is ShardState.LOST)
@@ -398,8 +405,8 @@
     """Guard against a second run: no worker of the home shard refuses a stale forward."""
     rack.limit = {"team": 1}
     forwarded = []
-    owner, _ = await rack.owned("a", forward=lambda req: forwarded.append(req.request_id))
-    rack.begin(owner.submit(request("first", LONG)))
+    owner, _ = await rack.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
+    rack.spawn(owner.submit(request("first", LONG)))
     await until(lambda: owner.worker_of("first"))
     await higher_token(rack)
     second = await owner.submit(request("second", first_attempt=False, first_sent_at=time.time()))
@@ -412,11 +419,11 @@
     """Guard against a next owner that runs again what another shard still runs."""
     rack.limit = {"team": 1}
     forwarded = []
-    owner, _ = await rack.owned("a", forward=lambda req: forwarded.append(req.request_id))
-    rack.begin(owner.submit(request("first", SHORT)))
+    owner, _ = await rack.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
+    rack.spawn(owner.submit(request("first", SHORT)))
     await until(lambda: owner.worker_of("first"))
-    plain = rack.begin(owner.submit(request("plain")))
-    again = rack.begin(owner.submit(request("again", idempotent=True)))
+    plain = rack.spawn(owner.submit(request("plain")))
+    again = rack.spawn(owner.submit(request("again", idempotent=True)))
     await asyncio.gather(plain, again)
     assert set(forwarded) == {"plain"}
 
@@ -424,8 +431,8 @@
 @scenario()
 async def test_a_task_that_its_owner_stopped_is_not_called_failed(rack):
     """Guard against preemption and lowered limits that count as failures of the task."""
-    owner, _ = await rack.owned("a")
-    stopped = rack.begin(owner.submit(request("stopped", LONG, idempotent=True)))
+    owner, _ = await rack.start_owner("a")
+    stopped = rack.spawn(owner.submit(request("stopped", LONG, idempotent=True)))
     await until(lambda: owner.worker_of("stopped"))
     worker = owner.worker_of("stopped")
     await apply_preemption(owner, Preemption("stopped", worker, PreemptionAction.STOP, "urgent"))
--- a/baobabhoist/tests/test_quota_classes.py
+++ b/baobabhoist/tests/test_quota_classes.py
@@ -6,14 +6,14 @@
 
 from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.policies import class_limits
-from baobabhoist.daemon.shard_quota import ShardPlaces
+from baobabhoist.daemon.shard_quota import ShardQuota
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Answer, Outcome, Resources, RunningTask, WorkKind
 from baobabhoist.quota.classes import class_key
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.memory_table import MemoryTable
-from baobabhoist.tests.shard_harness import Rack, quicken, request, until
+from baobabhoist.tests.shard_harness import ShardHarness, request, shorten_intervals, until
 
 BATCH = class_key("team", WorkKind.BATCH)
 
@@ -35,7 +35,7 @@
     """Return places of a new owner that found these kinds running on a fenced worker."""
     quota = QuotaLedger("r")
     quota.begin_takeover()
-    places = ShardPlaces(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
+    places = ShardQuota(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
     places.class_ledger.limits = {BATCH: 2}
     running = [
         RunningTask(f"{kind.value}-{n}", "team", Resources(), kind) for n, kind in enumerate(kinds)
@@ -76,12 +76,12 @@
 
 def test_a_full_class_waits_and_holds_no_other_work_of_the_team_back(monkeypatch):
     """Guard against batch work over its limit, and against requests that wait behind it."""
-    quicken(monkeypatch)
+    shorten_intervals(monkeypatch)
 
     async def scenario():
-        rack = Rack(MemoryTable())
+        rack = ShardHarness(MemoryTable())
         try:
-            owner, _ = await rack.owned("a")
+            owner, _ = await rack.start_owner("a")
             owner.shard_quota.class_ledger.limits = {BATCH: 1}
             calls = []
             for n in range(3):
