--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -30,21 +30,25 @@
         self, worker: str, running: Iterable[RunningTask], known: Iterable[str]
     ) -> list[RunningTask]:
         """Take a worker's report; return the tasks that are new here and not `known`."""
-        here = self.tasks.setdefault(worker, {})
-        skip = set(known)
-        new = [task for task in running if task.task_id not in here and task.task_id not in skip]
-        here.update((task.task_id, task) for task in new)
+        tasks_on_worker = self.tasks.setdefault(worker, {})
+        known_ids = set(known)
+        new = [
+            task
+            for task in running
+            if task.task_id not in tasks_on_worker and task.task_id not in known_ids
+        ]
+        tasks_on_worker.update((task.task_id, task) for task in new)
         return new
 
     def find_missing(self, worker: str, running: Iterable[str]) -> list[str]:
         """Return the adopted tasks that a later report of the worker no longer names."""
-        here = self.tasks.get(worker, {})
-        return list(here.keys() - set(running)) if here else []
+        tasks_on_worker = self.tasks.get(worker, {})
+        return list(tasks_on_worker.keys() - set(running)) if tasks_on_worker else []
 
     def worker_of(self, task_id: str) -> str | None:
         """Return the worker that runs an adopted task."""
-        for worker, here in self.tasks.items():
-            if task_id in here:
+        for worker, tasks_on_worker in self.tasks.items():
+            if task_id in tasks_on_worker:
                 return worker
         return None
 
@@ -78,9 +82,9 @@
         owner.scheduler.adopt(worker, adopted, now)
         owner.shard_quota.adopt(worker, adopted)
         # Open calls report their own end; taking it twice would break the keys' states.
-        foreign = [done for done in ended if done.task_id not in owner.in_flight]
-        owner.requests.answers.note_omitted_bodies(worker, foreign)
-        for request_id, result in owner.keys.inherit(worker, adopted, foreign, now):
+        without_call = [task for task in ended if task.task_id not in owner.in_flight]
+        owner.requests.answers.note_omitted_bodies(worker, without_call)
+        for request_id, result in owner.keys.inherit(worker, adopted, without_call, now):
             owner.spawn(owner.requests.deliver_with_body(request_id, result))
         for task_id in self._adopted.find_missing(worker, [task.task_id for task in running]):
             if self._adopted.remove(worker, task_id):
@@ -89,20 +93,20 @@
     def reconcile(self, worker: str, running: Iterable[str]) -> None:
         """Take the names of the tasks that a worker runs."""
         for task_id in self._adopted.find_missing(worker, running):
-            self._owner.spawn(self._end(worker, task_id))
+            self._owner.spawn(self._resolve_missing(worker, task_id))
 
-    async def _end(self, worker: str, task_id: str) -> None:
+    async def _resolve_missing(self, worker: str, task_id: str) -> None:
         """Take the stored answer of an adopted task that no longer runs."""
         if not self._adopted.remove(worker, task_id):
             return
         owner = self._owner
-        fate = await owner.dispatcher.resolve_outcome(task_id, float("inf"), worker)
-        if isinstance(fate, Superseded):
+        outcome = await owner.dispatcher.resolve_outcome(task_id, float("inf"), worker)
+        if isinstance(outcome, Superseded):
             return
-        self._release(task_id, isinstance(fate, Completed) and fate.succeeded)
+        self._release(task_id, isinstance(outcome, Completed) and outcome.succeeded)
         # The worker reported it as running before, so `never` only means that it forgot it.
-        known = LostTask() if isinstance(fate, NotStarted) else fate
-        owner.finish(task_id, result_of_outcome(task_id, known))
+        final_outcome = LostTask() if isinstance(outcome, NotStarted) else outcome
+        owner.finish(task_id, result_of_outcome(task_id, final_outcome))
         owner.dispatch(owner.now)
 
     def _release(self, task_id: str, succeeded: bool) -> None:
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -49,9 +49,9 @@
         if worker is None or not isinstance(result, Answer):
             return result
         deadline = max(req.task.deadline, time.time())
-        fate = await self.resolve(req.request_id, deadline, worker)
-        if isinstance(fate, Completed):
-            return completed_result(req.request_id, fate.succeeded, fate.body)
+        outcome = await self.resolve(req.request_id, deadline, worker)
+        if isinstance(outcome, Completed):
+            return completed_result(req.request_id, outcome.succeeded, outcome.body)
         return outcome_unknown_refusal("the request ran, and its answer is no longer stored")
 
     def retain(self, keys: Container[str]) -> None:
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -104,7 +104,7 @@
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
         self.sync = RecordSync(self.view, self.table, cfg.instance_id, cfg.data_centre)
-        self.members = MemberList(platform, self._members_read)
+        self.members = MemberList(platform, self._on_membership_read)
         self.tls = PeerTls(cfg.peer_tls) if cfg.peer_tls is not None else None
         self._addresses = {
             peer.instance_id: PeerAddress(peer.instance_id, peer.data_centre, peer.host, peer.port)
@@ -114,7 +114,7 @@
             list(self._addresses.values()),
             self.heartbeat,
             self._on_peer_message,
-            on_heartbeat=self._heard,
+            on_heartbeat=self._on_heartbeat,
             tls=self.tls,
         )
         self.ownership = OwnershipManager(
@@ -136,13 +136,13 @@
             self.open_requests,
             self.ownership,
             lambda: self.router.open_requests,
-            self._close_callers,
+            self._close_caller_server,
         )
         self.sync.peers = self.mesh
         self.sync.is_poller = self._is_poller
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener_tls = (_listener_tls(cfg.caller_tls), _listener_tls(cfg.admin_tls))
-        self._callers = http_server(
+        self._caller_server = http_server(
             caller_app(
                 self,
                 CallerOptions(
@@ -160,7 +160,7 @@
             HttpLimits(max_body_bytes=cfg.max_body_bytes),
             self._listener_tls[0].context if self._listener_tls[0] is not None else None,
         )
-        self._admin = http_server(
+        self._admin_server = http_server(
             admin_app(
                 self,
                 AdminOptions(
@@ -183,24 +183,24 @@
             instance_id=self.cfg.instance_id,
             data_centre=self.cfg.data_centre,
         )
-        self._callers.listen(self.cfg.caller_port, self.cfg.host)
-        self._admin.listen(self.cfg.admin_port, self.cfg.host)
-        loops = [
+        self._caller_server.listen(self.cfg.caller_port, self.cfg.host)
+        self._admin_server.listen(self.cfg.admin_port, self.cfg.host)
+        coroutines = [
             self.sync.run(),
             self.members.run(),
             self.mesh.run(self.cfg.host, self.cfg.peer_port),
-            self._own_shards(),
+            self._run_ownership(),
             self._apply_records(),
-            self._share_usage(),
+            self._update_fleet_usage(),
             self._reload_tls(),
             self.jobs.run(),
             self.escrow.run(),
             GaugeUpdater(self.metrics, self, lambda: self.view.revision).run(),
         ]
         async with asyncio.TaskGroup() as tg:
-            running = [tg.create_task(loop) for loop in loops]
+            tasks = [tg.create_task(coroutine) for coroutine in coroutines]
             await self.drain.run()
-            for task in running:
+            for task in tasks:
                 task.cancel()
 
     @property
@@ -210,12 +210,12 @@
 
     def heartbeat(self) -> Heartbeat:
         """Describe this instance to its peers."""
-        busy = self.active_owners()
-        self._own_digests = [build_digest(owner) for owner in busy]
+        active = self.active_owners()
+        self._own_digests = [build_digest(owner) for owner in active]
         return Heartbeat(
             self.cfg.instance_id,
             self.cfg.data_centre,
-            tuple(owner.shard for owner in busy),
+            tuple(owner.shard for owner in active),
             self.view.revision,
             draining=self.drain.started.is_set(),
             shards=tuple(self._own_digests),
@@ -276,39 +276,47 @@
             return await self.jobs.handle(message)
         return Ack()
 
-    def _heard(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._spawn(
-            self.sync.on_peer_revision(beat.instance_id, beat.records_revision, beat.cut_off_s)
+            self.sync.on_peer_revision(
+                heartbeat.instance_id, heartbeat.records_revision, heartbeat.cut_off_s
+            )
         )
 
-    async def _members_read(self, members: MemberList) -> None:
+    async def _on_membership_read(self, members: MemberList) -> None:
         gone = members.gone()
         for owner in list(self.ownership.owners.values()):
             owner.set_leaving_workers(members.leaving() | self.view.drained_workers(owner.shard))
             await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
             self.mesh.forget(name)
-        listed = [
+        member_addresses = [
             PeerAddress(member.name, member.data_centre, member.host, member.port)
             for member in members.members.values()
             if member.kind == ENTRY_MEMBER_KIND and member.port and member.state != "gone"
         ]
-        back = [self._addresses[name] for name in self._addresses if name not in gone]
-        own = self.cfg.instance_id
-        self.mesh.consider(peer for peer in (*back, *listed) if peer.instance_id != own)
+        configured_addresses = [
+            self._addresses[name] for name in self._addresses if name not in gone
+        ]
+        own_id = self.cfg.instance_id
+        self.mesh.consider(
+            peer
+            for peer in (*configured_addresses, *member_addresses)
+            if peer.instance_id != own_id
+        )
 
     def _is_poller(self) -> bool:
         """Tell whether this instance polls the change log for its data centre."""
-        here = [
-            beat.instance_id
-            for beat in self.mesh.beats()
-            if beat.data_centre == self.cfg.data_centre and not beat.draining
+        poller_candidates = [
+            heartbeat.instance_id
+            for heartbeat in self.mesh.beats()
+            if heartbeat.data_centre == self.cfg.data_centre and not heartbeat.draining
         ]
-        return all(self.cfg.instance_id < other for other in here)
+        return all(self.cfg.instance_id < other for other in poller_candidates)
 
     # What runs in the background.
 
-    async def _own_shards(self) -> None:
+    async def _run_ownership(self) -> None:
         await self.sync.loaded.wait()
         await self.ownership.run()
 
@@ -321,33 +329,33 @@
             for owner in list(self.ownership.owners.values()):
                 await owner.set_workers(self.view.workers_of(owner.shard))
                 owner.set_leaving_workers(leaving | self.view.drained_workers(owner.shard))
-                self._set_policies(owner)
+                self._apply_policies(owner)
             self.escrow.apply_lowered_limits()
 
-    def _set_policies(self, owner: ShardOwner) -> None:
+    def _apply_policies(self, owner: ShardOwner) -> None:
         owner.scheduler.set_policies(queue_policies(self.view), team_policies(self.view))
         owner.shard_quota.class_ledger.limits = class_limits(self.view, owner.shard)
 
-    async def _share_usage(self) -> None:
+    async def _update_fleet_usage(self) -> None:
         """Tell the decisions of each shard what its teams use elsewhere."""
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
             digests = [*self.mesh.digests(), *map(build_digest, self.active_owners())]
             for owner in self.active_owners():
-                elsewhere, part = usage_elsewhere(slots, owner.shard, digests)
-                owner.scheduler.set_fleet_usage(elsewhere, part)
+                usage, shard_fraction = usage_elsewhere(slots, owner.shard, digests)
+                owner.scheduler.set_fleet_usage(usage, shard_fraction)
 
     async def _reload_tls(self) -> None:
-        watched = [tls for tls in (self.tls, *self._listener_tls) if tls is not None]
+        reloadable = [tls for tls in (self.tls, *self._listener_tls) if tls is not None]
         while True:
             await asyncio.sleep(TLS_CHECK_INTERVAL_S)
-            for tls in watched:
+            for tls in reloadable:
                 tls.reload_if_changed()
 
-    async def _close_callers(self) -> None:
-        self._callers.stop()
-        await self._callers.close_all_connections()
+    async def _close_caller_server(self) -> None:
+        self._caller_server.stop()
+        await self._caller_server.close_all_connections()
 
     def _make_owner(
         self, claim: ShardClaim, workers: list[WorkerSpec], inherited: HandOver | None
@@ -363,7 +371,7 @@
             observer=MetricsObserver(self.metrics),
         )
         owner.set_leaving_workers(self.members.leaving() | self.view.drained_workers(owner.shard))
-        self._set_policies(owner)
+        self._apply_policies(owner)
         return owner
 
     def _forward(self, req: Request) -> Any:
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -134,21 +134,21 @@
         self._clock = clock
         self._row_key = f"shard/{claim.shard}"
         self._tasks: set[asyncio.Task[None]] = set()
-        self._presenting: dict[str, Token] = {}
-        self._held_before: dict[str, Token | None] = {}
-        self._silent: dict[str, int] = {}
-        self._began = False
-        self._confirming: asyncio.Task[None] | None = None
-        self._settled = asyncio.Event()
+        self._presented_tokens: dict[str, Token] = {}
+        self._previous_tokens: dict[str, Token | None] = {}
+        self._renewal_timeouts: dict[str, int] = {}
+        self._has_claimed = False
+        self._confirmation: asyncio.Task[None] | None = None
+        self._hand_over_finished = asyncio.Event()
 
     async def run(self) -> None:
         """Claim the shard and hold it; return when it is lost or released."""
-        loops = [asyncio.create_task(self._tick()), asyncio.create_task(self._renew())]
+        loops = [asyncio.create_task(self._run_ticks()), asyncio.create_task(self._renew_leases())]
         try:
-            await self._want()
-            self._began = True
+            await self._claim_shard()
+            self._has_claimed = True
             loops.append(asyncio.create_task(self._confirm_epoch()))
-            self._note_end()
+            self._check_ended()
             await self.ended.wait()
         finally:
             for task in (*loops, *self._tasks):
@@ -163,15 +163,15 @@
 
         The claim ends a hand-over by itself when its deadline passes.
         """
-        self._settled.clear()
+        self._hand_over_finished.clear()
         await self.apply(HandOverWanted(successor))
         if self.claim.state is ShardState.HANDING_OVER:
-            await self._settled.wait()
+            await self._hand_over_finished.wait()
         return self.ended.is_set()
 
     def directly_follows(self, token: Token) -> bool:
         """Tell whether every worker held this token until it took one of this claim."""
-        return all(self._held_before.get(worker) == token for worker in self.claim.workers)
+        return all(self._previous_tokens.get(worker) == token for worker in self.claim.workers)
 
     async def confirm_owned_at(self, at: float) -> bool:
         """Tell whether this instance certainly owned the shard at a time; may ask workers."""
@@ -183,14 +183,14 @@
 
     def start_confirmation(self) -> asyncio.Task[None]:
         """Ask some workers to confirm the token; calls at the same time share one round."""
-        if self._confirming is None or self._confirming.done():
-            self._confirming = asyncio.create_task(self._ask_workers())
-        return self._confirming
+        if self._confirmation is None or self._confirmation.done():
+            self._confirmation = asyncio.create_task(self._confirm_with_workers())
+        return self._confirmation
 
-    async def _ask_workers(self) -> None:
+    async def _confirm_with_workers(self) -> None:
         workers = [name for name in self.claim.fenced if self._pool.connected(name)]
-        chosen = workers[:CONFIRM_SAMPLE_SIZE]
-        await asyncio.gather(*(self._renew_worker(worker) for worker in chosen))
+        sample = workers[:CONFIRM_SAMPLE_SIZE]
+        await asyncio.gather(*(self._renew_worker(worker) for worker in sample))
 
     async def on_token_refused(self, worker: str, highest: Token) -> None:
         """Note that a worker obeys a higher token."""
@@ -221,67 +221,67 @@
         """
         if self.ended.is_set():
             return
-        unverified = bool(self.claim.unverified)
+        had_unverified = bool(self.claim.unverified)
         try:
             actions = self.claim.step(event, self._clock())
         except InvariantBreachError:
             # The step had no effect and its breach is counted; the claim goes on without it.
             return
-        self._note_end()
+        self._check_ended()
         for action in actions:
             await self._perform(action)
-        if actions or unverified or not isinstance(event, ROUTINE_EVENTS):
+        if actions or had_unverified or not isinstance(event, ROUTINE_EVENTS):
             self._listener.update_usable_workers()
 
-    def _note_end(self) -> None:
-        if self._began and self.claim.state in ENDED_STATES:
+    def _check_ended(self) -> None:
+        if self._has_claimed and self.claim.state in ENDED_STATES:
             self.ended.set()
 
     async def _perform(self, action: Action) -> None:
         match action:
             case AdvanceEpoch(expected, target):
-                await self.apply(await self._advance(expected, target))
+                await self.apply(await self._advance_epoch(expected, target))
             case PresentToken(worker, token):
-                self._present(worker, token)
+                self._start_fencing(worker, token)
             case SendQueue(successor, token):
                 self._spawn(self._send_queue(successor, token))
             case StateChanged(state):
                 shard, token = self.claim.shard, self.claim.token
                 emit(log, Event.SHARD_STATE, shard=shard, state=state.value, token=token)
                 if state is not ShardState.HANDING_OVER:
-                    self._settled.set()
+                    self._hand_over_finished.set()
                 self._listener.on_state_changed(state)
 
-    async def _want(self) -> None:
+    async def _claim_shard(self) -> None:
         try:
             row = await within(CLAIM_TABLE_TIMEOUT_S, self._table.read(self._row_key))
-            epoch: int | None = _epoch_of(row.value)
+            epoch: int | None = _stored_epoch(row.value)
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
             epoch = None
         await self.apply(ClaimWanted(epoch))
 
-    async def _advance(
+    async def _advance_epoch(
         self, expected: int, target: int
     ) -> EpochGranted | EpochConflict | EpochUnavailable:
         owner, key = self.claim.instance_id, self._row_key
-        until = time.monotonic() + CLAIM_TABLE_TIMEOUT_S
+        deadline = time.monotonic() + CLAIM_TABLE_TIMEOUT_S
         try:
-            row = await within(until - time.monotonic(), self._table.read(key))
-            held = _epoch_of(row.value)
-            if held == target and row.value["owner"] == owner:
+            row = await within(deadline - time.monotonic(), self._table.read(key))
+            stored_epoch = _stored_epoch(row.value)
+            if stored_epoch == target and row.value["owner"] == owner:
                 # An earlier commit took effect and its answer was lost.
                 self.row_revision = row.revision
                 return EpochGranted(target)
-            if held != expected:
-                return EpochConflict(held)
+            if stored_epoch != expected:
+                return EpochConflict(stored_epoch)
             txn = Transaction({key: row.revision}, {key: {"epoch": target, "owner": owner}})
-            outcome = await within(until - time.monotonic(), self._table.commit(txn))
+            outcome = await within(deadline - time.monotonic(), self._table.commit(txn))
             if isinstance(outcome, Committed):
                 self.row_revision = outcome.revisions[key]
                 return EpochGranted(target)
-            row = await within(until - time.monotonic(), self._table.read(key))
-            return EpochConflict(_epoch_of(row.value))
+            row = await within(deadline - time.monotonic(), self._table.read(key))
+            return EpochConflict(_stored_epoch(row.value))
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
             return EpochUnavailable()
@@ -293,31 +293,31 @@
             if self.claim.confirmed:
                 continue
             try:
-                epoch = _epoch_of((await self._table.read(self._row_key)).value)
+                epoch = _stored_epoch((await self._table.read(self._row_key)).value)
             except PlatformError:
                 continue
             await self.apply(ClaimWanted(epoch))
 
     async def _send_queue(self, successor: str, token: Token) -> None:
-        taken = await self._listener.send_queue(successor, token)
-        if taken is not None:
-            await self.apply(HandOverTaken() if taken else HandOverRefused())
+        is_accepted = await self._listener.send_queue(successor, token)
+        if is_accepted is not None:
+            await self.apply(HandOverTaken() if is_accepted else HandOverRefused())
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             await self.apply(Tick())
 
-    def _present(self, worker: str, token: Token) -> None:
-        if self._presenting.get(worker) != token:
-            self._presenting[worker] = token
-            self._spawn(self._fence(worker, token))
+    def _start_fencing(self, worker: str, token: Token) -> None:
+        if self._presented_tokens.get(worker) != token:
+            self._presented_tokens[worker] = token
+            self._spawn(self._fence_worker(worker, token))
 
-    async def _fence(self, worker: str, token: Token) -> None:
+    async def _fence_worker(self, worker: str, token: Token) -> None:
         try:
             while self.claim.token == token and not self.ended.is_set():
                 sent_at = self._clock()
-                reply = await self._try_fence(worker, token)
+                reply = await self._present_token(worker, token)
                 if reply is None:
                     await asyncio.sleep(FENCE_RETRY_INTERVAL_S)
                     continue
@@ -325,8 +325,8 @@
             else:
                 return
         finally:
-            if self._presenting.get(worker) == token:
-                del self._presenting[worker]
+            if self._presented_tokens.get(worker) == token:
+                del self._presented_tokens[worker]
         if isinstance(reply, TokenRefused):
             await self.on_token_refused(worker, reply.highest)
         elif self.claim.token == token:
@@ -334,25 +334,27 @@
             claimant = self.claim.instance_id
             if reply.previous is None or reply.previous.instance_id != claimant:
                 self._listener.on_worker_restarted(worker)
-            self._held_before.setdefault(worker, reply.previous)
+            self._previous_tokens.setdefault(worker, reply.previous)
             self._listener.on_inventory(worker, reply.running, reply.ended)
             running, ended = tuple(reply.running), tuple(reply.ended)
             await self.apply(WorkerFenced(worker, token, running, ended, reply.previous, sent_at))
 
-    async def _try_fence(self, worker: str, token: Token) -> TokenRefused | WorkerInventory | None:
+    async def _present_token(
+        self, worker: str, token: Token
+    ) -> TokenRefused | WorkerInventory | None:
         """Present the token and read the whole inventory, which may come in pages."""
-        found = WorkerInventory()
+        inventory = WorkerInventory()
         call: Any = FenceWorker(self.claim.shard, token)
         try:
             while True:
                 reply = await self._pool.call(worker, call, FENCE_CALL_TIMEOUT_S)
                 if not isinstance(reply, WorkerFencedReply):
                     return reply if isinstance(reply, TokenRefused) else None
-                found.running.extend(reply.running)
-                found.ended.extend(reply.ended)
-                found.previous = found.previous or reply.previous
+                inventory.running.extend(reply.running)
+                inventory.ended.extend(reply.ended)
+                inventory.previous = inventory.previous or reply.previous
                 if not reply.next_page:
-                    return found
+                    return inventory
                 call = ReadInventory(token, reply.next_page)
         except LinkClosedError:
             return None
@@ -360,7 +362,7 @@
             self._pool.replace(worker)
             return None
 
-    async def _renew(self) -> None:
+    async def _renew_leases(self) -> None:
         while True:
             await asyncio.sleep(RENEW_INTERVAL_S)
             for worker in list(self.claim.fenced):
@@ -376,19 +378,19 @@
         except LinkClosedError:
             return
         except TimeoutError:
-            self._count_silence(worker)
+            self._count_renewal_timeout(worker)
             return
-        self._silent.pop(worker, None)
+        self._renewal_timeouts.pop(worker, None)
         if isinstance(reply, TokenRefused):
             await self.on_token_refused(worker, reply.highest)
         elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced:
             await self.apply(WorkerConfirmed(worker, token, sent_at))
             self._listener.on_leases_renewed(worker, reply, mark)
 
-    def _count_silence(self, worker: str) -> None:
-        self._silent[worker] = self._silent.get(worker, 0) + 1
-        if self._silent[worker] >= MAX_RENEWAL_TIMEOUTS:
-            del self._silent[worker]
+    def _count_renewal_timeout(self, worker: str) -> None:
+        self._renewal_timeouts[worker] = self._renewal_timeouts.get(worker, 0) + 1
+        if self._renewal_timeouts[worker] >= MAX_RENEWAL_TIMEOUTS:
+            del self._renewal_timeouts[worker]
             self._pool.replace(worker)
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -397,5 +399,5 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _epoch_of(value: Any) -> int:
+def _stored_epoch(value: Any) -> int:
     return int(value["epoch"]) if value else 0
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -127,13 +127,13 @@
         calls: WorkerCaller,
         leases: WorkerLeases,
         token: Callable[[], Token],
-        on_refused: Callable[[str, Token], Awaitable[None]],
+        on_token_refused: Callable[[str, Token], Awaitable[None]],
         clock: Callable[[], float],
     ) -> None:
         self._calls = calls
         self._leases = leases
         self._token = token
-        self._on_refused = on_refused
+        self._on_token_refused = on_token_refused
         self._clock = clock
         self._restarts: Counter[str] = Counter()
 
@@ -145,9 +145,9 @@
         """Run a task and return what became of it; it may take past the task's deadline."""
         now, token, restarts = self._clock(), self._token(), self._restarts[worker]
         call = RunTask(token, task, self._leases.extend(worker, now))
-        patience = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
+        timeout_s = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
         try:
-            reply = await self._calls.call(worker, call, patience)
+            reply = await self._calls.call(worker, call, timeout_s)
         except NotSentError:
             return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
@@ -160,7 +160,7 @@
             case TaskRefused():
                 return NotStarted(reply.reason)
             case TokenRefused():
-                await self._on_refused(worker, reply.highest)
+                await self._on_token_refused(worker, reply.highest)
                 if reply.highest < token:
                     return NotStarted("the worker restarted and must be fenced again")
                 return Superseded(sent=False)
@@ -175,19 +175,19 @@
         `restarts` is the worker's number of restarts before the task was sent; after another
         one `never` only means that the worker has forgotten the task.
         """
-        before = self._restarts[worker] if restarts is None else restarts
+        known_restarts = self._restarts[worker] if restarts is None else restarts
         while True:
-            fate = await self._query(task_id, worker)
-            if isinstance(fate, NotStarted) and self._restarts[worker] != before:
+            outcome = await self._query_outcome(task_id, worker)
+            if isinstance(outcome, NotStarted) and self._restarts[worker] != known_restarts:
                 return LostTask()
-            if fate is not None:
-                return fate
+            if outcome is not None:
+                return outcome
             now = self._clock()
             if now > deadline + DEADLINE_GRACE_S:
-                await self._stop(task_id, worker)
+                await self._stop_task(task_id, worker)
             await asyncio.sleep(QUERY_INTERVAL_S)
 
-    async def _query(self, task_id: str, worker: str) -> DispatchOutcome | None:
+    async def _query_outcome(self, task_id: str, worker: str) -> DispatchOutcome | None:
         try:
             report = await self._calls.call(
                 worker, QueryOutcome(self._token(), task_id), WORKER_CALL_TIMEOUT_S
@@ -196,7 +196,7 @@
             return LostTask() if self._leases.all_expired(worker, self._clock()) else None
         match report:
             case TokenRefused(highest):
-                await self._on_refused(worker, highest)
+                await self._on_token_refused(worker, highest)
                 return Superseded(sent=True) if highest > self._token() else None
             case OutcomeReport(ended=EndedTask() as ended):
                 return Completed(ended.succeeded, ended.body)
@@ -204,7 +204,7 @@
                 return NotStarted("the worker never started it")
         return None
 
-    async def _stop(self, task_id: str, worker: str) -> None:
+    async def _stop_task(self, task_id: str, worker: str) -> None:
         try:
             await self._calls.call(worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
@@ -254,9 +254,9 @@
     )
 
 
-def result_of_outcome(task_id: str, fate: DispatchOutcome) -> Result:
+def result_of_outcome(task_id: str, outcome: DispatchOutcome) -> Result:
     """Return the result of a task of which this is known."""
-    match fate:
+    match outcome:
         case Completed(succeeded, body):
             return completed_result(task_id, succeeded, body)
         case NotStarted(reason):
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -79,13 +79,13 @@
 class EscrowManager:
     """Own the transactions on escrow rows of all shards of this instance."""
 
-    def __init__(self, instance: EscrowContext, clock: Callable[[], float] = time.time) -> None:
+    def __init__(self, context: EscrowContext, clock: Callable[[], float] = time.time) -> None:
         self.rows: dict[str, VersionedRow] = {}
-        self._instance = instance
+        self._context = context
         self._clock = clock
         self._accounts: dict[str, ShardAccount] = {}
         self._wake = asyncio.Event()
-        self._read_at = 0.0
+        self._next_read_at = 0.0
         # Between the reading of a row and its use no other step may move this shard's places.
         self._lock = asyncio.Lock()
 
@@ -95,17 +95,17 @@
             try:
                 if self._is_due():
                     await self.reconcile()
-                    self._read_at = self._clock() + IDLE_READ_INTERVAL_S
+                    self._next_read_at = self._clock() + IDLE_READ_INTERVAL_S
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
                 log.warning("a step on the escrow rows was refused")
-            waiting = any(
-                owner.quota_ledger.cap is not None for owner in self._instance.active_owners()
+            is_capped = any(
+                owner.quota_ledger.cap is not None for owner in self._context.active_owners()
             )
             try:
                 async with asyncio.timeout(
-                    TAKEOVER_INTERVAL_S if waiting else RECONCILE_INTERVAL_S
+                    TAKEOVER_INTERVAL_S if is_capped else RECONCILE_INTERVAL_S
                 ):
                     await self._wake.wait()
             except TimeoutError:
@@ -115,12 +115,12 @@
         """Tell whether the rows have to be read now; each reading costs one scan of the table."""
         return (
             self._wake.is_set()
-            or self._clock() >= self._read_at
-            or any(known.row.pending_limit is not None for known in self.rows.values())
+            or self._clock() >= self._next_read_at
+            or any(current.row.pending_limit is not None for current in self.rows.values())
             or any(account.in_doubt for account in self._accounts.values())
             or any(
-                owner.quota_ledger.cap is not None or self._wanted(owner)
-                for owner in self._usable()
+                owner.quota_ledger.cap is not None or self._unmet_demand(owner)
+                for owner in self._eligible_owners()
             )
         )
 
@@ -129,27 +129,27 @@
         # Only a row read after the table confirmed the epoch holds a shard's full escrow: the
         # transactions of an earlier owner fail from then on.
         self._wake.clear()
-        wishes: list[PlacesWanted] = []
+        requests: list[PlacesWanted] = []
         async with self._lock:
-            accounts = [self._account(owner) for owner in self._usable()]
+            accounts = [self._account_of(owner) for owner in self._eligible_owners()]
             if not accounts:
                 return
-            await self._read()
-            await self._maintain()
+            await self._read_rows()
+            await self._write_record_limits()
             for account in accounts:
-                await self._settle_doubts(account)
-                self._sync(account)
+                await self._resolve_in_doubt(account)
+                self._sync_ledger(account)
             for account in accounts:
                 await self._return_excess(account)
                 self._stop_excess(account)
-                wishes += await self._demand(account)
+                requests += await self._acquire_quota(account)
         # Two instances that ask each other must not wait for each other's lock.
-        for wish in wishes:
-            await self._ask(wish)
+        for request in requests:
+            await self._request_transfer(request)
 
     def apply_lowered_limits(self) -> None:
         """Apply lowered limits of the records at once, before the rows follow."""
-        for owner in self._usable():
+        for owner in self._eligible_owners():
             if owner.quota_ledger.cap is None:
                 self._set_ceilings(owner)
                 owner.dispatch(self._clock())
@@ -158,135 +158,141 @@
     async def grant(self, wanted: PlacesWanted) -> PlacesGiven:
         """Transfer free places to another shard and return how many."""
         async with self._lock:
-            return await self._give(wanted)
+            return await self._grant_locked(wanted)
 
-    async def _give(self, wanted: PlacesWanted) -> PlacesGiven:
-        nothing = PlacesGiven(wanted.team, 0)
-        owners = {owner.shard: owner for owner in self._usable()}
+    async def _grant_locked(self, wanted: PlacesWanted) -> PlacesGiven:
+        refused = PlacesGiven(wanted.team, 0)
+        owners = {owner.shard: owner for owner in self._eligible_owners()}
         owner = owners.get(wanted.from_shard)
         if owner is None or owner.quota_ledger.cap is not None:
-            return nothing
-        account = self._account(owner)
-        if wanted.team in account.in_doubt or self._wanted(owner).get(wanted.team):
-            return nothing
+            return refused
+        account = self._account_of(owner)
+        if wanted.team in account.in_doubt or self._unmet_demand(owner).get(wanted.team):
+            return refused
         try:
-            row = _known(wanted.team, await self._instance.table.read(_key(wanted.team)))
-            places = min(wanted.places, owner.quota_ledger.giveable(wanted.team))
-            given = await self._move_out(account, wanted.team, row, places, wanted.to_shard)
+            row = _decode_row(wanted.team, await self._context.table.read(_row_key(wanted.team)))
+            units = min(wanted.places, owner.quota_ledger.giveable(wanted.team))
+            committed = await self._transfer_out(account, wanted.team, row, units, wanted.to_shard)
         except (PlatformError, InvariantBreachError):
-            return nothing
-        if given:
+            return refused
+        if committed:
             emit(
                 log,
                 Event.ESCROW_MOVED,
-                places=places,
+                places=units,
                 team=wanted.team,
                 source=wanted.from_shard,
                 target=wanted.to_shard,
             )
-        return PlacesGiven(wanted.team, places if given else 0)
+        return PlacesGiven(wanted.team, units if committed else 0)
 
-    def _usable(self) -> list[ShardOwner]:
-        return [owner for owner in self._instance.active_owners() if owner.claim.escrow_usable]
+    def _eligible_owners(self) -> list[ShardOwner]:
+        return [owner for owner in self._context.active_owners() if owner.claim.escrow_usable]
 
-    def _account(self, owner: ShardOwner) -> ShardAccount:
-        known = self._accounts.get(owner.shard)
-        if known is None or known.owner is not owner:
-            known = self._accounts[owner.shard] = ShardAccount(owner)
-        return known
+    def _account_of(self, owner: ShardOwner) -> ShardAccount:
+        account = self._accounts.get(owner.shard)
+        if account is None or account.owner is not owner:
+            account = self._accounts[owner.shard] = ShardAccount(owner)
+        return account
 
     # The rows.
 
-    async def _read(self) -> None:
+    async def _read_rows(self) -> None:
         found: dict[str, VersionedRow] = {}
         after = ""
         while True:
-            rows = await self._instance.table.scan("escrow/", after, SCAN_PAGE_SIZE)
+            rows = await self._context.table.scan("escrow/", after, SCAN_PAGE_SIZE)
             for row in rows:
                 team = row.key.removeprefix("escrow/")
-                found[team] = _known(team, row)
+                found[team] = _decode_row(team, row)
             if len(rows) < SCAN_PAGE_SIZE:
                 break
             after = rows[-1].key
         self.rows = found
 
-    async def _maintain(self) -> None:
+    async def _write_record_limits(self) -> None:
         """Write the rows that the records ask for; of several instances one succeeds."""
-        view = self._instance.view
-        changed: dict[str, tuple[int, EscrowRow]] = {}
+        view = self._context.view
+        updates: dict[str, tuple[int, EscrowRow]] = {}
         for team, record in view.teams().items():
-            known = self.rows.get(team)
-            if known is None:
+            current = self.rows.get(team)
+            if current is None:
                 row = escrow.initial(record.limit, view.shards())
-                changed[team] = (0, row)
-            elif known.revision and _target(known.row) != record.limit:
-                row = _refused_none(escrow.set_limit(team, known.row, record.limit), known.row)
-                changed[team] = (known.revision, row)
+                updates[team] = (0, row)
+            elif current.revision and _target_limit(current.row) != record.limit:
+                row = _unless_refused(
+                    escrow.set_limit(team, current.row, record.limit), current.row
+                )
+                updates[team] = (current.revision, row)
                 emit(
                     log,
-                    Event.LIMIT_LOWERED if record.limit < known.row.limit else Event.ESCROW_MOVED,
+                    Event.LIMIT_LOWERED
+                    if record.limit < current.row.limit
+                    else Event.ESCROW_MOVED,
                     team=team,
                     limit=record.limit,
-                    excess=max(0, known.row.limit - record.limit),
-                    places=record.limit - known.row.limit,
+                    excess=max(0, current.row.limit - record.limit),
+                    places=record.limit - current.row.limit,
                     source="the record",
                     target="the pool",
                 )
-        if changed:
-            txn = escrow.transaction(changed, {}, uuid.uuid4().hex)
-            outcome = await self._instance.table.commit(txn)
+        if updates:
+            txn = escrow.transaction(updates, {}, uuid.uuid4().hex)
+            outcome = await self._context.table.commit(txn)
             if isinstance(outcome, Committed):
-                for team, (_, row) in changed.items():
-                    self.rows[team] = VersionedRow(outcome.revisions[_key(team)], row)
+                for team, (_, row) in updates.items():
+                    self.rows[team] = VersionedRow(outcome.revisions[_row_key(team)], row)
             else:
-                await self._read()
+                await self._read_rows()
 
-    async def _settle_doubts(self, account: ShardAccount) -> None:
+    async def _resolve_in_doubt(self, account: ShardAccount) -> None:
         for team, revision in list(account.in_doubt.items()):
-            known = self.rows.get(team)
-            if known is not None and known.revision == revision:
+            current = self.rows.get(team)
+            if current is not None and current.revision == revision:
                 # Any later revision makes a transaction that is still on its way fail.
-                writes = {_key(team): escrow.encode(known.row)}
-                outcome = await self._instance.table.commit(
-                    Transaction({_key(team): revision}, writes)
+                writes = {_row_key(team): escrow.encode(current.row)}
+                outcome = await self._context.table.commit(
+                    Transaction({_row_key(team): revision}, writes)
                 )
                 if isinstance(outcome, Committed):
-                    new_revision = outcome.revisions[_key(team)]
-                    self.rows[team] = VersionedRow(new_revision, known.row)
+                    new_revision = outcome.revisions[_row_key(team)]
+                    self.rows[team] = VersionedRow(new_revision, current.row)
                     del account.in_doubt[team]
-            elif known is not None:
+            elif current is not None:
                 del account.in_doubt[team]
 
-    def _sync(self, account: ShardAccount) -> None:
+    def _sync_ledger(self, account: ShardAccount) -> None:
         owner = account.owner
         if not owner.claim.escrow_usable:
             return
-        held = {team: known.row.held(owner.shard) for team, known in self.rows.items()}
-        arrived = owner.quota_ledger.cap is not None
-        if arrived:
+        held = {team: current.row.held(owner.shard) for team, current in self.rows.items()}
+        has_gained = owner.quota_ledger.cap is not None
+        if has_gained:
             owner.lift_takeover_cap(held)
-        for team, places in held.items():
-            more = places - owner.quota_ledger.escrow.get(team, 0)
-            if team in account.in_doubt or not more:
+        for team, units in held.items():
+            difference = units - owner.quota_ledger.escrow.get(team, 0)
+            if team in account.in_doubt or not difference:
                 continue
-            if more > 0:
-                owner.quota_ledger.put_in(team, more)
-                arrived = True
+            if difference > 0:
+                owner.quota_ledger.put_in(team, difference)
+                has_gained = True
             else:
-                log.error("shard %s holds %d places of %s too many", owner.shard, -more, team)
-                owner.quota_ledger.escrow[team] = places
+                log.error(
+                    "shard %s holds %d places of %s too many", owner.shard, -difference, team
+                )
+                owner.quota_ledger.escrow[team] = units
         self._set_ceilings(owner)
-        if arrived:
+        if has_gained:
             owner.scheduler.places_changed()
         owner.dispatch(self._clock())
 
     def _set_ceilings(self, owner: ShardOwner) -> None:
-        teams = self._instance.view.teams()
-        for team, known in self.rows.items():
+        teams = self._context.view.teams()
+        for team, current in self.rows.items():
             limit = teams[team].limit if team in teams else 0
-            row = known.row
-            if limit < _target(row):
-                row = _refused_none(escrow.set_limit(team, row, limit), row)
+            row = current.row
+            if limit < _target_limit(row):
+                row = _unless_refused(escrow.set_limit(team, row, limit), row)
             lowered = row.pending_limit is not None
             ceiling = escrow.ceilings(row).get(owner.shard, 0) if lowered else None
             owner.quota_ledger.set_ceiling(team, ceiling)
@@ -295,14 +301,14 @@
 
     async def _return_excess(self, account: ShardAccount) -> None:
         owner = account.owner
-        for team, known in list(self.rows.items()):
-            pending = known.row.pending_limit is not None
+        for team, current in list(self.rows.items()):
+            pending = current.row.pending_limit is not None
             if not pending or team in account.in_doubt or owner.quota_ledger.cap is not None:
                 continue
-            over = known.row.held(owner.shard) - owner.quota_ledger.allowed(team)
-            places = min(over, owner.quota_ledger.giveable(team))
-            if places > 0:
-                await self._move_out(account, team, known, places, None)
+            excess = current.row.held(owner.shard) - owner.quota_ledger.allowed(team)
+            units = min(excess, owner.quota_ledger.giveable(team))
+            if units > 0:
+                await self._transfer_out(account, team, current, units, None)
 
     def _stop_excess(self, account: ShardAccount) -> None:
         """Checkpoint or stop what exceeds a lowered limit; requests end by themselves soon."""
@@ -318,62 +324,62 @@
                 if is_request or worker is None or task_id in account.stop_sent_at:
                     continue
                 queue = placed.placement.task.queue if placed is not None else ""
-                policy = self._instance.view.policy_of(queue)
+                policy = self._context.view.policy_of(queue)
                 action = PreemptionAction(policy.preempt_action.value)
                 account.stop_sent_at[task_id] = now
                 owner.stopping_tasks.add(task_id)
                 message = build_stop_message(owner, task_id, action)
-                owner.spawn(_tell(owner, worker, message))
+                owner.spawn(_call_worker(owner, worker, message))
 
     # Transfers.
 
-    async def _demand(self, account: ShardAccount) -> list[PlacesWanted]:
+    async def _acquire_quota(self, account: ShardAccount) -> list[PlacesWanted]:
         """Take places from the pool, and return what to ask other shards for."""
         owner = account.owner
         if owner.quota_ledger.cap is not None:
             return []
-        wanted = self._wanted(owner)
-        others = self._others(owner) if wanted else []
-        needs = [self._needs(owner, team, wanted.get(team, 0), others) for team in self.rows]
-        wishes = []
+        wanted = self._unmet_demand(owner)
+        others = self._other_digests(owner) if wanted else []
+        needs = [self._team_needs(owner, team, wanted.get(team, 0), others) for team in self.rows]
+        requests = []
         for step in account.planner.plan(needs, self._clock()):
             if step.target != owner.shard or step.team in account.in_doubt:
                 continue
             if step.source == POOL:
                 await self._take_from_pool(account, step)
             else:
-                wishes.append(PlacesWanted(step.team, step.places, step.source, step.target))
-        return wishes
+                requests.append(PlacesWanted(step.team, step.places, step.source, step.target))
+        return requests
 
     async def _take_from_pool(self, account: ShardAccount, step: Transfer) -> None:
         """Move places here; they are used once a later reading of the row shows them."""
-        owner, known = account.owner, self.rows[step.team]
-        taken = Move(owner.shard, owner.claim.token.epoch, step.places)
-        moved = escrow.move(step.team, known.row, [taken])
-        if not isinstance(moved, Refusal):
-            await self._commit(account, step.team, known.revision, moved)
-
-    async def _ask(self, wish: PlacesWanted) -> None:
-        if any(owner.shard == wish.from_shard for owner in self._usable()):
-            await self.grant(wish)
+        owner, current = account.owner, self.rows[step.team]
+        credit = Move(owner.shard, owner.claim.token.epoch, step.places)
+        new_row = escrow.move(step.team, current.row, [credit])
+        if not isinstance(new_row, Refusal):
+            await self._commit(account, step.team, current.revision, new_row)
+
+    async def _request_transfer(self, request: PlacesWanted) -> None:
+        if any(owner.shard == request.from_shard for owner in self._eligible_owners()):
+            await self.grant(request)
             return
         try:
-            await self._instance.call_owner(wish.from_shard, wish, TRANSFER_CALL_TIMEOUT_S)
+            await self._context.call_owner(request.from_shard, request, TRANSFER_CALL_TIMEOUT_S)
             self._wake.set()
         except (LinkClosedError, TimeoutError):
-            log.info("the owner of %s did not answer the wish for places", wish.from_shard)
+            log.info("the owner of %s did not answer the wish for places", request.from_shard)
 
-    def _wanted(self, owner: ShardOwner) -> dict[str, int]:
+    def _unmet_demand(self, owner: ShardOwner) -> dict[str, int]:
         """Return the queued tasks by team that only lack a place."""
         digest = build_digest(owner)
-        room = max(0, digest.free_slots)
+        free_slots = max(0, digest.free_slots)
         return {
-            team: min(count, room)
+            team: min(count, free_slots)
             for team, count in digest.unmet.items()
-            if not digest.spare.get(team) and room
+            if not digest.spare.get(team) and free_slots
         }
 
-    def _needs(
+    def _team_needs(
         self, owner: ShardOwner, team: str, wanted: int, others: Iterable[ShardDigest]
     ) -> TeamNeeds:
         row = self.rows[team].row
@@ -388,16 +394,16 @@
             ]
         return TeamNeeds(team, pool, tuple(shards))
 
-    def _others(self, owner: ShardOwner) -> Iterable[ShardDigest]:
-        own = (build_digest(other) for other in self._usable() if other is not owner)
-        return [*self._instance.peer_digests(), *own]
+    def _other_digests(self, owner: ShardOwner) -> Iterable[ShardDigest]:
+        local = (build_digest(other) for other in self._eligible_owners() if other is not owner)
+        return [*self._context.peer_digests(), *local]
 
-    async def _move_out(
+    async def _transfer_out(
         self,
         account: ShardAccount,
         team: str,
-        known: VersionedRow,
-        places: int,
+        current: VersionedRow,
+        units: int,
         target: str | None,
     ) -> bool:
         """Move places to another shard or the pool; tell whether that is known to be done.
@@ -405,19 +411,19 @@
         The places are out of use before the commit, so that they are never used twice.
         """
         owner = account.owner
-        if places <= 0:
+        if units <= 0:
             return False
-        steps = [Move(owner.shard, owner.claim.token.epoch, -places)]
+        moves = [Move(owner.shard, owner.claim.token.epoch, -units)]
         if target is not None:
-            steps.append(Move(target, known.row.epochs.get(target, 0), places))
-        moved = escrow.move(team, known.row, steps)
-        if isinstance(moved, Refusal):
+            moves.append(Move(target, current.row.epochs.get(target, 0), units))
+        new_row = escrow.move(team, current.row, moves)
+        if isinstance(new_row, Refusal):
             return False
-        owner.quota_ledger.take_out(team, places)
-        account.in_doubt[team] = known.revision
-        outcome = await self._commit(account, team, known.revision, moved)
+        owner.quota_ledger.take_out(team, units)
+        account.in_doubt[team] = current.revision
+        outcome = await self._commit(account, team, current.revision, new_row)
         if not outcome:
-            owner.quota_ledger.put_in(team, places)
+            owner.quota_ledger.put_in(team, units)
         return outcome
 
     async def _commit(
@@ -427,32 +433,32 @@
         owner = account.owner
         shards = {owner.shard: owner.claim_driver.row_revision}
         txn = escrow.transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
-        outcome = await self._instance.table.commit(txn)
+        outcome = await self._context.table.commit(txn)
         account.in_doubt.pop(team, None)
         if not isinstance(outcome, Committed):
             return False
-        self.rows[team] = VersionedRow(outcome.revisions[_key(team)], row)
+        self.rows[team] = VersionedRow(outcome.revisions[_row_key(team)], row)
         self._wake.set()
         return True
 
 
-async def _tell(owner: ShardOwner, worker: str, message: Any) -> None:
+async def _call_worker(owner: ShardOwner, worker: str, message: Any) -> None:
     await owner.call_worker(worker, message)
 
 
-def _key(team: str) -> str:
+def _row_key(team: str) -> str:
     return escrow.row_key(team)
 
 
-def _known(team: str, row: Row) -> VersionedRow:
+def _decode_row(team: str, row: Row) -> VersionedRow:
     if row.value is None:
         raise PlatformError(f"team {team} has no escrow row")
     return VersionedRow(row.revision, escrow.decode(team, row.value))
 
 
-def _target(row: EscrowRow) -> int:
+def _target_limit(row: EscrowRow) -> int:
     return row.limit if row.pending_limit is None else row.pending_limit
 
 
-def _refused_none(row: EscrowRow | Refusal, otherwise: EscrowRow) -> EscrowRow:
-    return otherwise if isinstance(row, Refusal) else row
+def _unless_refused(row: EscrowRow | Refusal, fallback: EscrowRow) -> EscrowRow:
+    return fallback if isinstance(row, Refusal) else row
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -43,8 +43,8 @@
 
 def is_queued(keys: KeyLedger, entry: PendingRequest) -> bool:
     """Tell whether a request waits in the queue of this shard."""
-    known = keys.entries.get(entry.req.request_id)
-    return known is not None and known.state is KeyState.QUEUED and not entry.is_forwarding
+    key = keys.entries.get(entry.req.request_id)
+    return key is not None and key.state is KeyState.QUEUED and not entry.is_forwarding
 
 
 class TaskQueue(Protocol):
@@ -100,31 +100,31 @@
 
     def tick(self, now: float) -> None:
         """Forward a bounded number of the requests that wait."""
-        home, sent = self._home, 0
+        home, forwarded_count = self._home, 0
         # Where one request of a team and kind finds no room, the others find none in this tick.
-        without_room: set[tuple[str, WorkKind]] = set()
+        full_classes: set[tuple[str, WorkKind]] = set()
         if not home.is_usable:
             return
         for entry in list(home.pending.values()):
-            if sent >= MAX_FORWARDS_PER_TICK:
+            if forwarded_count >= MAX_FORWARDS_PER_TICK:
                 return
-            work = (entry.req.task.team, entry.req.task.kind)
-            due = now >= entry.forward_at and not entry.arrived_forwarded
-            if not due or work in without_room or not is_queued(home.keys, entry):
+            work_class = (entry.req.task.team, entry.req.task.kind)
+            is_due = now >= entry.forward_at and not entry.arrived_forwarded
+            if not is_due or work_class in full_classes or not is_queued(home.keys, entry):
                 continue
             # The next owner of this shard cannot know what was forwarded: it answers unknown for
             # keys that are older than its takeover, but it may run idempotent work again.
             if entry.req.task.idempotent or not home.was_owned_at(entry.opened_at):
                 continue
-            sent_to = self._forward(entry.req)
-            if sent_to is None:
-                without_room.add(work)
+            forward = self._forward(entry.req)
+            if forward is None:
+                full_classes.add(work_class)
             else:
-                entry.target, running = sent_to
+                entry.target, pending_result = forward
                 home.queue.cancel(entry.req.request_id)
                 entry.is_forwarding = True
-                sent += 1
-                home.spawn(self._await(entry, running))
+                forwarded_count += 1
+                home.spawn(self._await_result(entry, pending_result))
 
     def forwarded_ids(self) -> set[str]:
         """Return the requests that other shards have now."""
@@ -138,24 +138,26 @@
     def mark_forwarded_dispatched(self) -> None:
         """Count what other shards have as dispatched, before the queue is given up."""
         for entry in self._home.pending.values():
-            known = self._home.keys.entries.get(entry.req.request_id)
-            if entry.is_forwarding and known is not None and known.state is KeyState.QUEUED:
+            key = self._home.keys.entries.get(entry.req.request_id)
+            if entry.is_forwarding and key is not None and key.state is KeyState.QUEUED:
                 self._home.keys.dispatched(entry.req.request_id)
 
-    async def _await(self, entry: PendingRequest, running: Awaitable[Result]) -> None:
+    async def _await_result(
+        self, entry: PendingRequest, pending_result: Awaitable[Result]
+    ) -> None:
         """Take the result of the other shard; what it certainly did not run waits here again."""
-        result = await running
+        result = await pending_result
         home, now = self._home, self._home.now
         entry.is_forwarding = False
-        not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-        queued = is_queued(home.keys, entry)
-        if queued and not_run and now < entry.req.task.deadline and home.is_usable:
+        is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+        is_still_queued = is_queued(home.keys, entry)
+        if is_still_queued and is_not_run and now < entry.req.task.deadline and home.is_usable:
             entry.forward_at = now + FORWARD_RETRY_DELAY_S
             refusal = home.queue.enqueue(entry.req.task, now)
             if refusal is None:
                 home.dispatch(now)
                 return
             result = refusal
-        elif queued and not not_run:
+        elif is_still_queued and not is_not_run:
             home.keys.dispatched(entry.req.request_id)
         home.finish(entry.req.request_id, result)
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -40,14 +40,20 @@
     along, because a worker may have lost its inventory, or belong to another shard.
     """
     queued = {key.request_id for key in keys.hand_over()}
-    requests = tuple(entry.req for name, entry in open_requests.items() if name in queued)
+    requests = tuple(
+        entry.req for request_id, entry in open_requests.items() if request_id in queued
+    )
     results = tuple(
-        KeyResult(name, entry.forget_at, None, entry.result)
-        for name, entry in keys.entries.items()
+        KeyResult(request_id, entry.forget_at, None, entry.result)
+        for request_id, entry in keys.entries.items()
         if isinstance(entry.result, Refusal) and entry.state is not KeyState.ANSWERED
     )
-    told = queued | {result.request_id for result in results}
-    settled = {n: entry.forget_at for n, entry in keys.entries.items() if n not in told}
+    reported_ids = queued | {result.request_id for result in results}
+    settled = {
+        request_id: entry.forget_at
+        for request_id, entry in keys.entries.items()
+        if request_id not in reported_ids
+    }
     if len(settled) > MAX_SETTLED_IDS:
         return HandOver(shard, token, sender, requests, results)
     return HandOver(shard, token, sender, requests, results, settled, keys.taken_over_at)
@@ -55,18 +61,18 @@
 
 def accept_hand_over(message: HandOver, keys: KeyLedger, now: float) -> list[Request]:
     """Take the results into the ledger and return the requests that may run here."""
-    lost = outcome_unknown_refusal("the previous owner of the shard had the request")
-    for name, forget_at in message.settled.items():
-        if name not in keys.entries:
-            keys.entries[name] = KeyEntry(KeyState.UNKNOWN, forget_at, False, lost)
-            heapq.heappush(keys.expiry, (forget_at, name))
+    unknown = outcome_unknown_refusal("the previous owner of the shard had the request")
+    for request_id, forget_at in message.settled.items():
+        if request_id not in keys.entries:
+            keys.entries[request_id] = KeyEntry(KeyState.UNKNOWN, forget_at, False, unknown)
+            heapq.heappush(keys.expiry, (forget_at, request_id))
     for result in message.results:
-        kept: Answer | Refusal | None = result.answer or result.refusal
-        if kept is None or result.request_id in keys.entries:
+        stored: Answer | Refusal | None = result.answer or result.refusal
+        if stored is None or result.request_id in keys.entries:
             continue
-        known = isinstance(kept, Refusal) and kept.outcome.value == KeyState.NOT_RUN.value
-        state = KeyState.NOT_RUN if known else KeyState.UNKNOWN
-        keys.entries[result.request_id] = KeyEntry(state, result.forget_at, False, kept)
+        is_not_run = isinstance(stored, Refusal) and stored.outcome.value == KeyState.NOT_RUN.value
+        state = KeyState.NOT_RUN if is_not_run else KeyState.UNKNOWN
+        keys.entries[result.request_id] = KeyEntry(state, result.forget_at, False, stored)
         heapq.heappush(keys.expiry, (result.forget_at, result.request_id))
     queued = [
         QueuedKey(req.request_id, req.task.deadline + keys.clock_skew_s, req.task.idempotent)
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -107,7 +107,7 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
 
 
-def _unreachable(shard: str) -> Refusal:
+def _owner_unreachable(shard: str) -> Refusal:
     return Refusal(
         ErrorKind.PEER_UNREACHABLE,
         f"the owner of shard {shard} did not answer",
@@ -117,13 +117,13 @@
     )
 
 
-def _not_found(job_id: str) -> Refusal:
+def _job_not_found(job_id: str) -> Refusal:
     return Refusal(
         ErrorKind.NOT_FOUND, f"there is no job {job_id}", remedy="list the jobs of the team"
     )
 
 
-def _by_shard(elsewhere: dict[str, str]) -> dict[str, tuple[str, ...]]:
+def _group_by_shard(elsewhere: dict[str, str]) -> dict[str, tuple[str, ...]]:
     names: dict[str, list[str]] = {}
     for task_id, shard in elsewhere.items():
         names.setdefault(shard, []).append(task_id)
@@ -133,25 +133,25 @@
 class ShardClient:
     """Reach shards on this instance directly and others over the peer links."""
 
-    def __init__(self, node: JobContext) -> None:
-        self._node = node
+    def __init__(self, context: JobContext) -> None:
+        self._context = context
 
     async def run(self, req: Request) -> Answer | Refusal:
         """Run a task and return its result."""
-        return await self._node.route(req)
+        return await self._context.route(req)
 
     async def query(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
         """Return which tasks run and why the others wait, also of those forwarded from here."""
         reply = await self.call(shard, TasksQuery(shard, task_ids))
         if not isinstance(reply, TasksReport):
-            return _unreachable(shard)
+            return _owner_unreachable(shard)
         if not reply.elsewhere:
             return reply
         running, waiting = [*reply.running], dict(reply.waiting)
-        for target, names in _by_shard(reply.elsewhere).items():
+        for target, names in _group_by_shard(reply.elsewhere).items():
             found = await self.call(target, TasksQuery(target, names))
             if not isinstance(found, TasksReport):
-                return _unreachable(target)
+                return _owner_unreachable(target)
             running.extend(found.running)
             waiting.update(found.waiting)
         return TasksReport(tuple(running), waiting)
@@ -160,11 +160,11 @@
         """Cancel tasks; a refusal means that the shard could not be asked."""
         reply = await self.call(shard, TasksCancelWanted(shard, task_ids))
         if not isinstance(reply, TasksCancelled):
-            return _unreachable(shard)
-        for target, names in _by_shard(reply.elsewhere).items():
+            return _owner_unreachable(shard)
+        for target, names in _group_by_shard(reply.elsewhere).items():
             found = await self.call(target, TasksCancelWanted(target, names))
             if not isinstance(found, TasksCancelled):
-                return _unreachable(target)
+                return _owner_unreachable(target)
         return None
 
     async def hold(
@@ -185,11 +185,11 @@
 
     async def call(self, shard: str, message: Any) -> Any | None:
         """Return the reply of a shard's owner, or None when there is none."""
-        local = self._node.local_shard(shard)
+        local = self._context.local_shard(shard)
         if local is not None:
             return await handle_shard_call(local, message)
         try:
-            return await self._node.call_owner(shard, message, CALL_TIMEOUT_S)
+            return await self._context.call_owner(shard, message, CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             return None
 
@@ -215,20 +215,20 @@
 class JobManager:
     """Accept jobs from callers and coordinate those whose home shards are owned here."""
 
-    def __init__(self, node: JobContext) -> None:
-        self._node = node
-        self._directory = ShardClient(node)
-        self._coordinator = JobCoordinator(node.table, self._directory, node.policy_of)
+    def __init__(self, context: JobContext) -> None:
+        self._context = context
+        self._shards = ShardClient(context)
+        self._coordinator = JobCoordinator(context.table, self._shards, context.policy_of)
 
     async def run(self) -> None:
         """Coordinate jobs until cancelled."""
         async with asyncio.TaskGroup() as tg:
             tg.create_task(self._coordinator.run())
-            tg.create_task(self._follow_ownership())
+            tg.create_task(self._watch_ownership())
 
     async def submit(self, spec: JobSpec) -> Refusal | JobStatus:
         """Accept a job durably; a repeated job id of the same team returns its status."""
-        shards = tuple(self._node.shard_names())
+        shards = tuple(self._context.shard_names())
         if not shards:
             return Refusal(
                 ErrorKind.SHARD_UNAVAILABLE,
@@ -246,32 +246,32 @@
             },
         )
         try:
-            outcome = await self._node.table.commit(txn)
+            outcome = await self._context.table.commit(txn)
         except PlatformError as exc:
-            return _platform_down(exc)
+            return _platform_unavailable(exc)
         if isinstance(outcome, Refusal):
             return await self.status(spec.job_id, spec.team)
-        if self._node.local_shard(run.home) is not None:
+        if self._context.local_shard(run.home) is not None:
             self._coordinator.adopt(run)
         else:
             # Without an answer the owner finds the job in the table at its next scan.
-            await self._directory.call(run.home, JobCall(run.home, spec.job_id, JobVerb.ADOPT))
+            await self._shards.call(run.home, JobCall(run.home, spec.job_id, JobVerb.ADOPT))
         return run.status()
 
     async def status(self, job_id: str, team: str | None) -> Refusal | JobStatus:
         """Return the state of a job."""
-        reply = await self._ask(job_id, team, JobVerb.STATUS)
-        return reply.status or reply.refusal or _not_found(job_id)
+        reply = await self._call_home(job_id, team, JobVerb.STATUS)
+        return reply.status or reply.refusal or _job_not_found(job_id)
 
     async def cancel(self, job_id: str, team: str | None) -> Refusal | JobStatus:
         """Cancel a job and return its state after that."""
-        reply = await self._ask(job_id, team, JobVerb.CANCEL)
-        return reply.status or reply.refusal or _not_found(job_id)
+        reply = await self._call_home(job_id, team, JobVerb.CANCEL)
+        return reply.status or reply.refusal or _job_not_found(job_id)
 
     async def explain(self, job_id: str, team: str | None) -> Refusal | JobExplanation:
         """Explain why a job is in its state."""
-        reply = await self._ask(job_id, team, JobVerb.EXPLAIN)
-        return reply.explanation or reply.refusal or _not_found(job_id)
+        reply = await self._call_home(job_id, team, JobVerb.EXPLAIN)
+        return reply.explanation or reply.refusal or _job_not_found(job_id)
 
     async def list(self, team: str | None) -> Refusal | tuple[JobStatus, ...]:
         """Return the state of each job of a team, or of all teams.
@@ -284,14 +284,14 @@
             # A job that ends between the two scans is read from the table, with its last state.
             homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
             wanted = [job_id_of(row) for row in rows]
-            found = await self._ask_homes([name for name in wanted if name in homes], homes)
+            found = await self._query_homes([name for name in wanted if name in homes], homes)
             for job_id in wanted:
                 if job_id not in found:
-                    run = await self._load(job_id)
+                    run = await self._find_run(job_id)
                     if run is not None:
                         found[job_id] = self._stored_status(run)
         except PlatformError as exc:
-            return _platform_down(exc)
+            return _platform_unavailable(exc)
         return tuple(found[job_id] for job_id in wanted if job_id in found)
 
     async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
@@ -307,47 +307,47 @@
                 if name == queue:
                     found.append(job_id_of(row))
         except PlatformError as exc:
-            return _platform_down(exc)
+            return _platform_unavailable(exc)
         return tuple(found)
 
-    async def _scan(self, prefix: str, most: int | None = None) -> Sequence[Row]:
+    async def _scan(self, prefix: str, max_rows: int | None = None) -> Sequence[Row]:
         rows: list[Row] = []
-        while most is None or len(rows) < most:
+        while max_rows is None or len(rows) < max_rows:
             after = rows[-1].key if rows else ""
-            page = await self._node.table.scan(prefix, after=after, limit=LIST_PAGE_SIZE)
+            page = await self._context.table.scan(prefix, after=after, limit=LIST_PAGE_SIZE)
             rows.extend(page)
             if len(page) < LIST_PAGE_SIZE:
                 break
-        return [row for row in rows[:most] if row.value is not None]
+        return [row for row in rows[:max_rows] if row.value is not None]
 
-    async def _ask_homes(
+    async def _query_homes(
         self, job_ids: Sequence[str], homes: dict[str, str]
     ) -> dict[str, JobStatus]:
         """Return what the coordinators of jobs report; unreachable ones are left out."""
         queries = [
             JobsQuery(home, names[start : start + LIST_PAGE_SIZE])
-            for home, names in _by_shard({name: homes[name] for name in job_ids}).items()
+            for home, names in _group_by_shard({name: homes[name] for name in job_ids}).items()
             for start in range(0, len(names), LIST_PAGE_SIZE)
         ]
-        reports = await asyncio.gather(*[self._ask_home(query) for query in queries])
+        reports = await asyncio.gather(*[self._query_home(query) for query in queries])
         return {status.job_id: status for report in reports for status in report.statuses}
 
-    async def _ask_home(self, query: JobsQuery) -> JobsReport:
-        if self._node.local_shard(query.home) is not None:
-            return await self._report(query)
+    async def _query_home(self, query: JobsQuery) -> JobsReport:
+        if self._context.local_shard(query.home) is not None:
+            return await self._report_jobs(query)
         try:
-            reply = await self._node.call_owner(query.home, query, LIST_TIMEOUT_S)
+            reply = await self._context.call_owner(query.home, query, LIST_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             return JobsReport(())
         return reply if isinstance(reply, JobsReport) else JobsReport(())
 
-    async def _report(self, query: JobsQuery) -> JobsReport:
+    async def _report_jobs(self, query: JobsQuery) -> JobsReport:
         """Report on jobs that are coordinated here; others may be finished or not yet known."""
-        if self._node.local_shard(query.home) is None:
+        if self._context.local_shard(query.home) is None:
             return JobsReport(())
         found = []
         for job_id in query.job_ids:
-            known = await self._known(job_id)
+            known = await self._get_or_adopt(job_id)
             if isinstance(known, JobRun):
                 found.append(known)
         return JobsReport(await self._coordinator.statuses(found))
@@ -362,73 +362,73 @@
     async def handle(self, message: Any) -> Any | None:
         """Answer a peer's message about jobs or about the tasks of an owned shard."""
         if isinstance(message, JobCall):
-            return await self._answer(message)
+            return await self._handle_job_call(message)
         if isinstance(message, JobsQuery):
-            return await self._report(message)
-        shard = self._node.local_shard(message.shard)
+            return await self._report_jobs(message)
+        shard = self._context.local_shard(message.shard)
         if shard is None:
-            return JobReply(refusal=_unreachable(message.shard))
+            return JobReply(refusal=_owner_unreachable(message.shard))
         return await handle_shard_call(shard, message)
 
-    async def _load(self, job_id: str) -> JobRun | None:
+    async def _find_run(self, job_id: str) -> JobRun | None:
         known = self._coordinator.runs.get(job_id)
         return known or await self._coordinator.load(job_id)
 
-    async def _ask(self, job_id: str, team: str | None, verb: JobVerb) -> JobReply:
+    async def _call_home(self, job_id: str, team: str | None, verb: JobVerb) -> JobReply:
         try:
-            run = await self._load(job_id)
+            run = await self._find_run(job_id)
         except PlatformError as exc:
-            return JobReply(refusal=_platform_down(exc))
+            return JobReply(refusal=_platform_unavailable(exc))
         if run is None or team not in (None, run.spec.team):
-            return JobReply(refusal=_not_found(job_id))
+            return JobReply(refusal=_job_not_found(job_id))
         if run.finished:
-            return await self._perform(run, verb)
+            return await self._apply_verb(run, verb)
         call = JobCall(run.home, job_id, verb)
-        if self._node.local_shard(run.home) is not None:
-            return await self._answer(call)
+        if self._context.local_shard(run.home) is not None:
+            return await self._handle_job_call(call)
         try:
-            reply = await self._node.call_owner(run.home, call, CALL_TIMEOUT_S)
+            reply = await self._context.call_owner(run.home, call, CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
-            return JobReply(refusal=_unreachable(run.home))
+            return JobReply(refusal=_owner_unreachable(run.home))
         return reply if isinstance(reply, JobReply) else JobReply()
 
-    async def _answer(self, call: JobCall) -> JobReply:
-        run = await self._known(call.job_id, new=call.verb is JobVerb.ADOPT)
+    async def _handle_job_call(self, call: JobCall) -> JobReply:
+        run = await self._get_or_adopt(call.job_id, is_new=call.verb is JobVerb.ADOPT)
         if isinstance(run, Refusal):
             return JobReply(refusal=run)
-        return await self._perform(run, call.verb)
+        return await self._apply_verb(run, call.verb)
 
-    async def _known(self, job_id: str, new: bool = False) -> JobRun | Refusal:
+    async def _get_or_adopt(self, job_id: str, is_new: bool = False) -> JobRun | Refusal:
         """Return a job of an owned home shard; one that is not coordinated yet is taken over."""
         run = self._coordinator.runs.get(job_id)
         if run is None:
             try:
                 run = await self._coordinator.load(job_id)
             except PlatformError as exc:
-                return _platform_down(exc)
+                return _platform_unavailable(exc)
             if run is None:
-                return _not_found(job_id)
+                return _job_not_found(job_id)
             if not run.finished:
-                if not new or run.revision:
+                if not is_new or run.revision:
                     run.resume()
                 self._coordinator.adopt(run)
                 run = self._coordinator.runs.get(job_id, run)
         return run
 
-    async def _perform(self, run: JobRun, verb: JobVerb) -> JobReply:
+    async def _apply_verb(self, run: JobRun, verb: JobVerb) -> JobReply:
         if verb is JobVerb.EXPLAIN:
             return JobReply(explanation=await self._coordinator.explain(run))
         if verb is JobVerb.CANCEL and not run.finished:
             return JobReply(status=await self._coordinator.cancel(run))
         return JobReply(status=await self._coordinator.status(run))
 
-    async def _follow_ownership(self) -> None:
+    async def _watch_ownership(self) -> None:
         while True:
-            self._coordinator.own(self._node.owned_shards())
+            self._coordinator.own(self._context.owned_shards())
             await asyncio.sleep(OWNERSHIP_POLL_INTERVAL_S)
 
 
-def _platform_down(exc: PlatformError) -> Refusal:
+def _platform_unavailable(exc: PlatformError) -> Refusal:
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
         f"the platform's table gave no answer: {exc}",
--- a/baobabhoist/daemon/main.py
+++ b/baobabhoist/daemon/main.py
@@ -23,14 +23,14 @@
 
 EXIT_BAD_SETTINGS = 2
 GC_THRESHOLDS = (20_000, 20, 50)
-QUIET_LOGGERS = {"tornado.access": logging.CRITICAL, "websockets": logging.WARNING}
+MIN_LOG_LEVELS = {"tornado.access": logging.CRITICAL, "websockets": logging.WARNING}
 
 
 async def serve(daemon: Daemon) -> None:
     """Run the daemon until it is drained: by SIGTERM, SIGINT or an operator."""
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.drain.started.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, daemon.drain.started.set)
     await daemon.run()
 
 
@@ -44,8 +44,8 @@
     cfg = loaded.settings
     configure_logging(cfg.log_format, cfg.log_level)
     # One line per request or connection would cost more than the request itself.
-    for name, quiet in QUIET_LOGGERS.items():
-        logging.getLogger(name).setLevel(max(quiet, logging.getLogger().level))
+    for name, min_level in MIN_LOG_LEVELS.items():
+        logging.getLogger(name).setLevel(max(min_level, logging.getLogger().level))
     for warning in loaded.warnings:
         emit(log, Event.SETTINGS_WARNING, problem=str(warning))
     daemon = Daemon(cfg)
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -103,45 +103,45 @@
 
     def __init__(
         self,
-        place: LocalInstance,
+        local: LocalInstance,
         shards: Shards,
         peers: Peers,
         make_owner: MakeOwner,
         *,
         times: ClaimTimes | None = None,
         clock: Callable[[], float] = time.time,
-        reach: Callable[[list[WorkerSpec]], Any] = is_any_reachable,
+        is_reachable: Callable[[list[WorkerSpec]], Any] = is_any_reachable,
     ) -> None:
         self.owners: dict[str, ShardOwner] = {}
         self.draining = False
-        self._place = place
+        self._local = local
         self._shards = shards
         self._peers = peers
         self._make_owner = make_owner
         self._times = times or ClaimTimes()
         self._clock = clock
-        self._reach = reach
+        self._is_reachable = is_reachable
         # Two processes that present equal tokens would both be obeyed, so each start of an
         # instance claims under a name of its own.
-        self._claimant = f"{place.instance_id}~{uuid.uuid4().hex[:8]}"
+        self._claimant_id = f"{local.instance_id}~{uuid.uuid4().hex[:8]}"
         self._claims: dict[str, ShardClaim] = {}
-        self._running: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._unowned_since: dict[str, float] = {}
-        self._better_since: dict[str, tuple[str, float]] = {}
-        self._moving: str | None = None
-        self._listen_until = 0.0
+        self._preferred_since: dict[str, tuple[str, float]] = {}
+        self._moving_shard: str | None = None
+        self._discovery_until = 0.0
         self._last_tick = 0.0
 
     async def run(self) -> None:
         """Claim what should be claimed until cancelled."""
         self._last_tick = self._clock()
-        self._listen_until = self._last_tick + DISCOVERY_PERIOD_S
+        self._discovery_until = self._last_tick + DISCOVERY_PERIOD_S
         try:
             while True:
                 await self.tick()
                 await asyncio.sleep(CLAIM_CHECK_INTERVAL_S)
         finally:
-            for task in self._running:
+            for task in self._tasks:
                 task.cancel()
 
     async def tick(self) -> None:
@@ -149,15 +149,15 @@
         now = self._clock()
         if now - self._last_tick > CLAIM_CHECK_INTERVAL_S + PAUSE_THRESHOLD_S:
             # This process was paused: what it knows of its peers is as old as the pause.
-            self._listen_until = now + DISCOVERY_PERIOD_S
+            self._discovery_until = now + DISCOVERY_PERIOD_S
             self._unowned_since.clear()
         self._last_tick = now
-        if self.draining or now < self._listen_until:
+        if self.draining or now < self._discovery_until:
             return
         for shard in self._shards.names():
             if shard in self.owners:
                 self._unowned_since.pop(shard, None)
-                self._consider_moving(shard, now)
+                self._rebalance(shard, now)
             elif await self._should_claim(shard, now):
                 self.claim(shard)
 
@@ -168,20 +168,20 @@
         claim = self._claims.get(shard)
         if claim is None or claim.state in ACTIVE_STATES:
             seen = claim.highest_seen if claim is not None else None
-            claim = ShardClaim(shard, self._claimant, names, times=self._times)
+            claim = ShardClaim(shard, self._claimant_id, names, times=self._times)
             claim.highest_seen = seen or claim.highest_seen
             self._claims[shard] = claim
         claim.workers = names
         owner = self._make_owner(claim, workers, inherited)
         self.owners[shard] = owner
-        task = asyncio.create_task(self._drive(shard, owner))
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        task = asyncio.create_task(self._run_owner(shard, owner))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     def accept_hand_over(self, message: HandOver) -> HandOverTaken:
         """Take a shard that another instance hands over."""
-        refused = self.draining or message.shard not in self._shards.names()
-        if not refused and message.shard not in self.owners:
+        is_refused = self.draining or message.shard not in self._shards.names()
+        if not is_refused and message.shard not in self.owners:
             self.claim(message.shard, message)
             return HandOverTaken(message.shard, True)
         return HandOverTaken(message.shard, False)
@@ -206,8 +206,8 @@
 
     async def wait_finished(self) -> None:
         """Wait until no owner is left."""
-        while self._running:
-            await asyncio.wait(set(self._running))
+        while self._tasks:
+            await asyncio.wait(set(self._tasks))
 
     async def release_idle(self) -> None:
         """Give up the shards that no successor took, once nothing is open in them."""
@@ -217,7 +217,7 @@
 
     def preferred_instance(self, shard: str, others_only: bool = False) -> str | None:
         """Return the live instance that should own a shard."""
-        ranked = self._ranked(shard, others_only)
+        ranked = self._rank_candidates(shard, others_only)
         return ranked[0] if ranked else None
 
     async def _hand_over(self, owner: ShardOwner, successor: str) -> None:
@@ -226,7 +226,7 @@
         else:
             log.warning("instance %s did not take shard %s", successor, owner.shard)
 
-    async def _drive(self, shard: str, owner: ShardOwner) -> None:
+    async def _run_owner(self, shard: str, owner: ShardOwner) -> None:
         running = asyncio.create_task(owner.run())
         ended = asyncio.create_task(owner.claim_driver.ended.wait())
         try:
@@ -252,48 +252,48 @@
         since = self._unowned_since.setdefault(shard, now)
         if claim is not None and now < claim.retry_at:
             return False
-        local = self._shards.data_centre_of(shard) == self._place.data_centre
-        position = self._ranked(shard).index(self._place.instance_id)
-        if not local and not await self._reach(self._shards.workers_of(shard)):
+        is_local = self._shards.data_centre_of(shard) == self._local.data_centre
+        position = self._rank_candidates(shard).index(self._local.instance_id)
+        if not is_local and not await self._is_reachable(self._shards.workers_of(shard)):
             # A data centre that is cut off from this one serves its shards itself.
             self._unowned_since[shard] = self._clock()
             return False
         return now - since >= position * CLAIM_DELAY_PER_RANK_S + (
-            0.0 if local else REMOTE_CLAIM_DELAY_S
+            0.0 if is_local else REMOTE_CLAIM_DELAY_S
         )
 
-    def _ranked(self, shard: str, others_only: bool = False) -> list[str]:
+    def _rank_candidates(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
-            Candidate(beat.instance_id, beat.data_centre, beat.weight)
-            for beat in self._peers.beats()
-            if not beat.draining
+            Candidate(heartbeat.instance_id, heartbeat.data_centre, heartbeat.weight)
+            for heartbeat in self._peers.beats()
+            if not heartbeat.draining
         ]
         if not others_only:
-            place = self._place
-            candidates.append(Candidate(place.instance_id, place.data_centre, place.weight))
+            local = self._local
+            candidates.append(Candidate(local.instance_id, local.data_centre, local.weight))
         return rank(shard, self._shards.data_centre_of(shard), candidates)
 
-    def _consider_moving(self, shard: str, now: float) -> None:
+    def _rebalance(self, shard: str, now: float) -> None:
         """Hand a shard to an instance that has been better placed for a while, one at a time."""
-        better = self.preferred_instance(shard)
-        if better is None or better == self._place.instance_id:
-            self._better_since.pop(shard, None)
+        preferred = self.preferred_instance(shard)
+        if preferred is None or preferred == self._local.instance_id:
+            self._preferred_since.pop(shard, None)
             return
-        known, since = self._better_since.setdefault(shard, (better, now))
-        if known != better:
-            self._better_since[shard] = (better, now)
+        known, since = self._preferred_since.setdefault(shard, (preferred, now))
+        if known != preferred:
+            self._preferred_since[shard] = (preferred, now)
             return
         owner = self.owners[shard]
-        settled = owner.claim.state is ShardState.OWNED
-        if settled and now - since > REBALANCE_DELAY_S and self._moving is None:
-            self._moving = shard
-            del self._better_since[shard]
-            task = asyncio.create_task(self._move(owner, better))
-            self._running.add(task)
-            task.add_done_callback(self._running.discard)
-
-    async def _move(self, owner: ShardOwner, successor: str) -> None:
+        is_owned = owner.claim.state is ShardState.OWNED
+        if is_owned and now - since > REBALANCE_DELAY_S and self._moving_shard is None:
+            self._moving_shard = shard
+            del self._preferred_since[shard]
+            task = asyncio.create_task(self._move_shard(owner, preferred))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+
+    async def _move_shard(self, owner: ShardOwner, successor: str) -> None:
         try:
             await self._hand_over(owner, successor)
         finally:
-            self._moving = None
+            self._moving_shard = None
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -32,8 +32,8 @@
 
 def team_policies(view: RecordView) -> dict[str, TeamPolicy]:
     """Return the policy of each team by name; only the limits of its queues bound what waits."""
-    most = sum(queue.max_queued_per_team for queue in view.queues().values())
-    return {name: TeamPolicy(team.share, most) for name, team in view.teams().items()}
+    total_limit = sum(queue.max_queued_per_team for queue in view.queues().values())
+    return {name: TeamPolicy(team.share, total_limit) for name, team in view.teams().items()}
 
 
 def class_limits(view: RecordView, shard: str) -> dict[str, int]:
@@ -79,5 +79,5 @@
     for digest in digests:
         if digest.shard != shard:
             used.update(digest.used)
-    part = slots.by_shard.get(shard, 0) / total
-    return {team: count / total for team, count in used.items()}, part
+    fraction = slots.by_shard.get(shard, 0) / total
+    return {team: count / total for team, count in used.items()}, fraction
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -36,20 +36,22 @@
         """Send a worker a call; tell whether it was confirmed."""
 
 
-async def apply_preemption(owner: PreemptionOwner, wanted: Preemption) -> None:
+async def apply_preemption(owner: PreemptionOwner, preemption: Preemption) -> None:
     """Ask a worker to checkpoint, throttle or stop a task so that another one fits."""
-    token, task_id = owner.claim.token, wanted.task_id
-    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task)
-    if wanted.action is PreemptionAction.THROTTLE:
+    token, task_id = owner.claim.token, preemption.task_id
+    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=preemption.for_task)
+    if preemption.action is PreemptionAction.THROTTLE:
         placed = owner.scheduler.placed.get(task_id)
-        had = placed.task.resources.cpu_milli if placed is not None else 0
-        percent = wanted.cpu_milli * PERCENT // had if had else PERCENT
+        granted_milli = placed.task.resources.cpu_milli if placed is not None else 0
+        percent = preemption.cpu_milli * PERCENT // granted_milli if granted_milli else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
-        if await owner.call_worker(wanted.worker, message):
-            owner.scheduler.throttled(task_id, wanted.cpu_milli)
-    elif wanted.action is not PreemptionAction.NEVER:
+        if await owner.call_worker(preemption.worker, message):
+            owner.scheduler.throttled(task_id, preemption.cpu_milli)
+    elif preemption.action is not PreemptionAction.NEVER:
         owner.stopping_tasks.add(task_id)
-        await owner.call_worker(wanted.worker, build_stop_message(owner, task_id, wanted.action))
+        await owner.call_worker(
+            preemption.worker, build_stop_message(owner, task_id, preemption.action)
+        )
 
 
 def build_stop_message(owner: PreemptionOwner, task_id: str, action: PreemptionAction) -> Any:
--- a/baobabhoist/daemon/record_sync.py
+++ b/baobabhoist/daemon/record_sync.py
@@ -80,7 +80,7 @@
         self._confirmed_at = clock()
         self._recent: deque[Record] = deque(maxlen=MAX_RECENT_ENTRIES)
         self._wake = asyncio.Event()
-        self._pulling = False
+        self._is_pulling = False
 
     async def run(self) -> None:
         """Poll the change log until cancelled."""
@@ -90,9 +90,11 @@
             except PlatformError as exc:
                 emit(log, Event.PLATFORM_DOWN, detail=exc)
             self._wake.clear()
-            lazy = self.loaded.is_set() and not self.is_poller()
+            is_standby = self.loaded.is_set() and not self.is_poller()
             try:
-                async with asyncio.timeout(STANDBY_POLL_INTERVAL_S if lazy else POLL_INTERVAL_S):
+                async with asyncio.timeout(
+                    STANDBY_POLL_INTERVAL_S if is_standby else POLL_INTERVAL_S
+                ):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -115,10 +117,10 @@
             applied += self._apply([record_of(row) for row in rows])
             if len(rows) < SCAN_PAGE_SIZE:
                 break
-        self._confirm(self._clock())
+        self._note_confirmed(self._clock())
         self._set_loaded()
         if applied:
-            await self._push(applied)
+            await self._push_to_peers(applied)
 
     async def _load(self) -> None:
         """Load the rows of all records as of the head of the log, not its whole history."""
@@ -132,19 +134,19 @@
                 break
             after = rows[-1].key
         # Later versions come with the log, in order.
-        kept = [record for record in records if record.revision <= head]
-        if head and self._view.restore([r for r in kept if r.body is not None], head):
+        up_to_head = [record for record in records if record.revision <= head]
+        if head and self._view.restore([r for r in up_to_head if r.body is not None], head):
             emit(log, Event.RECORDS_LOADED, revision=head)
-            self._announce()
+            self._notify_changed()
 
     async def on_peer_revision(
         self, instance_id: str, revision: int, platform_age_s: float
     ) -> None:
         """Take a peer's revision and for how long it has been cut off from the platform."""
-        self._confirm(self._clock() - platform_age_s, revision)
-        if revision <= self._view.revision or self._pulling or self.peers is None:
+        self._note_confirmed(self._clock() - platform_age_s, revision)
+        if revision <= self._view.revision or self._is_pulling or self.peers is None:
             return
-        self._pulling = True
+        self._is_pulling = True
         try:
             reply = await self.peers.call(
                 instance_id, RecordPull(self._view.revision), PEER_CALL_TIMEOUT_S
@@ -153,13 +155,13 @@
         except (LinkClosedError, TimeoutError):
             log.info("instance %s did not send its records", instance_id)
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
     async def receive(self, message: Any) -> RecordEntries | RecordSnapshot | None:
         """Take a message about records and return the reply to a pull."""
         match message:
             case RecordPull(after):
-                return self._reply(after)
+                return self._build_pull_reply(after)
             case RecordEntries(_, entries):
                 applied = self._apply([decode_record(entry) for entry in entries])
                 if applied:
@@ -169,7 +171,7 @@
                     emit(log, Event.RECORDS_LOADED, revision=revision)
                     self._recent.clear()
                     self._set_loaded()
-                    self._announce()
+                    self._notify_changed()
         return None
 
     def _apply(self, records: list[Record]) -> list[Record]:
@@ -190,10 +192,10 @@
                     revision=record.revision,
                 )
         if applied:
-            self._announce()
+            self._notify_changed()
         return applied
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         self.changed.set()
 
     def _set_loaded(self) -> None:
@@ -201,19 +203,19 @@
             emit(log, Event.DAEMON_READY)
             self.loaded.set()
 
-    def _confirm(self, at: float, revision: int | None = None) -> None:
+    def _note_confirmed(self, at: float, revision: int | None = None) -> None:
         """Note that the platform had no later record at a time."""
         if revision is None or revision <= self._view.revision:
             self._confirmed_at = max(self._confirmed_at, at)
 
-    def _reply(self, after: int) -> RecordEntries | RecordSnapshot:
+    def _build_pull_reply(self, after: int) -> RecordEntries | RecordSnapshot:
         entries = [record for record in self._recent if record.revision > after]
         if entries and entries[0].revision == after + 1:
             return RecordEntries(self._instance_id, tuple(map(encode_record, entries)))
         records = tuple(encode_record(record) for record in self._view.snapshot())
         return RecordSnapshot(self._view.revision, records)
 
-    async def _push(self, records: list[Record]) -> None:
+    async def _push_to_peers(self, records: list[Record]) -> None:
         if self.peers is not None:
             message = RecordEntries(self._instance_id, tuple(map(encode_record, records)))
             await self.peers.broadcast(message, self._data_centre)
--- a/baobabhoist/daemon/request_registry.py
+++ b/baobabhoist/daemon/request_registry.py
@@ -42,9 +42,9 @@
         """Return the result of a request, or None when its deadline passes first."""
         if entry.fut.done():
             return entry.fut.result()
-        while (left_s := req.task.deadline - self._clock()) > 0:
+        while (remaining_s := req.task.deadline - self._clock()) > 0:
             # `wait` leaves the future alone when this caller goes away, for the others that wait.
-            timeout = min(left_s, MAX_WAIT_S)
+            timeout = min(remaining_s, MAX_WAIT_S)
             done, _ = await asyncio.wait((entry.fut,), timeout=timeout)
             if done:
                 return entry.fut.result()
@@ -52,16 +52,16 @@
 
     def finish(self, request_id: str, result: Result) -> Result:
         """Store the result of a request and give it to those who wait."""
-        known = self.keys.entries.get(request_id)
-        if known is not None and known.state in FINAL_STATES and known.result is not None:
+        key = self.keys.entries.get(request_id)
+        if key is not None and key.state in FINAL_STATES and key.result is not None:
             # Only the kept answer may lack its body.
-            both = isinstance(known.result, Answer) and isinstance(result, Answer)
-            result = result if both else known.result
-        elif known is not None:
+            are_answers = isinstance(key.result, Answer) and isinstance(result, Answer)
+            result = result if are_answers else key.result
+        elif key is not None:
             try:
-                kept = self.answers.strip_body(request_id, result, known.worker)
-                stored = self.keys.answered(request_id, kept)
-                result = result if stored is kept else stored
+                stripped = self.answers.strip_body(request_id, result, key.worker)
+                stored = self.keys.answered(request_id, stripped)
+                result = result if stored is stripped else stored
             except InvariantBreachError:
                 result = outcome_unknown_refusal(
                     "the owner holds no consistent state for the request"
@@ -81,7 +81,7 @@
         if entry is not None:
             self.deliver(request_id, await self.answers.load_body(entry.req, result))
 
-    def drop_unfinished(self, elsewhere: Container[str], moved: bool) -> None:
+    def drop_unfinished(self, elsewhere: Container[str], was_handed_over: bool) -> None:
         """Answer what can no longer be decided here, but for what is `elsewhere`.
 
         After a move the next owner may run the queue, so nothing is called not run.
@@ -89,8 +89,8 @@
         for request_id, result in self.keys.drop(self._clock()):
             if request_id in elsewhere:
                 continue
-            certain = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-            outcome = Outcome.NOT_RUN if certain and not moved else Outcome.UNKNOWN
+            is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+            outcome = Outcome.NOT_RUN if is_not_run and not was_handed_over else Outcome.UNKNOWN
             self.deliver(request_id, not_owner_refusal(self._shard, outcome))
 
     def close(self) -> None:
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -70,25 +70,25 @@
         self,
         owners: Mapping[str, Owner],
         peers: Peers,
-        home_of: Callable[[str], str] = lambda shard: "",
+        data_centre_of: Callable[[str], str] = lambda shard: "",
         clock: Callable[[], float] = time.time,
         rng: random.Random | None = None,
     ) -> None:
         self.open_requests = 0
         self._owners = owners
         self._peers = peers
-        self._home_of = home_of
+        self._data_centre_of = data_centre_of
         self._clock = clock
         self._rng = rng or random.Random()
 
     async def route(self, req: Request) -> Result:
         """Return the result of a request from the owner of its shard."""
-        counted = _is_counted(req)
-        self.open_requests += counted
+        delays_drain = _delays_drain(req)
+        self.open_requests += delays_drain
         try:
-            return await self._ask_until(req, False, OWNER_WAIT_S)
+            return await self._submit_until(req, False, OWNER_WAIT_S)
         finally:
-            self.open_requests -= counted
+            self.open_requests -= delays_drain
 
     async def handle_relay(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
         """Answer a request that another instance relayed."""
@@ -96,70 +96,74 @@
         owner = self._owners.get(req.shard)
         result: Result = not_owner_refusal(req.shard)
         if owner is not None:
-            counted = _is_counted(req)
-            self.open_requests += counted
+            delays_drain = _delays_drain(req)
+            self.open_requests += delays_drain
             try:
                 result = await owner.submit(req, message.forwarded)
             finally:
-                self.open_requests -= counted
+                self.open_requests -= delays_drain
         if isinstance(result, Refusal):
             return RelayRefusal(req.request_id, result)
         return RelayAnswer(result)
 
     def forward(
-        self, req: Request, own: list[ShardDigest]
+        self, req: Request, local_digests: list[ShardDigest]
     ) -> tuple[str, Awaitable[Result]] | None:
         """Send a request to another shard with room for it and return both, or None.
 
         Its home shard keeps the key, so no other owner of that shard has seen the id.
         """
-        home = self._home_of(req.shard)
-        rooms = [
-            (digest, _room(digest, req.task))
-            for digest in (*self._peers.digests(), *own)
+        data_centre = self._data_centre_of(req.shard)
+        candidates = [
+            (digest, _headroom(digest, req.task))
+            for digest in (*self._peers.digests(), *local_digests)
             if digest.shard != req.shard
         ]
-        rooms = [(digest, room) for digest, room in rooms if room > 0]
-        near = [found for found in rooms if self._home_of(found[0].shard) == home]
-        chosen = near or rooms
+        candidates = [(digest, headroom) for digest, headroom in candidates if headroom > 0]
+        local = [
+            candidate
+            for candidate in candidates
+            if self._data_centre_of(candidate[0].shard) == data_centre
+        ]
+        chosen = local or candidates
         if not chosen:
             return None
         # A draw in proportion to the room keeps many owners from choosing the same shard.
-        (target, _), *_ = self._rng.choices(chosen, [room for _, room in chosen])
+        (target, _), *_ = self._rng.choices(chosen, [headroom for _, headroom in chosen])
         forwarded = attrs.evolve(req, shard=target.shard, first_attempt=True)
-        return target.shard, self._ask_until(forwarded, True, FORWARD_OWNER_WAIT_S)
+        return target.shard, self._submit_until(forwarded, True, FORWARD_OWNER_WAIT_S)
 
-    async def _ask_until(self, req: Request, forwarded: bool, patience_s: float) -> Result:
+    async def _submit_until(self, req: Request, forwarded: bool, owner_wait_s: float) -> Result:
         deadline = req.task.deadline
-        patient_until = min(deadline, self._clock() + patience_s)
+        wait_until = min(deadline, self._clock() + owner_wait_s)
         maybe_ran = False
         while True:
-            result = await self._ask(req, forwarded)
-            if not _ask_again(result):
+            result = await self._submit_once(req, forwarded)
+            if not _should_retry(result):
                 assert not isinstance(result, RelayFailure)
-                return _truthful(result, req, maybe_ran)
-            if _maybe_ran(result):
+                return _withdraw_unproven_not_run(result, req, maybe_ran)
+            if _may_have_run(result):
                 maybe_ran = True
                 req = attrs.evolve(req, first_attempt=False)
-            if self._clock() >= (deadline if maybe_ran else patient_until):
+            if self._clock() >= (deadline if maybe_ran else wait_until):
                 break
             await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
         if maybe_ran:
             return outcome_unknown_refusal(
                 "the owner of the shard was lost after it had the request"
             )
-        return _no_owner(req)
+        return _no_owner_refusal(req)
 
-    async def _ask(self, req: Request, forwarded: bool) -> Result | RelayFailure:
+    async def _submit_once(self, req: Request, forwarded: bool) -> Result | RelayFailure:
         owner = self._owners.get(req.shard)
         if owner is not None and owner.is_usable:
             return await owner.submit(req, forwarded)
         peer = self._peers.owner_of(req.shard)
         if peer is None:
             return not_owner_refusal(req.shard)
-        left_s = min(req.task.deadline - self._clock() + REPLY_MARGIN_S, MAX_CALL_TIMEOUT_S)
+        timeout_s = min(req.task.deadline - self._clock() + REPLY_MARGIN_S, MAX_CALL_TIMEOUT_S)
         try:
-            reply = await self._peers.call(peer, RelayRequest(req, forwarded), left_s)
+            reply = await self._peers.call(peer, RelayRequest(req, forwarded), timeout_s)
         except NotSentError:
             return RelayFailure(sent=False)
         except MessageTooLargeError as exc:
@@ -174,31 +178,31 @@
         return RelayFailure(sent=True)
 
 
-def _room(digest: ShardDigest, task: Task) -> int:
+def _headroom(digest: ShardDigest, task: Task) -> int:
     """Return how many tasks like this one a shard could start."""
     places = digest.spare.get(task.team, 0)
     in_class = digest.class_spare.get(class_key(task.team, task.kind), places)
     return min(places, in_class, digest.free_slots - digest.queued)
 
 
-def _is_counted(req: Request) -> bool:
+def _delays_drain(req: Request) -> bool:
     """Tell whether a drain waits for the request; tasks of jobs go on without this instance."""
     return req.task.kind is WorkKind.REQUEST
 
 
-def _ask_again(result: Result | RelayFailure) -> bool:
+def _should_retry(result: Result | RelayFailure) -> bool:
     if isinstance(result, RelayFailure):
         return True
     return isinstance(result, Refusal) and result.kind is ErrorKind.SHARD_UNAVAILABLE
 
 
-def _maybe_ran(result: Result | RelayFailure) -> bool:
+def _may_have_run(result: Result | RelayFailure) -> bool:
     if isinstance(result, RelayFailure):
         return result.sent
     return isinstance(result, Refusal) and result.outcome is Outcome.UNKNOWN
 
 
-def _truthful(result: Result, req: Request, maybe_ran: bool) -> Result:
+def _withdraw_unproven_not_run(result: Result, req: Request, maybe_ran: bool) -> Result:
     """Withdraw a `not_run` that a later owner cannot know of an earlier one.
 
     It can for other requests: it refuses those that may have been sent before its takeover.
@@ -209,7 +213,7 @@
     return result
 
 
-def _no_owner(req: Request) -> Refusal:
+def _no_owner_refusal(req: Request) -> Refusal:
     """Return the refusal of a request that reached no owner; an earlier copy may have."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -12,7 +12,7 @@
 from baobabhoist.upstream.messages import StopTask
 
 # A cancelled id that has not arrived yet is refused for as long as a message may take.
-BARRED_S = 600.0
+CANCELLED_ID_TTL_S = 600.0
 
 
 class ShardJobs:
@@ -38,21 +38,21 @@
 
         Returns the shards that have the forwarded ones.
         """
-        owner, until = self._owner, time.time() + BARRED_S
+        owner, refuse_until = self._owner, time.time() + CANCELLED_ID_TTL_S
         refusal = Refusal(ErrorKind.CANCELLED, "the task was cancelled")
         for task_id in task_ids:
-            owner.cancelled_until[task_id] = until
+            owner.cancelled_until[task_id] = refuse_until
             if owner.cancel_queued(task_id, refusal):
                 continue
             worker = owner.worker_of(task_id)
             if worker is not None:
                 owner.stopping_tasks.add(task_id)
-                stop = StopTask(owner.claim.token, task_id)
-                owner.spawn(self._stop(worker, stop))
+                message = StopTask(owner.claim.token, task_id)
+                owner.spawn(self._stop_task(worker, message))
         return owner.forwarder.forward_targets(task_ids)
 
-    async def _stop(self, worker: str, stop: StopTask) -> None:
-        await self._owner.call_worker(worker, stop)
+    async def _stop_task(self, worker: str, message: StopTask) -> None:
+        await self._owner.call_worker(worker, message)
 
     def hold(self, job_id: str, tasks: tuple[Task, ...], deadline: float, now: float) -> HoldReply:
         """Hold capacity and places for as many of the tasks as possible.
@@ -60,8 +60,8 @@
         The number is found by halving, so that a large gang costs few plans.
         """
         scheduler = self._owner.scheduler
-        spare = self._owner.shard_quota.headroom
-        count = min(len(tasks), spare(tasks[0].team, tasks[0].kind)) if tasks else 0
+        headroom = self._owner.shard_quota.headroom
+        count = min(len(tasks), headroom(tasks[0].team, tasks[0].kind)) if tasks else 0
         if job_id in scheduler.book.reservations:
             count = len(tasks)
         while count > 0:
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -57,7 +57,7 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL_S = 0.1
-BATCH = 32
+DISPATCH_BATCH_SIZE = 32
 USABLE_STATES = (ShardState.PARTIAL, ShardState.OWNED)
 
 
@@ -93,7 +93,7 @@
         self.cancelled_until: dict[str, float] = {}
         # Tasks that a worker was asked to end; their end says nothing about health or size.
         self.stopping_tasks: set[str] = set()
-        self._escrow = escrow
+        self._read_escrow = escrow
         self._send_hand_over = send_hand_over
         self._inherited = inherited
         self._inherited_at = clock()
@@ -101,11 +101,11 @@
         self._observer = observer
         self.in_flight: dict[str, str] = {}
         self.adoption = TaskAdoption(self)
-        self._up: set[str] = set()
+        self._usable_workers: set[str] = set()
         self._specs = {spec.name: spec for spec in specs}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._owned_before = False
-        self._moved = False
+        self._has_owned = False
+        self._was_handed_over = False
         self.pool = WorkerPool(specs, self._connection_changed, make_link)
         self.leases = WorkerLeases(times.lease_s, times.clock_skew_s)
         self.claim_driver = ClaimDriver(claim, table, self.pool, self.leases, self, clock)
@@ -128,14 +128,14 @@
         Calls that workers still answer are awaited first, so that no caller loses its answer.
         """
         self.pool.start()
-        ticking = asyncio.create_task(self._tick())
+        tick_task = asyncio.create_task(self._run_ticks())
         try:
             await self.claim_driver.run()
-            self._give_up()
+            self._drop_unfinished()
             while self._tasks and (self.in_flight or self.forwarder.forwarded_ids()):
                 await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            ticking.cancel()
+            tick_task.cancel()
             for task in self._tasks:
                 task.cancel()
             self.pool.stop()
@@ -174,9 +174,9 @@
         if req.request_id in self.cancelled_until:
             return Refusal(ErrorKind.CANCELLED, "the task was cancelled")
         result = await self._submit(req, forwarded, now)
-        return await self._certain(req, result)
+        return await self._confirm_not_run(req, result)
 
-    async def _certain(self, req: Request, result: Result) -> Result:
+    async def _confirm_not_run(self, req: Request, result: Result) -> Result:
         """Withdraw a `not_run` if another owner may run a copy of the request by now."""
         refused = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         if (
@@ -201,34 +201,34 @@
                 return self.finish(req.request_id, refusal)
             self.dispatch(now)
         result = await self.requests.wait_for_result(req, entry)
-        return self._deadline_passed(req) if result is None else result
+        return self._refuse_late(req) if result is None else result
 
-    def _deadline_passed(self, req: Request) -> Result:
+    def _refuse_late(self, req: Request) -> Result:
         entry = self.pending.get(req.request_id)
         if entry is not None and not entry.is_forwarding and self.scheduler.cancel(req.request_id):
-            late = Refusal(
+            refusal = Refusal(
                 ErrorKind.DEADLINE_PASSED,
                 "the deadline passed in the queue",
                 remedy="send the request under a new key with a later deadline",
             )
-            return self.finish(req.request_id, late)
+            return self.finish(req.request_id, refusal)
         return outcome_unknown_refusal("the deadline passed while the task was with a worker")
 
     def dispatch(self, now: float) -> None:
         """Start what fits now; bounded batches leave room for other work in between."""
         if not self.is_usable:
             return
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         try:
-            batch = self.scheduler.next_batch(now, BATCH)
+            batch = self.scheduler.next_batch(now, DISPATCH_BATCH_SIZE)
         except InvariantBreachError:
             return
-        decision_s = (time.perf_counter() - begun) / max(1, len(batch))
+        decision_s = (time.perf_counter() - started_at) / max(1, len(batch))
         for placement in batch:
             if self._observer is not None:
                 self._observer.placement_decided(placement.task, decision_s)
             self.start_task(placement, now)
-        if len(batch) >= BATCH:
+        if len(batch) >= DISPATCH_BATCH_SIZE:
             asyncio.get_running_loop().call_soon(lambda: self.dispatch(self._clock()))
 
     def start_task(self, placement: Placement, now: float) -> None:
@@ -236,8 +236,8 @@
         task, worker = placement.task, placement.worker
         if not (self.claim.may_dispatch(worker) and self.pool.connected(worker)):
             self.release_unsent(task.task_id, now)
-            self._worker_down(worker)
-            self._enqueue_again(task, now)
+            self._mark_worker_down(worker)
+            self._requeue(task, now)
             return
         try:
             self.keys.dispatched(task.task_id, worker)
@@ -247,9 +247,9 @@
         self.in_flight[task.task_id] = worker
         if self._observer is not None:
             self._observer.task_started(task, now)
-        self.spawn(self._execute(placement))
+        self.spawn(self._run_task(placement))
 
-    def _enqueue_again(self, task: Task, now: float) -> None:
+    def _requeue(self, task: Task, now: float) -> None:
         """Queue a task again as it was declared, not with what it was granted."""
         entry = self.pending.get(task.task_id)
         declared = entry.req.task if entry is not None else task
@@ -262,45 +262,47 @@
         self.shard_quota.confirmed_ends.add(task_id)
         self.scheduler.ended(task_id, False, now, preempted=True)
 
-    async def _execute(self, placement: Placement) -> None:
+    async def _run_task(self, placement: Placement) -> None:
         task, worker = placement.task, placement.worker
-        begun = self._clock()
+        started_at = self._clock()
         try:
-            fate = await self.dispatcher.execute(task, worker)
+            outcome = await self.dispatcher.execute(task, worker)
         finally:
             self.in_flight.pop(task.task_id, None)
         now = self._clock()
-        if isinstance(fate, Superseded):
-            self._superseded(task.task_id, fate)
+        if isinstance(outcome, Superseded):
+            self._on_superseded(task.task_id, outcome)
             return
-        succeeded = isinstance(fate, Completed) and fate.succeeded
-        if isinstance(fate, NotStarted):
+        succeeded = isinstance(outcome, Completed) and outcome.succeeded
+        if isinstance(outcome, NotStarted):
             # A refused start says nothing about the worker's health or the task's size.
             self.release_unsent(task.task_id, now)
-            stopped = False
+            was_stopped = False
         else:
             if self._observer is not None:
-                self._observer.task_ended(task, now - begun)
-            if isinstance(fate, Completed) and fate.confirmed:
+                self._observer.task_ended(task, now - started_at)
+            if isinstance(outcome, Completed) and outcome.confirmed:
                 self.shard_quota.confirmed_ends.add(task.task_id)
-            stopped = task.task_id in self.stopping_tasks and not succeeded
-            self.scheduler.ended(task.task_id, succeeded, now, preempted=stopped)
+            was_stopped = task.task_id in self.stopping_tasks and not succeeded
+            self.scheduler.ended(task.task_id, succeeded, now, preempted=was_stopped)
         self.stopping_tasks.discard(task.task_id)
-        if isinstance(fate, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
-            self._enqueue_again(task, now)
+        if isinstance(outcome, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
+            self._requeue(task, now)
         else:
-            ended = isinstance(fate, Completed)
+            is_completed = isinstance(outcome, Completed)
             result = (
-                PREEMPTED_REFUSAL if stopped and ended else result_of_outcome(task.task_id, fate)
+                PREEMPTED_REFUSAL
+                if was_stopped and is_completed
+                else result_of_outcome(task.task_id, outcome)
             )
             self.finish(task.task_id, result)
         self.dispatch(now)
 
-    def _superseded(self, task_id: str, fate: Superseded) -> None:
+    def _on_superseded(self, task_id: str, superseded: Superseded) -> None:
         """Let the entry instance ask the new owner; the place is the new owner's to count."""
-        known = self.keys.entries.get(task_id)
-        once = known is not None and known.dispatches <= 1
-        outcome = Outcome.NOT_RUN if once and not fate.sent else Outcome.UNKNOWN
+        key = self.keys.entries.get(task_id)
+        dispatched_once = key is not None and key.dispatches <= 1
+        outcome = Outcome.NOT_RUN if dispatched_once and not superseded.sent else Outcome.UNKNOWN
         self.requests.deliver(task_id, not_owner_refusal(self.shard, outcome))
 
     def _kind_of(self, task_id: str) -> WorkKind:
@@ -312,17 +314,17 @@
         """Store the result of a request and give it to those who wait."""
         return self.requests.finish(request_id, result)
 
-    def _give_up(self) -> None:
+    def _drop_unfinished(self) -> None:
         self.forwarder.mark_forwarded_dispatched()
         elsewhere = self.in_flight.keys() | self.forwarder.forwarded_ids()
-        self.requests.drop_unfinished(elsewhere, self._moved)
+        self.requests.drop_unfinished(elsewhere, self._was_handed_over)
 
     # What the fencing reports.
 
     def on_state_changed(self, state: ShardState) -> None:
         """Take the new state of the claim."""
-        if state is ShardState.OWNED and not self._owned_before:
-            self._owned_before = True
+        if state is ShardState.OWNED and not self._has_owned:
+            self._has_owned = True
             self._begin_ownership()
         self.refresh_escrow()
 
@@ -353,17 +355,17 @@
                 and self.pool.connected(worker)
                 and worker not in self.leaving_workers
             )
-            if usable and worker not in self._up:
-                self._up.add(worker)
+            if usable and worker not in self._usable_workers:
+                self._usable_workers.add(worker)
                 self.scheduler.worker_up(worker)
                 self.dispatch(self._clock())
             elif not usable:
-                self._worker_down(worker)
+                self._mark_worker_down(worker)
 
     async def send_queue(self, successor: str, token: Token) -> bool | None:
         """Send the queue; tell whether it was taken, None when that is not known."""
         emit(log, Event.HAND_OVER_STARTED, shard=self.shard, instance_id=successor)
-        self._moved = True
+        self._was_handed_over = True
         self.forwarder.mark_forwarded_dispatched()
         message = build_hand_over(
             self.shard, token, self.claim.instance_id, self.keys, self.pending
@@ -375,12 +377,12 @@
     async def set_workers(self, specs: Iterable[WorkerSpec]) -> None:
         """Take the workers that the shard's record names now."""
         workers = list(specs)
-        gone = set(self.claim.workers) - {spec.name for spec in workers}
+        removed = set(self.claim.workers) - {spec.name for spec in workers}
         self._specs = {spec.name: spec for spec in workers}
         self.scheduler.set_workers(workers)
         self.pool.set_workers(workers)
-        for worker in gone:
-            self._worker_down(worker)
+        for worker in removed:
+            self._mark_worker_down(worker)
         await self.claim_driver.set_workers(spec.name for spec in workers)
 
     def set_leaving_workers(self, leaving: set[str]) -> None:
@@ -388,25 +390,25 @@
         for worker in leaving - self.leaving_workers:
             emit(log, Event.WORKER_LEAVING, worker=worker)
             self.scheduler.worker_leaving(worker)
-            self._up.discard(worker)
+            self._usable_workers.discard(worker)
         self.leaving_workers = set(leaving)
         self.update_usable_workers()
 
     def refresh_escrow(self) -> None:
         """Use the full escrow once the table has confirmed the epoch and all is resolved."""
         if self.quota_ledger.cap is not None and self.claim.escrow_usable:
-            places = self._escrow(self.shard)
-            if places is not None:
-                self.lift_takeover_cap(places)
+            escrow = self._read_escrow(self.shard)
+            if escrow is not None:
+                self.lift_takeover_cap(escrow)
 
-    def lift_takeover_cap(self, places: Mapping[str, int]) -> None:
+    def lift_takeover_cap(self, escrow: Mapping[str, int]) -> None:
         """End the takeover cap; the places were read after the table confirmed the epoch."""
-        self.quota_ledger.uncap(dict(places))
+        self.quota_ledger.uncap(dict(escrow))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
         """Return the slots of usable workers that no task holds."""
-        slots = sum(self._specs[worker].capacity.slots for worker in self._up)
+        slots = sum(self._specs[worker].capacity.slots for worker in self._usable_workers)
         return max(0, slots - len(self.quota_ledger.running))
 
     def worker_of(self, task_id: str) -> str | None:
@@ -437,9 +439,9 @@
         """Run a coroutine as a task that ends with the shard at the latest."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._task_done)
+        task.add_done_callback(self._on_task_done)
 
-    def _task_done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             emit(log, Event.TASK_CRASHED, detail=repr(task.exception()))
@@ -449,12 +451,12 @@
         emit(log, event, worker=worker)
         await self.claim_driver.on_connection_changed(worker, connected)
 
-    def _worker_down(self, worker: str) -> None:
-        if worker in self._up:
-            self._up.discard(worker)
+    def _mark_worker_down(self, worker: str) -> None:
+        if worker in self._usable_workers:
+            self._usable_workers.discard(worker)
             self.scheduler.worker_down(worker)
 
-    def _known_since(self) -> float:
+    def _keys_known_since(self) -> float:
         """Return the time after which no key was sent that this owner cannot know of.
 
         After a planned hand-over the previous owner's knowledge continues, if no other owner
@@ -463,21 +465,21 @@
         now, message = self._clock(), self._inherited
         if message is None or message.known_since is None:
             return now
-        fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
+        is_fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
         return (
             message.known_since
-            if fresh and self.claim_driver.directly_follows(message.token)
+            if is_fresh and self.claim_driver.directly_follows(message.token)
             else now
         )
 
     def _begin_ownership(self) -> None:
         """Decide from when on keys are known: a planned hand-over leaves no gap."""
-        self.keys.take_over(self._known_since())
+        self.keys.take_over(self._keys_known_since())
         message, self._inherited = self._inherited, None
         if message is not None:
-            self._take_queue(message)
+            self._enqueue_handed_over(message)
 
-    def _take_queue(self, message: HandOver) -> None:
+    def _enqueue_handed_over(self, message: HandOver) -> None:
         """Queue what the previous owner handed over, once all inventories are known."""
         now = self._clock()
         for req in accept_hand_over(message, self.keys, now):
@@ -487,22 +489,22 @@
                 self.finish(req.request_id, refusal)
         self.dispatch(now)
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             now = self._clock()
             try:
-                self._tick_once(now)
+                self._tick(now)
             except InvariantBreachError:
                 continue
 
-    def _tick_once(self, now: float) -> None:
+    def _tick(self, now: float) -> None:
         self.requests.expire_keys(now)
         for task_id in [name for name, until in self.cancelled_until.items() if until <= now]:
             del self.cancelled_until[task_id]
         for task in self.scheduler.expire(now):
-            late = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
-            self.finish(task.task_id, late)
+            refusal = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
+            self.finish(task.task_id, refusal)
         for task, refusal in self.scheduler.given_up():
             self.finish(task.task_id, refusal)
         for preemption in self.scheduler.preemptions():
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -80,8 +80,8 @@
         """Return how many tasks of a team and kind may start here now."""
         if self.is_class_full(team, kind):
             return 0
-        places = max(0, self.team_ledger.allowed(team) - self.team_ledger.used[team])
-        return min(places, self.class_ledger.spare(class_key(team, kind)))
+        units = max(0, self.team_ledger.allowed(team) - self.team_ledger.used[team])
+        return min(units, self.class_ledger.spare(class_key(team, kind)))
 
     def class_headroom(self) -> dict[str, int]:
         """Return how many tasks of each limited class may start here now."""
--- a/baobabhoist/daemon/shutdown.py
+++ b/baobabhoist/daemon/shutdown.py
@@ -45,18 +45,18 @@
 
     def __init__(
         self,
-        requests: OpenRequests,
+        open_requests: OpenRequests,
         owners: ShardReleaser,
-        open_work: Callable[[], int],
-        close_callers: Callable[[], Awaitable[None]],
+        count_open_work: Callable[[], int],
+        close_caller_server: Callable[[], Awaitable[None]],
         balancer_delay_s: float = BALANCER_DELAY_S,
     ) -> None:
         self.started = asyncio.Event()
         self.finished = asyncio.Event()
-        self._requests = requests
+        self._open_requests = open_requests
         self._owners = owners
-        self._open_work = open_work
-        self._close_callers = close_callers
+        self._count_open_work = count_open_work
+        self._close_caller_server = close_caller_server
         self._balancer_delay_s = balancer_delay_s
 
     async def start(self) -> None:
@@ -66,17 +66,17 @@
     async def run(self) -> None:
         """Wait for the start of the drain, and carry it out."""
         await self.started.wait()
-        emit(log, Event.DRAIN_STARTED, open_requests=self._open_work())
-        self._requests.leave_balancer()
+        emit(log, Event.DRAIN_STARTED, open_requests=self._count_open_work())
+        self._open_requests.leave_balancer()
         await self._owners.hand_over_all()
         await asyncio.sleep(self._balancer_delay_s)
-        self._requests.begin_drain()
-        while self._open_work() or self._requests.count:
+        self._open_requests.begin_drain()
+        while self._count_open_work() or self._open_requests.count:
             # A successor may have appeared since.
             await self._owners.hand_over_all()
             await asyncio.sleep(CHECK_INTERVAL_S)
         await self._owners.release_idle()
         await asyncio.sleep(FLUSH_DELAY_S)
-        await self._close_callers()
+        await self._close_caller_server()
         emit(log, Event.DRAIN_FINISHED)
         self.finished.set()
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -49,7 +49,7 @@
         self._metrics = metrics
         self._source = source
         self._revision = revision
-        self._breaches_seen: dict[int, int] = {}
+        self._reported_breaches: dict[int, int] = {}
 
     async def run(self) -> None:
         """Read until cancelled."""
@@ -64,9 +64,9 @@
         self._metrics.set_records_revision(self._revision())
         self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
         for number, count in invariants.breaches.items():
-            for _ in range(count - self._breaches_seen.get(number, 0)):
+            for _ in range(count - self._reported_breaches.get(number, 0)):
                 self._metrics.invariant_breached(str(number))
-            self._breaches_seen[number] = count
+            self._reported_breaches[number] = count
         for owner in owners:
             self._read_shard(owner)
 
@@ -84,5 +84,9 @@
     free = [
         sum(amounts) for amounts in zip(*(w.free for w in index.workers.values()), strict=True)
     ]
-    bound = [1.0 - left / total for left, total in zip(free, index.total, strict=False) if total]
-    return max(bound, default=0.0)
+    utilizations = [
+        1.0 - free_amount / total
+        for free_amount, total in zip(free, index.total, strict=False)
+        if total
+    ]
+    return max(utilizations, default=0.0)
--- a/baobabhoist/tests/test_daemon_app.py
+++ b/baobabhoist/tests/test_daemon_app.py
@@ -61,10 +61,10 @@
         for revision, (kind, name, body) in enumerate(bodies, 1):
             daemon.view.apply(Record(kind, name, 2 if kind == "queue" else 1, revision, body))
         daemon.sync.loaded.set()
-        daemon._callers.listen(daemon.cfg.caller_port, daemon.cfg.host)
+        daemon._caller_server.listen(daemon.cfg.caller_port, daemon.cfg.host)
         url = f"http://127.0.0.1:{daemon.cfg.caller_port}/v1/queues/checks/requests"
         await AsyncHTTPClient().fetch(url, method="POST", body=b"x")
-        daemon._callers.stop()
+        daemon._caller_server.stop()
         (req,) = routed
         # Both times come from one reading of the clock; the tolerance covers rounding.
         assert math.isclose(req.task.deadline - req.task.submitted_at, 123.0, abs_tol=1e-3)
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -78,7 +78,7 @@
         self.now = 1000.0
         self.peers = peers
 
-        async def reach(workers):
+        async def is_reachable(workers):
             return reachable
 
         self.owners = OwnershipManager(
@@ -87,7 +87,7 @@
             peers,
             lambda claim, workers, inherited: FakeOwner(claim, inherited),
             clock=lambda: self.now,
-            reach=reach,
+            is_reachable=is_reachable,
         )
         self.owners._last_tick = self.now
 
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -52,7 +52,7 @@
     """Return the times at which an instance claims the shard, in steps of 0.25 s."""
     now, claimed, peers = [0.0], [], Peers()
 
-    async def reach(workers):
+    async def is_reachable(workers):
         return now[0] >= reachable_at
 
     async def body():
@@ -62,7 +62,7 @@
             peers,
             None,
             clock=lambda: now[0],
-            reach=reach,
+            is_reachable=is_reachable,
         )
         owners.claim = lambda shard: claimed.append(now[0])
         while now[0] < until and not claimed:
--- a/baobabhoist/tests/test_daemon_record_sync.py
+++ b/baobabhoist/tests/test_daemon_record_sync.py
@@ -101,7 +101,7 @@
         peer = network.add("peer", table)
         await peer.pull()
         late = network.add("late", table)
-        await late.receive(peer._reply(0))
+        await late.receive(peer._build_pull_reply(0))
         current, head = await table.read("record/team/a"), await table.read("log_head")
         await table.commit(change("team", "a", 1, None, current, head))
         await peer.pull()
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -97,7 +97,7 @@
 async def test_a_resumed_owner_can_start_nothing(rack):
     """Guard against an owner that was paused during a takeover and starts work afterwards."""
     old, _ = await rack.start_owner("a")
-    old.claim_driver._count_silence = lambda worker: None
+    old.claim_driver._count_renewal_timeout = lambda worker: None
     await higher_token(rack)
     result = await old.submit(request("late"))
     assert (result.kind, result.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -175,12 +175,12 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def pair(ports, reach, tls=(None, None)):
+def pair(ports, is_reachable, tls=(None, None)):
     """Return two meshes; `reach` are the ports at which each finds the other."""
     names = ("a", "b")
     found = []
     for me, other in ((0, 1), (1, 0)):
-        address = PeerAddress(names[other], "north", "127.0.0.1", reach[me])
+        address = PeerAddress(names[other], "north", "127.0.0.1", is_reachable[me])
         describe = lambda me=me: beat(names[me])  # noqa: E731
         found.append(Mesh([address], describe, echo, tls=tls[me]))
     return [(one, port) for one, port in zip(found, ports, strict=True)]
