--- a/baobabhoist/daemon/__init__.py
+++ b/baobabhoist/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Wire the parts into the daemon and own its tasks."""
+"""Assemble the scheduler daemon and run its background tasks."""
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -1,4 +1,4 @@
-"""Keep small answers with their keys and fetch large ones from the worker again."""
+"""Keep small answers with their idempotency keys and fetch large ones from the worker."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from baobabhoist.model import Answer, EndedTask, Request
 from baobabhoist.ownership.keys import Result
 
-# A worker stores its answers anyway; whole ones kept here for the ten minutes of a key's
-# longest window would fill the memory of a small VM.
+# The worker stores every answer as well. Keeping large bodies here for up to ten minutes, the
+# longest retention of a key, would exhaust the memory of a small VM.
 MAX_KEPT_BODY_BYTES = 4096
 
 ResolveOutcome = Callable[[str, float, str], Awaitable[DispatchOutcome]]
@@ -25,26 +25,26 @@
 
 @attrs.define
 class AnswerStore:
-    """Know which worker stores the body of an answer that is not kept here."""
+    """Track which worker stores the body of an answer that is not kept here."""
 
     resolve: ResolveOutcome
     worker_by_request: dict[str, str] = attrs.Factory(dict)
 
     def strip_body(self, request_id: str, result: Result, worker: str) -> Result:
-        """Return the result to keep with the key."""
+        """Return the result to keep with the key, without its body if that is large."""
         if not isinstance(result, Answer) or len(result.body) <= MAX_KEPT_BODY_BYTES or not worker:
             return result
         self.worker_by_request[request_id] = worker
         return attrs.evolve(result, body=b"")
 
     def note_omitted_bodies(self, worker: str, ended: Iterable[EndedTask]) -> None:
-        """Note the answers that a worker's inventory names without their body."""
+        """Record the answers that a worker's inventory lists without their body."""
         for task in ended:
             if task.body_omitted:
                 self.worker_by_request[task.task_id] = worker
 
     async def load_body(self, req: Request, result: Result) -> Result:
-        """Return a kept result with its body, or that its outcome is no longer known."""
+        """Return a kept result with its body, or a refusal if the body is no longer stored."""
         worker = self.worker_by_request.get(req.request_id)
         if worker is None or not isinstance(result, Answer):
             return result
@@ -55,7 +55,9 @@
         return outcome_unknown_refusal("the request ran, and its answer is no longer stored")
 
     def retain(self, keys: Container[str]) -> None:
-        """Forget the answers whose keys are no longer remembered."""
+        """Drop all answers but those of the given keys."""
         self.worker_by_request = {
-            name: where for name, where in self.worker_by_request.items() if name in keys
+            request_id: worker
+            for request_id, worker in self.worker_by_request.items()
+            if request_id in keys
         }
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -1,4 +1,4 @@
-"""Assemble the parts of the daemon."""
+"""Assemble the components of the daemon."""
 
 from __future__ import annotations
 
@@ -64,13 +64,13 @@
 
 TLS_CHECK_INTERVAL_S = 2.0
 USAGE_INTERVAL_S = 0.5
-# Members of this kind that name a port are instances, also when no settings list them.
+# Members of this kind with a port are daemon instances, even if the settings do not list them.
 ENTRY_MEMBER_KIND = "entry"
 RECORD_MESSAGES = (RecordPull, RecordEntries, RecordSnapshot)
 
 
 class ShardRecords:
-    """Know the shards of the records."""
+    """Look up shards in the records."""
 
     def __init__(self, view: RecordView) -> None:
         self._view = view
@@ -94,7 +94,7 @@
 
 
 class Daemon:
-    """Hold the parts of one instance."""
+    """Run the components of one instance."""
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
@@ -130,7 +130,7 @@
         self.jobs = JobManager(self)
         self.escrow = EscrowManager(self)
         self.open_requests = OpenRequests()
-        # As of the last heartbeat: forwarding asks often, and older figures serve it as well.
+        # Updated with each heartbeat. Forwarding reads the digests often and tolerates older ones.
         self._own_digests: list[ShardDigest] = []
         self.drain = Drain(
             self.open_requests,
@@ -176,7 +176,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until the drain has ended or the task is cancelled."""
+        """Serve until the instance is drained or the task is cancelled."""
         emit(
             log,
             Event.DAEMON_STARTED,
@@ -205,11 +205,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the instance can serve callers."""
+        """Return whether the instance can serve callers."""
         return self.sync.loaded.is_set() and not self.drain.started.is_set()
 
     def heartbeat(self) -> Heartbeat:
-        """Describe this instance to its peers."""
+        """Return the heartbeat that this instance sends to its peers."""
         active = self.active_owners()
         self._own_digests = [build_digest(owner) for owner in active]
         return Heartbeat(
@@ -228,7 +228,7 @@
         """Return the result of a request from the owner of its shard."""
         return await self.router.route(req)
 
-    # What the job coordinator needs.
+    # JobContext
 
     def shard_names(self) -> list[str]:
         """Return the names of all shards in the records."""
@@ -239,12 +239,12 @@
         return self.view.policy_of(queue)
 
     def owned_shards(self) -> list[str]:
-        """Return the shards that this instance owns fully."""
+        """Return the shards that this instance fully owns."""
         owners = self.ownership.owners.items()
         return [name for name, owner in owners if owner.claim.state is ShardState.OWNED]
 
     def local_shard(self, shard: str) -> ShardJobs | None:
-        """Return a shard that this instance owns fully, or None."""
+        """Return a shard that this instance fully owns, or None."""
         owner = self.ownership.owners.get(shard)
         if owner is None or owner.claim.state is not ShardState.OWNED:
             return None
@@ -261,7 +261,7 @@
             raise NotSentError(f"no live instance owns shard {shard}")
         return await self.mesh.call(peer, message, timeout_s)
 
-    # What peers and the platform report.
+    # Events from peers and the platform.
 
     async def _on_peer_message(self, message: Any) -> Any | None:
         if isinstance(message, RelayRequest):
@@ -306,7 +306,7 @@
         )
 
     def _is_poller(self) -> bool:
-        """Tell whether this instance polls the change log for its data centre."""
+        """Return whether this instance polls the change log for its data centre."""
         poller_candidates = [
             heartbeat.instance_id
             for heartbeat in self.mesh.beats()
@@ -314,14 +314,14 @@
         ]
         return all(self.cfg.instance_id < other for other in poller_candidates)
 
-    # What runs in the background.
+    # Background tasks.
 
     async def _run_ownership(self) -> None:
         await self.sync.loaded.wait()
         await self.ownership.run()
 
     async def _apply_records(self) -> None:
-        """Bring changed records into the running shards."""
+        """Apply changed records to the shards that this instance owns."""
         while True:
             await self.sync.changed.wait()
             self.sync.changed.clear()
@@ -337,7 +337,7 @@
         owner.shard_quota.class_ledger.limits = class_limits(self.view, owner.shard)
 
     async def _update_fleet_usage(self) -> None:
-        """Tell the decisions of each shard what its teams use elsewhere."""
+        """Update the scheduler of each shard with the usage of its teams in other shards."""
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
@@ -378,7 +378,7 @@
         return self.router.forward(req, self._own_digests)
 
     def active_owners(self) -> list[ShardOwner]:
-        """Return the shards that this instance works for."""
+        """Return the owners of the shards that this instance serves."""
         owners = self.ownership.owners.values()
         return [owner for owner in owners if owner.claim.state in ACTIVE_STATES]
 
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -1,4 +1,4 @@
-"""Drive the claim of one shard: the table's row, the workers' tokens and their leases."""
+"""Drive the claim on one shard: its row in the table, its workers' tokens and their leases."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 RENEW_INTERVAL_S = 1.0
 FENCE_RETRY_INTERVAL_S = 0.1
 TICK_INTERVAL_S = 0.2
-# A takeover must end within 5 s, 2 s of which pass until the owner counts as dead.
+# A takeover must finish within 5 s, of which 2 s pass before the owner is considered dead.
 CLAIM_TABLE_TIMEOUT_S = 0.7
 EPOCH_CONFIRM_INTERVAL_S = 1.0
-# Renewals in a row that time out until the connection is replaced.
+# Consecutive lease renewals that may time out before the connection is replaced.
 MAX_RENEWAL_TIMEOUTS = 2
 FENCE_CALL_TIMEOUT_S = 2.0
 CONFIRM_ATTEMPTS = 3
@@ -69,36 +69,36 @@
 
 ENDED_STATES = (ShardState.LOST, ShardState.IDLE)
 
-# These arrive once a second for each worker. Unless the claim asks for an action, they change
-# which workers are usable only while some worker still has to be verified.
+# These arrive once a second for each worker. Without an action of the claim, they can change the
+# set of usable workers only while some worker is unverified.
 ROUTINE_EVENTS = (WorkerConfirmed, WorkerReportedLive, WorkerReportedGone)
 
 
 class ClaimListener(Protocol):
-    """Be told by the fencing what changes for the shard."""
+    """Receive the events of a shard's claim."""
 
     def on_state_changed(self, state: ShardState) -> None:
-        """Take the new state of the claim."""
+        """Handle a new state of the claim."""
 
     def on_inventory(
         self, worker: str, running: list[RunningTask], ended: list[EndedTask]
     ) -> None:
-        """Take the inventory of a worker that holds the token, before it gets work."""
+        """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
 
     def renewal_mark(self) -> int:
-        """Return a mark of what is known before a renewal is sent."""
+        """Return the number of the last task end known before a renewal is sent."""
 
     def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
-        """Take a worker's report of what it runs, with the mark taken before the call."""
+        """Handle a worker's list of running tasks, with the mark taken before the call."""
 
     def on_worker_restarted(self, worker: str) -> None:
-        """Learn that a worker may have forgotten the tasks it was sent."""
+        """Handle a worker that may have lost the tasks it was sent."""
 
     def update_usable_workers(self) -> None:
-        """Compare the workers that may get work with those that do."""
+        """Update the set of workers that work may be dispatched to."""
 
     async def send_queue(self, successor: str, token: Token) -> bool | None:
-        """Send the queue; tell whether it was taken, None when that is not known."""
+        """Send the queue; return whether it was accepted, or None if that is unknown."""
 
 
 @attrs.define
@@ -111,7 +111,7 @@
 
 
 class ClaimDriver:
-    """Perform the actions of the claim machine and feed it what happens."""
+    """Execute the actions of the claim's state machine and feed events to it."""
 
     def __init__(
         self,
@@ -124,9 +124,8 @@
     ) -> None:
         self.claim = claim
         self.ended = asyncio.Event()
-        # Of the shard's row when it last named this claim; transactions check it.
+        # Revision of the shard's row when it last named this claim; transactions check it.
         self.row_revision = 0
-        # The token that each worker held before this claim's first one.
         self._table = table
         self._pool = pool
         self._leases = leases
@@ -135,6 +134,7 @@
         self._row_key = f"shard/{claim.shard}"
         self._tasks: set[asyncio.Task[None]] = set()
         self._presented_tokens: dict[str, Token] = {}
+        # The token that each worker held before the first one of this claim.
         self._previous_tokens: dict[str, Token | None] = {}
         self._renewal_timeouts: dict[str, int] = {}
         self._has_claimed = False
@@ -142,7 +142,7 @@
         self._hand_over_finished = asyncio.Event()
 
     async def run(self) -> None:
-        """Claim the shard and hold it; return when it is lost or released."""
+        """Claim the shard and keep it; return when it is lost or released."""
         loops = [asyncio.create_task(self._run_ticks()), asyncio.create_task(self._renew_leases())]
         try:
             await self._claim_shard()
@@ -155,13 +155,13 @@
                 task.cancel()
 
     async def release(self) -> None:
-        """Give the shard up."""
+        """Release the shard."""
         await self.apply(ReleaseWanted())
 
     async def hand_over(self, successor: str) -> bool:
-        """Stop dispatch, send the queue to the successor; tell whether the shard was given up.
+        """Stop dispatch, send the queue to the successor and return whether the claim ended.
 
-        The claim ends a hand-over by itself when its deadline passes.
+        The claim itself aborts a hand-over whose deadline passes.
         """
         self._hand_over_finished.clear()
         await self.apply(HandOverWanted(successor))
@@ -170,11 +170,11 @@
         return self.ended.is_set()
 
     def directly_follows(self, token: Token) -> bool:
-        """Tell whether every worker held this token until it took one of this claim."""
+        """Return whether this token directly preceded this claim's tokens on every worker."""
         return all(self._previous_tokens.get(worker) == token for worker in self.claim.workers)
 
     async def confirm_owned_at(self, at: float) -> bool:
-        """Tell whether this instance certainly owned the shard at a time; may ask workers."""
+        """Return whether this instance certainly owned the shard at a time; may call workers."""
         for _ in range(CONFIRM_ATTEMPTS):
             if self.claim.confirmed_after(at) or self.ended.is_set():
                 break
@@ -182,7 +182,7 @@
         return self.claim.confirmed_after(at)
 
     def start_confirmation(self) -> asyncio.Task[None]:
-        """Ask some workers to confirm the token; calls at the same time share one round."""
+        """Ask some workers to confirm the token; concurrent callers share one round."""
         if self._confirmation is None or self._confirmation.done():
             self._confirmation = asyncio.create_task(self._confirm_with_workers())
         return self._confirmation
@@ -193,31 +193,32 @@
         await asyncio.gather(*(self._renew_worker(worker) for worker in sample))
 
     async def on_token_refused(self, worker: str, highest: Token) -> None:
-        """Note that a worker obeys a higher token."""
+        """Handle a worker that obeys a higher token."""
         if highest > self.claim.token:
             emit(log, Event.TOKEN_REFUSED, worker=worker, token=highest)
         await self.apply(FenceRefused(worker, highest))
 
     async def on_connection_changed(self, worker: str, connected: bool) -> None:
-        """Take a new or ended connection to a worker."""
+        """Handle an opened or closed connection to a worker."""
         await self.apply(WorkerConnected(worker) if connected else WorkerDisconnected(worker))
 
     async def set_workers(self, workers: Iterable[str]) -> None:
-        """Take the workers that the shard's record names now."""
+        """Set the workers that the shard's record lists."""
         names = tuple(workers)
         if names != self.claim.workers:
             await self.apply(WorkersChanged(names))
 
     async def on_membership_read(self, gone: set[str]) -> None:
-        """Take one reading of the membership list."""
+        """Handle a read of the membership list."""
         for worker in self.claim.workers:
             event = WorkerReportedGone if worker in gone else WorkerReportedLive
             await self.apply(event(worker))
 
     async def apply(self, event: ClaimEvent) -> None:
-        """Feed an event to the claim and perform what it asks for.
+        """Feed an event to the claim and perform the resulting actions.
 
-        Another object of this instance may drive the same claim once this one has ended.
+        Events are ignored once this driver has ended, because another driver of this instance may
+        own the claim by then.
         """
         if self.ended.is_set():
             return
@@ -225,7 +226,7 @@
         try:
             actions = self.claim.step(event, self._clock())
         except InvariantBreachError:
-            # The step had no effect and its breach is counted; the claim goes on without it.
+            # The rejected step had no effect and is counted as a breach; the claim continues.
             return
         self._check_ended()
         for action in actions:
@@ -270,7 +271,7 @@
             row = await within(deadline - time.monotonic(), self._table.read(key))
             stored_epoch = _stored_epoch(row.value)
             if stored_epoch == target and row.value["owner"] == owner:
-                # An earlier commit took effect and its answer was lost.
+                # An earlier commit took effect but its acknowledgement was lost.
                 self.row_revision = row.revision
                 return EpochGranted(target)
             if stored_epoch != expected:
@@ -287,7 +288,7 @@
             return EpochUnavailable()
 
     async def _confirm_epoch(self) -> None:
-        """Advance the epoch once the table answers again after a claim by round."""
+        """Advance the epoch in the table once it is reachable, after a claim without it."""
         while True:
             await asyncio.sleep(EPOCH_CONFIRM_INTERVAL_S)
             if self.claim.confirmed:
@@ -330,7 +331,7 @@
         if isinstance(reply, TokenRefused):
             await self.on_token_refused(worker, reply.highest)
         elif self.claim.token == token:
-            # An earlier token of this claim shows that the worker has not forgotten since.
+            # A previous token of this claim proves that the worker has not lost its state since.
             claimant = self.claim.instance_id
             if reply.previous is None or reply.previous.instance_id != claimant:
                 self._listener.on_worker_restarted(worker)
@@ -342,7 +343,7 @@
     async def _present_token(
         self, worker: str, token: Token
     ) -> TokenRefused | WorkerInventory | None:
-        """Present the token and read the whole inventory, which may come in pages."""
+        """Present the token and read all pages of the worker's inventory."""
         inventory = WorkerInventory()
         call: Any = FenceWorker(self.claim.shard, token)
         try:
--- a/baobabhoist/daemon/digests.py
+++ b/baobabhoist/daemon/digests.py
@@ -1,4 +1,4 @@
-"""Summarise an owned shard for the other instances."""
+"""Summarise the load of an owned shard for the other instances."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def build_digest(owner: ShardOwner) -> ShardDigest:
-    """Return the use, the spare places and the unmet wishes of a shard by team."""
+    """Return the usage, the spare quota and the unmet demand of a shard by team."""
     quota = owner.quota_ledger
-    # What a class limit keeps waiting asks neither for places nor for workers.
+    # Work that waits for its class limit needs neither more quota nor more workers.
     waiting = [
         entry
         for entry in owner.pending.values()
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Send placed tasks to workers and find out what became of each."""
+"""Send placed tasks to workers and resolve their outcomes."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 WORKER_CALL_TIMEOUT_S = 1.0
 DEFAULT_LEASE_S = 3.0
 QUERY_INTERVAL_S = 0.2
-# A worker that answers late still does so within this time after the deadline; then the
-# task is stopped, because nothing else would end it.
+# Time after its deadline in which a task may still complete. Then the owner stops the task,
+# because nothing else would end it.
 DEADLINE_GRACE_S = 5.0
-# Longest wait for one reply; after it the owner asks for the outcome and waits again.
+# Longest wait for one reply. After that the owner queries the outcome and waits again.
 MAX_CALL_TIMEOUT_S = 3600.0
 
 HTTP_OK = 200
@@ -40,9 +40,9 @@
 
 @attrs.frozen
 class Completed:
-    """Know that the task ended, with its stored answer.
+    """Represent a task that ended, with its stored answer.
 
-    `confirmed` tells that the worker held this owner's token when it reported the end.
+    `confirmed` states that the worker held this owner's token when it reported the end.
     """
 
     succeeded: bool
@@ -52,21 +52,24 @@
 
 @attrs.frozen
 class NotStarted:
-    """Know that the worker did not start the task and never will under this id."""
+    """Represent a task that the worker did not start and never will under this id."""
 
     reason: str
 
 
 @attrs.frozen
 class Superseded:
-    """Know that the worker obeys a higher token; `sent` tells whether the task may run."""
+    """Represent a task whose worker obeys a higher token; `sent` states that it may run."""
 
     sent: bool
 
 
 @attrs.frozen
 class LostTask:
-    """Know only that the task no longer runs: its lease expired or its worker restarted."""
+    """Represent a task that no longer runs because its lease expired or its worker restarted.
+
+    Whether the task completed is unknown.
+    """
 
 
 DispatchOutcome = Completed | NotStarted | Superseded | LostTask
@@ -74,23 +77,23 @@
 
 @attrs.frozen
 class LeaseSettings:
-    """Hold the periods that the settings give, in seconds."""
+    """Configure task leases, in seconds."""
 
     lease_s: float = DEFAULT_LEASE_S
     clock_skew_s: float = 0.5
 
 
 class TaskObserver(Protocol):
-    """Learn what a shard decides and how long its tasks take; times are in seconds."""
+    """Observe the tasks and placements of a shard; times are in seconds."""
 
     def task_started(self, task: Task, now: float) -> None:
-        """Learn that a task was sent to its worker."""
+        """Handle a task that was sent to its worker."""
 
     def task_ended(self, task: Task, seconds: float) -> None:
-        """Learn how long a task was with its worker."""
+        """Handle a task that spent `seconds` on its worker."""
 
     def placement_decided(self, task: Task, seconds: float) -> None:
-        """Learn the processor time of one placement."""
+        """Handle a placement whose decision took `seconds`."""
 
 
 class WorkerCaller(Protocol):
@@ -102,20 +105,20 @@
 
 @attrs.define
 class WorkerLeases:
-    """Know when the leases on each worker have certainly expired; times are Unix seconds."""
+    """Track when all leases on a worker have certainly expired; times are Unix seconds."""
 
     lease_s: float
     clock_skew_s: float
     latest_deadlines: dict[str, float] = attrs.Factory(dict)
 
     def extend(self, worker: str, now: float) -> float:
-        """Return the deadline of a lease that is about to be sent, and remember it."""
+        """Record a lease that is about to be sent to a worker and return its deadline."""
         deadline = now + self.lease_s
         self.latest_deadlines[worker] = max(deadline, self.latest_deadlines.get(worker, 0.0))
         return deadline
 
     def all_expired(self, worker: str, now: float) -> bool:
-        """Tell whether no lease that was ever sent to the worker can still hold."""
+        """Return whether every lease that was sent to the worker has expired."""
         return now > self.latest_deadlines.get(worker, 0.0) + self.clock_skew_s
 
 
@@ -138,11 +141,11 @@
         self._restarts: Counter[str] = Counter()
 
     def count_worker_restart(self, worker: str) -> None:
-        """Note that a worker may have forgotten what it was sent before."""
+        """Record that a worker restarted and may have lost the tasks it was sent."""
         self._restarts[worker] += 1
 
     async def execute(self, task: Task, worker: str) -> DispatchOutcome:
-        """Run a task and return what became of it; it may take past the task's deadline."""
+        """Run a task and return its outcome, possibly after the task's deadline."""
         now, token, restarts = self._clock(), self._token(), self._restarts[worker]
         call = RunTask(token, task, self._leases.extend(worker, now))
         timeout_s = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
@@ -164,16 +167,18 @@
                 if reply.highest < token:
                     return NotStarted("the worker restarted and must be fenced again")
                 return Superseded(sent=False)
-        log.error("worker %s answered RunTask with %s", worker, type(reply).__name__)
+        log.error(
+            "worker %s sent an unexpected reply to RunTask: %s", worker, type(reply).__name__
+        )
         return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
 
     async def resolve_outcome(
         self, task_id: str, deadline: float, worker: str, restarts: int | None = None
     ) -> DispatchOutcome:
-        """Ask the worker what became of a task until it is known or its lease has expired.
+        """Query the worker for the outcome of a task until it is known or the lease expires.
 
-        `restarts` is the worker's number of restarts before the task was sent; after another
-        one `never` only means that the worker has forgotten the task.
+        `restarts` is the number of restarts of the worker when the task was sent. If it has
+        restarted since, `never` only means that the worker has lost its record of the task.
         """
         known_restarts = self._restarts[worker] if restarts is None else restarts
         while True:
@@ -208,11 +213,11 @@
         try:
             await self._calls.call(worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
-            log.info("worker %s did not confirm the stop of %s", worker, task_id)
+            log.info("worker %s did not confirm that it stopped task %s", worker, task_id)
 
 
 def completed_result(task_id: str, succeeded: bool, body: bytes) -> Result:
-    """Return the result of a task that its worker reports as ended."""
+    """Return the result of a task that ended on its worker."""
     if succeeded:
         return Answer(task_id, HTTP_OK, body)
     return Refusal(
@@ -224,7 +229,7 @@
 
 
 def not_started_refusal(reason: str) -> Refusal:
-    """Return the refusal of a task that its worker did not start."""
+    """Return the refusal for a task that its worker did not start."""
     return Refusal(
         ErrorKind.NO_CAPACITY,
         f"the worker refused the task: {reason}",
@@ -234,7 +239,7 @@
 
 
 def outcome_unknown_refusal(reason: str) -> Refusal:
-    """Return the refusal of a task that may have run."""
+    """Return the refusal for a task that may have run."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
         reason,
@@ -244,7 +249,7 @@
 
 
 def not_owner_refusal(shard: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
-    """Return the refusal of an instance that does not own the shard, or no longer does."""
+    """Return the refusal for an instance that does not own the shard, or no longer does."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
         f"this instance does not own shard {shard}",
@@ -255,7 +260,7 @@
 
 
 def result_of_outcome(task_id: str, outcome: DispatchOutcome) -> Result:
-    """Return the result of a task of which this is known."""
+    """Convert the outcome of a dispatched task to the result of its request."""
     match outcome:
         case Completed(succeeded, body):
             return completed_result(task_id, succeeded, body)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -1,4 +1,9 @@
-"""Keep the places of owned shards in step with the teams' escrow rows."""
+"""Synchronise the quota of owned shards with the escrow rows of their teams.
+
+The escrow row of a team divides the team's limit between the shards and an unassigned pool. A
+shard starts work only within the units of quota that it holds. Messages and log lines call such
+a unit a place.
+"""
 
 from __future__ import annotations
 
@@ -29,18 +34,18 @@
 
 RECONCILE_INTERVAL_S = 0.5
 TAKEOVER_INTERVAL_S = 0.1
-# Rows are read this often when no shard here lacks places. Lowered limits come with the records
-# and received places with the donor's reply, so that neither waits for this.
+# Interval between reads of the rows while no owned shard lacks quota. Lowered limits arrive with
+# the records and transferred quota with the donor's reply, so neither waits for this interval.
 IDLE_READ_INTERVAL_S = 5.0
 SCAN_PAGE_SIZE = 1000
 TRANSFER_CALL_TIMEOUT_S = 2.0
-# A task that was told to stop is told again after this time.
+# A task that still runs this long after it was told to stop is told again.
 STOP_RETRY_INTERVAL_S = 5.0
 
 
 @attrs.frozen
 class VersionedRow:
-    """Hold a team's row as it was read; `revision` is 0 for an absent row."""
+    """Represent a team's row as it was read; `revision` is 0 for an absent row."""
 
     revision: int
     row: EscrowRow
@@ -48,10 +53,11 @@
 
 @attrs.define
 class ShardAccount:
-    """Hold what one owned shard does with the rows.
+    """Track the transfers and the stopped tasks of one owned shard.
 
-    `in_doubt` maps a team to the revision of the row that a transfer without an answer checks:
-    once the row has another revision, that transfer has taken effect or never will.
+    `in_doubt` maps a team to the row revision that an unacknowledged transfer checks. Once the
+    row has another revision, that transfer has either taken effect or never will.
+    `stop_sent_at` maps a task to the time at which its worker was last told to stop it.
     """
 
     owner: ShardOwner
@@ -61,13 +67,13 @@
 
 
 class EscrowContext(Protocol):
-    """Be what the escrow needs of the instance."""
+    """Define what the escrow manager needs from the instance."""
 
     table: Table
     view: RecordView
 
     def active_owners(self) -> list[ShardOwner]:
-        """Return the shards that this instance works for."""
+        """Return the owners of the shards that this instance serves."""
 
     def peer_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards of live peers."""
@@ -77,7 +83,7 @@
 
 
 class EscrowManager:
-    """Own the transactions on escrow rows of all shards of this instance."""
+    """Run the escrow transactions of all shards of this instance."""
 
     def __init__(self, context: EscrowContext, clock: Callable[[], float] = time.time) -> None:
         self.rows: dict[str, VersionedRow] = {}
@@ -86,11 +92,11 @@
         self._accounts: dict[str, ShardAccount] = {}
         self._wake = asyncio.Event()
         self._next_read_at = 0.0
-        # Between the reading of a row and its use no other step may move this shard's places.
+        # No other transfer may change the quota of a shard between the read of a row and its use.
         self._lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Read rows and move places until cancelled."""
+        """Read the rows and transfer quota until cancelled."""
         while True:
             try:
                 if self._is_due():
@@ -99,7 +105,7 @@
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
-                log.warning("a step on the escrow rows was refused")
+                log.warning("an invariant check rejected an escrow transfer")
             is_capped = any(
                 owner.quota_ledger.cap is not None for owner in self._context.active_owners()
             )
@@ -112,7 +118,7 @@
                 continue
 
     def _is_due(self) -> bool:
-        """Tell whether the rows have to be read now; each reading costs one scan of the table."""
+        """Return whether the rows have to be read now; each read costs one scan of the table."""
         return (
             self._wake.is_set()
             or self._clock() >= self._next_read_at
@@ -126,8 +132,8 @@
 
     async def reconcile(self) -> None:
         """Read the rows once and act on them; raises PlatformError."""
-        # Only a row read after the table confirmed the epoch holds a shard's full escrow: the
-        # transactions of an earlier owner fail from then on.
+        # A row shows a shard's full escrow only if it was read after the table confirmed the
+        # epoch, because from then on the transactions of earlier owners fail.
         self._wake.clear()
         requests: list[PlacesWanted] = []
         async with self._lock:
@@ -143,12 +149,12 @@
                 await self._return_excess(account)
                 self._stop_excess(account)
                 requests += await self._acquire_quota(account)
-        # Two instances that ask each other must not wait for each other's lock.
+        # Sent without the lock: two instances that request quota from each other would deadlock.
         for request in requests:
             await self._request_transfer(request)
 
     def apply_lowered_limits(self) -> None:
-        """Apply lowered limits of the records at once, before the rows follow."""
+        """Apply lowered limits at once, before the escrow rows are updated."""
         for owner in self._eligible_owners():
             if owner.quota_ledger.cap is None:
                 self._set_ceilings(owner)
@@ -156,7 +162,7 @@
         self._wake.set()
 
     async def grant(self, wanted: PlacesWanted) -> PlacesGiven:
-        """Transfer free places to another shard and return how many."""
+        """Transfer free quota to another shard and return how many units."""
         async with self._lock:
             return await self._grant_locked(wanted)
 
@@ -195,7 +201,7 @@
             account = self._accounts[owner.shard] = ShardAccount(owner)
         return account
 
-    # The rows.
+    # Escrow rows.
 
     async def _read_rows(self) -> None:
         found: dict[str, VersionedRow] = {}
@@ -211,7 +217,7 @@
         self.rows = found
 
     async def _write_record_limits(self) -> None:
-        """Write the rows that the records ask for; of several instances one succeeds."""
+        """Write the limits of the records to the rows; of several instances one succeeds."""
         view = self._context.view
         updates: dict[str, tuple[int, EscrowRow]] = {}
         for team, record in view.teams().items():
@@ -249,7 +255,7 @@
         for team, revision in list(account.in_doubt.items()):
             current = self.rows.get(team)
             if current is not None and current.revision == revision:
-                # Any later revision makes a transaction that is still on its way fail.
+                # Advance the revision, so that a transaction still in transit fails its check.
                 writes = {_row_key(team): escrow.encode(current.row)}
                 outcome = await self._context.table.commit(
                     Transaction({_row_key(team): revision}, writes)
@@ -278,7 +284,7 @@
                 has_gained = True
             else:
                 log.error(
-                    "shard %s holds %d places of %s too many", owner.shard, -difference, team
+                    "shard %s exceeds its escrow by %d for team %s", owner.shard, -difference, team
                 )
                 owner.quota_ledger.escrow[team] = units
         self._set_ceilings(owner)
@@ -297,7 +303,7 @@
             ceiling = escrow.ceilings(row).get(owner.shard, 0) if lowered else None
             owner.quota_ledger.set_ceiling(team, ceiling)
 
-    # What a lowered limit asks for.
+    # Lowered limits.
 
     async def _return_excess(self, account: ShardAccount) -> None:
         owner = account.owner
@@ -311,7 +317,7 @@
                 await self._transfer_out(account, team, current, units, None)
 
     def _stop_excess(self, account: ShardAccount) -> None:
-        """Checkpoint or stop what exceeds a lowered limit; requests end by themselves soon."""
+        """Checkpoint or stop tasks above a lowered limit, except requests, which end soon."""
         owner, now = account.owner, self._clock()
         account.stop_sent_at = {
             k: at for k, at in account.stop_sent_at.items() if now - at < STOP_RETRY_INTERVAL_S
@@ -334,7 +340,7 @@
     # Transfers.
 
     async def _acquire_quota(self, account: ShardAccount) -> list[PlacesWanted]:
-        """Take places from the pool, and return what to ask other shards for."""
+        """Take quota from the pool, and return the requests to send to other shards."""
         owner = account.owner
         if owner.quota_ledger.cap is not None:
             return []
@@ -352,7 +358,7 @@
         return requests
 
     async def _take_from_pool(self, account: ShardAccount, step: Transfer) -> None:
-        """Move places here; they are used once a later reading of the row shows them."""
+        """Transfer quota from the pool; it is usable once a later read of the row shows it."""
         owner, current = account.owner, self.rows[step.team]
         credit = Move(owner.shard, owner.claim.token.epoch, step.places)
         new_row = escrow.move(step.team, current.row, [credit])
@@ -367,10 +373,10 @@
             await self._context.call_owner(request.from_shard, request, TRANSFER_CALL_TIMEOUT_S)
             self._wake.set()
         except (LinkClosedError, TimeoutError):
-            log.info("the owner of %s did not answer the wish for places", request.from_shard)
+            log.info("the owner of %s did not answer the quota request", request.from_shard)
 
     def _unmet_demand(self, owner: ShardOwner) -> dict[str, int]:
-        """Return the queued tasks by team that only lack a place."""
+        """Return by team how many queued tasks lack nothing but quota."""
         digest = build_digest(owner)
         free_slots = max(0, digest.free_slots)
         return {
@@ -387,7 +393,7 @@
         shards = [ShardNeeds(owner.shard, 0, wanted)]
         if row.pending_limit is None:
             shards += [
-                # A shard that waits for places itself gives none, and asks for itself.
+                # A shard with unmet demand grants nothing and requests quota for itself.
                 ShardNeeds(digest.shard, 0 if digest.unmet.get(team) else spare, 0)
                 for digest in others
                 if (spare := digest.spare.get(team, 0)) > 0
@@ -406,9 +412,9 @@
         units: int,
         target: str | None,
     ) -> bool:
-        """Move places to another shard or the pool; tell whether that is known to be done.
+        """Transfer quota to another shard or the pool; return whether the commit succeeded.
 
-        The places are out of use before the commit, so that they are never used twice.
+        The units are taken out of use before the commit, so that they are never used twice.
         """
         owner = account.owner
         if units <= 0:
@@ -429,7 +435,7 @@
     async def _commit(
         self, account: ShardAccount, team: str, revision: int, row: EscrowRow
     ) -> bool:
-        """Commit a row; an answer that is lost leaves the team in doubt."""
+        """Commit a row; without an acknowledgement the team stays in doubt."""
         owner = account.owner
         shards = {owner.shard: owner.claim_driver.row_revision}
         txn = escrow.transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward queued work to a shard that has places and capacity for it."""
+"""Forward queued work to another shard that has quota and capacity for it."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from baobabhoist.model import Outcome, Request, Task, WorkKind
 from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
 
-# Work that starts within this time is not worth a forward.
+# Work that starts within this time is not worth forwarding.
 FORWARD_DELAY_S = 0.05
-# Digests of other shards are up to 0.3 s old; a forward that was refused waits longer.
+# Digests of other shards are up to 0.3 s old. A refused request waits longer than that, so that
+# the next attempt sees newer digests.
 FORWARD_RETRY_DELAY_S = 0.5
 MAX_FORWARDS_PER_TICK = 32
 
 ForwardRequest = Callable[[Request], tuple[str, Awaitable[Result]] | None]
-"""Send a request to another shard and return that shard with the pending result.
+"""Send a request to another shard and return that shard and an awaitable result.
 
 None means that no other shard has room.
 """
@@ -27,9 +28,10 @@
 
 @attrs.define(eq=False)
 class PendingRequest:
-    """Hold a request that has no result yet; `forward_at` is in Unix seconds.
+    """Track a request without a result; times are Unix seconds.
 
-    `target` is the shard that has the request while `forwarding` is set.
+    `arrived_forwarded` marks a request that another shard forwarded to this one. While
+    `is_forwarding` is set, the shard `target` has the request.
     """
 
     req: Request
@@ -42,30 +44,30 @@
 
 
 def is_queued(keys: KeyLedger, entry: PendingRequest) -> bool:
-    """Tell whether a request waits in the queue of this shard."""
+    """Return whether a request waits in the queue of this shard."""
     key = keys.entries.get(entry.req.request_id)
     return key is not None and key.state is KeyState.QUEUED and not entry.is_forwarding
 
 
 class TaskQueue(Protocol):
-    """Cancel and queue tasks."""
+    """Define what forwarding needs from the scheduler."""
 
     def cancel(self, task_id: str) -> bool:
-        """Drop a queued task; tell whether it was still queued."""
+        """Remove a queued task; return whether it was still queued."""
 
     def enqueue(self, task: Task, now: float) -> Refusal | None:
         """Queue a task, or return why it can never run here."""
 
 
 class HomeShard(Protocol):
-    """Be the shard that keeps the state of the keys of forwarded requests."""
+    """Define the shard that forwards requests and keeps the state of their keys."""
 
     pending: dict[str, PendingRequest]
     keys: KeyLedger
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether the shard may start work."""
+        """Return whether the shard may start work."""
 
     @property
     def queue(self) -> TaskQueue:
@@ -76,13 +78,13 @@
         """Return the time in Unix seconds."""
 
     def was_owned_at(self, at: float) -> bool:
-        """Tell whether this instance certainly owned the shard at a time; if not, find out.
+        """Return whether this instance certainly owned the shard; if not, start a confirmation.
 
-        No worker of this shard would refuse the forward of an owner that was superseded.
+        No worker of this shard would reject a request that a superseded owner forwards.
         """
 
     def dispatch(self, now: float) -> None:
-        """Start what fits now."""
+        """Start the tasks that fit now."""
 
     def finish(self, request_id: str, result: Result) -> Result:
         """Store the result of a request."""
@@ -92,16 +94,16 @@
 
 
 class Forwarder:
-    """Offer waiting requests to other shards; a forwarded one is never forwarded again."""
+    """Forward waiting requests to other shards, except those that arrived forwarded."""
 
     def __init__(self, home: HomeShard, forward: ForwardRequest) -> None:
         self._home = home
         self._forward = forward
 
     def tick(self, now: float) -> None:
-        """Forward a bounded number of the requests that wait."""
+        """Forward a bounded number of waiting requests."""
         home, forwarded_count = self._home, 0
-        # Where one request of a team and kind finds no room, the others find none in this tick.
+        # If one request of a team and kind finds no room, neither do the others in this tick.
         full_classes: set[tuple[str, WorkKind]] = set()
         if not home.is_usable:
             return
@@ -112,8 +114,9 @@
             is_due = now >= entry.forward_at and not entry.arrived_forwarded
             if not is_due or work_class in full_classes or not is_queued(home.keys, entry):
                 continue
-            # The next owner of this shard cannot know what was forwarded: it answers unknown for
-            # keys that are older than its takeover, but it may run idempotent work again.
+            # The next owner of this shard cannot know which requests were forwarded. It reports
+            # keys older than its takeover as unknown but may run idempotent work again, which
+            # the other shard may still be running.
             if entry.req.task.idempotent or not home.was_owned_at(entry.opened_at):
                 continue
             forward = self._forward(entry.req)
@@ -127,16 +130,16 @@
                 home.spawn(self._await_result(entry, pending_result))
 
     def forwarded_ids(self) -> set[str]:
-        """Return the requests that other shards have now."""
+        """Return the ids of the requests that other shards have now."""
         return {name for name, entry in self._home.pending.items() if entry.is_forwarding}
 
     def forward_targets(self, task_ids: Iterable[str]) -> dict[str, str]:
-        """Return the shards that have those of these requests that were forwarded."""
+        """Return the target shard of each of these requests that is forwarded now."""
         entries = ((name, self._home.pending.get(name)) for name in task_ids)
         return {name: entry.target for name, entry in entries if entry and entry.is_forwarding}
 
     def mark_forwarded_dispatched(self) -> None:
-        """Count what other shards have as dispatched, before the queue is given up."""
+        """Mark the keys of forwarded requests as dispatched, before the queue is dropped."""
         for entry in self._home.pending.values():
             key = self._home.keys.entries.get(entry.req.request_id)
             if entry.is_forwarding and key is not None and key.state is KeyState.QUEUED:
@@ -145,7 +148,7 @@
     async def _await_result(
         self, entry: PendingRequest, pending_result: Awaitable[Result]
     ) -> None:
-        """Take the result of the other shard; what it certainly did not run waits here again."""
+        """Store the result of the other shard, or requeue the request if it was not run there."""
         result = await pending_result
         home, now = self._home, self._home.now
         entry.is_forwarding = False
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -1,4 +1,4 @@
-"""Pack the queue of a shard for its next owner, and take it there."""
+"""Build the hand-over message of a shard, and load it at the next owner."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver, KeyResult
 
-# About 3 MB of ids. A peer takes them well within the time that a hand-over may last.
+# About 3 MB of ids, which a peer processes well within the time limit of a hand-over.
 MAX_SETTLED_IDS = 50_000
-# The sender may resume its ownership when the receiver has not answered for 2 s; what it then
-# does is missing from the message.
+# The sender may resume ownership if the receiver has not answered within 2 s. The message does
+# not contain what the sender does after that, so it is trusted for a shorter time.
 MAX_HAND_OVER_AGE_S = 1.5
 
 SendHandOver = Callable[[str, HandOver], Awaitable[bool | None]]
@@ -34,10 +34,10 @@
     keys: KeyLedger,
     open_requests: Mapping[str, PendingRequest],
 ) -> HandOver:
-    """Return the message; the queued keys cannot be called not run here after this.
+    """Build the message; afterwards this owner may not report its queued keys as `not_run`.
 
-    Answers of tasks that ran are left out: the workers' inventories hold them. Their ids go
-    along, because a worker may have lost its inventory, or belong to another shard.
+    Answers of completed tasks are omitted, because the workers' inventories contain them. Their
+    ids are included, because a worker may have lost its inventory or belong to another shard.
     """
     queued = {key.request_id for key in keys.hand_over()}
     requests = tuple(
@@ -60,7 +60,7 @@
 
 
 def accept_hand_over(message: HandOver, keys: KeyLedger, now: float) -> list[Request]:
-    """Take the results into the ledger and return the requests that may run here."""
+    """Load the results into the ledger and return the requests that may run here."""
     unknown = outcome_unknown_refusal("the previous owner of the shard had the request")
     for request_id, forget_at in message.settled.items():
         if request_id not in keys.entries:
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -1,4 +1,4 @@
-"""Accept jobs, and connect their coordinator to shards on this and other instances."""
+"""Accept jobs, and connect the job coordinator to shards on this and other instances."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 2.0
-# The owner of a home shard asks other owners in turn before it answers for many jobs.
+# Before the owner of a home shard reports on many jobs, it calls other owners itself.
 LIST_TIMEOUT_S = 2 * CALL_TIMEOUT_S
 OWNERSHIP_POLL_INTERVAL_S = 0.25
 LIST_PAGE_SIZE = 500
@@ -62,29 +62,29 @@
 
 
 class LocalShard(Protocol):
-    """Be what jobs need of a shard that this instance owns."""
+    """Define what the job manager needs from a shard that this instance owns."""
 
     def report_tasks(self, task_ids: tuple[str, ...], now: float) -> TasksReport:
         """Return which tasks run and why the others wait."""
 
     async def cancel_tasks(self, task_ids: tuple[str, ...]) -> dict[str, str]:
-        """Cancel queued tasks, stop running ones, and refuse the ids from now on.
+        """Cancel queued tasks, stop running ones, and refuse their ids from now on.
 
-        Returns the shards that have the forwarded ones.
+        Returns the target shard of each task that was forwarded.
         """
 
     def hold(self, job_id: str, tasks: tuple[Task, ...], deadline: float, now: float) -> HoldReply:
-        """Hold capacity and places for as many of the tasks as possible."""
+        """Hold capacity and quota for as many of the tasks as possible."""
 
     async def commit_hold(self, job_id: str, now: float) -> bool:
-        """Start the tasks of a hold; tell whether it still stood."""
+        """Start the tasks of a hold; return whether the hold was still valid."""
 
     def release_hold(self, job_id: str) -> None:
-        """Give a hold back."""
+        """Release a hold."""
 
 
 class JobContext(Protocol):
-    """Be what jobs need of the instance."""
+    """Define what the job manager needs from the instance."""
 
     table: Table
 
@@ -95,10 +95,10 @@
         """Return the policy of a queue."""
 
     def owned_shards(self) -> list[str]:
-        """Return the shards that this instance owns fully."""
+        """Return the shards that this instance fully owns."""
 
     def local_shard(self, shard: str) -> LocalShard | None:
-        """Return a shard that this instance owns fully, or None."""
+        """Return a shard that this instance fully owns, or None."""
 
     async def route(self, req: Request) -> Answer | Refusal:
         """Return the result of a request from the owner of its shard."""
@@ -131,7 +131,7 @@
 
 
 class ShardClient:
-    """Reach shards on this instance directly and others over the peer links."""
+    """Call shards on this instance directly and others over the peer links."""
 
     def __init__(self, context: JobContext) -> None:
         self._context = context
@@ -141,7 +141,7 @@
         return await self._context.route(req)
 
     async def query(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
-        """Return which tasks run and why the others wait, also of those forwarded from here."""
+        """Return which tasks run and why the others wait, including forwarded ones."""
         reply = await self.call(shard, TasksQuery(shard, task_ids))
         if not isinstance(reply, TasksReport):
             return _owner_unreachable(shard)
@@ -157,7 +157,7 @@
         return TasksReport(tuple(running), waiting)
 
     async def cancel(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
-        """Cancel tasks; a refusal means that the shard could not be asked."""
+        """Cancel tasks; a refusal means that a shard was unreachable."""
         reply = await self.call(shard, TasksCancelWanted(shard, task_ids))
         if not isinstance(reply, TasksCancelled):
             return _owner_unreachable(shard)
@@ -170,21 +170,21 @@
     async def hold(
         self, shard: str, job_id: str, tasks: tuple[Task, ...], deadline: float
     ) -> HoldReply:
-        """Hold capacity for as many of the tasks as the shard can."""
+        """Hold capacity for as many of the tasks as possible."""
         reply = await self.call(shard, HoldRequest(shard, job_id, tasks, deadline))
         return reply if isinstance(reply, HoldReply) else HoldReply(())
 
     async def commit(self, shard: str, job_id: str) -> bool:
-        """Start the tasks of a hold; tell whether the hold still stood."""
+        """Start the tasks of a hold; return whether the hold was still valid."""
         reply = await self.call(shard, HoldCommit(shard, job_id))
         return isinstance(reply, HoldDone) and reply.done
 
     async def release(self, shard: str, job_id: str) -> None:
-        """Give a hold back."""
+        """Release a hold."""
         await self.call(shard, HoldRelease(shard, job_id))
 
     async def call(self, shard: str, message: Any) -> Any | None:
-        """Return the reply of a shard's owner, or None when there is none."""
+        """Return the reply of a shard's owner, or None without one."""
         local = self._context.local_shard(shard)
         if local is not None:
             return await handle_shard_call(local, message)
@@ -195,7 +195,7 @@
 
 
 async def handle_shard_call(shard: LocalShard, message: Any) -> Any | None:
-    """Answer a call about the tasks of a shard that this instance owns."""
+    """Handle a call about the tasks of a shard that this instance owns."""
     now = time.time()
     match message:
         case TasksQuery(_, task_ids):
@@ -227,7 +227,7 @@
             tg.create_task(self._watch_ownership())
 
     async def submit(self, spec: JobSpec) -> Refusal | JobStatus:
-        """Accept a job durably; a repeated job id of the same team returns its status."""
+        """Store a job durably and accept it; a repeated job id of the team returns its status."""
         shards = tuple(self._context.shard_names())
         if not shards:
             return Refusal(
@@ -254,7 +254,7 @@
         if self._context.local_shard(run.home) is not None:
             self._coordinator.adopt(run)
         else:
-            # Without an answer the owner finds the job in the table at its next scan.
+            # If this call fails, the owner finds the job in the table at its next scan.
             await self._shards.call(run.home, JobCall(run.home, spec.job_id, JobVerb.ADOPT))
         return run.status()
 
@@ -264,7 +264,7 @@
         return reply.status or reply.refusal or _job_not_found(job_id)
 
     async def cancel(self, job_id: str, team: str | None) -> Refusal | JobStatus:
-        """Cancel a job and return its state after that."""
+        """Cancel a job and return its resulting state."""
         reply = await self._call_home(job_id, team, JobVerb.CANCEL)
         return reply.status or reply.refusal or _job_not_found(job_id)
 
@@ -276,12 +276,12 @@
     async def list(self, team: str | None) -> Refusal | tuple[JobStatus, ...]:
         """Return the state of each job of a team, or of all teams.
 
-        The table lags behind the coordinators, which therefore report on unfinished jobs.
+        The table lags behind the coordinators, so these report on the unfinished jobs.
         """
         prefix = "team_job/" if team is None else f"team_job/{team}/"
         try:
             rows = await self._scan(prefix, MAX_LISTED_JOBS)
-            # A job that ends between the two scans is read from the table, with its last state.
+            # A job that ends between the two scans is read from the table with its final state.
             homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
             wanted = [job_id_of(row) for row in rows]
             found = await self._query_homes([name for name in wanted if name in homes], homes)
@@ -295,13 +295,13 @@
         return tuple(found[job_id] for job_id in wanted if job_id in found)
 
     async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
-        """Return the ids of all unfinished jobs of a queue, from the rows that mark them."""
+        """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
         found = []
         try:
             for row in await self._scan(ACTIVE_PREFIX):
                 name = row.value.get("queue")
                 if name is None:
-                    # Earlier releases wrote the row without the queue.
+                    # Earlier releases wrote these rows without the queue.
                     run = await self._coordinator.load(job_id_of(row))
                     name = run.spec.queue if run is not None else ""
                 if name == queue:
@@ -323,7 +323,7 @@
     async def _query_homes(
         self, job_ids: Sequence[str], homes: dict[str, str]
     ) -> dict[str, JobStatus]:
-        """Return what the coordinators of jobs report; unreachable ones are left out."""
+        """Return the statuses that the jobs' coordinators report; omit unreachable ones."""
         queries = [
             JobsQuery(home, names[start : start + LIST_PAGE_SIZE])
             for home, names in _group_by_shard({name: homes[name] for name in job_ids}).items()
@@ -342,7 +342,7 @@
         return reply if isinstance(reply, JobsReport) else JobsReport(())
 
     async def _report_jobs(self, query: JobsQuery) -> JobsReport:
-        """Report on jobs that are coordinated here; others may be finished or not yet known."""
+        """Report on the jobs that this instance coordinates; omit finished and unknown ones."""
         if self._context.local_shard(query.home) is None:
             return JobsReport(())
         found = []
@@ -360,7 +360,7 @@
         return attrs.evolve(status, reason=reason)
 
     async def handle(self, message: Any) -> Any | None:
-        """Answer a peer's message about jobs or about the tasks of an owned shard."""
+        """Handle a peer's message about jobs or about the tasks of an owned shard."""
         if isinstance(message, JobCall):
             return await self._handle_job_call(message)
         if isinstance(message, JobsQuery):
@@ -399,7 +399,7 @@
         return await self._apply_verb(run, call.verb)
 
     async def _get_or_adopt(self, job_id: str, is_new: bool = False) -> JobRun | Refusal:
-        """Return a job of an owned home shard; one that is not coordinated yet is taken over."""
+        """Return a job of an owned home shard, and adopt it if it is not coordinated yet."""
         run = self._coordinator.runs.get(job_id)
         if run is None:
             try:
--- a/baobabhoist/daemon/main.py
+++ b/baobabhoist/daemon/main.py
@@ -27,7 +27,7 @@
 
 
 async def serve(daemon: Daemon) -> None:
-    """Run the daemon until it is drained: by SIGTERM, SIGINT or an operator."""
+    """Run the daemon until SIGTERM, SIGINT or an operator has drained it."""
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, daemon.drain.started.set)
@@ -43,14 +43,15 @@
         return EXIT_BAD_SETTINGS
     cfg = loaded.settings
     configure_logging(cfg.log_format, cfg.log_level)
-    # One line per request or connection would cost more than the request itself.
+    # Logging a line per request or connection would cost more than serving the request.
     for name, min_level in MIN_LOG_LEVELS.items():
         logging.getLogger(name).setLevel(max(min_level, logging.getLogger().level))
     for warning in loaded.warnings:
         emit(log, Event.SETTINGS_WARNING, problem=str(warning))
     daemon = Daemon(cfg)
-    # A full collection of a large heap stops all requests for its time. What is loaded now
-    # stays, and later full collections are rare, because requests leave few cycles behind.
+    # A full garbage collection of a large heap pauses all requests. Objects that exist now are
+    # long-lived and therefore frozen. Later full collections are made rare, which is safe because
+    # requests create few reference cycles.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     asyncio.run(serve(daemon))
@@ -58,7 +59,7 @@
 
 
 def run() -> None:
-    """Be the entry point of the command."""
+    """Run the command-line entry point."""
     app.run(main)
 
 
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -1,4 +1,4 @@
-"""Decide which shards this instance claims, and run an owner for each."""
+"""Decide which shards this instance claims, and run an owner for each of them."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 log = logging.getLogger(__name__)
 
 CLAIM_CHECK_INTERVAL_S = 0.25
-# Peers that run already are heard within this time after a start or a pause.
+# Heartbeats of all running peers arrive within this time after a start or a pause.
 DISCOVERY_PERIOD_S = 1.0
 PAUSE_THRESHOLD_S = 1.0
-# Each lower rank waits this much longer for the instances ahead of it to claim.
+# Each lower rank waits this much longer, so that higher-ranked instances claim first.
 CLAIM_DELAY_PER_RANK_S = 0.75
-# When a network partition ends, the workers of the other data centre can be reached before its
-# instances are heard: a peer's new link and first heartbeat take up to about 1.5 s.
+# When a network partition ends, the workers of the other data centre are reachable before the
+# heartbeats of its instances arrive: a peer's new link and first heartbeat take up to 1.5 s.
 REMOTE_CLAIM_DELAY_S = 1.5
 REACHABILITY_TIMEOUT_S = 0.5
 REACHABILITY_SAMPLE_SIZE = 3
 HAND_OVER_TIMEOUT_S = 2.0
-# A better-placed instance must have been there this long before a shard moves to it.
+# A higher-ranked instance must have been live this long before a shard moves to it.
 REBALANCE_DELAY_S = 20.0
 
 ACTIVE_STATES = (ShardState.PARTIAL, ShardState.OWNED, ShardState.HANDING_OVER)
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class LocalInstance:
-    """Say where an instance runs and how large its VM is."""
+    """Describe this instance, its data centre and the relative size of its VM."""
 
     instance_id: str
     data_centre: str
@@ -54,7 +54,7 @@
 
 
 class Peers(Protocol):
-    """Know and call the other instances."""
+    """Look up and call the other instances."""
 
     def beats(self) -> list[Heartbeat]:
         """Return the last heartbeat of each live peer."""
@@ -67,7 +67,7 @@
 
 
 class Shards(Protocol):
-    """Know the shards of the records."""
+    """Look up shards in the records."""
 
     def names(self) -> list[str]:
         """Return the names of all shards."""
@@ -83,11 +83,11 @@
 
 
 async def is_any_reachable(workers: list[WorkerSpec]) -> bool:
-    """Tell whether one of a few workers answers on a new connection."""
+    """Return whether one of a random sample of workers accepts a new connection."""
     for spec in random.sample(workers, min(REACHABILITY_SAMPLE_SIZE, len(workers))):
         try:
-            # Some middleboxes accept a connection that they cannot deliver; only the worker
-            # completes the handshake.
+            # Some middleboxes accept TCP connections for an unreachable host. Only the worker
+            # itself completes the WebSocket handshake.
             async with (
                 asyncio.timeout(REACHABILITY_TIMEOUT_S),
                 connect(f"ws://{spec.host}:{spec.port}", **WEBSOCKET_OPTIONS),
@@ -99,7 +99,7 @@
 
 
 class OwnershipManager:
-    """Hold the owner of each shard that this instance has or claims."""
+    """Run an owner for each shard that this instance owns or claims."""
 
     def __init__(
         self,
@@ -121,8 +121,8 @@
         self._times = times or ClaimTimes()
         self._clock = clock
         self._is_reachable = is_reachable
-        # Two processes that present equal tokens would both be obeyed, so each start of an
-        # instance claims under a name of its own.
+        # Workers would obey two processes that present equal tokens. Each process of an instance
+        # therefore claims under a unique name.
         self._claimant_id = f"{local.instance_id}~{uuid.uuid4().hex[:8]}"
         self._claims: dict[str, ShardClaim] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -133,7 +133,7 @@
         self._last_tick = 0.0
 
     async def run(self) -> None:
-        """Claim what should be claimed until cancelled."""
+        """Claim and rebalance shards until cancelled."""
         self._last_tick = self._clock()
         self._discovery_until = self._last_tick + DISCOVERY_PERIOD_S
         try:
@@ -145,10 +145,10 @@
                 task.cancel()
 
     async def tick(self) -> None:
-        """Compare what is owned with what should be."""
+        """Claim shards that this instance should own, and move those that it should not."""
         now = self._clock()
         if now - self._last_tick > CLAIM_CHECK_INTERVAL_S + PAUSE_THRESHOLD_S:
-            # This process was paused: what it knows of its peers is as old as the pause.
+            # This process was paused, and its knowledge of its peers is as old as the pause.
             self._discovery_until = now + DISCOVERY_PERIOD_S
             self._unowned_since.clear()
         self._last_tick = now
@@ -179,7 +179,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def accept_hand_over(self, message: HandOver) -> HandOverTaken:
-        """Take a shard that another instance hands over."""
+        """Claim a shard that another instance hands over, unless this one drains or has it."""
         is_refused = self.draining or message.shard not in self._shards.names()
         if not is_refused and message.shard not in self.owners:
             self.claim(message.shard, message)
@@ -187,7 +187,7 @@
         return HandOverTaken(message.shard, False)
 
     async def send_hand_over(self, successor: str, message: HandOver) -> bool | None:
-        """Send a shard's queue; tell whether it was taken, None when that is not known."""
+        """Send a shard's queue; return whether it was accepted, or None if that is unknown."""
         try:
             reply = await self._peers.call(successor, message, HAND_OVER_TIMEOUT_S)
         except NotSentError:
@@ -197,7 +197,7 @@
         return isinstance(reply, HandOverTaken) and reply.taken
 
     async def hand_over_all(self) -> None:
-        """Give every shard to the next instance; a shard without a successor is kept."""
+        """Hand every shard over to its next instance; keep shards without a successor."""
         self.draining = True
         for shard, owner in list(self.owners.items()):
             successor = self.preferred_instance(shard, others_only=True)
@@ -210,7 +210,7 @@
             await asyncio.wait(set(self._tasks))
 
     async def release_idle(self) -> None:
-        """Give up the shards that no successor took, once nothing is open in them."""
+        """Release the remaining shards that have no pending requests."""
         for owner in list(self.owners.values()):
             if not owner.pending_count():
                 await owner.claim_driver.release()
@@ -233,7 +233,7 @@
             await asyncio.wait((running, ended), return_when=asyncio.FIRST_COMPLETED)
             if self.owners.get(shard) is owner:
                 del self.owners[shard]
-            # The owner still passes on the answers of calls that were open when it ended.
+            # The owner still delivers the answers of calls that were in flight when it ended.
             await running
         except Exception as exc:
             log.exception("the owner of shard %s failed", shard)
@@ -255,7 +255,7 @@
         is_local = self._shards.data_centre_of(shard) == self._local.data_centre
         position = self._rank_candidates(shard).index(self._local.instance_id)
         if not is_local and not await self._is_reachable(self._shards.workers_of(shard)):
-            # A data centre that is cut off from this one serves its shards itself.
+            # A data centre that is partitioned from this one serves its shards itself.
             self._unowned_since[shard] = self._clock()
             return False
         return now - since >= position * CLAIM_DELAY_PER_RANK_S + (
@@ -274,7 +274,7 @@
         return rank(shard, self._shards.data_centre_of(shard), candidates)
 
     def _rebalance(self, shard: str, now: float) -> None:
-        """Hand a shard to an instance that has been better placed for a while, one at a time."""
+        """Move a shard to an instance that has ranked higher for a while, one shard at a time."""
         preferred = self.preferred_instance(shard)
         if preferred is None or preferred == self._local.instance_id:
             self._preferred_since.pop(shard, None)
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -1,4 +1,4 @@
-"""Bring records and peers' digests into the form that the decisions use."""
+"""Convert records and peers' digests to the inputs of the scheduler."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 def team_policies(view: RecordView) -> dict[str, TeamPolicy]:
-    """Return the policy of each team by name; only the limits of its queues bound what waits."""
+    """Return the policy of each team by name; only queue limits bound its waiting work."""
     total_limit = sum(queue.max_queued_per_team for queue in view.queues().values())
     return {name: TeamPolicy(team.share, total_limit) for name, team in view.teams().items()}
 
 
 def class_limits(view: RecordView, shard: str) -> dict[str, int]:
-    """Return a shard's part of each class limit; the parts of all shards add up to the limit."""
+    """Return a shard's part of each class limit; all shards' parts add up to the limit."""
     shards = list(view.shards())
     return {
         class_key(name, kind): escrow.initial(limit, shards).held(shard)
@@ -48,7 +48,7 @@
 
 @attrs.define
 class FleetSlots:
-    """Know the slots of every shard; they are counted again only when a record changed."""
+    """Count the slots of every shard, and recount them only when a record has changed."""
 
     view: RecordView
     revision: int = -1
@@ -56,7 +56,7 @@
     total: int = 0
 
     def refresh(self) -> None:
-        """Count the slots if the records in force have another revision."""
+        """Recount the slots if the revision of the records has changed."""
         if self.revision == self.view.revision:
             return
         self.revision = self.view.revision
@@ -70,7 +70,7 @@
 def usage_elsewhere(
     slots: FleetSlots, shard: str, digests: Iterable[ShardDigest]
 ) -> tuple[dict[str, float], float]:
-    """Return each team's share of the fleet's slots outside a shard, and that shard's part."""
+    """Return each team's share of the fleet's slots used outside a shard, and the shard's own."""
     slots.refresh()
     total = slots.total
     if not total:
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -1,4 +1,4 @@
-"""Carry out what the scheduler asks of running tasks."""
+"""Carry out the scheduler's preemptions of running tasks."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class PreemptionOwner(Protocol):
-    """Be the shard whose workers are told."""
+    """Define what preemption needs from the owner of a shard."""
 
     claim: ShardClaim
     scheduler: Scheduler
     stopping_tasks: set[str]
 
     async def call_worker(self, worker: str, message: Any) -> bool:
-        """Send a worker a call; tell whether it was confirmed."""
+        """Call a worker; return whether it confirmed the call."""
 
 
 async def apply_preemption(owner: PreemptionOwner, preemption: Preemption) -> None:
@@ -55,6 +55,6 @@
 
 
 def build_stop_message(owner: PreemptionOwner, task_id: str, action: PreemptionAction) -> Any:
-    """Return the message that ends a task, with its progress saved if so wished."""
+    """Return the message that stops a task, after a checkpoint if the action asks for one."""
     checkpoint = action is PreemptionAction.CHECKPOINT
     return (CheckpointTask if checkpoint else StopTask)(owner.claim.token, task_id)
--- a/baobabhoist/daemon/record_sync.py
+++ b/baobabhoist/daemon/record_sync.py
@@ -1,4 +1,4 @@
-"""Keep the records up to date: pull the change log, push to peers and load from them."""
+"""Synchronise the records: pull the change log, push changes to peers and pull from peers."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.5
-# An instance that does not poll for its data centre still looks now and then, in case the
-# one that does has failed in a way that its heartbeats do not show.
+# Instances other than the poller of a data centre poll at this interval, in case the poller has
+# failed in a way that its heartbeats do not show.
 STANDBY_POLL_INTERVAL_S = 5.0
 SCAN_PAGE_SIZE = 1000
 MAX_RECENT_ENTRIES = 2000
@@ -37,7 +37,7 @@
 
 
 class Peers(Protocol):
-    """Send to the other instances."""
+    """Send messages to the other instances."""
 
     async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
@@ -47,12 +47,12 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return a record as JSON, the form in which the table has it."""
+    """Encode a record as JSON, as it is stored in the table."""
     return orjson.dumps(attrs.asdict(record))
 
 
 def decode_record(data: bytes) -> Record:
-    """Return the record in JSON, without fields that only a later release knows."""
+    """Decode a record from JSON, and ignore unknown fields, which later releases may add."""
     known = {field.name for field in attrs.fields(Record)}
     return Record(**{name: value for name, value in orjson.loads(data).items() if name in known})
 
@@ -100,15 +100,15 @@
                 continue
 
     def cut_off_s(self) -> float:
-        """Return for how many seconds no answer of the platform confirmed the records."""
+        """Return the seconds since the platform last confirmed that the records are current."""
         return max(0.0, self._clock() - self._confirmed_at)
 
     def request_pull(self) -> None:
-        """Pull now, because a change was accepted."""
+        """Pull at once instead of at the next interval, because a change was committed."""
         self._wake.set()
 
     async def pull(self) -> None:
-        """Apply the entries of the change log behind the revision in force."""
+        """Apply the entries of the change log that follow the current revision."""
         if self._view.revision == 0:
             await self._load()
         applied: list[Record] = []
@@ -123,7 +123,7 @@
             await self._push_to_peers(applied)
 
     async def _load(self) -> None:
-        """Load the rows of all records as of the head of the log, not its whole history."""
+        """Load the rows of all records as of the head of the log, instead of its whole history."""
         head = int((await self._table.read(LOG_HEAD)).value or 0)
         records: list[Record] = []
         after = ""
@@ -133,7 +133,7 @@
             if len(rows) < SCAN_PAGE_SIZE:
                 break
             after = rows[-1].key
-        # Later versions come with the log, in order.
+        # Versions after the head follow with the log, in order.
         up_to_head = [record for record in records if record.revision <= head]
         if head and self._view.restore([r for r in up_to_head if r.body is not None], head):
             emit(log, Event.RECORDS_LOADED, revision=head)
@@ -142,7 +142,10 @@
     async def on_peer_revision(
         self, instance_id: str, revision: int, platform_age_s: float
     ) -> None:
-        """Take a peer's revision and for how long it has been cut off from the platform."""
+        """Handle a peer's revision and the time for which it has been cut off from the platform.
+
+        A newer revision is pulled from the peer.
+        """
         self._note_confirmed(self._clock() - platform_age_s, revision)
         if revision <= self._view.revision or self._is_pulling or self.peers is None:
             return
@@ -153,12 +156,12 @@
             )
             await self.receive(reply)
         except (LinkClosedError, TimeoutError):
-            log.info("instance %s did not send its records", instance_id)
+            log.info("instance %s did not answer the pull of its records", instance_id)
         finally:
             self._is_pulling = False
 
     async def receive(self, message: Any) -> RecordEntries | RecordSnapshot | None:
-        """Take a message about records and return the reply to a pull."""
+        """Handle a message about records, and return the reply to a pull."""
         match message:
             case RecordPull(after):
                 return self._build_pull_reply(after)
@@ -177,7 +180,7 @@
     def _apply(self, records: list[Record]) -> list[Record]:
         """Apply the records that continue the log without a gap, and return them.
 
-        An entry behind a gap would hide the missing one for good; the next pull brings both.
+        An entry after a gap would hide the missing ones for good. The next pull fetches them all.
         """
         applied = []
         for record in records:
@@ -204,7 +207,7 @@
             self.loaded.set()
 
     def _note_confirmed(self, at: float, revision: int | None = None) -> None:
-        """Note that the platform had no later record at a time."""
+        """Record a time at which the platform had no later record than the given revision."""
         if revision is None or revision <= self._view.revision:
             self._confirmed_at = max(self._confirmed_at, at)
 
--- a/baobabhoist/daemon/request_registry.py
+++ b/baobabhoist/daemon/request_registry.py
@@ -1,4 +1,4 @@
-"""Hold the open requests of a shard with the states of their keys."""
+"""Track the pending requests of a shard and the state of their idempotency keys."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from baobabhoist.model import Answer, Outcome, Request
 from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
 
-# asyncio takes no infinite timeout; work without a deadline waits again after this time.
+# asyncio accepts no infinite timeout. Requests without a deadline wait in steps of this length.
 MAX_WAIT_S = 86400.0
 FINAL_STATES = (KeyState.ANSWERED, KeyState.NOT_RUN)
 
 
 class RequestRegistry:
-    """Give each request one result, however many callers wait for it."""
+    """Deliver one result per request to all callers that wait for it."""
 
     def __init__(
         self, shard: str, keys: KeyLedger, resolve: ResolveOutcome, clock: Callable[[], float]
@@ -30,7 +30,7 @@
         self._clock = clock
 
     def get_or_create(self, req: Request, now: float) -> PendingRequest:
-        """Return the entry of a request without a result."""
+        """Return the entry of a pending request, and create it if there is none."""
         entry = self.pending.get(req.request_id)
         if entry is None:
             fut: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
@@ -39,11 +39,11 @@
         return entry
 
     async def wait_for_result(self, req: Request, entry: PendingRequest) -> Result | None:
-        """Return the result of a request, or None when its deadline passes first."""
+        """Return the result of a request, or None if its deadline passes first."""
         if entry.fut.done():
             return entry.fut.result()
         while (remaining_s := req.task.deadline - self._clock()) > 0:
-            # `wait` leaves the future alone when this caller goes away, for the others that wait.
+            # `wait` does not cancel the shared future if this caller is cancelled.
             timeout = min(remaining_s, MAX_WAIT_S)
             done, _ = await asyncio.wait((entry.fut,), timeout=timeout)
             if done:
@@ -51,10 +51,10 @@
         return None
 
     def finish(self, request_id: str, result: Result) -> Result:
-        """Store the result of a request and give it to those who wait."""
+        """Store the result of a request and deliver it to all waiting callers."""
         key = self.keys.entries.get(request_id)
         if key is not None and key.state in FINAL_STATES and key.result is not None:
-            # Only the kept answer may lack its body.
+            # Of the two answers, only the stored one may lack its body.
             are_answers = isinstance(key.result, Answer) and isinstance(result, Answer)
             result = result if are_answers else key.result
         elif key is not None:
@@ -70,21 +70,21 @@
         return result
 
     def deliver(self, request_id: str, result: Result) -> None:
-        """Give a result to those who wait, without storing it."""
+        """Deliver a result to all waiting callers without storing it."""
         entry = self.pending.pop(request_id, None)
         if entry is not None and not entry.fut.done():
             entry.fut.set_result(result)
 
     async def deliver_with_body(self, request_id: str, result: Result) -> None:
-        """Give a kept result with its body."""
+        """Deliver a stored result with its body."""
         entry = self.pending.get(request_id)
         if entry is not None:
             self.deliver(request_id, await self.answers.load_body(entry.req, result))
 
     def drop_unfinished(self, elsewhere: Container[str], was_handed_over: bool) -> None:
-        """Answer what can no longer be decided here, but for what is `elsewhere`.
+        """Refuse all pending requests but those in `elsewhere`, whose results still arrive.
 
-        After a move the next owner may run the queue, so nothing is called not run.
+        After a hand-over the next owner may run the queue, so no request is reported `not_run`.
         """
         for request_id, result in self.keys.drop(self._clock()):
             if request_id in elsewhere:
@@ -94,11 +94,11 @@
             self.deliver(request_id, not_owner_refusal(self._shard, outcome))
 
     def close(self) -> None:
-        """Answer everything that is still open, because the owner ends."""
+        """Refuse all pending requests with an unknown outcome, because the owner ends."""
         for request_id in list(self.pending):
             self.deliver(request_id, not_owner_refusal(self._shard, Outcome.UNKNOWN))
 
     def expire_keys(self, now: float) -> None:
-        """Forget the keys whose time has passed."""
+        """Remove the keys whose retention has expired, and their answers."""
         if self.keys.expire(now):
             self.answers.retain(self.keys.entries)
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -1,4 +1,4 @@
-"""Bring each request to the owner of its shard and its result back."""
+"""Route each request to the owner of its shard and return the result."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, RelayRequest, ShardDigest
 from baobabhoist.quota.classes import class_key
 
-# A takeover lasts up to 5 s; a request that no owner has seen waits that long for one.
+# A takeover lasts up to 5 s. A request that no owner has received waits longer than that.
 OWNER_WAIT_S = 6.0
 FORWARD_OWNER_WAIT_S = 0.5
 RETRY_INTERVAL_S = 0.05
-# The owner answers at the deadline at the latest; its answer needs time to arrive.
+# The owner replies by the deadline at the latest; the reply needs time to arrive.
 REPLY_MARGIN_S = 0.5
 MAX_CALL_TIMEOUT_S = 3600.0
 
 
 class Owner(Protocol):
-    """Be a shard that this instance may own."""
+    """Define what routing needs from the owner of a shard on this instance."""
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether work may be accepted."""
+        """Return whether the owner may accept work."""
 
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
         """Return the result of a request."""
 
 
 class Peers(Protocol):
-    """Know and call the other instances."""
+    """Look up and call the other instances."""
 
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
@@ -58,13 +58,13 @@
 
 @attrs.frozen
 class RelayFailure:
-    """Know that the relay broke; `sent` tells whether the owner may have the request."""
+    """Represent a failed relay; `sent` states that the owner may have received the request."""
 
     sent: bool
 
 
 class RequestRouter:
-    """Find the owner of a request and ask it, and the next owner if it fails."""
+    """Submit requests to the owners of their shards, and retry at the next owner on failure."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
             self.open_requests -= delays_drain
 
     async def handle_relay(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
-        """Answer a request that another instance relayed."""
+        """Handle a request that another instance relayed."""
         req = message.request
         owner = self._owners.get(req.shard)
         result: Result = not_owner_refusal(req.shard)
@@ -109,9 +109,10 @@
     def forward(
         self, req: Request, local_digests: list[ShardDigest]
     ) -> tuple[str, Awaitable[Result]] | None:
-        """Send a request to another shard with room for it and return both, or None.
+        """Forward a request to another shard with headroom, or return None without one.
 
-        Its home shard keeps the key, so no other owner of that shard has seen the id.
+        Returns the shard and an awaitable result. The request counts as a first attempt there:
+        its key stays with the home shard, so no earlier owner of the target has seen its id.
         """
         data_centre = self._data_centre_of(req.shard)
         candidates = [
@@ -128,7 +129,7 @@
         chosen = local or candidates
         if not chosen:
             return None
-        # A draw in proportion to the room keeps many owners from choosing the same shard.
+        # A choice weighted by headroom keeps many owners from choosing the same shard.
         (target, _), *_ = self._rng.choices(chosen, [headroom for _, headroom in chosen])
         forwarded = attrs.evolve(req, shard=target.shard, first_attempt=True)
         return target.shard, self._submit_until(forwarded, True, FORWARD_OWNER_WAIT_S)
@@ -179,14 +180,14 @@
 
 
 def _headroom(digest: ShardDigest, task: Task) -> int:
-    """Return how many tasks like this one a shard could start."""
+    """Return how many tasks like this one a shard could start now."""
     places = digest.spare.get(task.team, 0)
     in_class = digest.class_spare.get(class_key(task.team, task.kind), places)
     return min(places, in_class, digest.free_slots - digest.queued)
 
 
 def _delays_drain(req: Request) -> bool:
-    """Tell whether a drain waits for the request; tasks of jobs go on without this instance."""
+    """Return whether a drain waits for the request; tasks of jobs outlive this instance."""
     return req.task.kind is WorkKind.REQUEST
 
 
@@ -203,9 +204,10 @@
 
 
 def _withdraw_unproven_not_run(result: Result, req: Request, maybe_ran: bool) -> Result:
-    """Withdraw a `not_run` that a later owner cannot know of an earlier one.
+    """Replace a `not_run` that cannot be proven, because an earlier owner may have run the work.
 
-    It can for other requests: it refuses those that may have been sent before its takeover.
+    This concerns only idempotent work. A later owner refuses other requests that may have been
+    dispatched before its takeover, so its `not_run` is reliable for them.
     """
     claims_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
     if claims_not_run and maybe_ran and req.task.idempotent:
@@ -214,7 +216,7 @@
 
 
 def _no_owner_refusal(req: Request) -> Refusal:
-    """Return the refusal of a request that reached no owner; an earlier copy may have."""
+    """Return the refusal for a request without an owner; an earlier attempt may have had one."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
         f"no live instance owns shard {req.shard}",
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -1,4 +1,4 @@
-"""Give the job coordinator access to a shard that this instance owns."""
+"""Give the job manager access to a shard that this instance owns."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from baobabhoist.ownership.keys import Run
 from baobabhoist.upstream.messages import StopTask
 
-# A cancelled id that has not arrived yet is refused for as long as a message may take.
+# The id of a cancelled task is refused for this long, in case its request is still in transit.
 CANCELLED_ID_TTL_S = 600.0
 
 
 class ShardJobs:
-    """Report, cancel and hold tasks of jobs in one owned shard."""
+    """Report on, cancel and hold capacity for the tasks of jobs in one owned shard."""
 
     def __init__(self, owner: ShardOwner) -> None:
         self._owner = owner
@@ -34,9 +34,9 @@
         return TasksReport(running, waiting, elsewhere)
 
     async def cancel_tasks(self, task_ids: tuple[str, ...]) -> dict[str, str]:
-        """Cancel queued tasks, stop running ones, and refuse the ids from now on.
+        """Cancel queued tasks, stop running ones, and refuse their ids from now on.
 
-        Returns the shards that have the forwarded ones.
+        Returns the target shard of each task that was forwarded.
         """
         owner, refuse_until = self._owner, time.time() + CANCELLED_ID_TTL_S
         refusal = Refusal(ErrorKind.CANCELLED, "the task was cancelled")
@@ -55,9 +55,9 @@
         await self._owner.call_worker(worker, message)
 
     def hold(self, job_id: str, tasks: tuple[Task, ...], deadline: float, now: float) -> HoldReply:
-        """Hold capacity and places for as many of the tasks as possible.
+        """Hold capacity and quota for as many of the tasks as possible.
 
-        The number is found by halving, so that a large gang costs few plans.
+        The number is halved until a hold succeeds, so that a large gang needs few attempts.
         """
         scheduler = self._owner.scheduler
         headroom = self._owner.shard_quota.headroom
@@ -72,9 +72,9 @@
         return HoldReply(())
 
     async def commit_hold(self, job_id: str, now: float) -> bool:
-        """Start the tasks of a hold; tell whether it still stood.
+        """Start the tasks of a hold; return whether the hold was still valid.
 
-        The coordinator then sends each task as a request, which joins the one started here.
+        The coordinator then sends each task as a request, which joins the started one.
         """
         owner = self._owner
         placements = owner.scheduler.commit(job_id, now)
@@ -91,5 +91,5 @@
         return True
 
     def release_hold(self, job_id: str) -> None:
-        """Give a hold back."""
+        """Release a hold."""
         self._owner.scheduler.release(job_id)
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -1,4 +1,4 @@
-"""Own one shard: its queue, its request keys, its places and what runs on its workers."""
+"""Own one shard: its queue, its idempotency keys, its quota and the tasks on its workers."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class ShardOwner:
-    """Run the decisions of one shard while this instance owns it; one object per claim."""
+    """Schedule the work of one shard while this instance owns it; one object per claim."""
 
     def __init__(
         self,
@@ -91,7 +91,8 @@
         self.scheduler.lines.is_full = self.shard_quota.is_class_full
         self.leaving_workers: set[str] = set()
         self.cancelled_until: dict[str, float] = {}
-        # Tasks that a worker was asked to end; their end says nothing about health or size.
+        # Tasks that a worker was told to stop. Their end says nothing about the health of the
+        # worker or the size of the task.
         self.stopping_tasks: set[str] = set()
         self._read_escrow = escrow
         self._send_hand_over = send_hand_over
@@ -123,9 +124,9 @@
         self.forwarder = Forwarder(self, forward)
 
     async def run(self) -> None:
-        """Claim the shard and drive it; return when it is lost or handed over.
+        """Claim and serve the shard; return when it is lost, released or handed over.
 
-        Calls that workers still answer are awaited first, so that no caller loses its answer.
+        Calls in flight to workers are awaited first, so that no caller loses its answer.
         """
         self.pool.start()
         tick_task = asyncio.create_task(self._run_ticks())
@@ -143,7 +144,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether work may be accepted."""
+        """Return whether the owner may accept work."""
         return self.claim.state in USABLE_STATES
 
     @property
@@ -157,19 +158,19 @@
         return self._clock()
 
     def was_owned_at(self, at: float) -> bool:
-        """Tell whether this instance certainly owned the shard at a time; if not, find out."""
+        """Return whether this instance certainly owned the shard; if not, start a confirmation."""
         if self.claim.confirmed_after(at):
             return True
         self.claim_driver.start_confirmation()
         return False
 
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
-        """Return the answer to a request, or the reason why there is none."""
+        """Run a request and return its answer, or a refusal."""
         if not self.is_usable:
             return not_owner_refusal(self.shard)
         now = self._clock()
         if self.claim.state is not ShardState.OWNED and not req.first_attempt:
-            # Only the inventories of all workers tell whether this key has run.
+            # Only the inventories of all workers show whether this key has run.
             return not_owner_refusal(self.shard)
         if req.request_id in self.cancelled_until:
             return Refusal(ErrorKind.CANCELLED, "the task was cancelled")
@@ -177,7 +178,7 @@
         return await self._confirm_not_run(req, result)
 
     async def _confirm_not_run(self, req: Request, result: Result) -> Result:
-        """Withdraw a `not_run` if another owner may run a copy of the request by now."""
+        """Replace a `not_run` if another owner may run a copy of the request by now."""
         refused = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         if (
             not refused
@@ -215,7 +216,7 @@
         return outcome_unknown_refusal("the deadline passed while the task was with a worker")
 
     def dispatch(self, now: float) -> None:
-        """Start what fits now; bounded batches leave room for other work in between."""
+        """Start the tasks that fit now, in batches that let other coroutines run in between."""
         if not self.is_usable:
             return
         started_at = time.perf_counter()
@@ -250,7 +251,7 @@
         self.spawn(self._run_task(placement))
 
     def _requeue(self, task: Task, now: float) -> None:
-        """Queue a task again as it was declared, not with what it was granted."""
+        """Queue a task again with the resources it declared instead of those it was granted."""
         entry = self.pending.get(task.task_id)
         declared = entry.req.task if entry is not None else task
         refusal = self.scheduler.enqueue(declared, now)
@@ -258,7 +259,7 @@
             self.finish(task.task_id, refusal)
 
     def release_unsent(self, task_id: str, now: float) -> None:
-        """Free what a placed task holds that was not sent."""
+        """Release the capacity and the quota of a placed task that was not sent."""
         self.shard_quota.confirmed_ends.add(task_id)
         self.scheduler.ended(task_id, False, now, preempted=True)
 
@@ -275,7 +276,7 @@
             return
         succeeded = isinstance(outcome, Completed) and outcome.succeeded
         if isinstance(outcome, NotStarted):
-            # A refused start says nothing about the worker's health or the task's size.
+            # A rejected start says nothing about the health of the worker or the size of the task.
             self.release_unsent(task.task_id, now)
             was_stopped = False
         else:
@@ -299,19 +300,19 @@
         self.dispatch(now)
 
     def _on_superseded(self, task_id: str, superseded: Superseded) -> None:
-        """Let the entry instance ask the new owner; the place is the new owner's to count."""
+        """Refer the entry instance to the new owner, which accounts for the task's quota."""
         key = self.keys.entries.get(task_id)
         dispatched_once = key is not None and key.dispatches <= 1
         outcome = Outcome.NOT_RUN if dispatched_once and not superseded.sent else Outcome.UNKNOWN
         self.requests.deliver(task_id, not_owner_refusal(self.shard, outcome))
 
     def _kind_of(self, task_id: str) -> WorkKind:
-        # Only the tasks of gangs take places before their requests arrive, for a hold.
+        # Only the tasks of gangs take quota before their requests arrive, for a hold.
         entry = self.pending.get(task_id)
         return entry.req.task.kind if entry is not None else WorkKind.GANG
 
     def finish(self, request_id: str, result: Result) -> Result:
-        """Store the result of a request and give it to those who wait."""
+        """Store the result of a request and deliver it to all waiting callers."""
         return self.requests.finish(request_id, result)
 
     def _drop_unfinished(self) -> None:
@@ -319,10 +320,10 @@
         elsewhere = self.in_flight.keys() | self.forwarder.forwarded_ids()
         self.requests.drop_unfinished(elsewhere, self._was_handed_over)
 
-    # What the fencing reports.
+    # ClaimListener
 
     def on_state_changed(self, state: ShardState) -> None:
-        """Take the new state of the claim."""
+        """Handle a new state of the claim."""
         if state is ShardState.OWNED and not self._has_owned:
             self._has_owned = True
             self._begin_ownership()
@@ -331,24 +332,24 @@
     def on_inventory(
         self, worker: str, running: list[RunningTask], ended: list[EndedTask]
     ) -> None:
-        """Take the inventory of a worker that holds the token, before it gets work."""
+        """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
         self.adoption.take_inventory(worker, running, ended)
 
     def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
-        """Compare a worker's report with the tasks that were adopted."""
+        """Confirm ended tasks, and compare a worker's running tasks with the adopted ones."""
         self.shard_quota.worker_confirmed(worker, mark)
         self.adoption.reconcile(worker, reply.running)
 
     def on_worker_restarted(self, worker: str) -> None:
-        """Learn that a worker may have forgotten the tasks it was sent."""
+        """Handle a worker that may have lost the tasks it was sent."""
         self.dispatcher.count_worker_restart(worker)
 
     def renewal_mark(self) -> int:
-        """Return the number of the last end that is known before a renewal is sent."""
+        """Return the number of the last task end known before a renewal is sent."""
         return self.quota_ledger.mark()
 
     def update_usable_workers(self) -> None:
-        """Compare the workers that may get work with those that do."""
+        """Update the set of workers that work may be dispatched to."""
         for worker in self.claim.workers:
             usable = (
                 self.claim.may_dispatch(worker)
@@ -363,7 +364,7 @@
                 self._mark_worker_down(worker)
 
     async def send_queue(self, successor: str, token: Token) -> bool | None:
-        """Send the queue; tell whether it was taken, None when that is not known."""
+        """Send the queue; return whether it was accepted, or None if that is unknown."""
         emit(log, Event.HAND_OVER_STARTED, shard=self.shard, instance_id=successor)
         self._was_handed_over = True
         self.forwarder.mark_forwarded_dispatched()
@@ -372,10 +373,10 @@
         )
         return await self._send_hand_over(successor, message)
 
-    # What the instance reports.
+    # Events from this instance.
 
     async def set_workers(self, specs: Iterable[WorkerSpec]) -> None:
-        """Take the workers that the shard's record names now."""
+        """Set the workers that the shard's record lists."""
         workers = list(specs)
         removed = set(self.claim.workers) - {spec.name for spec in workers}
         self._specs = {spec.name: spec for spec in workers}
@@ -386,7 +387,7 @@
         await self.claim_driver.set_workers(spec.name for spec in workers)
 
     def set_leaving_workers(self, leaving: set[str]) -> None:
-        """Take the workers that leave or are drained; they get no new work from now on."""
+        """Set the workers that leave or are drained, which get no new work from now on."""
         for worker in leaving - self.leaving_workers:
             emit(log, Event.WORKER_LEAVING, worker=worker)
             self.scheduler.worker_leaving(worker)
@@ -395,19 +396,19 @@
         self.update_usable_workers()
 
     def refresh_escrow(self) -> None:
-        """Use the full escrow once the table has confirmed the epoch and all is resolved."""
+        """Use the full escrow once the epoch is confirmed and no worker obeys an earlier owner."""
         if self.quota_ledger.cap is not None and self.claim.escrow_usable:
             escrow = self._read_escrow(self.shard)
             if escrow is not None:
                 self.lift_takeover_cap(escrow)
 
     def lift_takeover_cap(self, escrow: Mapping[str, int]) -> None:
-        """End the takeover cap; the places were read after the table confirmed the epoch."""
+        """Replace the takeover cap by an escrow that was read after the epoch was confirmed."""
         self.quota_ledger.uncap(dict(escrow))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
-        """Return the slots of usable workers that no task holds."""
+        """Return how many slots of usable workers are free."""
         slots = sum(self._specs[worker].capacity.slots for worker in self._usable_workers)
         return max(0, slots - len(self.quota_ledger.running))
 
@@ -420,14 +421,14 @@
         return len(self.pending)
 
     def cancel_queued(self, task_id: str, refusal: Refusal) -> bool:
-        """Drop a queued task; tell whether it was still queued."""
+        """Remove a queued task and refuse its request; return whether it was still queued."""
         if not self.scheduler.cancel(task_id):
             return False
         self.finish(task_id, refusal)
         return True
 
     async def call_worker(self, worker: str, message: Any) -> bool:
-        """Send a worker a call; tell whether it was confirmed."""
+        """Call a worker; return whether it confirmed the call."""
         try:
             reply = await self.pool.call(worker, message, WORKER_CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
@@ -436,7 +437,7 @@
         return not isinstance(reply, TokenRefused)
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task that ends with the shard at the latest."""
+        """Run a coroutine as a task that is cancelled at the latest when this owner ends."""
         task = asyncio.create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -457,10 +458,10 @@
             self.scheduler.worker_down(worker)
 
     def _keys_known_since(self) -> float:
-        """Return the time after which no key was sent that this owner cannot know of.
+        """Return the time since which this owner knows every key that was sent.
 
-        After a planned hand-over the previous owner's knowledge continues, if no other owner
-        came between and the sender cannot have resumed since.
+        After a planned hand-over the previous owner's knowledge carries over, provided that there
+        was no owner in between and that the sender cannot have resumed ownership since.
         """
         now, message = self._clock(), self._inherited
         if message is None or message.known_since is None:
@@ -473,14 +474,14 @@
         )
 
     def _begin_ownership(self) -> None:
-        """Decide from when on keys are known: a planned hand-over leaves no gap."""
+        """Take over the keys and the queue; a planned hand-over leaves no gap in known keys."""
         self.keys.take_over(self._keys_known_since())
         message, self._inherited = self._inherited, None
         if message is not None:
             self._enqueue_handed_over(message)
 
     def _enqueue_handed_over(self, message: HandOver) -> None:
-        """Queue what the previous owner handed over, once all inventories are known."""
+        """Queue the requests of the previous owner, once all inventories are known."""
         now = self._clock()
         for req in accept_hand_over(message, self.keys, now):
             self.requests.get_or_create(req, now)
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -1,4 +1,4 @@
-"""Connect the scheduler to the ledgers of a shard."""
+"""Apply the quota of teams and the limits per team and kind of work in one shard."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @attrs.define
 class ShardQuota:
-    """Pass places between scheduler and ledgers and add which ends are confirmed.
+    """Account for starts and ends of tasks in the ledgers of team quota and class limits.
 
-    An end is confirmed when its report carries this owner's token, or nothing was sent.
-    `kind_of` returns the kind of a task that is about to start. Both ledgers see the same
-    starts and ends, so that one mark stands for the same ends in both.
+    `confirmed_ends` holds the tasks whose end is confirmed: its report carries this owner's
+    token, or the task was never sent. `kind_of` returns the kind of a task that is about to
+    start. Both ledgers see the same starts and ends, so a mark denotes the same ends in both.
     """
 
     team_ledger: QuotaLedger
@@ -33,15 +33,16 @@
         return ledger
 
     def permanent_refusal(self, task: Task) -> Refusal | None:
-        """Return why a task cannot start here whatever ends, or None.
+        """Return why a task can never start here, even if all other tasks end, or None.
 
-        Work that is not idempotent can be forwarded; other work would wait here for ever.
+        Only idempotent work is refused. It would wait here for ever, while other work can be
+        forwarded to another shard.
         """
         limit = self.class_ledger.limits.get(class_key(task.team, task.kind))
         return self._full(task.team, task.kind) if limit == 0 and task.idempotent else None
 
     def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a place, or return the reason why there is none."""
+        """Take a unit of quota for a task, or return why there is none."""
         kind = self.kind_of(task_id)
         if self.is_class_full(team, kind):
             return self._full(team, kind)
@@ -51,7 +52,7 @@
         return refusal
 
     def ended(self, task_id: str) -> None:
-        """Give the place of a task back, if it still holds one."""
+        """Return the quota of a task, if it still holds any."""
         confirmed = task_id in self.confirmed_ends
         self.confirmed_ends.discard(task_id)
         for ledger in (self.team_ledger, self.class_ledger):
@@ -65,12 +66,12 @@
         self.class_ledger.adopt(worker, tasks)
 
     def worker_confirmed(self, worker: str, mark: int) -> None:
-        """Release the places of ends that were known before an accepted call was sent."""
+        """Release the quota of tasks whose end was known before an accepted call was sent."""
         self.team_ledger.worker_confirmed(worker, mark)
         self.class_ledger.worker_confirmed(worker, mark)
 
     def is_class_full(self, team: str, kind: WorkKind) -> bool:
-        """Tell whether the class limit of a team keeps this kind of work waiting here."""
+        """Return whether the class limit of a team keeps this kind of work waiting here."""
         if not self.class_ledger.limits:
             return False
         self._follow_cap()
@@ -97,6 +98,6 @@
         )
 
     def _follow_cap(self) -> None:
-        # The quota ledger ends the takeover cap when the table has confirmed the epoch.
+        # The team ledger lifts its takeover cap once the table has confirmed the epoch.
         if self.team_ledger.cap is None:
             self.class_ledger.cap = None
--- a/baobabhoist/daemon/shutdown.py
+++ b/baobabhoist/daemon/shutdown.py
@@ -1,4 +1,4 @@
-"""Stop an instance without cutting a request."""
+"""Drain an instance without interrupting requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 log = logging.getLogger(__name__)
 
-# The balancer reads /readyz about once a second; callers it still sends here are served.
+# The load balancer polls /readyz about once a second. Requests that it routes here until it
+# notices the drain are still served.
 BALANCER_DELAY_S = 1.5
 CHECK_INTERVAL_S = 0.05
-# Answers already written to the sockets leave the process within this time.
+# Time for responses that were written to the sockets to leave the process.
 FLUSH_DELAY_S = 0.2
 
 
@@ -24,24 +25,24 @@
     count: int
 
     def leave_balancer(self) -> None:
-        """Make /readyz answer 503 and still serve."""
+        """Make /readyz respond with 503 while requests are still served."""
 
     def begin_drain(self) -> None:
         """Refuse new requests from now on."""
 
 
 class ShardReleaser(Protocol):
-    """Give the shards away."""
+    """Define how a drain gives up the shards of this instance."""
 
     async def hand_over_all(self) -> None:
-        """Give every shard to the next instance."""
+        """Hand every shard over to its next instance."""
 
     async def release_idle(self) -> None:
-        """Give up the shards without open requests."""
+        """Release the shards without pending requests."""
 
 
 class Drain:
-    """Take an instance out of service in order."""
+    """Take an instance out of service gracefully."""
 
     def __init__(
         self,
@@ -60,11 +61,11 @@
         self._balancer_delay_s = balancer_delay_s
 
     async def start(self) -> None:
-        """Begin the drain and return at once; further calls have no effect."""
+        """Begin the drain and return at once; repeated calls have no effect."""
         self.started.set()
 
     async def run(self) -> None:
-        """Wait for the start of the drain, and carry it out."""
+        """Wait until the drain is started, and carry it out."""
         await self.started.wait()
         emit(log, Event.DRAIN_STARTED, open_requests=self._count_open_work())
         self._open_requests.leave_balancer()
@@ -72,7 +73,7 @@
         await asyncio.sleep(self._balancer_delay_s)
         self._open_requests.begin_drain()
         while self._count_open_work() or self._open_requests.count:
-            # A successor may have appeared since.
+            # A shard that had no successor so far may have one by now.
             await self._owners.hand_over_all()
             await asyncio.sleep(CHECK_INTERVAL_S)
         await self._owners.release_idle()
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -1,4 +1,4 @@
-"""Report what the shards of this instance do as metrics."""
+"""Report the activity of this instance's shards as metrics."""
 
 from __future__ import annotations
 
@@ -17,33 +17,36 @@
 
 
 class MetricsObserver:
-    """Feed the histograms from the events of a shard."""
+    """Record the events of a shard in histograms."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def task_started(self, task: Task, now: float) -> None:
-        """Observe how long a task waited; its time of submission is another VM's clock."""
+        """Record how long a task waited.
+
+        The time is clamped at zero, because another VM's clock set the time of submission.
+        """
         self._metrics.waited(task.team, task.kind.value, max(0.0, now - task.submitted_at))
 
     def task_ended(self, task: Task, seconds: float) -> None:
-        """Observe how long a task was with its worker."""
+        """Record how long a task was on its worker."""
         self._metrics.served(task.team, task.kind.value, seconds)
 
     def placement_decided(self, task: Task, seconds: float) -> None:
-        """Observe the processor time of one placement."""
+        """Record the duration of one placement decision."""
         self._metrics.decided(task.team, task.kind.value, seconds)
 
 
 class GaugeSource(Protocol):
-    """Be what the gauges are read from."""
+    """Define what the gauges are computed from."""
 
     def active_owners(self) -> Iterable[ShardOwner]:
-        """Return the shards that this instance works for."""
+        """Return the owners of the shards that this instance serves."""
 
 
 class GaugeUpdater:
-    """Own the gauges and counters that are read at intervals."""
+    """Update the gauges and counters that are sampled at intervals."""
 
     def __init__(self, metrics: Metrics, source: GaugeSource, revision: Callable[[], int]) -> None:
         self._metrics = metrics
@@ -52,13 +55,13 @@
         self._reported_breaches: dict[int, int] = {}
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Update the metrics until cancelled."""
         while True:
             self.update()
             await asyncio.sleep(GAUGE_INTERVAL_S)
 
     def update(self) -> None:
-        """Set every gauge to its present value."""
+        """Set every gauge to its current value."""
         owners = list(self._source.active_owners())
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
@@ -80,7 +83,7 @@
 
 
 def packing_ratio(index: CapacityIndex) -> float:
-    """Return the bound fraction, from 0 to 1, of the resource that is scarcest."""
+    """Return the allocated fraction, from 0 to 1, of the most utilized resource."""
     free = [
         sum(amounts) for amounts in zip(*(w.free for w in index.workers.values()), strict=True)
     ]
