--- a/baobabhoist/tests/memory_table.py
+++ b/baobabhoist/tests/memory_table.py
@@ -5,7 +5,11 @@
 
 
 class MemoryTable:
-    """Keep rows in memory; `before_commit` runs first in each commit, `down` fails all calls."""
+    """Store rows in memory.
+
+    `before_commit` holds coroutine functions that the next commit awaits first. `down` makes all
+    calls fail. `lose_answer` makes commits fail after they took effect.
+    """
 
     def __init__(self):
         self.rows = {}
--- a/baobabhoist/tests/shard_harness.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -1,4 +1,4 @@
-"""Provide workers in memory and owners over them for tests."""
+"""Provide in-memory workers and shard owners that use them, for tests."""
 
 import asyncio
 import time
@@ -13,12 +13,12 @@
 from baobabhoist.testing.worker import Worker
 from baobabhoist.upstream.messages import QueryOutcome, RunTask
 
-WAIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 CAPACITY = Resources(16000, 65536, 0, 4)
 
 
 def shorten_intervals(monkeypatch):
-    """Shorten the periods of owners, so that tests need not wait for them."""
+    """Shorten the intervals of shard owners, so that tests run quickly."""
     for name, value in {"RENEW_INTERVAL_S": 0.05, "EPOCH_CONFIRM_INTERVAL_S": 0.05}.items():
         monkeypatch.setattr(claim_driver, name, value)
     monkeypatch.setattr(claim_driver, "FENCE_RETRY_INTERVAL_S", 0.01)
@@ -28,7 +28,7 @@
 
 
 class MemoryLink:
-    """Connect an owner to a worker in memory; `lose_next_reply` breaks one call after it ran."""
+    """Connect an owner to an in-memory worker; `lose_next_reply` fails one call after it ran."""
 
     def __init__(self, spec, on_change, workers):
         self.spec = spec
@@ -77,7 +77,7 @@
         raise TimeoutError
 
     def cut(self):
-        """Break the calls that are open, and make no new connection."""
+        """Break all calls in flight and refuse new connections."""
         self.up = False
         self._broken.set()
         self._broken = asyncio.Event()
@@ -91,7 +91,7 @@
 
 
 class ShardHarness:
-    """Hold the workers of one shard and the owners that compete for it."""
+    """Run the workers of one shard and the owners that compete for it."""
 
     def __init__(self, table, names=("w1", "w2"), run_s=0.0, shard="r"):
         self.shard = shard
@@ -128,7 +128,7 @@
         return self.spawn(owner.run())
 
     def spawn(self, coro):
-        """Run a coroutine until the rack is closed."""
+        """Run a coroutine until the harness is closed."""
         task = asyncio.ensure_future(coro)
         self.tasks.append(task)
         return task
@@ -148,10 +148,10 @@
 
 
 async def until(condition):
-    """Wait until a condition holds; fails when it never does."""
-    give_up_at = time.monotonic() + WAIT_S
+    """Wait until a condition holds; fail if it does not within the timeout."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        if time.monotonic() > give_up_at:
+        if time.monotonic() > deadline:
             raise AssertionError("the condition never held")
         await asyncio.sleep(0.005)
 
@@ -175,5 +175,5 @@
 
 
 def queried_task_ids(link):
-    """Return the ids whose outcome was asked for over a link."""
+    """Return the ids of the tasks whose outcome was queried over a link."""
     return [message.task_id for message in link.sent(QueryOutcome)]
--- a/baobabhoist/tests/test_daemon_app.py
+++ b/baobabhoist/tests/test_daemon_app.py
@@ -1,4 +1,4 @@
-"""Test that the daemon puts its settings into effect."""
+"""Test that the daemon applies its settings."""
 
 import ast
 import asyncio
@@ -17,7 +17,7 @@
 from baobabhoist.testing.cluster import Cluster, free_port, wait_for_port
 from baobabhoist.tests.certificates import Authority
 
-WAIT_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 PORTS = ("caller_port", "admin_port", "peer_port")
 
 
@@ -44,7 +44,7 @@
 
 
 def test_the_default_deadline_of_the_settings_applies_to_requests():
-    """Guard against requests without a deadline that get a fixed one instead of the setting."""
+    """Guard against a fixed default deadline that overrides the setting."""
 
     async def test():
         daemon = Daemon(settings(default_deadline_s=123.0))
@@ -72,8 +72,8 @@
     asyncio.run(test())
 
 
-def served_by(port, ca):
-    """Return the names in the certificate that a port presents, once the request is answered."""
+def served_certificate_name(port, ca):
+    """Return the common name of the certificate that a port presents for an answered request."""
 
     async def ask():
         context = ssl.create_default_context(cafile=ca)
@@ -89,7 +89,7 @@
 
 
 def test_the_listeners_of_a_daemon_serve_tls_and_load_replaced_certificates(tmp_path):
-    """Guard against a TLS section that a listener ignores or whose files it reads only once."""
+    """Guard against a listener that ignores its TLS settings or reads the files only once."""
     authority = Authority("servers")
     ca = authority.write(tmp_path / "ca.pem")
     files = {name: (tmp_path / f"{name}.pem", tmp_path / f"{name}.key") for name in PORTS[:2]}
@@ -104,10 +104,10 @@
         cluster.start_instance("entry-1")
         for name, (certificate, key) in files.items():
             wait_for_port(cfg[name])
-            assert served_by(cfg[name], ca) == f"first {name}"
+            assert served_certificate_name(cfg[name], ca) == f"first {name}"
             authority.issue(f"second {name}", certificate, key)
-        give_up_at = time.monotonic() + WAIT_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         for name in files:
-            while served_by(cfg[name], ca) != f"second {name}":
-                assert time.monotonic() < give_up_at
+            while served_certificate_name(cfg[name], ca) != f"second {name}":
+                assert time.monotonic() < deadline
                 time.sleep(0.1)
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -1,4 +1,4 @@
-"""Test that teams stay within their limits while places move and answers are lost."""
+"""Test that teams stay within their limits while quota moves and acknowledgements are lost."""
 
 import asyncio
 
@@ -18,12 +18,12 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def short_intervals(monkeypatch):
     shorten_intervals(monkeypatch)
 
 
-class Node:
-    """Be an instance with some owners; wishes go straight to the other instance."""
+class FakeInstance:
+    """Provide the context of an escrow manager; calls go directly to the other instance."""
 
     def __init__(self, table, view):
         self.table = table
@@ -47,8 +47,8 @@
     view.apply(Record("team", "team", 1, revision, {"limit": limit, "share": 1.0}))
 
 
-class Pair:
-    """Hold two instances that own one shard each."""
+class TwoInstanceCluster:
+    """Run two instances that own one shard each."""
 
     def __init__(self, limit):
         self.table = MemoryTable()
@@ -58,23 +58,23 @@
             body = {"data_centre": "north", "workers": []}
             view.apply(Record("shard", shard, 1, number + 10, body))
         self.view = view
-        self.racks = [ShardHarness(self.table, shard=shard) for shard in ("r1", "r2")]
-        self.nodes = [Node(self.table, view) for _ in self.racks]
-        self.nodes[0].peer, self.nodes[1].peer = self.nodes[1], self.nodes[0]
+        self.harnesses = [ShardHarness(self.table, shard=shard) for shard in ("r1", "r2")]
+        self.instances = [FakeInstance(self.table, view) for _ in self.harnesses]
+        self.instances[0].peer, self.instances[1].peer = self.instances[1], self.instances[0]
 
     async def start(self):
-        for rack, node in zip(self.racks, self.nodes, strict=True):
-            rack.limit = None
-            owner, _ = await rack.start_owner(f"owner-of-{rack.shard}")
-            node.owners.append(owner)
-        await self.cycle()
+        for harness, instance in zip(self.harnesses, self.instances, strict=True):
+            harness.limit = None
+            owner, _ = await harness.start_owner(f"owner-of-{harness.shard}")
+            instance.owners.append(owner)
+        await self.reconcile()
 
-    async def cycle(self):
-        for node in self.nodes:
-            await node.escrow.reconcile()
+    async def reconcile(self):
+        for instance in self.instances:
+            await instance.escrow.reconcile()
 
     def owner(self, number):
-        return self.nodes[number].owners[0]
+        return self.instances[number].owners[0]
 
     def row(self):
         return decode("team", self.table.rows["escrow/team"].value)
@@ -82,8 +82,8 @@
     def held(self):
         return [self.owner(number).quota_ledger.escrow.get("team", 0) for number in (0, 1)]
 
-    def check(self):
-        """Compare the places in use with the row, which must hold at least as many."""
+    def check_invariants(self):
+        """Check that no shard holds more quota than its row grants, and the limit is kept."""
         row = self.row()
         for held, shard in zip(self.held(), ("r1", "r2"), strict=True):
             assert held <= row.held(shard)
@@ -94,14 +94,14 @@
     def wrap(test):
         def run():
             async def body():
-                pair = Pair(limit)
+                cluster = TwoInstanceCluster(limit)
                 try:
-                    await pair.start()
-                    await test(pair)
-                    pair.check()
+                    await cluster.start()
+                    await test(cluster)
+                    cluster.check_invariants()
                 finally:
-                    for rack in pair.racks:
-                        await rack.close()
+                    for harness in cluster.harnesses:
+                        await harness.close()
 
             asyncio.run(body())
 
@@ -112,116 +112,118 @@
 
 
 @scenario(4)
-async def test_a_new_owner_has_no_escrow_before_it_reads_the_row(pair):
-    """Guard against places used by a new owner that the last one was giving away."""
-    assert pair.held() == [2, 2]
-    new, _ = await pair.racks[0].start_owner("next")
+async def test_a_new_owner_has_no_escrow_before_it_reads_the_row(cluster):
+    """Guard against a new owner that uses quota which the last one was transferring away."""
+    assert cluster.held() == [2, 2]
+    new, _ = await cluster.harnesses[0].start_owner("next")
     assert new.quota_ledger.allowed("team") == 0
-    pair.nodes[0].owners[:] = [new]
-    await pair.cycle()
+    cluster.instances[0].owners[:] = [new]
+    await cluster.reconcile()
     assert new.quota_ledger.allowed("team") == 2
 
 
 @scenario(4)
-async def test_places_move_on_demand_and_are_never_used_twice(pair):
-    """Guard against a shard that waits while another holds its team's places unused."""
-    owner = pair.owner(0)
+async def test_quota_moves_on_demand_and_is_never_used_twice(cluster):
+    """Guard against a shard that waits while another holds unused quota of the same team."""
+    owner = cluster.owner(0)
     for number in range(4):
-        pair.racks[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
+        cluster.harnesses[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 2)
     while owner.quota_ledger.used["team"] < 4:
-        await pair.cycle()
-        pair.check()
-        assert sum(pair.held()) <= 4
+        await cluster.reconcile()
+        cluster.check_invariants()
+        assert sum(cluster.held()) <= 4
         await asyncio.sleep(0.05)
-    assert pair.held() == [4, 0]
+    assert cluster.held() == [4, 0]
 
 
 @scenario(4)
-async def test_a_waiting_team_starts_in_the_cycle_that_brings_its_places(pair):
-    """Guard against urgent work that waits for the next upkeep although its place has come."""
-    owner = pair.owner(0)
+async def test_a_waiting_team_starts_in_the_cycle_that_adds_its_quota(cluster):
+    """Guard against urgent work that waits for periodic maintenance after its quota arrived."""
+    owner = cluster.owner(0)
     owner.scheduler._unlimit_at = float("inf")
     for number in range(3):
-        pair.racks[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
+        cluster.harnesses[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 2)
     while owner.quota_ledger.escrow["team"] < 3:
-        await pair.cycle()
+        await cluster.reconcile()
     assert owner.quota_ledger.used["team"] == 3
 
 
-async def lose_commit(pair, before):
-    """Let one transfer lose its answer, before or after it took effect."""
-    table = pair.table
-    real = table.commit
+async def lose_acknowledgement(cluster, before_commit):
+    """Fail one transfer before it takes effect, or after it when only its reply is lost."""
+    table = cluster.table
+    original_commit = table.commit
 
-    async def lossy(txn):
-        table.commit = real
-        if not before:
-            await real(txn)
+    async def commit_and_fail(txn):
+        table.commit = original_commit
+        if not before_commit:
+            await original_commit(txn)
         raise PlatformError("the answer was lost")
 
-    table.commit = lossy
-    given = await pair.nodes[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
-    assert given.places == 0
+    table.commit = commit_and_fail
+    reply = await cluster.instances[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
+    assert reply.places == 0
 
 
-@pytest.mark.parametrize("before", [True, False])
-def test_a_transfer_without_an_answer_keeps_its_places_out_of_use(before):
-    """Guard against places used at both ends because an answer was lost."""
+@pytest.mark.parametrize("before_commit", [True, False])
+def test_quota_of_an_unacknowledged_transfer_stays_out_of_use(before_commit):
+    """Guard against quota used by both shards because an acknowledgement was lost."""
 
     @scenario(4)
-    async def body(pair):
-        await lose_commit(pair, before)
-        assert pair.held()[1] == 1
-        await pair.cycle()
-        await pair.cycle()
-        assert pair.held() == ([2, 2] if before else [3, 1])
+    async def body(cluster):
+        await lose_acknowledgement(cluster, before_commit)
+        assert cluster.held()[1] == 1
+        await cluster.reconcile()
+        await cluster.reconcile()
+        assert cluster.held() == ([2, 2] if before_commit else [3, 1])
 
     body()
 
 
 @scenario(4)
-async def test_a_donor_that_lost_its_shard_gives_nothing(pair):
-    """Guard against a paused owner that gives away places which its successor uses."""
-    await pair.racks[1].start_owner("successor")
-    given = await pair.nodes[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
-    assert given.places == 0
-    assert pair.row().places == {"r1": 2, "r2": 2}
+async def test_a_donor_that_lost_its_shard_grants_nothing(cluster):
+    """Guard against a paused owner that transfers quota which its successor uses."""
+    await cluster.harnesses[1].start_owner("successor")
+    reply = await cluster.instances[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
+    assert reply.places == 0
+    assert cluster.row().places == {"r1": 2, "r2": 2}
 
 
 @scenario(4)
-async def test_a_lowered_limit_stops_starts_at_once_and_returns_places(pair):
+async def test_a_lowered_limit_stops_starts_at_once_and_returns_quota(cluster):
     """Guard against a team that keeps running above a lowered limit."""
-    owner = pair.owner(0)
-    running = pair.racks[0].spawn(owner.submit(request("t1", b'{"run_s": 0.2}', shard="r1")))
+    owner = cluster.owner(0)
+    running = cluster.harnesses[0].spawn(
+        owner.submit(request("t1", b'{"run_s": 0.2}', shard="r1"))
+    )
     await until(lambda: owner.quota_ledger.used["team"] == 1)
-    set_limit(pair.view, 0)
-    pair.nodes[0].escrow.apply_lowered_limits()
+    set_limit(cluster.view, 0)
+    cluster.instances[0].escrow.apply_lowered_limits()
     assert owner.quota_ledger.allowed("team") == 0
-    waiting = pair.racks[0].spawn(owner.submit(request("t2", shard="r1")))
-    # Requests are left to end; their places return after the worker confirmed a later call.
+    waiting = cluster.harnesses[0].spawn(owner.submit(request("t2", shard="r1")))
+    # Running requests are not stopped. Their quota returns once the worker confirms a later call.
     assert isinstance(await running, Answer)
-    while pair.row().limit > 0:
-        await pair.cycle()
-        pair.check()
+    while cluster.row().limit > 0:
+        await cluster.reconcile()
+        cluster.check_invariants()
         await asyncio.sleep(0.02)
-    assert pair.held() == [0, 0]
+    assert cluster.held() == [0, 0]
     assert not waiting.done()
-    set_limit(pair.view, 4)
-    await until(lambda: _raised(pair))
+    set_limit(cluster.view, 4)
+    await until(lambda: reconcile_and_check_raised(cluster))
 
 
-def _raised(pair):
-    pair.racks[0].spawn(pair.cycle())
-    return pair.owner(0).quota_ledger.allowed("team") > 0
+def reconcile_and_check_raised(cluster):
+    cluster.harnesses[0].spawn(cluster.reconcile())
+    return cluster.owner(0).quota_ledger.allowed("team") > 0
 
 
 @scenario(4)
-async def test_without_the_table_places_stay_as_they_are(pair):
+async def test_quota_is_unchanged_while_the_table_is_down(cluster):
     """Guard against a platform outage that stops work within the limits."""
-    pair.table.down = True
+    cluster.table.down = True
     with pytest.raises(PlatformError):
-        await pair.nodes[0].escrow.reconcile()
-    assert isinstance(await pair.owner(0).submit(request("t1", shard="r1")), Answer)
-    pair.table.down = False
+        await cluster.instances[0].escrow.reconcile()
+    assert isinstance(await cluster.owner(0).submit(request("t1", shard="r1")), Answer)
+    cluster.table.down = False
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -1,4 +1,4 @@
-"""Test jobs across two instances, one of which coordinates them."""
+"""Test jobs on two instances, one of which coordinates them."""
 
 import asyncio
 
@@ -22,11 +22,11 @@
 from baobabhoist.records.kinds import Policy
 from baobabhoist.tests.memory_table import MemoryTable
 
-GIVE_UP_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
-class Shard:
-    """Run the tasks in `placed`; a task that was forwarded is at another shard."""
+class FakeShard:
+    """Report the tasks in `placed` as running and those in `forwarded` as at another shard."""
 
     def __init__(self):
         self.placed = set()
@@ -47,14 +47,14 @@
         return HoldReply(())
 
 
-class Node:
-    """Own `owned` of the shards; the other instance owns the rest."""
+class FakeContext:
+    """Provide the context of a job manager whose instance owns the shards in `owned`."""
 
     def __init__(self, table, shards, owned):
         self.table = table
         self.shards = shards
         self.owned = owned
-        self.other = None
+        self.other_jobs = None
         self.sent = []
         self.fails = False
         self.retries = {"entries": 1}
@@ -80,9 +80,9 @@
         return Answer(req.request_id, 200, b"")
 
     async def call_owner(self, shard, message, timeout_s):
-        if self.other is None:
+        if self.other_jobs is None:
             raise NotSentError("no link")
-        return await self.other.handle(message)
+        return await self.other_jobs.handle(message)
 
 
 def spec(job_id="j1", kind=WorkKind.SERVICE, tasks=2):
@@ -91,21 +91,24 @@
 
 
 async def until(condition):
-    async with asyncio.timeout(GIVE_UP_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 @pytest.fixture
-def two():
+def two_instances():
     """Run a scenario with the coordinator's node, its jobs, and the jobs of another instance."""
 
     def run(scenario):
         async def main():
-            table, shards = MemoryTable(), {"rack-1": Shard()}
-            here, there = Node(table, shards, ["rack-1"]), Node(table, shards, [])
+            table, shards = MemoryTable(), {"rack-1": FakeShard()}
+            here, there = (
+                FakeContext(table, shards, ["rack-1"]),
+                FakeContext(table, shards, []),
+            )
             jobs, others = JobManager(here), JobManager(there)
-            there.other = jobs
+            there.other_jobs = jobs
             running = asyncio.create_task(jobs.run())
             jobs._coordinator.own(here.owned)
             try:
@@ -118,68 +121,70 @@
     return run
 
 
-def test_list_and_status_agree_on_every_instance(two):
+def test_list_and_status_agree_on_every_instance(two_instances):
     """Guard against a running service or a finished job that is listed as queued."""
 
     async def scenario(here, jobs, there, others):
         await others.submit(spec())
         await until(lambda: len(here.sent) == 2)
 
-        async def seen(state, **counts):
+        async def assert_reported(state, **counts):
             expected = {TaskState(name): count for name, count in counts.items()}
             for each in (jobs, others):
                 (listed,) = await each.list("roster")
                 assert listed == await each.status("j1", "roster")
                 assert (listed.state, listed.counts) == (state, expected)
 
-        await seen(JobState.QUEUED, queued=2)
+        await assert_reported(JobState.QUEUED, queued=2)
         here.shards["rack-1"].placed.add(here.sent[0].request_id)
-        await seen(JobState.RUNNING, running=1, queued=1)
+        await assert_reported(JobState.RUNNING, running=1, queued=1)
         here.shards["rack-1"].placed.clear()
         await jobs.cancel("j1", "roster")
         here.finish.set()
         await until(lambda: jobs._coordinator.runs["j1"].finished)
-        # The table does not know of the end yet.
+        # The table does not contain the end of the job yet.
         assert (await here.table.read("active/rack-1/j1")).value is not None
-        await seen(JobState.SUCCEEDED, succeeded=2)
+        await assert_reported(JobState.SUCCEEDED, succeeded=2)
 
-    two(scenario)
+    two_instances(scenario)
 
 
-def test_a_list_without_the_coordinator_says_that_the_state_may_be_old(two):
-    """Guard against a stored state that looks like the present one."""
+def test_a_list_without_the_coordinator_says_that_the_state_may_be_old(two_instances):
+    """Guard against a stored state that looks like the current one."""
 
     async def scenario(here, jobs, there, others):
         await others.submit(spec())
-        there.other = None
+        there.other_jobs = None
         (listed,) = await others.list(None)
         assert "rack-1 did not answer" in listed.reason
 
-    two(scenario)
+    two_instances(scenario)
 
 
-def test_forwarded_tasks_are_reported_and_cancelled_where_they_run(two):
+def test_forwarded_tasks_are_reported_and_cancelled_where_they_run(two_instances):
     """Guard against a forwarded task that counts as queued and survives the cancellation."""
 
     async def scenario(here, jobs, there, others):
-        here.shards["rack-2"] = Shard()
+        here.shards["rack-2"] = FakeShard()
         here.owned.append("rack-2")
         await jobs.submit(spec(tasks=1))
         await until(lambda: here.sent)
         name = here.sent[0].request_id
         origin = here.sent[0].shard
-        away = "rack-2" if origin == "rack-1" else "rack-1"
-        here.shards[origin].forwarded[name] = away
-        here.shards[away].placed.add(name)
+        target = "rack-2" if origin == "rack-1" else "rack-1"
+        here.shards[origin].forwarded[name] = target
+        here.shards[target].placed.add(name)
         assert (await jobs.status("j1", None)).counts == {TaskState.RUNNING: 1}
         await jobs.cancel("j1", None)
-        assert name in here.shards[away].cancelled
+        assert name in here.shards[target].cancelled
 
-    two(scenario)
+    two_instances(scenario)
 
 
-def test_all_unfinished_jobs_of_a_queue_are_found_however_many_there_are(two, monkeypatch):
-    """Guard against deleting a queue whose jobs are beyond the end of a bounded list."""
+def test_all_unfinished_jobs_of_a_queue_are_found_however_many_there_are(
+    two_instances, monkeypatch
+):
+    """Guard against deletion of a queue that still has jobs beyond the limit of a list."""
     monkeypatch.setattr(daemon_jobs, "LIST_PAGE_SIZE", 2)
     monkeypatch.setattr(daemon_jobs, "MAX_LISTED_JOBS", 2)
 
@@ -194,11 +199,11 @@
         await until(lambda: here.table.rows["active/rack-1/j4"].value is None)
         assert await others.unfinished("entries") == ()
 
-    two(scenario)
+    two_instances(scenario)
 
 
-def test_the_policy_of_the_queue_bounds_the_retries_of_failed_tasks(two, monkeypatch):
-    """Guard against a policy whose number of retries has no effect on jobs."""
+def test_the_policy_of_the_queue_bounds_the_retries_of_failed_tasks(two_instances, monkeypatch):
+    """Guard against a retry limit in the policy that has no effect on jobs."""
     monkeypatch.setattr(state, "RETRY_DELAY_S", 0.001)
 
     async def scenario(here, jobs, there, others):
@@ -207,4 +212,4 @@
         await until(lambda: jobs._coordinator.runs["j1"].finished)
         assert len({req.request_id for req in here.sent}) == len(here.sent) == 4
 
-    two(scenario)
+    two_instances(scenario)
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -1,4 +1,4 @@
-"""Test who claims a shard, and how an instance stops, with scripted peers and owners."""
+"""Test which instance claims a shard, and how an instance drains, with fake peers and owners."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
         return [SPEC]
 
 
-class FakeFencing:
+class FakeClaimDriver:
     def __init__(self, claim):
         self.claim = claim
         self.ended = asyncio.Event()
@@ -61,7 +61,7 @@
 class FakeOwner:
     def __init__(self, claim, inherited):
         self.shard, self.claim, self.inherited = "s1", claim, inherited
-        self.claim_driver = FakeFencing(claim)
+        self.claim_driver = FakeClaimDriver(claim)
         claim.state = ShardState.OWNED
 
     async def run(self):
@@ -71,8 +71,8 @@
         return 0
 
 
-class Setting:
-    """Hold an instance `me` in the north whose clock the test turns."""
+class InstanceHarness:
+    """Run the ownership manager of one instance on a clock that the test advances."""
 
     def __init__(self, peers, me="me", data_centre="north", reachable=True):
         self.now = 1000.0
@@ -81,7 +81,7 @@
         async def is_reachable(workers):
             return reachable
 
-        self.owners = OwnershipManager(
+        self.ownership = OwnershipManager(
             LocalInstance(me, data_centre),
             FakeShards(),
             peers,
@@ -89,18 +89,18 @@
             clock=lambda: self.now,
             is_reachable=is_reachable,
         )
-        self.owners._last_tick = self.now
+        self.ownership._last_tick = self.now
 
-    async def pass_time(self, seconds):
-        """Tick every quarter of a second."""
+    async def advance_clock(self, seconds):
+        """Advance the clock in steps of 0.25 s, with a tick at each step."""
         for _ in range(int(seconds * 4)):
             self.now += 0.25
-            await self.owners.tick()
+            await self.ownership.tick()
         await asyncio.sleep(0)
 
     @property
-    def claimed(self):
-        return "s1" in self.owners.owners
+    def is_claimed(self):
+        return "s1" in self.ownership.owners
 
 
 def run(test):
@@ -108,109 +108,109 @@
 
 
 def test_a_shard_without_a_live_owner_is_claimed_and_one_with_an_owner_is_not():
-    """Guard against a dead owner's shard that nobody claims, and against needless claims."""
+    """Guard against an unclaimed shard after its owner died, and against needless claims."""
 
     async def body():
-        setting = Setting(FakePeers())
-        setting.peers.owner = "other"
-        await setting.pass_time(5)
-        assert not setting.claimed
-        setting.peers.owner = None
-        await setting.pass_time(0.5)
-        assert setting.claimed
+        instance = InstanceHarness(FakePeers())
+        instance.peers.owner = "other"
+        await instance.advance_clock(5)
+        assert not instance.is_claimed
+        instance.peers.owner = None
+        await instance.advance_clock(0.5)
+        assert instance.is_claimed
 
     run(body)
 
 
 def test_a_lower_rank_claims_only_after_the_higher_ones_had_time():
-    """Guard against claims by all at once, and against a shard lost with its best instance."""
+    """Guard against simultaneous claims, and a shard that only its top-ranked instance claims."""
 
     async def body():
-        first, second = Setting(FakePeers("b"), "a"), Setting(FakePeers("a"), "b")
-        await first.pass_time(0.5)
-        await second.pass_time(0.5)
-        assert first.claimed != second.claimed
-        waiting = second if first.claimed else first
-        await waiting.pass_time(1.0)
-        assert waiting.claimed
+        first, second = InstanceHarness(FakePeers("b"), "a"), InstanceHarness(FakePeers("a"), "b")
+        await first.advance_clock(0.5)
+        await second.advance_clock(0.5)
+        assert first.is_claimed != second.is_claimed
+        waiting = second if first.is_claimed else first
+        await waiting.advance_clock(1.0)
+        assert waiting.is_claimed
 
     run(body)
 
 
-def test_a_resumed_instance_listens_before_it_judges_its_peers():
-    """Guard against a paused instance that takes every shard over when it resumes."""
+def test_a_resumed_instance_waits_for_heartbeats_before_it_claims():
+    """Guard against a paused instance that claims every shard when it resumes."""
 
     async def body():
-        setting = Setting(FakePeers())
-        setting.peers.owner = "other"
-        await setting.pass_time(1)
-        # After the pause all peers look dead until their next heartbeat is read.
-        setting.now += 30.0
-        setting.peers.owner = None
-        await setting.owners.tick()
-        assert not setting.claimed
-        setting.peers.owner = "other"
-        await setting.pass_time(2)
-        assert not setting.claimed
+        instance = InstanceHarness(FakePeers())
+        instance.peers.owner = "other"
+        await instance.advance_clock(1)
+        # After the pause all peers look dead until their next heartbeats arrive.
+        instance.now += 30.0
+        instance.peers.owner = None
+        await instance.ownership.tick()
+        assert not instance.is_claimed
+        instance.peers.owner = "other"
+        await instance.advance_clock(2)
+        assert not instance.is_claimed
 
     run(body)
 
 
-def test_a_shard_in_a_data_centre_that_cannot_be_reached_is_left_alone():
-    """Guard against an epoch taken from a data centre that serves its shards while cut off."""
+def test_a_shard_in_an_unreachable_data_centre_is_not_claimed():
+    """Guard against claims on shards of a data centre that serves them while it is cut off."""
 
     async def body():
-        setting = Setting(FakePeers(), data_centre="south", reachable=False)
-        await setting.pass_time(5)
-        assert not setting.claimed
-        setting = Setting(FakePeers(), data_centre="south", reachable=True)
-        await setting.pass_time(5)
-        assert setting.claimed
+        instance = InstanceHarness(FakePeers(), data_centre="south", reachable=False)
+        await instance.advance_clock(5)
+        assert not instance.is_claimed
+        instance = InstanceHarness(FakePeers(), data_centre="south", reachable=True)
+        await instance.advance_clock(5)
+        assert instance.is_claimed
 
     run(body)
 
 
 def test_each_start_of_an_instance_claims_under_its_own_name():
-    """Guard against two processes with equal tokens, which workers would both obey."""
+    """Guard against two processes with equal tokens, both of which workers would obey."""
 
     async def body():
         names = set()
         for _ in range(2):
-            setting = Setting(FakePeers())
-            await setting.pass_time(0.5)
-            names.add(setting.owners.owners["s1"].claim.instance_id)
+            instance = InstanceHarness(FakePeers())
+            await instance.advance_clock(0.5)
+            names.add(instance.ownership.owners["s1"].claim.instance_id)
         assert len(names) == 2
 
     run(body)
 
 
-def test_a_draining_instance_neither_claims_nor_takes():
-    """Guard against a shard that is given to an instance which is about to stop."""
+def test_a_draining_instance_neither_claims_nor_accepts_a_hand_over():
+    """Guard against a shard that moves to an instance which is about to stop."""
 
     async def body():
-        setting = Setting(FakePeers())
-        await setting.owners.hand_over_all()
-        await setting.pass_time(5)
+        instance = InstanceHarness(FakePeers())
+        await instance.ownership.hand_over_all()
+        await instance.advance_clock(5)
         message = HandOver("s1", Token(1, 0, "x"), "x", (), (), ())
-        assert setting.owners.accept_hand_over(message) == HandOverTaken("s1", False)
-        assert not setting.claimed
+        assert instance.ownership.accept_hand_over(message) == HandOverTaken("s1", False)
+        assert not instance.is_claimed
 
     run(body)
 
 
 def test_a_shard_is_handed_to_a_live_instance_that_does_not_drain():
-    """Guard against a hand-over to an instance that stops as well."""
+    """Guard against a hand-over to an instance that is draining as well."""
 
     async def body():
-        setting = Setting(FakePeers("other", "leaving"))
-        leaving = setting.peers.live["leaving"]
-        setting.peers.live["leaving"] = attrs.evolve(leaving, draining=True)
-        setting.owners.claim("s1")
-        owner = setting.owners.owners["s1"]
-        await setting.owners.hand_over_all()
+        instance = InstanceHarness(FakePeers("other", "leaving"))
+        leaving = instance.peers.live["leaving"]
+        instance.peers.live["leaving"] = attrs.evolve(leaving, draining=True)
+        instance.ownership.claim("s1")
+        owner = instance.ownership.owners["s1"]
+        await instance.ownership.hand_over_all()
         assert owner.claim_driver.handed_to == "other"
-        await setting.owners.wait_finished()
-        assert not setting.claimed
+        await instance.ownership.wait_finished()
+        assert not instance.is_claimed
 
     run(body)
 
@@ -226,19 +226,19 @@
     ],
 )
 def test_only_a_message_that_was_not_sent_counts_as_refused(reply, taken):
-    """Guard against an owner that goes on with a queue which its successor may have."""
+    """Guard against an owner that continues with a queue which its successor may have."""
 
     async def body():
-        setting = Setting(FakePeers("other"))
-        setting.peers.reply = reply
+        instance = InstanceHarness(FakePeers("other"))
+        instance.peers.reply = reply
         message = HandOver("s1", Token(1, 0, "x"), "x", (), (), ())
-        assert await setting.owners.send_hand_over("other", message) is taken
+        assert await instance.ownership.send_hand_over("other", message) is taken
 
     run(body)
 
 
-def test_a_drain_serves_what_is_open_before_it_closes():
-    """Guard against a graceful stop that cuts a request or never ends."""
+def test_a_drain_serves_open_requests_before_it_closes():
+    """Guard against a drain that interrupts a request or never ends."""
 
     class FakeOwners:
         def __init__(self):
@@ -262,7 +262,7 @@
         assert requests.enter() is None
         await drain.start()
         await asyncio.sleep(0.02)
-        # The balancer still sends callers here for a while, and they are served.
+        # The load balancer still routes callers here for a while, and they are served.
         assert requests.leaving
         assert requests.enter() is None
         requests.leave()
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -15,7 +15,7 @@
 
 WORKERS = [WorkerSpec("w1", "127.0.0.1", 1, "r", Resources())]
 
-# An instance that ranks before `n1` for the shard.
+# An instance that ranks higher than `n1` for the shard.
 BETTER = next(
     {"instance_id": name, "data_centre": "south", "weight": 1.0, "draining": False}
     for name in ("n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9")
@@ -24,7 +24,7 @@
 
 
 class Shards:
-    """Know one shard of the data centre `south`."""
+    """List one shard of the data centre `south`."""
 
     def names(self):
         return ["s"]
@@ -37,7 +37,7 @@
 
 
 class Peers:
-    """Hear of an owner from a certain time on."""
+    """Report an owner of the shard once `heard` is set."""
 
     heard = False
 
@@ -56,7 +56,7 @@
         return now[0] >= reachable_at
 
     async def body():
-        owners = OwnershipManager(
+        ownership = OwnershipManager(
             LocalInstance("n1", data_centre),
             Shards(),
             peers,
@@ -64,10 +64,10 @@
             clock=lambda: now[0],
             is_reachable=is_reachable,
         )
-        owners.claim = lambda shard: claimed.append(now[0])
+        ownership.claim = lambda shard: claimed.append(now[0])
         while now[0] < until and not claimed:
             peers.heard = now[0] >= heard_at
-            await owners.tick()
+            await ownership.tick()
             now[0] += 0.25
 
     asyncio.run(body())
@@ -75,41 +75,41 @@
 
 
 def test_a_shard_whose_owner_is_heard_again_is_left_to_it():
-    """Guard against each side taking the other's shards when a partition ends."""
+    """Guard against each side claiming the other's shards when a partition ends."""
     assert claims("north", reachable_at=5.0, heard_at=6.25) == []
 
 
 def test_a_shard_of_a_data_centre_that_is_gone_is_claimed():
-    """Guard against shards that nobody serves, and against a wait longer than a takeover."""
+    """Guard against shards without an owner, and a delay longer than the takeover limit."""
     (claimed,) = claims("north", reachable_at=0.0, heard_at=99.0)
     assert claimed <= 2.0
     (after_partition,) = claims("north", reachable_at=5.0, heard_at=99.0)
     assert after_partition <= 7.0
 
 
-def test_a_shard_that_was_handed_over_is_not_claimed_back_at_once():
-    """Guard against a planned move that is undone before the successor is heard."""
+def test_a_handed_over_shard_is_not_claimed_back_at_once():
+    """Guard against a hand-over that is undone before the successor's first heartbeat."""
     now, claimed, peers = [100.0], [], Peers()
 
     async def body():
-        owners = OwnershipManager(
+        ownership = OwnershipManager(
             LocalInstance("n1", "south"), Shards(), peers, None, clock=lambda: now[0]
         )
-        owners.claim = lambda shard: claimed.append(now[0])
+        ownership.claim = lambda shard: claimed.append(now[0])
         peers.beats = lambda: [SimpleNamespace(**BETTER)]
-        owners._unowned_since["s"] = 1.0
-        owners._last_tick = now[0]
-        owners.owners["s"] = SimpleNamespace(claim=SimpleNamespace(state=None))
-        await owners.tick()
-        del owners.owners["s"]
-        await owners.tick()
+        ownership._unowned_since["s"] = 1.0
+        ownership._last_tick = now[0]
+        ownership.owners["s"] = SimpleNamespace(claim=SimpleNamespace(state=None))
+        await ownership.tick()
+        del ownership.owners["s"]
+        await ownership.tick()
 
     asyncio.run(body())
     assert claimed == []
 
 
 def test_a_connection_that_delivers_nothing_is_not_a_reachable_worker():
-    """Guard against claims through a middlebox that accepts connections for a lost worker."""
+    """Guard against middleboxes that accept connections for an unreachable worker."""
 
     async def body():
         port = free_port()
@@ -120,6 +120,6 @@
     assert asyncio.run(body()) is False
 
 
-def test_a_local_shard_is_claimed_without_that_delay():
+def test_a_local_shard_is_claimed_without_the_remote_delay():
     """Guard against slower takeovers inside a data centre."""
     assert claims("south", reachable_at=99.0, heard_at=99.0)[0] <= DISCOVERY_PERIOD_S
--- a/baobabhoist/tests/test_daemon_policies.py
+++ b/baobabhoist/tests/test_daemon_policies.py
@@ -1,4 +1,4 @@
-"""Test how records become the policies of the decisions."""
+"""Test how records are converted to the policies of the scheduler."""
 
 from baobabhoist.daemon.policies import queue_policies, team_policies
 from baobabhoist.errors import ErrorKind
@@ -21,7 +21,7 @@
     return Task(name, team, queue, WorkKind.BATCH, Resources(slots=1), NOW + 60, NOW)
 
 
-def test_each_queue_has_its_own_limit_of_waiting_work_per_team():
+def test_each_queue_limits_the_waiting_work_of_a_team():
     """Guard against a team that fills a small queue up to the limit of the largest one."""
     view = view_of(
         ("team", "roster", {"limit": 4}),
--- a/baobabhoist/tests/test_daemon_record_sync.py
+++ b/baobabhoist/tests/test_daemon_record_sync.py
@@ -1,4 +1,4 @@
-"""Test how records reach an instance when the platform or its peers fail."""
+"""Test how an instance gets its records when the platform or its peers fail."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 
 
 class Network:
-    """Connect syncs by name; names in `cut` cannot be called."""
+    """Connect the synchronisation of several instances; those in `unreachable` fail calls."""
 
     def __init__(self):
         self.syncs = {}
-        self.cut = set()
+        self.unreachable = set()
         self.pushed = []
 
     async def call(self, instance_id, message, deadline_s):
-        if instance_id in self.cut:
+        if instance_id in self.unreachable:
             raise LinkClosedError("cut")
         return await self.syncs[instance_id].receive(message)
 
@@ -53,7 +53,7 @@
 
 
 def test_an_instance_loads_records_and_not_the_history_of_the_log():
-    """Guard against a start that takes longer with every change ever made."""
+    """Guard against a startup time that grows with the history of changes."""
 
     async def scenario():
         table = await two_teams()
@@ -93,7 +93,7 @@
 
 
 def test_a_deleted_record_does_not_return_with_a_snapshot():
-    """Guard against a revoked key that a peer still has, or that a snapshot leaves in force."""
+    """Guard against a revoked key that a snapshot of a peer restores or leaves in force."""
 
     async def scenario():
         network = Network()
@@ -112,8 +112,8 @@
     asyncio.run(scenario())
 
 
-def test_an_entry_behind_a_gap_waits_for_the_missing_one():
-    """Guard against a record that is never applied because a later one came first."""
+def test_an_entry_after_a_gap_is_not_applied_before_the_missing_one():
+    """Guard against a record that is never applied because a later one arrived first."""
 
     async def scenario():
         sync = Network().add("x", MemoryTable())
@@ -131,7 +131,7 @@
 
 
 def test_applied_changes_are_pushed_inside_the_data_centre():
-    """Guard against peers that learn of a change only at their own next poll."""
+    """Guard against peers that receive a change only with their own next poll."""
 
     async def scenario():
         network = Network()
@@ -147,8 +147,8 @@
     asyncio.run(scenario())
 
 
-def test_a_cut_off_instance_knows_for_how_long():
-    """Guard against keys with an offline grace that a cut-off data centre accepts for ever."""
+def test_an_instance_reports_for_how_long_it_is_cut_off():
+    """Guard against a cut-off data centre that accepts keys beyond their offline grace period."""
 
     async def scenario():
         now = [100.0]
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -1,4 +1,4 @@
-"""Test what an owner does when tokens, connections, workers and the table fail."""
+"""Test shard owners when tokens are superseded and connections, workers or the table fail."""
 
 import asyncio
 import time
@@ -30,21 +30,21 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def short_intervals(monkeypatch):
     shorten_intervals(monkeypatch)
 
 
 def scenario(**options):
-    """Run an async test with a rack of workers."""
+    """Run an async test with a harness of in-memory workers."""
 
     def wrap(test):
         def run():
             async def body():
-                rack = ShardHarness(MemoryTable(), **options)
+                harness = ShardHarness(MemoryTable(), **options)
                 try:
-                    await test(rack)
+                    await test(harness)
                 finally:
-                    await rack.close()
+                    await harness.close()
 
             asyncio.run(body())
 
@@ -54,130 +54,130 @@
     return wrap
 
 
-async def higher_token(rack, epoch=9):
-    for worker in rack.workers.values():
+async def present_higher_token(harness, epoch=9):
+    for worker in harness.workers.values():
         await worker.handle(FenceWorker("r", Token(epoch, 0, "other")))
 
 
 @scenario()
-async def test_an_owner_that_lost_its_token_answers_truthfully_and_stops(rack):
-    """Guard against `not_run` for dispatched work, and a queue that outlives the ownership."""
-    rack.limit = {"team": 1}
-    owner, _ = await rack.start_owner("a")
+async def test_a_superseded_owner_reports_true_outcomes_and_stops(harness):
+    """Guard against `not_run` for dispatched work, and a queue that survives its owner."""
+    harness.limit = {"team": 1}
+    owner, _ = await harness.start_owner("a")
     dispatched = asyncio.ensure_future(owner.submit(request("running", SHORT)))
     await until(lambda: owner.worker_of("running"))
     queued = asyncio.ensure_future(owner.submit(request("queued")))
     await asyncio.sleep(0.02)
-    await higher_token(rack)
+    await present_higher_token(harness)
     refusal = await queued
     assert (refusal.kind, refusal.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
     assert owner.claim.state is ShardState.LOST
-    # The open call is answered by the worker, under whatever token.
+    # The worker answers the call in flight although a higher token was presented.
     assert isinstance(await dispatched, Answer)
-    await asyncio.wait_for(rack.tasks[0], 5)
+    await asyncio.wait_for(harness.tasks[0], 5)
     refusal = await owner.submit(request("later"))
     assert (refusal.kind, refusal.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
 
 
 @scenario()
-async def test_a_queued_key_that_another_owner_may_have_is_not_called_not_run(rack):
-    """Guard against `not_run` for a key of which a copy may run under the next owner."""
-    rack.limit = {"team": 1}
-    owner, _ = await rack.start_owner("a")
-    rack.spawn(owner.submit(request("running", SHORT)))
+async def test_a_queued_key_that_another_owner_may_have_is_not_reported_not_run(harness):
+    """Guard against `not_run` for a key that may run under the next owner."""
+    harness.limit = {"team": 1}
+    owner, _ = await harness.start_owner("a")
+    harness.spawn(owner.submit(request("running", SHORT)))
     later = time.time() + 5
     again = request("resent", first_attempt=False, first_sent_at=later)
     queued = asyncio.ensure_future(owner.submit(again))
     await asyncio.sleep(0.02)
-    await higher_token(rack)
+    await present_higher_token(harness)
     assert (await queued).outcome is Outcome.UNKNOWN
 
 
 @scenario()
-async def test_a_resumed_owner_can_start_nothing(rack):
-    """Guard against an owner that was paused during a takeover and starts work afterwards."""
-    old, _ = await rack.start_owner("a")
+async def test_a_resumed_owner_starts_no_work(harness):
+    """Guard against an owner that was paused during a takeover and then starts work."""
+    old, _ = await harness.start_owner("a")
     old.claim_driver._count_renewal_timeout = lambda worker: None
-    await higher_token(rack)
+    await present_higher_token(harness)
     result = await old.submit(request("late"))
     assert (result.kind, result.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
-    assert not any(worker.running or worker.ended for worker in rack.workers.values())
+    assert not any(worker.running or worker.ended for worker in harness.workers.values())
 
 
 @scenario()
-async def test_a_new_owner_counts_adopted_tasks_and_knows_ended_ones(rack):
-    """Guard against places used twice and requests run twice after a takeover."""
-    rack.limit = {"team": 2}
-    old, _ = await rack.start_owner("a")
+async def test_a_new_owner_counts_adopted_tasks_and_answers_ended_ones(harness):
+    """Guard against quota used twice and requests run twice after a takeover."""
+    harness.limit = {"team": 2}
+    old, _ = await harness.start_owner("a")
     large = b"y" * 10_000
     done = await old.submit(request("done", large))
-    rack.spawn(old.submit(request("long", SHORT)))
-    await until(lambda: any(worker.running for worker in rack.workers.values()))
-    new, _ = await rack.start_owner("b")
+    harness.spawn(old.submit(request("long", SHORT)))
+    await until(lambda: any(worker.running for worker in harness.workers.values()))
+    new, _ = await harness.start_owner("b")
     assert new.quota_ledger.used["team"] == 1
-    # A repeated key gets its stored answer, whose large body the worker still has.
+    # A repeated key gets its stored answer, whose large body only the worker stores.
     again = await new.submit(request("done", large, first_attempt=False))
     assert again.body == done.body
     joined = await new.submit(request("long", SHORT, first_attempt=False))
     assert isinstance(joined, Answer)
     await until(lambda: new.quota_ledger.used["team"] == 0)
-    assert sum("long" in worker.ended for worker in rack.workers.values()) == 1
+    assert sum("long" in worker.ended for worker in harness.workers.values()) == 1
 
 
 @scenario()
-async def test_a_key_that_no_inventory_names_is_unknown_after_a_takeover(rack):
+async def test_a_key_that_no_inventory_names_is_unknown_after_a_takeover(harness):
     """Guard against a second run of a request that the last owner may have dispatched."""
-    await rack.start_owner("a")
+    await harness.start_owner("a")
     before = time.time() - 1.0
-    new, _ = await rack.start_owner("b")
+    new, _ = await harness.start_owner("b")
     result = await new.submit(request("maybe", first_attempt=False, first_sent_at=before))
     assert result.outcome is Outcome.UNKNOWN
-    assert not any(worker.ended for worker in rack.workers.values())
+    assert not any(worker.ended for worker in harness.workers.values())
 
 
 @scenario()
-async def test_a_takeover_without_the_table_uses_only_the_places_in_use(rack):
+async def test_a_takeover_without_the_table_uses_only_the_places_in_use(harness):
     """Guard against a limit exceeded by an owner whose epoch the table has not confirmed."""
-    old, _ = await rack.start_owner("a")
-    rack.spawn(old.submit(request("long", LONG)))
+    old, _ = await harness.start_owner("a")
+    harness.spawn(old.submit(request("long", LONG)))
     await until(lambda: old.worker_of("long"))
-    rack.table.down = True
-    new, _ = rack.make_owner("b")
+    harness.table.down = True
+    new, _ = harness.make_owner("b")
     new.claim.highest_seen = old.claim.token
-    rack.start(new)
+    harness.start(new)
     await until(lambda: new.claim.state is ShardState.OWNED)
     assert new.quota_ledger.allowed("team") == 1
     waiting = asyncio.ensure_future(new.submit(request("next")))
     await asyncio.sleep(0.1)
     assert not waiting.done()
-    rack.table.down = False
-    # The table confirms the epoch later, and the full escrow returns without a gap in ownership.
+    harness.table.down = False
+    # Once the table confirms the epoch, the owner gets its full escrow without losing ownership.
     assert isinstance(await asyncio.wait_for(waiting, 5), Answer)
     assert new.claim.confirmed
     assert new.quota_ledger.allowed("team") == 8
-    assert rack.table.rows["shard/r"].value["epoch"] == new.claim.token.epoch
+    assert harness.table.rows["shard/r"].value["epoch"] == new.claim.token.epoch
 
 
 @scenario()
-async def test_two_claimants_end_with_one_owner(rack):
-    """Guard against two claimants that outbid each other for ever, or both own the shard."""
+async def test_two_claimants_end_with_one_owner(harness):
+    """Guard against claimants that supersede each other for ever, or both own the shard."""
     for down in (False, True):
-        rack.table.down = down
-        claimants = {name: rack.make_owner(f"{name}{down}")[0] for name in ("a", "b")}
+        harness.table.down = down
+        claimants = {name: harness.make_owner(f"{name}{down}")[0] for name in ("a", "b")}
 
         async def contend(name, claimants=claimants):
             while True:
                 owner = claimants[name]
                 others = [other for other in claimants.values() if other is not owner]
                 if not any(other.claim.state is ShardState.OWNED for other in others):
-                    task = rack.start(owner)
+                    task = harness.start(owner)
                     await owner.claim_driver.ended.wait()
                     await asyncio.wait((task,), timeout=0.1)
                     seen = owner.claim.highest_seen
-                    owner, _ = rack.make_owner(owner.claim.instance_id)
+                    owner, _ = harness.make_owner(owner.claim.instance_id)
                     owner.claim.highest_seen = seen
                     claimants[name] = owner
-                # Each claimant waits a random time of its own after a loss.
+                # Random backoff, so that the claimants do not collide again.
                 await asyncio.sleep(owner.claim.rng.uniform(0.01, 0.05))
 
         tasks = [asyncio.ensure_future(contend(name)) for name in claimants]
@@ -185,16 +185,16 @@
             lambda c=claimants: sum(o.claim.state is ShardState.OWNED for o in c.values()) == 1
         )
         (winner,) = (o for o in claimants.values() if o.claim.state is ShardState.OWNED)
-        assert all(w.fence.highest == winner.claim.token for w in rack.workers.values())
+        assert all(w.fence.highest == winner.claim.token for w in harness.workers.values())
         for task in tasks:
             task.cancel()
-        await rack.close()
+        await harness.close()
 
 
 @scenario(names=("w1",))
-async def test_a_lost_reply_is_asked_for_and_not_run_again(rack):
+async def test_a_task_whose_reply_was_lost_is_queried_and_not_run_again(harness):
     """Guard against a second run, or a lost answer, when a worker's connection breaks."""
-    owner, links = await rack.start_owner("a")
+    owner, links = await harness.start_owner("a")
     links["w1"].lose_next_reply = True
     result = await owner.submit(request("once", SHORT))
     assert isinstance(result, Answer)
@@ -203,9 +203,9 @@
 
 
 @scenario()
-async def test_an_unreachable_worker_holds_its_place_until_the_lease_has_expired(rack):
-    """Guard against idempotent work that runs in two places, or a place used twice."""
-    owner, links = await rack.start_owner("a", lease_s=0.4)
+async def test_an_unreachable_worker_holds_its_place_until_the_lease_has_expired(harness):
+    """Guard against idempotent work that runs on two workers, or quota used twice."""
+    owner, links = await harness.start_owner("a", lease_s=0.4)
     result = asyncio.ensure_future(owner.submit(request("twice", SHORT, idempotent=True)))
     await until(lambda: owner.worker_of("twice"))
     first = owner.worker_of("twice")
@@ -222,22 +222,22 @@
 
 
 @scenario(names=("w1",))
-async def test_a_restarted_worker_does_not_make_unknown_work_not_run(rack):
-    """Guard against `not_run` for work that a worker ran and has forgotten."""
-    owner, links = await rack.start_owner("a")
+async def test_work_lost_by_a_restarted_worker_is_reported_unknown(harness):
+    """Guard against `not_run` for work that a worker ran before it lost its state."""
+    owner, links = await harness.start_owner("a")
     result = asyncio.ensure_future(owner.submit(request("forgotten", LONG)))
     await until(lambda: owner.worker_of("forgotten"))
     links["w1"].cut()
-    rack.workers["w1"] = Worker("w1", CAPACITY)
+    harness.workers["w1"] = Worker("w1", CAPACITY)
     links["w1"].up = True
     assert (await result).outcome is Outcome.UNKNOWN
     assert isinstance(await owner.submit(request("next")), Answer)
 
 
 @scenario()
-async def test_a_leaving_worker_gets_no_new_work(rack):
-    """Guard against work sent to a worker that leaves, and against a worker lost for good."""
-    owner, links = await rack.start_owner("a")
+async def test_a_leaving_worker_gets_no_new_work(harness):
+    """Guard against work sent to a leaving worker, and one that never becomes usable again."""
+    owner, links = await harness.start_owner("a")
     owner.set_leaving_workers({"w1"})
     for number in range(4):
         await owner.submit(request(f"t{number}"))
@@ -248,11 +248,11 @@
 
 
 @scenario()
-async def test_workers_are_added_and_removed_while_the_shard_is_owned(rack):
+async def test_workers_are_added_and_removed_while_the_shard_is_owned(harness):
     """Guard against an added worker used before its fence, and a removed one used at all."""
-    owner, links = await rack.start_owner("a")
-    rack.workers["w3"] = Worker("w3", CAPACITY)
-    spec = attrs.evolve(rack.specs[0], name="w3")
+    owner, links = await harness.start_owner("a")
+    harness.workers["w3"] = Worker("w3", CAPACITY)
+    spec = attrs.evolve(harness.specs[0], name="w3")
     await owner.set_workers([spec])
     await until(lambda: owner.claim.may_dispatch("w3") and links["w3"].connected)
     await owner.submit(request("new"))
@@ -262,10 +262,10 @@
 
 
 @scenario()
-async def test_a_deadline_ends_the_wait_with_what_is_known(rack):
-    """Guard against a caller that waits past its deadline, and an untrue outcome there."""
-    rack.limit = {"team": 1}
-    owner, _ = await rack.start_owner("a")
+async def test_a_deadline_ends_the_wait_with_the_known_outcome(harness):
+    """Guard against a caller that waits past its deadline, and a wrong outcome afterwards."""
+    harness.limit = {"team": 1}
+    owner, _ = await harness.start_owner("a")
     running = asyncio.ensure_future(owner.submit(request("running", LONG, deadline_s=0.2)))
     await until(lambda: owner.worker_of("running"))
     queued = await owner.submit(request("queued", deadline_s=0.1))
@@ -274,16 +274,16 @@
 
 
 @scenario()
-async def test_a_hand_over_moves_the_queue_and_cuts_nothing(rack):
+async def test_a_hand_over_moves_the_queue_and_interrupts_nothing(harness):
     """Guard against requests lost or run twice when a shard moves to another instance."""
-    rack.limit = {"team": 1}
-    taken = []
+    harness.limit = {"team": 1}
+    messages = []
 
     async def send(successor, message):
-        taken.append(message)
+        messages.append(message)
         return True
 
-    old, _ = await rack.start_owner("a", send_hand_over=send)
+    old, _ = await harness.start_owner("a", send_hand_over=send)
     running = asyncio.ensure_future(old.submit(request("running", SHORT)))
     await until(lambda: old.worker_of("running"))
     queued = asyncio.ensure_future(old.submit(request("queued")))
@@ -292,71 +292,71 @@
     moved = await queued
     assert isinstance(moved, Refusal)
     assert (moved.kind, moved.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.UNKNOWN)
-    new, _ = await rack.start_owner("b", inherited=taken[0])
+    new, _ = await harness.start_owner("b", inherited=messages[0])
     assert isinstance(await new.submit(request("queued", first_attempt=False)), Answer)
     assert isinstance(await running, Answer)
     # A planned hand-over leaves no gap, so a key that was sent before it still runs.
     before = time.time() - 0.1
     early = request("early", first_attempt=False, first_sent_at=before)
     assert isinstance(await new.submit(early), Answer)
-    assert sum("queued" in worker.ended for worker in rack.workers.values()) == 1
+    assert sum("queued" in worker.ended for worker in harness.workers.values()) == 1
 
 
 @scenario()
-async def test_large_inventories_arrive_in_pages(rack):
-    """Guard against an inventory that is cut, or that does not fit in one message."""
-    worker = rack.workers["w1"]
+async def test_large_inventories_arrive_in_pages(harness):
+    """Guard against a truncated inventory, or one that exceeds the size of a message."""
+    worker = harness.workers["w1"]
     for number in range(1300):
         worker.ended[f"e{number}"] = EndedTask(f"e{number}", "team", True, b"z" * 2000)
-    owner, _ = await rack.start_owner("a")
+    owner, _ = await harness.start_owner("a")
     again = await owner.submit(request("e1299", first_attempt=False, first_sent_at=0.0))
     assert again.body == b"z" * 2000
 
 
 @scenario()
-async def test_a_hand_over_to_an_owner_that_was_not_next_leaves_old_keys_unknown(rack):
-    """Guard against a second run of keys that an owner in between has run."""
-    taken = []
+async def test_a_hand_over_to_an_owner_that_was_not_next_leaves_old_keys_unknown(harness):
+    """Guard against a second run of keys that an owner in between may have run."""
+    messages = []
 
     async def send(successor, message):
-        taken.append(message)
+        messages.append(message)
         return True
 
-    old, _ = await rack.start_owner("a", send_hand_over=send)
+    old, _ = await harness.start_owner("a", send_hand_over=send)
     assert await old.claim_driver.hand_over("c")
     before = time.time()
-    await rack.start_owner("b")
-    new, _ = await rack.start_owner("c", inherited=taken[0])
+    await harness.start_owner("b")
+    new, _ = await harness.start_owner("c", inherited=messages[0])
     early = request("early", first_attempt=False, first_sent_at=before)
     assert (await new.submit(early)).outcome is Outcome.UNKNOWN
 
 
 @scenario()
-async def test_a_key_that_was_dispatched_before_a_hand_over_never_runs_again(rack):
-    """Guard against a second run when the worker of a handed-over key cannot be asked."""
-    taken = []
+async def test_a_key_that_was_dispatched_before_a_hand_over_never_runs_again(harness):
+    """Guard against a second run when the worker of a handed-over key lost its record."""
+    messages = []
 
     async def send(successor, message):
-        taken.append(message)
+        messages.append(message)
         return True
 
-    old, _ = await rack.start_owner("a", send_hand_over=send)
+    old, _ = await harness.start_owner("a", send_hand_over=send)
     first_sent_at = time.time() + 1.0
-    running = rack.spawn(old.submit(request("once", LONG, first_sent_at=first_sent_at)))
+    running = harness.spawn(old.submit(request("once", LONG, first_sent_at=first_sent_at)))
     await until(lambda: old.worker_of("once"))
     name = old.worker_of("once")
     assert await old.claim_driver.hand_over("b")
     running.cancel()
-    rack.workers[name].running.clear()
-    new, _ = await rack.start_owner("b", inherited=taken[0])
+    harness.workers[name].running.clear()
+    new, _ = await harness.start_owner("b", inherited=messages[0])
     again = request("once", LONG, first_attempt=False, first_sent_at=first_sent_at)
     assert (await new.submit(again)).outcome is Outcome.UNKNOWN
 
 
 @scenario()
-async def test_forwarded_work_that_was_not_run_waits_at_home_again(rack):
+async def test_forwarded_work_that_was_not_run_is_queued_at_home_again(harness):
     """Guard against a refusal by another shard that ends a request which could still run."""
-    rack.limit = {"team": 1}
+    harness.limit = {"team": 1}
     asked = []
 
     def forward(req):
@@ -367,17 +367,17 @@
 
         return "elsewhere", refuse()
 
-    owner, _ = await rack.start_owner("a", forward=forward)
-    rack.spawn(owner.submit(request("first", SHORT)))
+    owner, _ = await harness.start_owner("a", forward=forward)
+    harness.spawn(owner.submit(request("first", SHORT)))
     await until(lambda: owner.worker_of("first"))
     assert isinstance(await owner.submit(request("second")), Answer)
     assert asked == ["second"]
 
 
 @scenario()
-async def test_forwarded_work_is_not_called_not_run_when_its_home_is_lost(rack):
-    """Guard against `not_run` for a request that another shard still runs."""
-    rack.limit = {"team": 1}
+async def test_forwarded_work_is_not_reported_not_run_when_its_home_is_lost(harness):
+    """Guard against `not_run` for a request that another shard is still running."""
+    harness.limit = {"team": 1}
     answered = asyncio.Event()
 
     def forward(req):
@@ -387,12 +387,12 @@
 
         return "elsewhere", answer()
 
-    owner, _ = await rack.start_owner("a", forward=forward)
-    rack.spawn(owner.submit(request("first", LONG)))
+    owner, _ = await harness.start_owner("a", forward=forward)
+    harness.spawn(owner.submit(request("first", LONG)))
     await until(lambda: owner.worker_of("first"))
-    second = rack.spawn(owner.submit(request("second")))
+    second = harness.spawn(owner.submit(request("second")))
     await until(owner.forwarder.forwarded_ids)
-    await higher_token(rack)
+    await present_higher_token(harness)
     await until(lambda: owner.claim.state is ShardState.LOST)
     await asyncio.sleep(0.02)
     assert not second.done()
@@ -401,38 +401,38 @@
 
 
 @scenario()
-async def test_a_superseded_owner_forwards_nothing(rack):
-    """Guard against a second run: no worker of the home shard refuses a stale forward."""
-    rack.limit = {"team": 1}
+async def test_a_superseded_owner_forwards_nothing(harness):
+    """Guard against a second run: no worker of the home shard can reject a stale forward."""
+    harness.limit = {"team": 1}
     forwarded = []
-    owner, _ = await rack.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
-    rack.spawn(owner.submit(request("first", LONG)))
+    owner, _ = await harness.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
+    harness.spawn(owner.submit(request("first", LONG)))
     await until(lambda: owner.worker_of("first"))
-    await higher_token(rack)
+    await present_higher_token(harness)
     second = await owner.submit(request("second", first_attempt=False, first_sent_at=time.time()))
     assert second.outcome is Outcome.UNKNOWN
     assert forwarded == []
 
 
 @scenario()
-async def test_idempotent_work_is_not_forwarded(rack):
-    """Guard against a next owner that runs again what another shard still runs."""
-    rack.limit = {"team": 1}
+async def test_idempotent_work_is_not_forwarded(harness):
+    """Guard against a next owner that repeats work which another shard is still running."""
+    harness.limit = {"team": 1}
     forwarded = []
-    owner, _ = await rack.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
-    rack.spawn(owner.submit(request("first", SHORT)))
+    owner, _ = await harness.start_owner("a", forward=lambda req: forwarded.append(req.request_id))
+    harness.spawn(owner.submit(request("first", SHORT)))
     await until(lambda: owner.worker_of("first"))
-    plain = rack.spawn(owner.submit(request("plain")))
-    again = rack.spawn(owner.submit(request("again", idempotent=True)))
+    plain = harness.spawn(owner.submit(request("plain")))
+    again = harness.spawn(owner.submit(request("again", idempotent=True)))
     await asyncio.gather(plain, again)
     assert set(forwarded) == {"plain"}
 
 
 @scenario()
-async def test_a_task_that_its_owner_stopped_is_not_called_failed(rack):
+async def test_a_task_that_its_owner_stopped_is_not_reported_as_failed(harness):
     """Guard against preemption and lowered limits that count as failures of the task."""
-    owner, _ = await rack.start_owner("a")
-    stopped = rack.spawn(owner.submit(request("stopped", LONG, idempotent=True)))
+    owner, _ = await harness.start_owner("a")
+    stopped = harness.spawn(owner.submit(request("stopped", LONG, idempotent=True)))
     await until(lambda: owner.worker_of("stopped"))
     worker = owner.worker_of("stopped")
     await apply_preemption(owner, Preemption("stopped", worker, PreemptionAction.STOP, "urgent"))
--- a/baobabhoist/tests/test_daemon_takeover.py
+++ b/baobabhoist/tests/test_daemon_takeover.py
@@ -1,4 +1,4 @@
-"""Test a takeover and a graceful stop over real sockets, each part in its own process."""
+"""Test a takeover and a graceful stop over real sockets, with a process per component."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "team-key-of-the-takeover"
-PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 
 
 def records(ports):
@@ -29,10 +29,10 @@
     ]
 
 
-def owner_of(cluster, among):
-    give_up_at = time.monotonic() + PATIENCE_S
-    while time.monotonic() < give_up_at:
-        for name in among:
+def owner_of(cluster, candidates):
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    while time.monotonic() < deadline:
+        for name in candidates:
             port = cluster.instances[name]["admin_port"]
             url = f"http://127.0.0.1:{port}/v1/status"
             _, body = fetch(url, {"X-Operator-Key": OPERATOR_KEY})
@@ -43,11 +43,11 @@
 
 
 def wait_until_ready(cluster, name):
-    give_up_at = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     wait_for_port(cluster.instances[name]["caller_port"])
     url = f"http://127.0.0.1:{cluster.instances[name]['caller_port']}/readyz"
     while fetch(url, {})[0] != 200:
-        assert time.monotonic() < give_up_at, "the instance is never ready"
+        assert time.monotonic() < deadline, "the instance is never ready"
         time.sleep(0.1)
 
 
@@ -81,14 +81,14 @@
 
 
 def wait_until_started(cluster, count):
-    give_up_at = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while started_tasks(cluster) < count:
-        assert time.monotonic() < give_up_at, "no worker started the request"
+        assert time.monotonic() < deadline, "no worker started the request"
         time.sleep(0.05)
 
 
-class InBackground(threading.Thread):
-    """Send a request while the test goes on."""
+class BackgroundRequest(threading.Thread):
+    """Send a request in the background."""
 
     def __init__(self, *args):
         super().__init__()
@@ -100,27 +100,27 @@
 
 
 def test_no_request_is_lost_when_the_owner_stops_or_is_killed(cluster):
-    """Guard against a cut request at a planned stop, and a lost shard after a kill."""
+    """Guard against an interrupted request at a planned stop, and a lost shard after a kill."""
     owner = owner_of(cluster, cluster.instances)
     (other,) = set(cluster.instances) - {owner}
     assert send(cluster, other, b"first")[0] == 200
     before = started_tasks(cluster)
-    through = [InBackground(cluster, name, b'{"run_s": 2}') for name in (owner, other)]
+    requests = [BackgroundRequest(cluster, name, b'{"run_s": 2}') for name in (owner, other)]
     wait_until_started(cluster, before + 2)
-    assert cluster.stop(owner, PATIENCE_S) == 0
-    for thread in through:
-        thread.join(PATIENCE_S)
+    assert cluster.stop(owner, WAIT_TIMEOUT_S) == 0
+    for thread in requests:
+        thread.join(WAIT_TIMEOUT_S)
         assert thread.answer[0] == 200, thread.answer
     assert owner_of(cluster, [other]) == other
 
     cluster.start_instance(owner)
     wait_until_ready(cluster, owner)
     before = started_tasks(cluster)
-    running = InBackground(cluster, owner, b'{"run_s": 4}')
-    # A request that no worker has yet is truthfully `unknown` after the kill.
+    running = BackgroundRequest(cluster, owner, b'{"run_s": 4}')
+    # If no worker had the request yet, its outcome after the kill would rightly be `unknown`.
     wait_until_started(cluster, before + 1)
     cluster.kill(other)
     # The entry instance asks the new owner, which finds the task on its worker.
-    running.join(PATIENCE_S)
+    running.join(WAIT_TIMEOUT_S)
     assert running.answer[0] == 200, running.answer
     assert send(cluster, owner, b"last")[0] == 200
