--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -68,7 +68,7 @@
         """Return the worker that runs an adopted task, or None."""
         return self._adopted.worker_of(task_id)
 
-    def take_inventory(
+    def adopt_inventory(
         self, worker: str, running: list[RunningTask], ended: list[EndedTask]
     ) -> None:
         """Adopt the tasks that a fenced worker runs and take over the answers that it stores."""
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -228,7 +228,7 @@
         """Return the result of a request from the owner of its shard."""
         return await self.router.route(req)
 
-    # JobContext
+    # Methods of JobContext and EscrowContext.
 
     def shard_names(self) -> list[str]:
         """Return the names of all shards in the records."""
@@ -364,7 +364,7 @@
             claim,
             workers,
             self.table,
-            times=LeaseSettings(self.cfg.task_lease_s, self.cfg.clock_skew_s),
+            lease_settings=LeaseSettings(self.cfg.task_lease_s, self.cfg.clock_skew_s),
             forward=self._forward,
             send_hand_over=self.ownership.send_hand_over,
             inherited=inherited,
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -143,15 +143,18 @@
 
     async def run(self) -> None:
         """Claim the shard and keep it; return when it is lost or released."""
-        loops = [asyncio.create_task(self._run_ticks()), asyncio.create_task(self._renew_leases())]
+        background_tasks = [
+            asyncio.create_task(self._run_ticks()),
+            asyncio.create_task(self._renew_leases()),
+        ]
         try:
             await self._claim_shard()
             self._has_claimed = True
-            loops.append(asyncio.create_task(self._confirm_epoch()))
+            background_tasks.append(asyncio.create_task(self._confirm_epoch()))
             self._check_ended()
             await self.ended.wait()
         finally:
-            for task in (*loops, *self._tasks):
+            for task in (*background_tasks, *self._tasks):
                 task.cancel()
 
     async def release(self) -> None:
@@ -265,18 +268,18 @@
     async def _advance_epoch(
         self, expected: int, target: int
     ) -> EpochGranted | EpochConflict | EpochUnavailable:
-        owner, key = self.claim.instance_id, self._row_key
+        claimant, key = self.claim.instance_id, self._row_key
         deadline = time.monotonic() + CLAIM_TABLE_TIMEOUT_S
         try:
             row = await within(deadline - time.monotonic(), self._table.read(key))
             stored_epoch = _stored_epoch(row.value)
-            if stored_epoch == target and row.value["owner"] == owner:
+            if stored_epoch == target and row.value["owner"] == claimant:
                 # An earlier commit took effect but its acknowledgement was lost.
                 self.row_revision = row.revision
                 return EpochGranted(target)
             if stored_epoch != expected:
                 return EpochConflict(stored_epoch)
-            txn = Transaction({key: row.revision}, {key: {"epoch": target, "owner": owner}})
+            txn = Transaction({key: row.revision}, {key: {"epoch": target, "owner": claimant}})
             outcome = await within(deadline - time.monotonic(), self._table.commit(txn))
             if isinstance(outcome, Committed):
                 self.row_revision = outcome.revisions[key]
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -96,7 +96,7 @@
         """Handle a placement whose decision took `seconds`."""
 
 
-class WorkerCaller(Protocol):
+class WorkerClient(Protocol):
     """Send calls to workers."""
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
@@ -127,13 +127,13 @@
 
     def __init__(
         self,
-        calls: WorkerCaller,
+        client: WorkerClient,
         leases: WorkerLeases,
         token: Callable[[], Token],
         on_token_refused: Callable[[str, Token], Awaitable[None]],
         clock: Callable[[], float],
     ) -> None:
-        self._calls = calls
+        self._client = client
         self._leases = leases
         self._token = token
         self._on_token_refused = on_token_refused
@@ -150,7 +150,7 @@
         call = RunTask(token, task, self._leases.extend(worker, now))
         timeout_s = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
         try:
-            reply = await self._calls.call(worker, call, timeout_s)
+            reply = await self._client.call(worker, call, timeout_s)
         except NotSentError:
             return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
@@ -194,7 +194,7 @@
 
     async def _query_outcome(self, task_id: str, worker: str) -> DispatchOutcome | None:
         try:
-            report = await self._calls.call(
+            report = await self._client.call(
                 worker, QueryOutcome(self._token(), task_id), WORKER_CALL_TIMEOUT_S
             )
         except (LinkClosedError, TimeoutError):
@@ -211,7 +211,9 @@
 
     async def _stop_task(self, task_id: str, worker: str) -> None:
         try:
-            await self._calls.call(worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S)
+            await self._client.call(
+                worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S
+            )
         except (LinkClosedError, TimeoutError):
             log.info("worker %s did not confirm that it stopped task %s", worker, task_id)
 
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -33,7 +33,7 @@
 log = logging.getLogger(__name__)
 
 RECONCILE_INTERVAL_S = 0.5
-TAKEOVER_INTERVAL_S = 0.1
+TAKEOVER_RECONCILE_INTERVAL_S = 0.1
 # Interval between reads of the rows while no owned shard lacks quota. Lowered limits arrive with
 # the records and transferred quota with the donor's reply, so neither waits for this interval.
 IDLE_READ_INTERVAL_S = 5.0
@@ -105,13 +105,13 @@
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
             except InvariantBreachError:
-                log.warning("an invariant check rejected an escrow transfer")
+                log.warning("an invariant check rejected an escrow update")
             is_capped = any(
                 owner.quota_ledger.cap is not None for owner in self._context.active_owners()
             )
             try:
                 async with asyncio.timeout(
-                    TAKEOVER_INTERVAL_S if is_capped else RECONCILE_INTERVAL_S
+                    TAKEOVER_RECONCILE_INTERVAL_S if is_capped else RECONCILE_INTERVAL_S
                 ):
                     await self._wake.wait()
             except TimeoutError:
@@ -161,36 +161,38 @@
                 owner.dispatch(self._clock())
         self._wake.set()
 
-    async def grant(self, wanted: PlacesWanted) -> PlacesGiven:
+    async def grant(self, request: PlacesWanted) -> PlacesGiven:
         """Transfer free quota to another shard and return how many units."""
         async with self._lock:
-            return await self._grant_locked(wanted)
+            return await self._grant_locked(request)
 
-    async def _grant_locked(self, wanted: PlacesWanted) -> PlacesGiven:
-        refused = PlacesGiven(wanted.team, 0)
+    async def _grant_locked(self, request: PlacesWanted) -> PlacesGiven:
+        no_grant = PlacesGiven(request.team, 0)
         owners = {owner.shard: owner for owner in self._eligible_owners()}
-        owner = owners.get(wanted.from_shard)
+        owner = owners.get(request.from_shard)
         if owner is None or owner.quota_ledger.cap is not None:
-            return refused
+            return no_grant
         account = self._account_of(owner)
-        if wanted.team in account.in_doubt or self._unmet_demand(owner).get(wanted.team):
-            return refused
+        if request.team in account.in_doubt or self._unmet_demand(owner).get(request.team):
+            return no_grant
         try:
-            row = _decode_row(wanted.team, await self._context.table.read(_row_key(wanted.team)))
-            units = min(wanted.places, owner.quota_ledger.giveable(wanted.team))
-            committed = await self._transfer_out(account, wanted.team, row, units, wanted.to_shard)
+            row = _decode_row(request.team, await self._context.table.read(_row_key(request.team)))
+            units = min(request.places, owner.quota_ledger.giveable(request.team))
+            committed = await self._transfer_out(
+                account, request.team, row, units, request.to_shard
+            )
         except (PlatformError, InvariantBreachError):
-            return refused
+            return no_grant
         if committed:
             emit(
                 log,
                 Event.ESCROW_MOVED,
                 places=units,
-                team=wanted.team,
-                source=wanted.from_shard,
-                target=wanted.to_shard,
+                team=request.team,
+                source=request.from_shard,
+                target=request.to_shard,
             )
-        return PlacesGiven(wanted.team, units if committed else 0)
+        return PlacesGiven(request.team, units if committed else 0)
 
     def _eligible_owners(self) -> list[ShardOwner]:
         return [owner for owner in self._context.active_owners() if owner.claim.escrow_usable]
@@ -299,8 +301,8 @@
             row = current.row
             if limit < _target_limit(row):
                 row = _unless_refused(escrow.set_limit(team, row, limit), row)
-            lowered = row.pending_limit is not None
-            ceiling = escrow.ceilings(row).get(owner.shard, 0) if lowered else None
+            is_lowered = row.pending_limit is not None
+            ceiling = escrow.ceilings(row).get(owner.shard, 0) if is_lowered else None
             owner.quota_ledger.set_ceiling(team, ceiling)
 
     # Lowered limits.
@@ -308,8 +310,8 @@
     async def _return_excess(self, account: ShardAccount) -> None:
         owner = account.owner
         for team, current in list(self.rows.items()):
-            pending = current.row.pending_limit is not None
-            if not pending or team in account.in_doubt or owner.quota_ledger.cap is not None:
+            is_lowered = current.row.pending_limit is not None
+            if not is_lowered or team in account.in_doubt or owner.quota_ledger.cap is not None:
                 continue
             excess = current.row.held(owner.shard) - owner.quota_ledger.allowed(team)
             units = min(excess, owner.quota_ledger.giveable(team))
@@ -320,7 +322,9 @@
         """Checkpoint or stop tasks above a lowered limit, except requests, which end soon."""
         owner, now = account.owner, self._clock()
         account.stop_sent_at = {
-            k: at for k, at in account.stop_sent_at.items() if now - at < STOP_RETRY_INTERVAL_S
+            task_id: sent_at
+            for task_id, sent_at in account.stop_sent_at.items()
+            if now - sent_at < STOP_RETRY_INTERVAL_S
         }
         for team in [team for team, used in owner.quota_ledger.used.items() if used]:
             for task_id in owner.quota_ledger.excess(team):
@@ -344,26 +348,28 @@
         owner = account.owner
         if owner.quota_ledger.cap is not None:
             return []
-        wanted = self._unmet_demand(owner)
-        others = self._other_digests(owner) if wanted else []
-        needs = [self._team_needs(owner, team, wanted.get(team, 0), others) for team in self.rows]
+        demand = self._unmet_demand(owner)
+        others = self._other_digests(owner) if demand else []
+        needs = [self._team_needs(owner, team, demand.get(team, 0), others) for team in self.rows]
         requests = []
-        for step in account.planner.plan(needs, self._clock()):
-            if step.target != owner.shard or step.team in account.in_doubt:
+        for transfer in account.planner.plan(needs, self._clock()):
+            if transfer.target != owner.shard or transfer.team in account.in_doubt:
                 continue
-            if step.source == POOL:
-                await self._take_from_pool(account, step)
+            if transfer.source == POOL:
+                await self._take_from_pool(account, transfer)
             else:
-                requests.append(PlacesWanted(step.team, step.places, step.source, step.target))
+                requests.append(
+                    PlacesWanted(transfer.team, transfer.places, transfer.source, transfer.target)
+                )
         return requests
 
-    async def _take_from_pool(self, account: ShardAccount, step: Transfer) -> None:
+    async def _take_from_pool(self, account: ShardAccount, transfer: Transfer) -> None:
         """Transfer quota from the pool; it is usable once a later read of the row shows it."""
-        owner, current = account.owner, self.rows[step.team]
-        credit = Move(owner.shard, owner.claim.token.epoch, step.places)
-        new_row = escrow.move(step.team, current.row, [credit])
+        owner, current = account.owner, self.rows[transfer.team]
+        credit = Move(owner.shard, owner.claim.token.epoch, transfer.places)
+        new_row = escrow.move(transfer.team, current.row, [credit])
         if not isinstance(new_row, Refusal):
-            await self._commit(account, step.team, current.revision, new_row)
+            await self._commit(account, transfer.team, current.revision, new_row)
 
     async def _request_transfer(self, request: PlacesWanted) -> None:
         if any(owner.shard == request.from_shard for owner in self._eligible_owners()):
@@ -386,11 +392,11 @@
         }
 
     def _team_needs(
-        self, owner: ShardOwner, team: str, wanted: int, others: Iterable[ShardDigest]
+        self, owner: ShardOwner, team: str, demand: int, others: Iterable[ShardDigest]
     ) -> TeamNeeds:
         row = self.rows[team].row
         pool = 0 if row.pending_limit is not None else row.pool
-        shards = [ShardNeeds(owner.shard, 0, wanted)]
+        shards = [ShardNeeds(owner.shard, 0, demand)]
         if row.pending_limit is None:
             shards += [
                 # A shard with unmet demand grants nothing and requests quota for itself.
@@ -427,10 +433,10 @@
             return False
         owner.quota_ledger.take_out(team, units)
         account.in_doubt[team] = current.revision
-        outcome = await self._commit(account, team, current.revision, new_row)
-        if not outcome:
+        is_committed = await self._commit(account, team, current.revision, new_row)
+        if not is_committed:
             owner.quota_ledger.put_in(team, units)
-        return outcome
+        return is_committed
 
     async def _commit(
         self, account: ShardAccount, team: str, revision: int, row: EscrowRow
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -78,7 +78,7 @@
         """Return the time in Unix seconds."""
 
     def was_owned_at(self, at: float) -> bool:
-        """Return whether this instance certainly owned the shard; if not, start a confirmation.
+        """Return whether this instance surely owned the shard at a time, or start to verify it.
 
         No worker of this shard would reject a request that a superseded owner forwards.
         """
@@ -131,12 +131,18 @@
 
     def forwarded_ids(self) -> set[str]:
         """Return the ids of the requests that other shards have now."""
-        return {name for name, entry in self._home.pending.items() if entry.is_forwarding}
+        return {
+            request_id for request_id, entry in self._home.pending.items() if entry.is_forwarding
+        }
 
     def forward_targets(self, task_ids: Iterable[str]) -> dict[str, str]:
         """Return the target shard of each of these requests that is forwarded now."""
-        entries = ((name, self._home.pending.get(name)) for name in task_ids)
-        return {name: entry.target for name, entry in entries if entry and entry.is_forwarding}
+        entries = ((request_id, self._home.pending.get(request_id)) for request_id in task_ids)
+        return {
+            request_id: entry.target
+            for request_id, entry in entries
+            if entry and entry.is_forwarding
+        }
 
     def mark_forwarded_dispatched(self) -> None:
         """Mark the keys of forwarded requests as dispatched, before the queue is dropped."""
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -32,7 +32,7 @@
     token: Token,
     sender: str,
     keys: KeyLedger,
-    open_requests: Mapping[str, PendingRequest],
+    pending: Mapping[str, PendingRequest],
 ) -> HandOver:
     """Build the message; afterwards this owner may not report its queued keys as `not_run`.
 
@@ -40,9 +40,7 @@
     ids are included, because a worker may have lost its inventory or belong to another shard.
     """
     queued = {key.request_id for key in keys.hand_over()}
-    requests = tuple(
-        entry.req for request_id, entry in open_requests.items() if request_id in queued
-    )
+    requests = tuple(entry.req for request_id, entry in pending.items() if request_id in queued)
     results = tuple(
         KeyResult(request_id, entry.forget_at, None, entry.result)
         for request_id, entry in keys.entries.items()
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -123,11 +123,11 @@
     )
 
 
-def _group_by_shard(elsewhere: dict[str, str]) -> dict[str, tuple[str, ...]]:
-    names: dict[str, list[str]] = {}
-    for task_id, shard in elsewhere.items():
-        names.setdefault(shard, []).append(task_id)
-    return {shard: tuple(found) for shard, found in names.items()}
+def _group_by_shard(shard_by_id: dict[str, str]) -> dict[str, tuple[str, ...]]:
+    ids_by_shard: dict[str, list[str]] = {}
+    for item_id, shard in shard_by_id.items():
+        ids_by_shard.setdefault(shard, []).append(item_id)
+    return {shard: tuple(item_ids) for shard, item_ids in ids_by_shard.items()}
 
 
 class ShardClient:
@@ -148,12 +148,12 @@
         if not reply.elsewhere:
             return reply
         running, waiting = [*reply.running], dict(reply.waiting)
-        for target, names in _group_by_shard(reply.elsewhere).items():
-            found = await self.call(target, TasksQuery(target, names))
-            if not isinstance(found, TasksReport):
+        for target, forwarded_ids in _group_by_shard(reply.elsewhere).items():
+            forwarded_reply = await self.call(target, TasksQuery(target, forwarded_ids))
+            if not isinstance(forwarded_reply, TasksReport):
                 return _owner_unreachable(target)
-            running.extend(found.running)
-            waiting.update(found.waiting)
+            running.extend(forwarded_reply.running)
+            waiting.update(forwarded_reply.waiting)
         return TasksReport(tuple(running), waiting)
 
     async def cancel(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
@@ -161,9 +161,9 @@
         reply = await self.call(shard, TasksCancelWanted(shard, task_ids))
         if not isinstance(reply, TasksCancelled):
             return _owner_unreachable(shard)
-        for target, names in _group_by_shard(reply.elsewhere).items():
-            found = await self.call(target, TasksCancelWanted(target, names))
-            if not isinstance(found, TasksCancelled):
+        for target, forwarded_ids in _group_by_shard(reply.elsewhere).items():
+            forwarded_reply = await self.call(target, TasksCancelWanted(target, forwarded_ids))
+            if not isinstance(forwarded_reply, TasksCancelled):
                 return _owner_unreachable(target)
         return None
 
@@ -283,32 +283,34 @@
             rows = await self._scan(prefix, MAX_LISTED_JOBS)
             # A job that ends between the two scans is read from the table with its final state.
             homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
-            wanted = [job_id_of(row) for row in rows]
-            found = await self._query_homes([name for name in wanted if name in homes], homes)
-            for job_id in wanted:
-                if job_id not in found:
+            job_ids = [job_id_of(row) for row in rows]
+            statuses = await self._query_homes(
+                [job_id for job_id in job_ids if job_id in homes], homes
+            )
+            for job_id in job_ids:
+                if job_id not in statuses:
                     run = await self._find_run(job_id)
                     if run is not None:
-                        found[job_id] = self._stored_status(run)
+                        statuses[job_id] = self._stored_status(run)
         except PlatformError as exc:
             return _platform_unavailable(exc)
-        return tuple(found[job_id] for job_id in wanted if job_id in found)
+        return tuple(statuses[job_id] for job_id in job_ids if job_id in statuses)
 
     async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
         """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
-        found = []
+        job_ids = []
         try:
             for row in await self._scan(ACTIVE_PREFIX):
-                name = row.value.get("queue")
-                if name is None:
+                job_queue = row.value.get("queue")
+                if job_queue is None:
                     # Earlier releases wrote these rows without the queue.
                     run = await self._coordinator.load(job_id_of(row))
-                    name = run.spec.queue if run is not None else ""
-                if name == queue:
-                    found.append(job_id_of(row))
+                    job_queue = run.spec.queue if run is not None else ""
+                if job_queue == queue:
+                    job_ids.append(job_id_of(row))
         except PlatformError as exc:
             return _platform_unavailable(exc)
-        return tuple(found)
+        return tuple(job_ids)
 
     async def _scan(self, prefix: str, max_rows: int | None = None) -> Sequence[Row]:
         rows: list[Row] = []
@@ -325,9 +327,11 @@
     ) -> dict[str, JobStatus]:
         """Return the statuses that the jobs' coordinators report; omit unreachable ones."""
         queries = [
-            JobsQuery(home, names[start : start + LIST_PAGE_SIZE])
-            for home, names in _group_by_shard({name: homes[name] for name in job_ids}).items()
-            for start in range(0, len(names), LIST_PAGE_SIZE)
+            JobsQuery(home, home_job_ids[start : start + LIST_PAGE_SIZE])
+            for home, home_job_ids in _group_by_shard(
+                {job_id: homes[job_id] for job_id in job_ids}
+            ).items()
+            for start in range(0, len(home_job_ids), LIST_PAGE_SIZE)
         ]
         reports = await asyncio.gather(*[self._query_home(query) for query in queries])
         return {status.job_id: status for report in reports for status in report.statuses}
@@ -345,12 +349,12 @@
         """Report on the jobs that this instance coordinates; omit finished and unknown ones."""
         if self._context.local_shard(query.home) is None:
             return JobsReport(())
-        found = []
+        runs = []
         for job_id in query.job_ids:
-            known = await self._get_or_adopt(job_id)
-            if isinstance(known, JobRun):
-                found.append(known)
-        return JobsReport(await self._coordinator.statuses(found))
+            run = await self._get_or_adopt(job_id)
+            if isinstance(run, JobRun):
+                runs.append(run)
+        return JobsReport(await self._coordinator.statuses(runs))
 
     def _stored_status(self, run: JobRun) -> JobStatus:
         status = run.status()
@@ -371,8 +375,8 @@
         return await handle_shard_call(shard, message)
 
     async def _find_run(self, job_id: str) -> JobRun | None:
-        known = self._coordinator.runs.get(job_id)
-        return known or await self._coordinator.load(job_id)
+        run = self._coordinator.runs.get(job_id)
+        return run or await self._coordinator.load(job_id)
 
     async def _call_home(self, job_id: str, team: str | None, verb: JobVerb) -> JobReply:
         try:
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -224,23 +224,25 @@
         if await owner.claim_driver.hand_over(successor):
             emit(log, Event.HAND_OVER_FINISHED, shard=owner.shard, instance_id=successor)
         else:
-            log.warning("instance %s did not take shard %s", successor, owner.shard)
+            log.warning(
+                "instance %s did not accept the hand-over of shard %s", successor, owner.shard
+            )
 
     async def _run_owner(self, shard: str, owner: ShardOwner) -> None:
-        running = asyncio.create_task(owner.run())
-        ended = asyncio.create_task(owner.claim_driver.ended.wait())
+        run_task = asyncio.create_task(owner.run())
+        ended_task = asyncio.create_task(owner.claim_driver.ended.wait())
         try:
-            await asyncio.wait((running, ended), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((run_task, ended_task), return_when=asyncio.FIRST_COMPLETED)
             if self.owners.get(shard) is owner:
                 del self.owners[shard]
             # The owner still delivers the answers of calls that were in flight when it ended.
-            await running
+            await run_task
         except Exception as exc:
             log.exception("the owner of shard %s failed", shard)
             emit(log, Event.TASK_CRASHED, detail=repr(exc))
         finally:
-            running.cancel()
-            ended.cancel()
+            run_task.cancel()
+            ended_task.cancel()
             if self.owners.get(shard) is owner:
                 del self.owners[shard]
 
@@ -279,8 +281,8 @@
         if preferred is None or preferred == self._local.instance_id:
             self._preferred_since.pop(shard, None)
             return
-        known, since = self._preferred_since.setdefault(shard, (preferred, now))
-        if known != preferred:
+        last_preferred, since = self._preferred_since.setdefault(shard, (preferred, now))
+        if last_preferred != preferred:
             self._preferred_since[shard] = (preferred, now)
             return
         owner = self.owners[shard]
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -136,7 +136,7 @@
 
     async def _submit_until(self, req: Request, forwarded: bool, owner_wait_s: float) -> Result:
         deadline = req.task.deadline
-        wait_until = min(deadline, self._clock() + owner_wait_s)
+        retry_until = min(deadline, self._clock() + owner_wait_s)
         maybe_ran = False
         while True:
             result = await self._submit_once(req, forwarded)
@@ -146,7 +146,7 @@
             if _may_have_run(result):
                 maybe_ran = True
                 req = attrs.evolve(req, first_attempt=False)
-            if self._clock() >= (deadline if maybe_ran else wait_until):
+            if self._clock() >= (deadline if maybe_ran else retry_until):
                 break
             await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
         if maybe_ran:
@@ -181,9 +181,9 @@
 
 def _headroom(digest: ShardDigest, task: Task) -> int:
     """Return how many tasks like this one a shard could start now."""
-    places = digest.spare.get(task.team, 0)
-    in_class = digest.class_spare.get(class_key(task.team, task.kind), places)
-    return min(places, in_class, digest.free_slots - digest.queued)
+    units = digest.spare.get(task.team, 0)
+    in_class = digest.class_spare.get(class_key(task.team, task.kind), units)
+    return min(units, in_class, digest.free_slots - digest.queued)
 
 
 def _delays_drain(req: Request) -> bool:
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -69,9 +69,9 @@
         claim: ShardClaim,
         workers: Iterable[WorkerSpec],
         table: Table,
-        escrow: Callable[[str], Mapping[str, int] | None] = lambda shard: None,
+        read_escrow: Callable[[str], Mapping[str, int] | None] = lambda shard: None,
         *,
-        times: LeaseSettings | None = None,
+        lease_settings: LeaseSettings | None = None,
         forward: ForwardRequest = lambda _: None,
         send_hand_over: SendHandOver = refuse_hand_over,
         inherited: HandOver | None = None,
@@ -80,12 +80,12 @@
         observer: TaskObserver | None = None,
     ) -> None:
         specs = list(workers)
-        times = times or LeaseSettings()
+        lease_settings = lease_settings or LeaseSettings()
         self.shard = claim.shard
         self.claim = claim
         self.quota_ledger = QuotaLedger(claim.shard)
         self.quota_ledger.begin_takeover()
-        self.keys = KeyLedger(clock_skew_s=times.clock_skew_s)
+        self.keys = KeyLedger(clock_skew_s=lease_settings.clock_skew_s)
         self.shard_quota = ShardQuota(self.quota_ledger, self._kind_of)
         self.scheduler = Scheduler.over(specs, self.shard_quota)
         self.scheduler.lines.is_full = self.shard_quota.is_class_full
@@ -94,7 +94,7 @@
         # Tasks that a worker was told to stop. Their end says nothing about the health of the
         # worker or the size of the task.
         self.stopping_tasks: set[str] = set()
-        self._read_escrow = escrow
+        self._read_escrow = read_escrow
         self._send_hand_over = send_hand_over
         self._inherited = inherited
         self._inherited_at = clock()
@@ -108,7 +108,7 @@
         self._has_owned = False
         self._was_handed_over = False
         self.pool = WorkerPool(specs, self._connection_changed, make_link)
-        self.leases = WorkerLeases(times.lease_s, times.clock_skew_s)
+        self.leases = WorkerLeases(lease_settings.lease_s, lease_settings.clock_skew_s)
         self.claim_driver = ClaimDriver(claim, table, self.pool, self.leases, self, clock)
         self.dispatcher = Dispatcher(
             self.pool,
@@ -158,7 +158,7 @@
         return self._clock()
 
     def was_owned_at(self, at: float) -> bool:
-        """Return whether this instance certainly owned the shard; if not, start a confirmation."""
+        """Return whether this instance surely owned the shard at a time, or start to verify it."""
         if self.claim.confirmed_after(at):
             return True
         self.claim_driver.start_confirmation()
@@ -179,9 +179,9 @@
 
     async def _confirm_not_run(self, req: Request, result: Result) -> Result:
         """Replace a `not_run` if another owner may run a copy of the request by now."""
-        refused = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+        is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
         if (
-            not refused
+            not is_not_run
             or req.first_attempt
             or await self.claim_driver.confirm_owned_at(self._clock())
         ):
@@ -320,7 +320,7 @@
         elsewhere = self.in_flight.keys() | self.forwarder.forwarded_ids()
         self.requests.drop_unfinished(elsewhere, self._was_handed_over)
 
-    # ClaimListener
+    # Methods of ClaimListener.
 
     def on_state_changed(self, state: ShardState) -> None:
         """Handle a new state of the claim."""
@@ -333,7 +333,7 @@
         self, worker: str, running: list[RunningTask], ended: list[EndedTask]
     ) -> None:
         """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
-        self.adoption.take_inventory(worker, running, ended)
+        self.adoption.adopt_inventory(worker, running, ended)
 
     def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Confirm ended tasks, and compare a worker's running tasks with the adopted ones."""
@@ -351,16 +351,16 @@
     def update_usable_workers(self) -> None:
         """Update the set of workers that work may be dispatched to."""
         for worker in self.claim.workers:
-            usable = (
+            is_usable = (
                 self.claim.may_dispatch(worker)
                 and self.pool.connected(worker)
                 and worker not in self.leaving_workers
             )
-            if usable and worker not in self._usable_workers:
+            if is_usable and worker not in self._usable_workers:
                 self._usable_workers.add(worker)
                 self.scheduler.worker_up(worker)
                 self.dispatch(self._clock())
-            elif not usable:
+            elif not is_usable:
                 self._mark_worker_down(worker)
 
     async def send_queue(self, successor: str, token: Token) -> bool | None:
--- a/baobabhoist/tests/shard_harness.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -117,7 +117,7 @@
             self.specs,
             self.table,
             lambda shard: self.limit,
-            times=LeaseSettings(options.pop("lease_s", 3.0), 0.0),
+            lease_settings=LeaseSettings(options.pop("lease_s", 3.0), 0.0),
             make_link=make_link,
             **options,
         )
