--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -36,7 +36,7 @@
     refuse_hand_over,
 )
 from baobabhoist.daemon.preemption import PREEMPTED_REFUSAL, apply_preemption
-from baobabhoist.daemon.request_registry import RequestRegistry
+from baobabhoist.daemon.requests import RequestRegistry
 from baobabhoist.daemon.shard_quota import ShardQuota
 from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
