--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -39,7 +39,7 @@
 IDLE_READ_INTERVAL_S = 5.0
 SCAN_PAGE_SIZE = 1000
 TRANSFER_CALL_TIMEOUT_S = 2.0
-# A task that still runs this long after it was told to stop is told again.
+# Time after which a worker is told again to stop a task that still runs.
 STOP_RETRY_INTERVAL_S = 5.0
 
 
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -33,7 +33,7 @@
 # Each lower rank waits this much longer, so that higher-ranked instances claim first.
 CLAIM_DELAY_PER_RANK_S = 0.75
 # When a network partition ends, the workers of the other data centre are reachable before the
-# heartbeats of its instances arrive: a peer's new link and first heartbeat take up to 1.5 s.
+# heartbeats of its instances arrive: a peer's new link and first heartbeat take up to about 1.5 s.
 REMOTE_CLAIM_DELAY_S = 1.5
 REACHABILITY_TIMEOUT_S = 0.5
 REACHABILITY_SAMPLE_SIZE = 3
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -27,7 +27,7 @@
     confirmed_ends: set[str] = attrs.Factory(set)
 
     @class_ledger.default
-    def _new_classes(self) -> ClassLedger:
+    def _new_class_ledger(self) -> ClassLedger:
         ledger = ClassLedger(self.team_ledger.shard)
         ledger.begin_takeover()
         return ledger
@@ -39,13 +39,17 @@
         forwarded to another shard.
         """
         limit = self.class_ledger.limits.get(class_key(task.team, task.kind))
-        return self._full(task.team, task.kind) if limit == 0 and task.idempotent else None
+        return (
+            self._class_full_refusal(task.team, task.kind)
+            if limit == 0 and task.idempotent
+            else None
+        )
 
     def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a unit of quota for a task, or return why there is none."""
         kind = self.kind_of(task_id)
         if self.is_class_full(team, kind):
-            return self._full(team, kind)
+            return self._class_full_refusal(team, kind)
         refusal = self.team_ledger.start(team, task_id, worker)
         if refusal is None:
             self.class_ledger.start(class_key(team, kind), task_id, worker)
@@ -74,7 +78,7 @@
         """Return whether the class limit of a team keeps this kind of work waiting here."""
         if not self.class_ledger.limits:
             return False
-        self._follow_cap()
+        self._sync_takeover_cap()
         return not self.class_ledger.spare(class_key(team, kind))
 
     def headroom(self, team: str, kind: WorkKind) -> int:
@@ -86,10 +90,10 @@
 
     def class_headroom(self) -> dict[str, int]:
         """Return how many tasks of each limited class may start here now."""
-        self._follow_cap()
+        self._sync_takeover_cap()
         return {key: self.class_ledger.spare(key) for key in self.class_ledger.limits}
 
-    def _full(self, team: str, kind: WorkKind) -> Refusal:
+    def _class_full_refusal(self, team: str, kind: WorkKind) -> Refusal:
         return Refusal(
             ErrorKind.TEAM_LIMIT,
             f"team {team} runs as much {kind.value} work as it may in {self.team_ledger.shard}",
@@ -97,7 +101,7 @@
             retry_after_s=1.0,
         )
 
-    def _follow_cap(self) -> None:
+    def _sync_takeover_cap(self) -> None:
         # The team ledger lifts its takeover cap once the table has confirmed the epoch.
         if self.team_ledger.cap is None:
             self.class_ledger.cap = None
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def two_instances():
-    """Run a scenario with the coordinator's node, its jobs, and the jobs of another instance."""
+    """Run a scenario with the context and the jobs of the coordinating instance and of another one."""
 
     def run(scenario):
         async def main():
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -48,7 +48,7 @@
         return "other" if self.heard else None
 
 
-def claims(data_centre, reachable_at, heard_at, until=10.0):
+def claim_times(data_centre, reachable_at, heard_at, until=10.0):
     """Return the times at which an instance claims the shard, in steps of 0.25 s."""
     now, claimed, peers = [0.0], [], Peers()
 
@@ -74,16 +74,16 @@
     return claimed
 
 
-def test_a_shard_whose_owner_is_heard_again_is_left_to_it():
+def test_a_shard_whose_owner_is_heard_again_is_not_claimed():
     """Guard against each side claiming the other's shards when a partition ends."""
-    assert claims("north", reachable_at=5.0, heard_at=6.25) == []
+    assert claim_times("north", reachable_at=5.0, heard_at=6.25) == []
 
 
 def test_a_shard_of_a_data_centre_that_is_gone_is_claimed():
     """Guard against shards without an owner, and a delay longer than the takeover limit."""
-    (claimed,) = claims("north", reachable_at=0.0, heard_at=99.0)
+    (claimed,) = claim_times("north", reachable_at=0.0, heard_at=99.0)
     assert claimed <= 2.0
-    (after_partition,) = claims("north", reachable_at=5.0, heard_at=99.0)
+    (after_partition,) = claim_times("north", reachable_at=5.0, heard_at=99.0)
     assert after_partition <= 7.0
 
 
@@ -122,4 +122,4 @@
 
 def test_a_local_shard_is_claimed_without_the_remote_delay():
     """Guard against slower takeovers inside a data centre."""
-    assert claims("south", reachable_at=99.0, heard_at=99.0)[0] <= DISCOVERY_PERIOD_S
+    assert claim_times("south", reachable_at=99.0, heard_at=99.0)[0] <= DISCOVERY_PERIOD_S
