--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def two_instances():
-    """Run a scenario with the context and the jobs of the coordinating instance and of another one."""
+    """Run a scenario with the contexts and jobs of two instances; the first coordinates the jobs."""
 
     def run(scenario):
         async def main():
