--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -1,4 +1,4 @@
-"""Hold the progress of jobs: steps, tasks and the run that each task may have."""
+"""Track the state of jobs: their steps, tasks and current runs."""
 
 from __future__ import annotations
 
@@ -12,128 +12,130 @@
     FINAL_PHASES,
     AcceptedJob,
     JobPhase,
-    Room,
+    Resources,
     Step,
     StepKey,
     TaskKey,
 )
 
-# A job that is late by up to this factor of its objective is still worth something.
-LATE_FACTOR = 3.0
+# A job that ends within this multiple of its objective still earns part of its value.
+LATE_LIMIT_FACTOR = 3.0
 
 
 class RunPhase(enum.Enum):
-    """Name what the owner knows of a run."""
+    """List what the owner may know about a run."""
 
-    # Ordered; no answer has come yet.
+    # The start command has not been answered yet.
     STARTING = "starting"
     RUNNING = "running"
-    # Ordered, but the answer was lost: it may run, now or later.
+    # The answer to the start command was lost: the run may be active or still start.
     UNSURE = "unsure"
     STOPPING = "stopping"
 
 
 @attrs.define(eq=False)
 class Run:
-    """Hold one run of a task on a worker; all times are on the owner's clock, in ms."""
+    """Hold a run of a task on a worker; all times are on the owner's clock, in ms."""
 
     task: TaskState
     number: int
     worker_id: str
-    charged: Room
+    allocation: Resources
     phase: RunPhase
-    # When the order to start was answered or the run was first listed.
+    # When the start command was answered or a report first listed the run.
     confirmed_ms: float = 0.0
     stop_sent_ms: float = 0.0
-    # When the worker answered the order to stop.
+    # When the worker answered the stop command.
     stop_answered_ms: float = 0.0
     percent: float = 0.0
-    moved_ms: float = 0.0
-    # It began at the start of the task under this owner, not from a checkpoint.
-    whole: bool = False
+    last_progress_ms: float = 0.0
+    # This owner started the run, and not from a checkpoint.
+    is_from_start: bool = False
 
 
 @attrs.define(eq=False)
 class TaskState:
-    """Hold one task."""
+    """Hold the state of one task."""
 
     step: StepState
     index: int
     run: Run | None = None
-    done: bool = False
+    is_done: bool = False
     last_run: int = 0
     failed_runs: set[int] = attrs.Factory(set)
     checkpoint: str = ""
 
     @property
     def key(self) -> TaskKey:
-        """Return the name of the task."""
+        """Return the key of the task."""
         step = self.step.key
         return TaskKey(step.job_id, step.occurrence, step.step, self.index)
 
 
 @attrs.define(eq=False)
 class StepState:
-    """Hold one step of one occurrence."""
+    """Hold the state of one step of one occurrence of a job."""
 
     job: JobState
     key: StepKey
     spec: Step
     tasks: list[TaskState] = attrs.Factory(list)
-    idle: int = 0
-    pending: int = 0
+    # Tasks that are neither done nor running.
+    idle_count: int = 0
+    # Tasks that are not done.
+    pending_count: int = 0
     approvals: Approvals = attrs.Factory(Approvals)
     # Workers on which a task of the step failed.
-    failed_on: set[str] = attrs.Factory(set)
-    # When the step could first run, on the owner's clock in ms.
-    ready_ms: float = 0.0
+    failed_worker_ids: set[str] = attrs.Factory(set)
+    # When the dependencies of the step were done, on the owner's clock.
+    ready_since_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
-        """Make the tasks."""
+        """Create the tasks."""
         self.tasks = [TaskState(self, index) for index in range(self.spec.count)]
-        self.idle = self.pending = self.spec.count
+        self.idle_count = self.pending_count = self.spec.count
 
     @property
-    def done(self) -> bool:
-        """Tell whether all tasks have ended as done."""
-        return self.pending == 0
+    def is_done(self) -> bool:
+        """Tell whether all tasks are done."""
+        return self.pending_count == 0
 
-    def drop_advice(self) -> None:
-        """Forget the tickets, once no task will start any more."""
+    def discard_approvals(self) -> None:
+        """Free the tickets of a step that will start no more tasks."""
         self.approvals = Approvals()
 
     def idle_tasks(self) -> Iterator[TaskState]:
         """Yield the tasks that are neither done nor running."""
-        return (task for task in self.tasks if task.run is None and not task.done)
+        return (task for task in self.tasks if task.run is None and not task.is_done)
 
     def mark_done(self, task: TaskState) -> bool:
-        """Note that a task is done; tell whether that is new."""
-        if task.done:
+        """Mark a task as done; return whether it was not before."""
+        if task.is_done:
             return False
-        task.done = True
-        self.pending -= 1
-        if self.done:
-            self.job.progressed()
+        task.is_done = True
+        self.pending_count -= 1
+        if self.is_done:
+            self.job.invalidate_critical_path()
         if task.run is None:
-            self.idle -= 1
+            self.idle_count -= 1
         return True
 
-    def attach(self, run: Run) -> None:
-        """Give a task its run."""
-        if run.task.run is None and not run.task.done:
-            self.idle -= 1
+    def attach_run(self, run: Run) -> None:
+        """Make a run the current run of its task."""
+        if run.task.run is None and not run.task.is_done:
+            self.idle_count -= 1
         run.task.run = run
         run.task.last_run = max(run.task.last_run, run.number)
 
-    def detach(self, run: Run) -> None:
-        """Take the ended run from its task."""
+    def detach_run(self, run: Run) -> None:
+        """Remove an ended run from its task."""
         if run.task.run is run:
             run.task.run = None
-            if not run.task.done:
-                self.idle += 1
+            if not run.task.is_done:
+                self.idle_count += 1
 
-    def failures(self, task: TaskState) -> int:
-        """Return the failed attempts that count against a task: those of a gang are shared."""
+    def failed_attempts(self, task: TaskState) -> int:
+        """Return the number of failed attempts of a task; members of a gang share theirs."""
         if not self.spec.gang:
             return len(task.failed_runs)
         return len(set().union(*(member.failed_runs for member in self.tasks)))
@@ -141,102 +143,108 @@
 
 @attrs.define(eq=False)
 class JobState:
-    """Hold one job; `objective_ms` is on the owner's clock."""
+    """Hold the state of one job; all times are on the owner's clock, in ms."""
 
     accepted: AcceptedJob
-    accepted_at_ms: float
+    accepted_local_ms: float
     objective_ms: float = 0.0
     phase: JobPhase = JobPhase.QUEUED
     steps: dict[tuple[int, int], StepState] = attrs.Factory(dict)
     # An earlier owner may have started tasks of this job.
-    inherited: bool = False
+    is_inherited: bool = False
     ended_ms: float = 0.0
-    opened: int = 0
-    # What `remaining_ms` found, until a step is done or opened.
-    _remaining_ms: float | None = None
+    opened_count: int = 0
+    # Cached until a step is opened or done.
+    _remaining_critical_path_ms: float | None = None
 
     @property
     def job_id(self) -> str:
-        """Return the id that the caller chose."""
+        """Return the id, which the caller chose."""
         return self.accepted.job_id
 
     @property
-    def final(self) -> bool:
-        """Tell whether nothing of the job will run any more."""
+    def is_final(self) -> bool:
+        """Tell whether the job has ended."""
         return self.phase in FINAL_PHASES
 
     @property
     def late_limit_ms(self) -> float:
-        """Return when the job stops being worth anything."""
-        return self.accepted_at_ms + LATE_FACTOR * (self.objective_ms - self.accepted_at_ms)
+        """Return the time after which the job has no value any more."""
+        return self.accepted_local_ms + LATE_LIMIT_FACTOR * (
+            self.objective_ms - self.accepted_local_ms
+        )
 
     def drop_payload(self) -> None:
-        """Forget what the tasks are given, once none will start any more; it may be large."""
+        """Free the payload of an ended job, which may be large."""
         spec = attrs.evolve(self.accepted.spec, payload="")
         self.accepted = attrs.evolve(self.accepted, spec=spec)
 
     def open_occurrence(self) -> list[StepState]:
-        """Make the steps of the next occurrence and return them."""
-        occurrence = self.opened
-        self.opened += 1
-        self.progressed()
-        made = []
-        for number, spec in enumerate(self.accepted.spec.steps):
-            step = StepState(self, StepKey(self.job_id, occurrence, number), spec)
-            self.steps[(occurrence, number)] = step
-            made.append(step)
-        return made
-
-    def open_due(self, unix_ms: float) -> bool:
-        """Open the occurrences whose time has come; tell whether there was one."""
-        spec, before = self.accepted.spec, self.opened
-        while self.opened < spec.occurrences and unix_ms >= spec.due_ms(self.opened):
+        """Create and return the steps of the next occurrence."""
+        occurrence = self.opened_count
+        self.opened_count += 1
+        self.invalidate_critical_path()
+        opened = []
+        for step_number, spec in enumerate(self.accepted.spec.steps):
+            step = StepState(self, StepKey(self.job_id, occurrence, step_number), spec)
+            self.steps[(occurrence, step_number)] = step
+            opened.append(step)
+        return opened
+
+    def open_due_occurrences(self, unix_ms: float) -> bool:
+        """Open the occurrences that are due; return whether there was any."""
+        spec, before = self.accepted.spec, self.opened_count
+        while self.opened_count < spec.occurrence_count and unix_ms >= spec.due_unix_ms(
+            self.opened_count
+        ):
             self.open_occurrence()
-        return self.opened > before
+        return self.opened_count > before
 
-    def step_of(self, key: StepKey | TaskKey) -> StepState | None:
-        """Return the state of a step, or None if it is not open."""
+    def find_step(self, key: StepKey | TaskKey) -> StepState | None:
+        """Return a step, or None if its occurrence is not open."""
         return self.steps.get((key.occurrence, key.step))
 
-    def task_of(self, key: TaskKey) -> TaskState | None:
-        """Return the state of a task, or None if it is not open."""
-        step = self.step_of(key)
+    def find_task(self, key: TaskKey) -> TaskState | None:
+        """Return a task, or None if its occurrence is not open."""
+        step = self.find_step(key)
         if step is None or not 0 <= key.index < len(step.tasks):
             return None
         return step.tasks[key.index]
 
-    def is_ready(self, step: StepState) -> bool:
-        """Tell whether all steps before a step are done."""
+    def is_step_ready(self, step: StepState) -> bool:
+        """Tell whether all steps that a step depends on are done."""
         occurrence = step.key.occurrence
-        return all(self.steps[(occurrence, number)].done for number in step.spec.after)
+        return all(
+            self.steps[(occurrence, step_number)].is_done for step_number in step.spec.after
+        )
 
-    def all_done(self) -> bool:
+    def are_all_tasks_done(self) -> bool:
         """Tell whether every task of every occurrence is done."""
-        if self.opened < self.accepted.spec.occurrences:
+        if self.opened_count < self.accepted.spec.occurrence_count:
             return False
-        return all(step.done for step in self.steps.values())
+        return all(step.is_done for step in self.steps.values())
 
-    def progressed(self) -> None:
-        """Note that a step was opened or done."""
-        self._remaining_ms = None
+    def invalidate_critical_path(self) -> None:
+        """Discard the cached critical path after a step was opened or done."""
+        self._remaining_critical_path_ms = None
 
-    def remaining_ms(self) -> float:
-        """Return the longest chain of declared work that is left, in ms."""
-        if self._remaining_ms is None:
-            self._remaining_ms = self._longest_chain_ms()
-        return self._remaining_ms
+    def remaining_critical_path_ms(self) -> float:
+        """Return the declared duration of the longest chain of unfinished steps, in ms."""
+        if self._remaining_critical_path_ms is None:
+            self._remaining_critical_path_ms = self._compute_critical_path_ms()
+        return self._remaining_critical_path_ms
 
-    def _longest_chain_ms(self) -> float:
+    def _compute_critical_path_ms(self) -> float:
         steps = self.accepted.spec.steps
-        longest = [0.0] * len(steps)
-        for number, spec in enumerate(steps):
-            state = self.steps.get((max(0, self.opened - 1), number))
-            own = 0.0 if state is not None and state.done else float(spec.expected_ms)
-            before = max((longest[other] for other in spec.after), default=0.0)
-            longest[number] = before + own
-        return max(longest, default=0.0)
-
-
-def chain_ms(accepted: AcceptedJob) -> float:
-    """Return the longest chain of declared work of one occurrence, in ms."""
-    return JobState(accepted, 0.0).remaining_ms()
+        longest_ms = [0.0] * len(steps)
+        for step_number, spec in enumerate(steps):
+            state = self.steps.get((max(0, self.opened_count - 1), step_number))
+            own_ms = 0.0 if state is not None and state.is_done else float(spec.expected_ms)
+            before_ms = max((longest_ms[other] for other in spec.after), default=0.0)
+            longest_ms[step_number] = before_ms + own_ms
+        return max(longest_ms, default=0.0)
+
+
+def critical_path_ms(accepted: AcceptedJob) -> float:
+    """Return the declared duration of the longest chain of steps of one occurrence, in ms."""
+    return JobState(accepted, 0.0).remaining_critical_path_ms()
--- /dev/null
+++ b/baobabhoist/cell/state.py
@@ -0,0 +1,187 @@
+"""Hold the jobs, workers and runs of a cell and keep the resource accounting consistent."""
+
+from __future__ import annotations
+
+import logging
+from collections import defaultdict
+
+import attrs
+
+from baobabhoist.cell.jobs import JobState, Run, RunPhase, StepState, TaskState
+from baobabhoist.cell.model import (
+    NO_RESOURCES,
+    CellRules,
+    Command,
+    JobPhase,
+    Queue,
+    Resources,
+    StartTask,
+    StepKey,
+    StopTask,
+    TaskKey,
+    Team,
+)
+from baobabhoist.cell.speed_estimates import SpeedEstimates
+from baobabhoist.cell.workers import WorkerState
+from baobabhoist.observability.events import Event, emit
+
+log = logging.getLogger(__name__)
+
+# Run numbers reserved for each owner, so that a later owner always uses higher ones.
+RUN_NUMBERS_PER_OWNER = 1000
+
+
+@attrs.define
+class CellState:
+    """Hold the scheduling state of a cell; all times are on the owner's clock, in ms."""
+
+    rules: CellRules
+    generation: int = 0
+    jobs: dict[str, JobState] = attrs.Factory(dict)
+    workers: dict[str, WorkerState] = attrs.Factory(dict)
+    team_usage: dict[str, Resources] = attrs.Factory(lambda: defaultdict(lambda: NO_RESOURCES))
+    # Unfinished steps whose dependencies are done.
+    ready_steps: dict[StepKey, StepState] = attrs.Factory(dict)
+    speeds: SpeedEstimates = attrs.Factory(SpeedEstimates)
+    commands: list[Command] = attrs.Factory(list)
+    # Ids of jobs whose progress must be written to the store.
+    dirty: set[str] = attrs.Factory(set)
+
+    def queue_of(self, job: JobState) -> Queue | None:
+        """Return the queue of a job, or None if it is no longer configured."""
+        return self.rules.queues.get(job.accepted.queue)
+
+    def team_of(self, job: JobState) -> Team | None:
+        """Return the team of a job, or None if it is no longer configured."""
+        return self.rules.teams.get(job.accepted.team)
+
+    def service_of(self, job: JobState) -> str:
+        """Return the service that currently runs the tasks of a job."""
+        queue = self.queue_of(job)
+        return queue.service if queue is not None else job.accepted.service
+
+    def requires_advice(self, job: JobState) -> bool:
+        """Tell whether the tasks of a job need a ticket from the placement adviser to start."""
+        queue = self.queue_of(job)
+        return queue is not None and queue.advice is not None
+
+    def is_within_team_limit(self, job: JobState, need: Resources) -> bool:
+        """Tell whether a team stays within its resource limit if a job takes this much more."""
+        team = self.team_of(job)
+        if team is None:
+            return True
+        return team.allows(self.team_usage[job.accepted.team].plus(need))
+
+    def update_ready_steps(self, job: JobState, now: float) -> None:
+        """Add the steps whose dependencies are done and remove the finished ones."""
+        for step in job.steps.values():
+            if job.is_final or step.is_done:
+                self.ready_steps.pop(step.key, None)
+                step.discard_approvals()
+            elif step.key not in self.ready_steps and job.is_step_ready(step):
+                step.ready_since_ms = now
+                self.ready_steps[step.key] = step
+
+    # Runs.
+
+    def start_run(self, task: TaskState, worker: WorkerState, run_number: int, now: float) -> None:
+        """Issue a start command and allocate the resources of the run."""
+        job = task.step.job
+        ticket = task.step.approvals.valid_ticket(worker.worker_id, now)
+        run = self._add_run(task, worker, run_number, RunPhase.STARTING, now)
+        run.is_from_start = not task.checkpoint
+        # The run must be stored before the command is sent, so that the next owner knows of it.
+        self.dirty.add(job.job_id)
+        if job.phase is JobPhase.QUEUED:
+            job.phase = JobPhase.RUNNING
+        payload = job.accepted.spec.payload
+        command = StartTask(
+            worker.worker_id, task.key, run_number, payload, task.checkpoint, ticket
+        )
+        self.commands.append(command)
+        emit(
+            log,
+            Event.RUN_STARTED,
+            task=task.key.to_text(),
+            run=run_number,
+            worker=worker.worker_id,
+            waited_ms=round(now - task.step.ready_since_ms),
+            free_cpu=worker.free_cpu,
+            ticket=bool(ticket),
+            checkpoint=task.checkpoint,
+        )
+
+    def adopt_run(self, task: TaskState, worker: WorkerState, run_number: int, now: float) -> Run:
+        """Track a run that an earlier owner started and allocate its resources."""
+        run = self._add_run(task, worker, run_number, RunPhase.RUNNING, now)
+        run.confirmed_ms = now
+        if task.step.job.phase is JobPhase.QUEUED:
+            task.step.job.phase = JobPhase.RUNNING
+        return run
+
+    def next_run_number(self, tasks: list[TaskState]) -> int:
+        """Return a number higher than any run of these tasks had under any owner."""
+        return max(self.generation * RUN_NUMBERS_PER_OWNER, *(task.last_run for task in tasks)) + 1
+
+    def stop_run(self, run: Run, now: float) -> None:
+        """Issue a stop command for a run."""
+        if run.phase is not RunPhase.UNSURE:
+            run.phase = RunPhase.STOPPING
+        run.stop_sent_ms = now
+        self.commands.append(StopTask(run.worker_id, run.task.key, run.number))
+
+    def stop_orphan_run(self, worker: WorkerState, task: TaskKey, run_number: int) -> None:
+        """Issue a stop command for a run on a worker that this owner does not track."""
+        if worker.orphan_runs.get(task) != run_number:
+            emit(
+                log,
+                Event.ORPHAN_STOPPED,
+                task=task.to_text(),
+                run=run_number,
+                worker=worker.worker_id,
+            )
+        worker.orphan_runs[task] = run_number
+        self.commands.append(StopTask(worker.worker_id, task, run_number))
+
+    def close_run(self, run: Run) -> None:
+        """Release the resources of a run that is known to have ended or never to have started."""
+        worker = self.workers.get(run.worker_id)
+        if worker is not None:
+            worker.remove_run(run)
+        team = run.task.step.job.accepted.team
+        self.team_usage[team] = self.team_usage[team].minus(run.task.step.spec.need)
+        run.task.step.detach_run(run)
+
+    def finish_job(self, job: JobState, phase: JobPhase, now: float, reason: str) -> None:
+        """Move a job to a final phase and stop its remaining runs."""
+        if job.is_final:
+            return
+        job.phase, job.ended_ms = phase, now
+        self.dirty.add(job.job_id)
+        emit(
+            log,
+            Event.JOB_ENDED,
+            job=job.job_id,
+            queue=job.accepted.queue,
+            state=phase.value,
+            reason=reason,
+            after_ms=round(now - job.accepted_local_ms),
+            objective_ms=round(job.objective_ms - job.accepted_local_ms),
+        )
+        self.update_ready_steps(job, now)
+        job.drop_payload()
+        for step in job.steps.values():
+            for task in step.tasks:
+                if task.run is not None and task.run.phase is not RunPhase.STOPPING:
+                    self.stop_run(task.run, now)
+
+    def _add_run(
+        self, task: TaskState, worker: WorkerState, run_number: int, phase: RunPhase, now: float
+    ) -> Run:
+        run = Run(task, run_number, worker.worker_id, task.step.spec.allocation, phase)
+        run.last_progress_ms = now
+        task.step.attach_run(run)
+        worker.add_run(run)
+        team = task.step.job.accepted.team
+        self.team_usage[team] = self.team_usage[team].plus(task.step.spec.need)
+        return run
--- /dev/null
+++ b/baobabhoist/cell/worker_reports.py
@@ -0,0 +1,215 @@
+"""Reconcile the tracked runs with the reports and replies of workers."""
+
+from __future__ import annotations
+
+import logging
+
+from baobabhoist.cell.jobs import Run, RunPhase
+from baobabhoist.cell.model import (
+    REJECTED_OUTCOMES,
+    ActiveRun,
+    CommandOutcome,
+    EndedRun,
+    RunOutcome,
+    StartTask,
+    StopTask,
+    WorkerReport,
+)
+from baobabhoist.cell.run_ends import RunEndHandler, close_lost_run
+from baobabhoist.cell.state import CellState
+from baobabhoist.cell.workers import WorkerState
+from baobabhoist.observability.events import Event, emit
+
+log = logging.getLogger(__name__)
+
+# A worker that refused a start or did not answer it gets no other one for this long.
+FAILED_START_BACKOFF_MS = 150.0
+
+
+class WorkerReportHandler:
+    """Apply reports and command outcomes; all times are on the owner's clock, in ms."""
+
+    def __init__(self, state: CellState, run_ends: RunEndHandler) -> None:
+        self._state = state
+        self._run_ends = run_ends
+
+    def handle_report(
+        self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
+    ) -> None:
+        """Apply a report; `sent_ms` is when it was requested."""
+        if (
+            worker.started_unix_ms
+            and report.started_unix_ms
+            and report.started_unix_ms != worker.started_unix_ms
+        ):
+            self._handle_restart(worker, sent_ms, now)
+        worker.started_unix_ms = report.started_unix_ms or worker.started_unix_ms
+        worker.lease.update_clock(report.clock_ms, now)
+        worker.last_report_ms = now
+        if not worker.has_accepted_token:
+            worker.has_accepted_token = True
+            emit(
+                log,
+                Event.WORKER_FENCED,
+                worker=worker.worker_id,
+                running=len(report.running),
+                ended=len(report.ended),
+            )
+        for ended_run in report.ended:
+            if ended_run.sequence_number > worker.last_seen_end:
+                worker.last_seen_end = ended_run.sequence_number
+                self._apply_end(worker, ended_run, now)
+        for active_run in report.running:
+            self._apply_active_run(worker, active_run, now)
+        self._close_missing_runs(worker, report, sent_ms, now)
+
+    def handle_start_result(self, command: StartTask, outcome: CommandOutcome, now: float) -> None:
+        """Apply the outcome of a start command."""
+        run = self._find_run(command)
+        worker = self._state.workers.get(command.worker_id)
+        if run is None or worker is None:
+            return
+        if outcome is CommandOutcome.OK:
+            run.confirmed_ms = run.confirmed_ms or now
+            if run.phase in (RunPhase.STARTING, RunPhase.UNSURE) and not run.stop_sent_ms:
+                run.phase = RunPhase.RUNNING
+            return
+        if outcome is CommandOutcome.UNKNOWN:
+            if run.phase is RunPhase.STARTING:
+                run.phase = RunPhase.UNSURE
+                worker.backoff_until_ms = now + FAILED_START_BACKOFF_MS
+                emit(
+                    log,
+                    Event.START_UNANSWERED,
+                    task=command.task.to_text(),
+                    run=command.run,
+                    worker=command.worker_id,
+                )
+                self._state.stop_run(run, now)
+                if run.task.step.spec.gang:
+                    self._run_ends.stop_gang_run(run.task.step, run.number, now)
+            return
+        if outcome in REJECTED_OUTCOMES:
+            self._handle_refusal(run, worker, command, outcome, now)
+
+    def handle_stop_result(self, command: StopTask, outcome: CommandOutcome, now: float) -> None:
+        """Apply the outcome of a stop command."""
+        run = self._find_run(command)
+        if run is None:
+            return
+        if outcome is CommandOutcome.OK:
+            run.stop_answered_ms = run.stop_answered_ms or now
+            run.phase = RunPhase.STOPPING
+
+    def _handle_refusal(
+        self,
+        run: Run,
+        worker: WorkerState,
+        command: StartTask,
+        outcome: CommandOutcome,
+        now: float,
+    ) -> None:
+        emit(
+            log,
+            Event.START_REFUSED,
+            task=command.task.to_text(),
+            run=command.run,
+            worker=command.worker_id,
+            reason=outcome.value,
+        )
+        step = run.task.step
+        if outcome is CommandOutcome.NO_TICKET:
+            step.approvals.invalidate_ticket(worker.worker_id)
+        else:
+            worker.backoff_until_ms = now + FAILED_START_BACKOFF_MS
+        if outcome is CommandOutcome.UNHEALTHY:
+            worker.health.record_failure(step.job.job_id, now)
+        self._state.close_run(run)
+        if step.spec.gang and not step.is_done:
+            self._run_ends.stop_gang_run(step, run.number, now)
+
+    def _apply_end(self, worker: WorkerState, ended_run: EndedRun, now: float) -> None:
+        worker.orphan_runs.pop(ended_run.task, None)
+        job = self._state.jobs.get(ended_run.task.job_id)
+        task = job.find_task(ended_run.task) if job is not None else None
+        if job is None or task is None:
+            return
+        run = worker.runs.get(ended_run.task)
+        ends_tracked_run = run is not None and run.number <= ended_run.run
+        if ends_tracked_run and run is not None:
+            # Close the run only afterwards, because its duration updates the speed estimates.
+            self._run_ends.record_end(
+                task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
+            )
+            if ended_run.outcome is RunOutcome.FAILED and worker.health.record_failure(
+                job.job_id, now
+            ):
+                emit(log, Event.WORKER_SET_ASIDE, worker=worker.worker_id, reason="failures")
+            self._state.close_run(run)
+            return
+        if not job.is_final:
+            self._run_ends.record_end(
+                task, ended_run.run, ended_run.outcome, ended_run.checkpoint, now
+            )
+            other_run = task.run
+            if task.is_done and other_run is not None and other_run.phase is not RunPhase.STOPPING:
+                self._state.stop_run(other_run, now)
+
+    def _apply_active_run(self, worker: WorkerState, active_run: ActiveRun, now: float) -> None:
+        run = worker.runs.get(active_run.task)
+        if run is not None and run.number == active_run.run:
+            self._update_progress(run, active_run, now)
+            return
+        if run is not None and run.number > active_run.run:
+            # The report was made before a later run replaced this one.
+            return
+        job = self._state.jobs.get(active_run.task.job_id)
+        task = job.find_task(active_run.task) if job is not None else None
+        if job is None or task is None or job.is_final or task.is_done or task.run is not None:
+            self._state.stop_orphan_run(worker, active_run.task, active_run.run)
+            return
+        adopted_run = self._state.adopt_run(task, worker, active_run.run, now)
+        self._update_progress(adopted_run, active_run, now)
+
+    def _update_progress(self, run: Run, active_run: ActiveRun, now: float) -> None:
+        run.confirmed_ms = run.confirmed_ms or now
+        if run.phase is RunPhase.STARTING:
+            run.phase = RunPhase.RUNNING
+        if active_run.percent != run.percent:
+            run.percent, run.last_progress_ms = active_run.percent, now
+        if active_run.checkpoint and run.task.step.spec.checkpoints:
+            run.task.checkpoint = active_run.checkpoint
+
+    def _close_missing_runs(
+        self, worker: WorkerState, report: WorkerReport, sent_ms: float, now: float
+    ) -> None:
+        """Close the runs and orphans that have ended because the report does not list them."""
+        listed = {(active_run.task, active_run.run) for active_run in report.running}
+        for task_key, run_number in list(worker.orphan_runs.items()):
+            if (task_key, run_number) not in listed:
+                del worker.orphan_runs[task_key]
+        for run in list(worker.runs.values()):
+            if (run.task.key, run.number) in listed:
+                continue
+            if run.phase is RunPhase.STOPPING and 0 < run.stop_answered_ms < sent_ms:
+                self._state.close_run(run)
+            elif run.phase is RunPhase.RUNNING and 0 < run.confirmed_ms < sent_ms:
+                close_lost_run(
+                    self._state, self._run_ends, run, now, "its worker does not list it"
+                )
+
+    def _handle_restart(self, worker: WorkerState, sent_ms: float, now: float) -> None:
+        emit(log, Event.WORKER_RESTARTED, worker=worker.worker_id, runs=len(worker.runs))
+        worker.last_seen_end = worker.last_acked_end = 0
+        worker.orphan_runs.clear()
+        worker.lease.reset()
+        for step in self._state.ready_steps.values():
+            step.approvals.remove_worker(worker.worker_id)
+        for run in list(worker.runs.values()):
+            if run.phase in (RunPhase.RUNNING, RunPhase.STOPPING) and run.confirmed_ms < sent_ms:
+                close_lost_run(self._state, self._run_ends, run, now, "its worker started again")
+
+    def _find_run(self, command: StartTask | StopTask) -> Run | None:
+        worker = self._state.workers.get(command.worker_id)
+        run = worker.runs.get(command.task) if worker is not None else None
+        return run if run is not None and run.number == command.run else None
--- a/baobabhoist/control/frontdesk.py
+++ b/baobabhoist/control/frontdesk.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from baobabhoist.cell import progress as progress_rows
+from baobabhoist.cell import progress_rows
 from baobabhoist.cell.model import FINAL_PHASES, JobPhase, JobSpec
 from baobabhoist.control.accept import Acceptor, Stored
 from baobabhoist.control.clock import SharedClock, boot_ms
@@ -118,7 +118,7 @@
                 ErrorKind.NOT_FOUND, f"no queue at {call.path}", remedy="check host and path"
             )
         team = ""
-        if not route.queue.open_to_all:
+        if not route.queue.is_public:
             if self.config.age_ms(boot_ms()) > KEY_AGE_PART * self.revoke_ms:
                 return not_ready("the keys in force are not known to be current", ELSEWHERE_S)
             if call.key not in cfg.keys:
