--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -113,5 +113,5 @@
     def _release(self, task_id: str, succeeded: bool) -> None:
         owner = self._owner
         if task_id in owner.scheduler.running:
-            owner.scheduler.ended(task_id, succeeded, owner.now)
-        owner.shard_quota.ended(task_id)
+            owner.scheduler.task_ended(task_id, succeeded, owner.now)
+        owner.shard_quota.release(task_id)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -24,8 +24,8 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
 from baobabhoist.quota import escrow
-from baobabhoist.quota.escrow import EscrowRow, Move
-from baobabhoist.quota.transfer import POOL, ShardNeeds, TeamNeeds, Transfer, TransferPlanner
+from baobabhoist.quota.escrow import EscrowRow, PlaceMove
+from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
 from baobabhoist.records.view import RecordView
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.store.table import Committed, Row, Table, Transaction
@@ -107,7 +107,8 @@
             except InvariantBreachError:
                 log.warning("an invariant check rejected an escrow update")
             is_capped = any(
-                owner.quota_ledger.cap is not None for owner in self._context.active_owners()
+                owner.quota_ledger.takeover_cap is not None
+                for owner in self._context.active_owners()
             )
             try:
                 async with asyncio.timeout(
@@ -125,7 +126,7 @@
             or any(current.row.pending_limit is not None for current in self.rows.values())
             or any(account.in_doubt for account in self._accounts.values())
             or any(
-                owner.quota_ledger.cap is not None or self._unmet_demand(owner)
+                owner.quota_ledger.takeover_cap is not None or self._unmet_demand(owner)
                 for owner in self._eligible_owners()
             )
         )
@@ -156,7 +157,7 @@
     def apply_lowered_limits(self) -> None:
         """Apply lowered limits at once, before the escrow rows are updated."""
         for owner in self._eligible_owners():
-            if owner.quota_ledger.cap is None:
+            if owner.quota_ledger.takeover_cap is None:
                 self._set_ceilings(owner)
                 owner.dispatch(self._clock())
         self._wake.set()
@@ -170,14 +171,14 @@
         no_grant = PlacesGiven(request.team, 0)
         owners = {owner.shard: owner for owner in self._eligible_owners()}
         owner = owners.get(request.from_shard)
-        if owner is None or owner.quota_ledger.cap is not None:
+        if owner is None or owner.quota_ledger.takeover_cap is not None:
             return no_grant
         account = self._account_of(owner)
         if request.team in account.in_doubt or self._unmet_demand(owner).get(request.team):
             return no_grant
         try:
             row = _decode_row(request.team, await self._context.table.read(_row_key(request.team)))
-            units = min(request.places, owner.quota_ledger.giveable(request.team))
+            units = min(request.places, owner.quota_ledger.transferable(request.team))
             committed = await self._transfer_out(
                 account, request.team, row, units, request.to_shard
             )
@@ -225,7 +226,7 @@
         for team, record in view.teams().items():
             current = self.rows.get(team)
             if current is None:
-                row = escrow.initial(record.limit, view.shards())
+                row = escrow.initial_row(record.limit, view.shards())
                 updates[team] = (0, row)
             elif current.revision and _target_limit(current.row) != record.limit:
                 row = _unless_refused(
@@ -245,7 +246,7 @@
                     target="the pool",
                 )
         if updates:
-            txn = escrow.transaction(updates, {}, uuid.uuid4().hex)
+            txn = escrow.build_transaction(updates, {}, uuid.uuid4().hex)
             outcome = await self._context.table.commit(txn)
             if isinstance(outcome, Committed):
                 for team, (_, row) in updates.items():
@@ -258,7 +259,7 @@
             current = self.rows.get(team)
             if current is not None and current.revision == revision:
                 # Advance the revision, so that a transaction still in transit fails its check.
-                writes = {_row_key(team): escrow.encode(current.row)}
+                writes = {_row_key(team): escrow.encode_row(current.row)}
                 outcome = await self._context.table.commit(
                     Transaction({_row_key(team): revision}, writes)
                 )
@@ -274,7 +275,7 @@
         if not owner.claim.escrow_usable:
             return
         held = {team: current.row.held(owner.shard) for team, current in self.rows.items()}
-        has_gained = owner.quota_ledger.cap is not None
+        has_gained = owner.quota_ledger.takeover_cap is not None
         if has_gained:
             owner.lift_takeover_cap(held)
         for team, units in held.items():
@@ -282,7 +283,7 @@
             if team in account.in_doubt or not difference:
                 continue
             if difference > 0:
-                owner.quota_ledger.put_in(team, difference)
+                owner.quota_ledger.deposit(team, difference)
                 has_gained = True
             else:
                 log.error(
@@ -311,10 +312,14 @@
         owner = account.owner
         for team, current in list(self.rows.items()):
             is_lowered = current.row.pending_limit is not None
-            if not is_lowered or team in account.in_doubt or owner.quota_ledger.cap is not None:
+            if (
+                not is_lowered
+                or team in account.in_doubt
+                or owner.quota_ledger.takeover_cap is not None
+            ):
                 continue
             excess = current.row.held(owner.shard) - owner.quota_ledger.allowed(team)
-            units = min(excess, owner.quota_ledger.giveable(team))
+            units = min(excess, owner.quota_ledger.transferable(team))
             if units > 0:
                 await self._transfer_out(account, team, current, units, None)
 
@@ -327,7 +332,7 @@
             if now - sent_at < STOP_RETRY_INTERVAL_S
         }
         for team in [team for team, used in owner.quota_ledger.used.items() if used]:
-            for task_id in owner.quota_ledger.excess(team):
+            for task_id in owner.quota_ledger.excess_tasks(team):
                 placed = owner.scheduler.running.get(task_id)
                 worker = owner.worker_of(task_id)
                 is_request = placed is not None and placed.placement.task.kind is WorkKind.REQUEST
@@ -346,7 +351,7 @@
     async def _acquire_quota(self, account: ShardAccount) -> list[PlacesWanted]:
         """Take quota from the pool, and return the requests to send to other shards."""
         owner = account.owner
-        if owner.quota_ledger.cap is not None:
+        if owner.quota_ledger.takeover_cap is not None:
             return []
         demand = self._unmet_demand(owner)
         others = self._other_digests(owner) if demand else []
@@ -366,8 +371,8 @@
     async def _take_from_pool(self, account: ShardAccount, transfer: Transfer) -> None:
         """Transfer quota from the pool; it is usable once a later read of the row shows it."""
         owner, current = account.owner, self.rows[transfer.team]
-        credit = Move(owner.shard, owner.claim.token.epoch, transfer.places)
-        new_row = escrow.move(transfer.team, current.row, [credit])
+        credit = PlaceMove(owner.shard, owner.claim.token.epoch, transfer.places)
+        new_row = escrow.apply_moves(transfer.team, current.row, [credit])
         if not isinstance(new_row, Refusal):
             await self._commit(account, transfer.team, current.revision, new_row)
 
@@ -393,18 +398,18 @@
 
     def _team_needs(
         self, owner: ShardOwner, team: str, demand: int, others: Iterable[ShardDigest]
-    ) -> TeamNeeds:
+    ) -> TeamBalance:
         row = self.rows[team].row
         pool = 0 if row.pending_limit is not None else row.pool
-        shards = [ShardNeeds(owner.shard, 0, demand)]
+        shards = [ShardBalance(owner.shard, 0, demand)]
         if row.pending_limit is None:
             shards += [
                 # A shard with unmet demand grants nothing and requests quota for itself.
-                ShardNeeds(digest.shard, 0 if digest.unmet.get(team) else spare, 0)
+                ShardBalance(digest.shard, 0 if digest.unmet.get(team) else spare, 0)
                 for digest in others
                 if (spare := digest.spare.get(team, 0)) > 0
             ]
-        return TeamNeeds(team, pool, tuple(shards))
+        return TeamBalance(team, pool, tuple(shards))
 
     def _other_digests(self, owner: ShardOwner) -> Iterable[ShardDigest]:
         local = (build_digest(other) for other in self._eligible_owners() if other is not owner)
@@ -425,17 +430,17 @@
         owner = account.owner
         if units <= 0:
             return False
-        moves = [Move(owner.shard, owner.claim.token.epoch, -units)]
+        moves = [PlaceMove(owner.shard, owner.claim.token.epoch, -units)]
         if target is not None:
-            moves.append(Move(target, current.row.epochs.get(target, 0), units))
-        new_row = escrow.move(team, current.row, moves)
+            moves.append(PlaceMove(target, current.row.epochs.get(target, 0), units))
+        new_row = escrow.apply_moves(team, current.row, moves)
         if isinstance(new_row, Refusal):
             return False
-        owner.quota_ledger.take_out(team, units)
+        owner.quota_ledger.withdraw(team, units)
         account.in_doubt[team] = current.revision
         is_committed = await self._commit(account, team, current.revision, new_row)
         if not is_committed:
-            owner.quota_ledger.put_in(team, units)
+            owner.quota_ledger.deposit(team, units)
         return is_committed
 
     async def _commit(
@@ -444,7 +449,7 @@
         """Commit a row; without an acknowledgement the team stays in doubt."""
         owner = account.owner
         shards = {owner.shard: owner.claim_driver.row_revision}
-        txn = escrow.transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
+        txn = escrow.build_transaction({team: (revision, row)}, shards, uuid.uuid4().hex)
         outcome = await self._context.table.commit(txn)
         account.in_doubt.pop(team, None)
         if not isinstance(outcome, Committed):
@@ -465,7 +470,7 @@
 def _decode_row(team: str, row: Row) -> VersionedRow:
     if row.value is None:
         raise PlatformError(f"team {team} has no escrow row")
-    return VersionedRow(row.revision, escrow.decode(team, row.value))
+    return VersionedRow(row.revision, escrow.decode_row(team, row.value))
 
 
 def _target_limit(row: EscrowRow) -> int:
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -39,14 +39,14 @@
 async def apply_preemption(owner: PreemptionOwner, preemption: Preemption) -> None:
     """Ask a worker to checkpoint, throttle or stop a task so that another one fits."""
     token, task_id = owner.claim.token, preemption.task_id
-    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=preemption.for_task)
+    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=preemption.for_task_id)
     if preemption.action is PreemptionAction.THROTTLE:
-        placed = owner.scheduler.placed.get(task_id)
+        placed = owner.scheduler.placements.get(task_id)
         granted_milli = placed.task.resources.cpu_milli if placed is not None else 0
         percent = preemption.cpu_milli * PERCENT // granted_milli if granted_milli else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
         if await owner.call_worker(preemption.worker, message):
-            owner.scheduler.throttled(task_id, preemption.cpu_milli)
+            owner.scheduler.task_throttled(task_id, preemption.cpu_milli)
     elif preemption.action is not PreemptionAction.NEVER:
         owner.stopping_tasks.add(task_id)
         await owner.call_worker(
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -21,7 +21,7 @@
 from baobabhoist.model import Outcome, Request, Task, WorkKind
 from baobabhoist.ownership.keys import Result
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, RelayRequest, ShardDigest
-from baobabhoist.quota.classes import class_key
+from baobabhoist.quota.class_limits import class_key
 
 # A takeover lasts up to 5 s. A request that no owner has received waits longer than that.
 OWNER_WAIT_S = 6.0
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -87,8 +87,8 @@
         self.quota_ledger.begin_takeover()
         self.keys = KeyLedger(clock_skew_s=lease_settings.clock_skew_s)
         self.shard_quota = ShardQuota(self.quota_ledger, self._kind_of)
-        self.scheduler = Scheduler.over(specs, self.shard_quota)
-        self.scheduler.lines.is_full = self.shard_quota.is_class_full
+        self.scheduler = Scheduler.for_workers(specs, self.shard_quota)
+        self.scheduler.queues.is_class_full = self.shard_quota.is_class_full
         self.leaving_workers: set[str] = set()
         self.cancelled_until: dict[str, float] = {}
         # Tasks that a worker was told to stop. Their end says nothing about the health of the
@@ -261,7 +261,7 @@
     def release_unsent(self, task_id: str, now: float) -> None:
         """Release the capacity and the quota of a placed task that was not sent."""
         self.shard_quota.confirmed_ends.add(task_id)
-        self.scheduler.ended(task_id, False, now, preempted=True)
+        self.scheduler.task_ended(task_id, False, now, preempted=True)
 
     async def _run_task(self, placement: Placement) -> None:
         task, worker = placement.task, placement.worker
@@ -285,7 +285,7 @@
             if isinstance(outcome, Completed) and outcome.confirmed:
                 self.shard_quota.confirmed_ends.add(task.task_id)
             was_stopped = task.task_id in self.stopping_tasks and not succeeded
-            self.scheduler.ended(task.task_id, succeeded, now, preempted=was_stopped)
+            self.scheduler.task_ended(task.task_id, succeeded, now, preempted=was_stopped)
         self.stopping_tasks.discard(task.task_id)
         if isinstance(outcome, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
             self._requeue(task, now)
@@ -337,7 +337,7 @@
 
     def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
         """Confirm ended tasks, and compare a worker's running tasks with the adopted ones."""
-        self.shard_quota.worker_confirmed(worker, mark)
+        self.shard_quota.confirm_ends(worker, mark)
         self.adoption.reconcile(worker, reply.running)
 
     def on_worker_restarted(self, worker: str) -> None:
@@ -346,7 +346,7 @@
 
     def renewal_mark(self) -> int:
         """Return the number of the last task end known before a renewal is sent."""
-        return self.quota_ledger.mark()
+        return self.quota_ledger.end_watermark()
 
     def update_usable_workers(self) -> None:
         """Update the set of workers that work may be dispatched to."""
@@ -397,14 +397,14 @@
 
     def refresh_escrow(self) -> None:
         """Use the full escrow once the epoch is confirmed and no worker obeys an earlier owner."""
-        if self.quota_ledger.cap is not None and self.claim.escrow_usable:
+        if self.quota_ledger.takeover_cap is not None and self.claim.escrow_usable:
             escrow = self._read_escrow(self.shard)
             if escrow is not None:
                 self.lift_takeover_cap(escrow)
 
     def lift_takeover_cap(self, escrow: Mapping[str, int]) -> None:
         """Replace the takeover cap by an escrow that was read after the epoch was confirmed."""
-        self.quota_ledger.uncap(dict(escrow))
+        self.quota_ledger.lift_takeover_cap(dict(escrow))
         emit(log, Event.TAKEOVER_CAP_LIFTED, shard=self.shard)
 
     def free_slots(self) -> int:
@@ -506,9 +506,9 @@
         for task in self.scheduler.expire(now):
             refusal = Refusal(ErrorKind.DEADLINE_PASSED, "the deadline passed in the queue")
             self.finish(task.task_id, refusal)
-        for task, refusal in self.scheduler.given_up():
+        for task, refusal in self.scheduler.take_refused():
             self.finish(task.task_id, refusal)
-        for preemption in self.scheduler.preemptions():
+        for preemption in self.scheduler.take_preemptions():
             self.spawn(apply_preemption(self, preemption))
         self.refresh_escrow()
         self.dispatch(now)
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import RunningTask, Task, WorkKind
-from baobabhoist.quota.classes import ClassLedger, class_key
+from baobabhoist.quota.class_limits import ClassLimitLedger, class_key
 from baobabhoist.quota.ledger import QuotaLedger
 
 
@@ -18,17 +18,17 @@
 
     `confirmed_ends` holds the tasks whose end is confirmed: its report carries this owner's
     token, or the task was never sent. `kind_of` returns the kind of a task that is about to
-    start. Both ledgers see the same starts and ends, so a mark denotes the same ends in both.
+    start. Both ledgers see the same starts and ends, so a watermark denotes the same ends in both.
     """
 
     team_ledger: QuotaLedger
     kind_of: Callable[[str], WorkKind]
-    class_ledger: ClassLedger = attrs.field()
+    class_ledger: ClassLimitLedger = attrs.field()
     confirmed_ends: set[str] = attrs.Factory(set)
 
     @class_ledger.default
-    def _new_class_ledger(self) -> ClassLedger:
-        ledger = ClassLedger(self.team_ledger.shard)
+    def _new_class_ledger(self) -> ClassLimitLedger:
+        ledger = ClassLimitLedger(self.team_ledger.shard)
         ledger.begin_takeover()
         return ledger
 
@@ -45,23 +45,23 @@
             else None
         )
 
-    def start(self, team: str, task_id: str, worker: str) -> Refusal | None:
+    def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Take a unit of quota for a task, or return why there is none."""
         kind = self.kind_of(task_id)
         if self.is_class_full(team, kind):
             return self._class_full_refusal(team, kind)
-        refusal = self.team_ledger.start(team, task_id, worker)
+        refusal = self.team_ledger.acquire(team, task_id, worker)
         if refusal is None:
-            self.class_ledger.start(class_key(team, kind), task_id, worker)
+            self.class_ledger.acquire(class_key(team, kind), task_id, worker)
         return refusal
 
-    def ended(self, task_id: str) -> None:
+    def release(self, task_id: str) -> None:
         """Return the quota of a task, if it still holds any."""
         confirmed = task_id in self.confirmed_ends
         self.confirmed_ends.discard(task_id)
         for ledger in (self.team_ledger, self.class_ledger):
             if task_id in ledger.running:
-                ledger.ended(task_id, confirmed)
+                ledger.release(task_id, confirmed)
 
     def adopt(self, worker: str, running: Iterable[RunningTask]) -> None:
         """Count the tasks that a worker reports when it is fenced."""
@@ -69,10 +69,10 @@
         self.team_ledger.adopt(worker, tasks)
         self.class_ledger.adopt(worker, tasks)
 
-    def worker_confirmed(self, worker: str, mark: int) -> None:
+    def confirm_ends(self, worker: str, watermark: int) -> None:
         """Release the quota of tasks whose end was known before an accepted call was sent."""
-        self.team_ledger.worker_confirmed(worker, mark)
-        self.class_ledger.worker_confirmed(worker, mark)
+        self.team_ledger.confirm_ends(worker, watermark)
+        self.class_ledger.confirm_ends(worker, watermark)
 
     def is_class_full(self, team: str, kind: WorkKind) -> bool:
         """Return whether the class limit of a team keeps this kind of work waiting here."""
@@ -103,5 +103,5 @@
 
     def _sync_takeover_cap(self) -> None:
         # The team ledger lifts its takeover cap once the table has confirmed the epoch.
-        if self.team_ledger.cap is None:
-            self.class_ledger.cap = None
+        if self.team_ledger.takeover_cap is None:
+            self.class_ledger.takeover_cap = None
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -77,7 +77,7 @@
         fairness = owner.scheduler.fairness
         teams = set(owner.quota_ledger.escrow) | set(owner.quota_ledger.used)
         for team in teams:
-            self._metrics.set_share(team, owner.shard, fairness.dominant(team))
+            self._metrics.set_share(team, owner.shard, fairness.dominant_share(team))
             self._metrics.set_escrow(team, owner.shard, owner.quota_ledger.allowed(team))
         self._metrics.set_packing(owner.shard, packing_ratio(owner.scheduler.index))
 
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -9,7 +9,7 @@
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
 from baobabhoist.peer.messages import PlacesWanted
-from baobabhoist.quota.escrow import decode
+from baobabhoist.quota.escrow import decode_row
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.memory_table import MemoryTable
 from baobabhoist.tests.shard_harness import ShardHarness, request, shorten_intervals, until
@@ -77,7 +77,7 @@
         return self.instances[number].owners[0]
 
     def row(self):
-        return decode("team", self.table.rows["escrow/team"].value)
+        return decode_row("team", self.table.rows["escrow/team"].value)
 
     def held(self):
         return [self.owner(number).quota_ledger.escrow.get("team", 0) for number in (0, 1)]
@@ -141,7 +141,7 @@
 async def test_a_waiting_team_starts_in_the_cycle_that_adds_its_quota(cluster):
     """Guard against urgent work that waits for periodic maintenance after its quota arrived."""
     owner = cluster.owner(0)
-    owner.scheduler._unlimit_at = float("inf")
+    owner.scheduler._limited_teams_retry_at = float("inf")
     for number in range(3):
         cluster.harnesses[0].spawn(owner.submit(request(f"t{number}", LONG, shard="r1")))
     await until(lambda: owner.quota_ledger.used["team"] == 2)
