--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -85,11 +85,11 @@
     ) -> None:
         """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
 
-    def renewal_mark(self) -> int:
+    def end_watermark(self) -> int:
         """Return the number of the last task end known before a renewal is sent."""
 
-    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
-        """Handle a worker's list of running tasks, with the mark taken before the call."""
+    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, watermark: int) -> None:
+        """Handle a worker's list of running tasks, with the watermark taken before the call."""
 
     def on_worker_restarted(self, worker: str) -> None:
         """Handle a worker that may have lost the tasks it was sent."""
@@ -374,7 +374,7 @@
                     self._spawn(self._renew_worker(worker))
 
     async def _renew_worker(self, worker: str) -> None:
-        sent_at, mark = self._clock(), self._listener.renewal_mark()
+        sent_at, watermark = self._clock(), self._listener.end_watermark()
         token = self.claim.token
         call = RenewLeases(token, self._leases.extend(worker, sent_at))
         try:
@@ -389,7 +389,7 @@
             await self.on_token_refused(worker, reply.highest)
         elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced:
             await self.apply(WorkerConfirmed(worker, token, sent_at))
-            self._listener.on_leases_renewed(worker, reply, mark)
+            self._listener.on_leases_renewed(worker, reply, watermark)
 
     def _count_renewal_timeout(self, worker: str) -> None:
         self._renewal_timeouts[worker] = self._renewal_timeouts.get(worker, 0) + 1
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -335,16 +335,16 @@
         """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
         self.adoption.adopt_inventory(worker, running, ended)
 
-    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, mark: int) -> None:
+    def on_leases_renewed(self, worker: str, reply: LeasesRenewed, watermark: int) -> None:
         """Confirm ended tasks, and compare a worker's running tasks with the adopted ones."""
-        self.shard_quota.confirm_ends(worker, mark)
+        self.shard_quota.confirm_ends(worker, watermark)
         self.adoption.reconcile(worker, reply.running)
 
     def on_worker_restarted(self, worker: str) -> None:
         """Handle a worker that may have lost the tasks it was sent."""
         self.dispatcher.count_worker_restart(worker)
 
-    def renewal_mark(self) -> int:
+    def end_watermark(self) -> int:
         """Return the number of the last task end known before a renewal is sent."""
         return self.quota_ledger.end_watermark()
 
