--- /dev/null
+++ b/baobabhoist/control/job_writer.py
@@ -0,0 +1,112 @@
+"""Store accepted jobs and cancellations, and resolve the outcome of unanswered writes."""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import logging
+
+import attrs
+
+from baobabhoist.control.clock import monotonic_ms
+from baobabhoist.control.row_schema import cancel_row_key, job_row_key
+from baobabhoist.control.store_health import StoreHealth
+from baobabhoist.observability.events import Event, emit
+from baobabhoist.store.rows import (
+    RowKey,
+    RowsCommitted,
+    RowsConflict,
+    RowStore,
+    RowsTxn,
+    StoreError,
+    StoreRefusedError,
+    StoreUnansweredError,
+)
+
+log = logging.getLogger(__name__)
+
+RETRY_INTERVAL_S = 0.06
+# A refused write is retried for this long before the refusal is reported.
+REFUSED_RETRY_MS = 150.0
+# An unanswered write is retried for this long while the store answers no other call either.
+UNANSWERED_RETRY_MS = 700.0
+
+
+class WriteStatus(enum.Enum):
+    """Describe the outcome of storing a row."""
+
+    NEW = "new"
+    # An earlier call had already stored the row.
+    ALREADY_STORED = "known"
+    # The row was not written, and no late write is pending.
+    REFUSED = "refused"
+    # The row may have been written, or may be written late.
+    UNKNOWN = "unknown"
+
+
+@attrs.frozen
+class WriteResult:
+    """Hold the outcome of a write, and the version of the row if it is stored."""
+
+    status: WriteStatus
+    version: int = 0
+
+
+class JobWriter:
+    """Insert rows idempotently; repeating a write tells the outcome of an unanswered one."""
+
+    def __init__(self, store: RowStore, store_health: StoreHealth) -> None:
+        self._store = store
+        self._store_health = store_health
+
+    async def store_job(self, job_id: str, value: bytes, deadline_ms: float) -> WriteResult:
+        """Store a job unless it is already stored."""
+        return await self._insert(job_row_key(job_id), value, deadline_ms)
+
+    async def store_cancellation(self, job_id: str, deadline_ms: float) -> WriteResult:
+        """Store the cancellation of a job."""
+        return await self._insert(cancel_row_key(job_id), b"{}", deadline_ms)
+
+    async def _insert(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
+        """Insert a row, and retry until the outcome is known or the time is up."""
+        txn = RowsTxn({key: 0}, {key: value})
+        start_ms = monotonic_ms()
+        may_be_written = False
+        while True:
+            try:
+                outcome = await self._store.commit(txn)
+            except StoreRefusedError as exc:
+                is_unreachable = self._store_health.is_unreachable()
+                retried_too_long = monotonic_ms() - start_ms > REFUSED_RETRY_MS
+                if not may_be_written and (is_unreachable or retried_too_long):
+                    emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
+                    return WriteResult(WriteStatus.REFUSED)
+            except StoreUnansweredError as exc:
+                # Repeating the same write tells whether this one was applied.
+                may_be_written = True
+                emit(log, Event.WRITE_UNANSWERED, row=key.key, detail=exc)
+                if self._is_silent_since(start_ms):
+                    return WriteResult(WriteStatus.UNKNOWN)
+            except StoreError as exc:
+                emit(log, Event.WRITE_REFUSED, row=key.key, detail=exc)
+                return WriteResult(WriteStatus.UNKNOWN if may_be_written else WriteStatus.REFUSED)
+            else:
+                return _write_result(outcome, key, may_be_written)
+            if monotonic_ms() + RETRY_INTERVAL_S * 1000 >= deadline_ms:
+                return WriteResult(WriteStatus.UNKNOWN if may_be_written else WriteStatus.REFUSED)
+            await asyncio.sleep(RETRY_INTERVAL_S)
+
+    def _is_silent_since(self, start_ms: float) -> bool:
+        """Return whether the store has answered no call since a write, for too long."""
+        is_silent = self._store_health.last_answer_ms < start_ms
+        return is_silent and monotonic_ms() - start_ms > UNANSWERED_RETRY_MS
+
+
+def _write_result(
+    outcome: RowsCommitted | RowsConflict, key: RowKey, may_be_written: bool
+) -> WriteResult:
+    if isinstance(outcome, RowsCommitted):
+        return WriteResult(WriteStatus.NEW, outcome.version)
+    return WriteResult(
+        WriteStatus.NEW if may_be_written else WriteStatus.ALREADY_STORED, outcome.version_of(key)
+    )
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -1,4 +1,4 @@
-"""Wire one instance: configuration, claim, links, callers, readiness and metrics."""
+"""Assemble and run one instance."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 import attrs
 
 from baobabhoist.cell.model import CellRules
-from baobabhoist.control.accept import Acceptor
-from baobabhoist.control.advice import AdviceDesk
-from baobabhoist.control.claimant import Claimant
-from baobabhoist.control.clock import SharedClock, boot_ms
-from baobabhoist.control.config import ConfigInForce
-from baobabhoist.control.contact import WatchedStore
-from baobabhoist.control.follow import TableFollower
-from baobabhoist.control.frontdesk import FrontDesk
+from baobabhoist.control.advice import AdviceDispatcher
+from baobabhoist.control.clock import StoreClock, monotonic_ms
+from baobabhoist.control.config import ActiveConfig
+from baobabhoist.control.election import OwnerElection
 from baobabhoist.control.interfaces import Adviser, Decoder, WorkerDriver
+from baobabhoist.control.job_api import JobApi
+from baobabhoist.control.job_writer import JobWriter
 from baobabhoist.control.links import Identity, LinkServer, OwnerLink
 from baobabhoist.control.metrics import NodeMetrics
-from baobabhoist.control.owner import CellOwner, OwnerParts, Ownership
-from baobabhoist.control.owners import OwnerCalls
-from baobabhoist.control.relay import Peers, RelayedStore
-from baobabhoist.control.rowmap import (
+from baobabhoist.control.owner import CellOwner, OwnerDependencies, OwnershipTerm
+from baobabhoist.control.owner_router import OwnerRouter
+from baobabhoist.control.relay import FailoverStore, RelayPeers
+from baobabhoist.control.row_schema import (
     CELL_TABLE,
 )
 from baobabhoist.control.settings import NodeSettings
+from baobabhoist.control.store_health import MonitoredStore
+from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
 from baobabhoist.store.rows import (
@@ -37,17 +37,17 @@
 
 log = logging.getLogger(__name__)
 
-# An instance whose configuration is older than this is not ready.
-READY_CONFIG_MS = 2_800.0
-# An instance that has no way of its own to the store for this long takes no new callers.
-READY_CONTACT_MS = 800.0
-LEASE_MS = 5_000.0
-NO_RULES = CellRules(0, {}, {})
+# An instance whose configuration was confirmed longer ago than this is not ready.
+MAX_READY_CONFIG_AGE_MS = 2_800.0
+# An instance that could not reach the store directly for this long is not ready.
+MAX_READY_STORE_OUTAGE_MS = 800.0
+DEFAULT_LEASE_MS = 5_000.0
+EMPTY_RULES = CellRules(0, {}, {})
 
 
 @attrs.define
-class Adapter:
-    """Hold what a platform's adapter provides."""
+class PlatformAdapter:
+    """Hold the platform's implementations of the interfaces that an instance uses."""
 
     store: RowStore
     driver: WorkerDriver
@@ -56,85 +56,87 @@
 
 
 class Node:
-    """Own the tasks of one instance."""
+    """Run the tasks of one instance."""
 
-    def __init__(self, cfg: NodeSettings, adapter: Adapter) -> None:
+    def __init__(self, cfg: NodeSettings, adapter: PlatformAdapter) -> None:
         self.cfg = cfg
-        self.config = ConfigInForce()
-        self.clock = SharedClock()
+        self.config = ActiveConfig()
+        self.clock = StoreClock()
         self.identity = Identity(cfg.instance_id, secrets.token_hex(8))
-        self.calls = OwnerCalls(cfg.instance_id, adapter.adviser)
-        self.server = LinkServer(self.identity, self.calls.handle)
-        self.link = OwnerLink(self.identity, self.calls.handle, lambda: self._claimant.wake())
-        self.calls.link = self.link
+        self.owner_router = OwnerRouter(cfg.instance_id, adapter.adviser)
+        self.link_server = LinkServer(self.identity, self.owner_router.handle)
+        self.owner_link = OwnerLink(
+            self.identity, self.owner_router.handle, lambda: self._election.recheck()
+        )
+        self.owner_router.owner_link = self.owner_link
         self.metrics = NodeMetrics()
-        # Returns how many log lines were dropped or left out.
-        self.dropped_lines: Callable[[], int] = lambda: 0
-        direct = WatchedStore(adapter.store, self.metrics)
-        self._contact = direct.contact
-        store = RelayedStore(direct, Peers(self._links))
-        self.calls.relay = store
+        # Returns how many log lines were dropped or suppressed.
+        self.count_dropped_lines: Callable[[], int] = lambda: 0
+        direct = MonitoredStore(adapter.store, self.metrics)
+        self._store_health = direct.health
+        store = FailoverStore(direct, RelayPeers(self._relay_links))
+        self.owner_router.relay_store = store
         adapter = attrs.evolve(adapter, store=store)
-        self.front = FrontDesk(
+        self.job_api = JobApi(
             self.config,
             adapter.store,
-            Acceptor(store, direct.contact),
+            JobWriter(store, direct.health),
             adapter.decoder,
             self.clock,
-            self.calls,
+            self.owner_router,
             cfg.bounds.revoke_ms,
             cfg.store.row_max_bytes,
         )
         self._adapter = adapter
-        self._advice = AdviceDesk(adapter.adviser, lambda: self.server.links)
+        self._advice_dispatcher = AdviceDispatcher(adapter.adviser, lambda: self.link_server.links)
         self._was_ready = False
-        self._claimant = Claimant(
+        self._election = OwnerElection(
             cfg,
             store,
             self.config,
             self.identity,
-            self.calls,
-            self.server,
-            self.link,
+            self.owner_router,
+            self.link_server,
+            self.owner_link,
             self._make_owner,
         )
 
     async def run(self) -> None:
-        """Work until cancelled."""
-        await self.server.start(self.cfg.host, self.cfg.peer_port)
+        """Run until cancelled."""
+        await self.link_server.start(self.cfg.host, self.cfg.peer_port)
         store = self._adapter.store
-        operator = TableFollower(
+        operator_follower = TableFollower(
             store,
             self._adapter.decoder.tables.operator,
-            self._operator_changed,
+            self._apply_operator_rows,
             self.clock,
             on_confirmed=self.config.confirm,
         )
-        cell = TableFollower(
+        cell_follower = TableFollower(
             store,
             CELL_TABLE,
-            self._claimant.rows_changed,
+            self._election.apply_rows,
             self.clock,
-            on_confirmed=self._claimant.confirmed,
-            pause_s=self._claimant.pause_s,
+            on_confirmed=self._election.note_read,
+            pause_s=self._election.poll_pause_s,
         )
-        self._claimant.hurry = cell.hurry
+        self._election.poll_now = cell_follower.poll_now
         async with asyncio.TaskGroup() as group:
-            group.create_task(operator.run())
-            group.create_task(cell.run())
-            group.create_task(self._claimant.claim_forever())
-            group.create_task(self._claimant.beat_forever())
-            group.create_task(self._claimant.beat_links_forever())
-
-    def ready(self) -> bool:
-        """Tell whether this instance should get new callers."""
-        current = self.config.age_ms(boot_ms()) < READY_CONFIG_MS
+            group.create_task(operator_follower.run())
+            group.create_task(cell_follower.run())
+            group.create_task(self._election.run_claims())
+            group.create_task(self._election.run_store_heartbeats())
+            group.create_task(self._election.run_link_heartbeats())
+
+    def is_ready(self) -> bool:
+        """Return whether this instance should receive new calls."""
+        is_config_recent = self.config.age_ms(monotonic_ms()) < MAX_READY_CONFIG_AGE_MS
         is_ready = (
-            not self._claimant.draining
+            not self._election.is_draining
             and self.config.current is not None
-            and current
-            and self.calls.reachable
-            and not self._contact.lost_for(READY_CONTACT_MS)
+            and is_config_recent
+            and self.owner_router.is_owner_reachable
+            and not self._store_health.is_unreachable_for(MAX_READY_STORE_OUTAGE_MS)
         )
         if is_ready is not self._was_ready:
             self._was_ready = is_ready
@@ -142,39 +144,39 @@
                 log,
                 Event.READINESS,
                 ready=is_ready,
-                config_age_ms=round(self.config.age_ms(boot_ms())),
-                owner=self.calls.reachable,
+                config_age_ms=round(self.config.age_ms(monotonic_ms())),
+                owner=self.owner_router.is_owner_reachable,
             )
         return is_ready
 
-    def _links(self) -> list[Link]:
+    def _relay_links(self) -> list[Link]:
         """Return the links to instances through which the store may be reached."""
-        if self.calls.local is not None:
-            return list(self.server.links.values())
-        return [self.link.link] if self.link.link is not None else []
+        if self.owner_router.local_owner is not None:
+            return list(self.link_server.links.values())
+        return [self.owner_link.link] if self.owner_link.link is not None else []
 
     def refresh_metrics(self) -> None:
-        """Set the gauges that are read, not counted."""
-        cfg, now = self.config.current, boot_ms()
-        self.metrics.set_dropped_lines(self.dropped_lines())
+        """Set the gauges whose values are read when the metrics are scraped."""
+        cfg, now = self.config.current, monotonic_ms()
+        self.metrics.set_dropped_log_lines(self.count_dropped_lines())
         self.metrics.set_config(cfg.version if cfg else 0, self.config.age_ms(now) / 1000)
-        owner = self.calls.local
+        owner = self.owner_router.local_owner
         cell = owner.cell if owner is not None else None
         queued = cell.count_queued_tasks() if cell is not None else {}
         margin = cell.min_lease_margin_ms(now) if cell is not None else 0.0
-        self.metrics.set_owner(owner is not None, queued, margin / 1000)
+        self.metrics.set_owner_gauges(owner is not None, queued, margin / 1000)
 
     async def drain(self) -> None:
-        """Give the cell up, so that another instance takes it over at once."""
-        self._claimant.draining = True
-        await self._claimant.release("this instance drains")
+        """Stop claiming the cell, and release it so that another instance takes over at once."""
+        self._election.is_draining = True
+        await self._election.release("this instance drains")
 
-    def _operator_changed(self, rows: Sequence[StoredRow], whole: bool) -> None:
+    def _apply_operator_rows(self, rows: Sequence[StoredRow], is_snapshot: bool) -> None:
         for row in rows:
             is_config = row.key.key == self._adapter.decoder.tables.config_key
             if not is_config or row.value is None:
                 continue
-            cfg = self._adapter.decoder.config(row.value)
+            cfg = self._adapter.decoder.decode_config(row.value)
             if cfg is None or not self.config.accept(cfg):
                 continue
             emit(
@@ -183,28 +185,28 @@
                 version=cfg.version,
                 queues=len(cfg.rules.queues),
                 teams=len(cfg.rules.teams),
-                keys=len(cfg.keys),
+                keys=len(cfg.team_by_key),
             )
-            if self.calls.local is not None:
-                self.calls.local.use_rules(cfg.rules)
+            if self.owner_router.local_owner is not None:
+                self.owner_router.local_owner.apply_rules(cfg.rules)
 
     def _make_owner(
         self,
-        ownership: Ownership,
+        ownership: OwnershipTerm,
         may_start: Callable[[], bool],
-        on_deposed: Callable[[str], None],
+        on_ownership_lost: Callable[[str], None],
     ) -> CellOwner:
-        rules = self.config.current.rules if self.config.current is not None else NO_RULES
-        parts = OwnerParts(
+        rules = self.config.current.rules if self.config.current is not None else EMPTY_RULES
+        deps = OwnerDependencies(
             self._adapter.store,
             self._adapter.driver,
             self._adapter.decoder,
             self.clock,
-            self._advice,
-            min(LEASE_MS, self.cfg.bounds.lease_max_ms),
+            self._advice_dispatcher,
+            min(DEFAULT_LEASE_MS, self.cfg.bounds.lease_max_ms),
             self.cfg.bounds.job_kept_s * 1000,
             may_start,
-            on_deposed,
+            on_ownership_lost,
             self.metrics,
         )
-        return CellOwner(parts, ownership, rules)
+        return CellOwner(deps, ownership, rules)
--- /dev/null
+++ b/baobabhoist/control/owner_router.py
@@ -0,0 +1,137 @@
+"""Route queries and notifications to the cell's owner, in this process or over its link."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from baobabhoist.cell.model import StepKey
+from baobabhoist.control.clock import monotonic_ms
+from baobabhoist.control.interfaces import Adviser
+from baobabhoist.control.links import OwnerLink
+from baobabhoist.control.messages import (
+    AdviceQuery,
+    AdviceReply,
+    CancelNotice,
+    JobNotice,
+    NotOwner,
+    PendingQuery,
+    PendingReply,
+    RelayCommit,
+    RelayFollow,
+    RelayRead,
+    StateQuery,
+    StateReply,
+)
+from baobabhoist.control.owner import CellOwner
+from baobabhoist.control.relay import FailoverStore
+from baobabhoist.errors import LinkClosedError
+
+log = logging.getLogger(__name__)
+
+# After a query timed out, further queries fail at once for this long.
+OWNER_TIMEOUT_BACKOFF_MS = 1_000.0
+
+
+class OwnerRouter:
+    """Send queries and notifications to the owner, and answer those of other instances."""
+
+    def __init__(self, node: str, adviser: Adviser) -> None:
+        self.local_owner: CellOwner | None = None
+        self.owner_link: OwnerLink | None = None
+        # Executes store calls that other instances relay through this one.
+        self.relay_store: FailoverStore | None = None
+        self._node = node
+        self._adviser = adviser
+        self._tasks: set[asyncio.Task[None]] = set()
+        # Until this time a query would most likely time out on the same silent link.
+        self._backoff_until_ms = 0.0
+
+    @property
+    def is_owner_reachable(self) -> bool:
+        """Return whether the owner is known and likely to answer."""
+        if self.local_owner is not None:
+            return self.local_owner.cell is not None
+        is_backing_off = monotonic_ms() < self._backoff_until_ms
+        return (
+            self.owner_link is not None and self.owner_link.link is not None and not is_backing_off
+        )
+
+    async def call(self, query: Any, timeout_s: float) -> Any:
+        """Return the owner's answer; raises LinkClosedError or TimeoutError."""
+        if self.local_owner is not None:
+            return await self.handle(query)
+        if self.owner_link is None or monotonic_ms() < self._backoff_until_ms:
+            raise LinkClosedError("the owner is unknown or has not answered recently")
+        try:
+            return await self.owner_link.call(query, timeout_s)
+        except TimeoutError:
+            self._backoff_until_ms = monotonic_ms() + OWNER_TIMEOUT_BACKOFF_MS
+            raise
+
+    def notify(self, notice: Any) -> None:
+        """Notify the owner in the background; it reads missed changes from the store."""
+        task = asyncio.create_task(self._notify(notice))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def handle(self, message: Any) -> Any:
+        """Answer a message from another instance or from this one."""
+        instance_handler = self._INSTANCE_HANDLERS.get(type(message))
+        if instance_handler is not None:
+            return await instance_handler(self, message)
+        if self.local_owner is None:
+            return NotOwner(self._node)
+        owner_handler = self._OWNER_HANDLERS.get(type(message))
+        return (
+            owner_handler(self, self.local_owner, message) if owner_handler is not None else None
+        )
+
+    def _answer_state(self, owner: CellOwner, query: StateQuery) -> StateReply:
+        return owner.job_state(query.job_id)
+
+    def _answer_pending(self, owner: CellOwner, query: PendingQuery) -> PendingReply | NotOwner:
+        return owner.count_pending_jobs(query.queue) or NotOwner(self._node)
+
+    def _handle_job_notice(self, owner: CellOwner, notice: JobNotice) -> None:
+        owner.handle_stored_job(notice.job_id, notice.value, notice.version)
+
+    def _handle_cancel_notice(self, owner: CellOwner, notice: CancelNotice) -> None:
+        owner.handle_cancelled_job(notice.job_id)
+
+    async def _serve_store_call(self, message: Any) -> Any:
+        return await self.relay_store.serve(message) if self.relay_store is not None else None
+
+    async def _ask_adviser(self, query: AdviceQuery) -> AdviceReply:
+        step = StepKey(query.job_id, query.occurrence, query.step)
+        advice = await self._adviser.ask(step, query.workers, query.cost_ms)
+        if advice is None:
+            return AdviceReply(False)
+        return AdviceReply(True, advice.tickets, advice.valid_ms)
+
+    # Messages that every instance answers, and messages that only the owner answers.
+    _INSTANCE_HANDLERS: dict[type, Callable[[Any, Any], Awaitable[Any]]] = {
+        AdviceQuery: _ask_adviser,
+        RelayCommit: _serve_store_call,
+        RelayRead: _serve_store_call,
+        RelayFollow: _serve_store_call,
+    }
+    _OWNER_HANDLERS: dict[type, Callable[[Any, CellOwner, Any], Any]] = {
+        StateQuery: _answer_state,
+        PendingQuery: _answer_pending,
+        JobNotice: _handle_job_notice,
+        CancelNotice: _handle_cancel_notice,
+    }
+
+    async def _notify(self, notice: Any) -> None:
+        if self.local_owner is not None:
+            await self.handle(notice)
+            return
+        link = self.owner_link.link if self.owner_link is not None else None
+        try:
+            if link is not None:
+                await link.notify(notice)
+        except LinkClosedError as exc:
+            log.debug("a notification to the owner was lost: %s", exc)
--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -85,7 +85,7 @@
         # violate the state machine of the idempotency keys.
         without_call = [task for task in ended if task.task_id not in owner.in_flight]
         owner.requests.answers.note_omitted_bodies(worker, without_call)
-        for request_id, result in owner.keys.inherit(worker, adopted, without_call, now):
+        for request_id, result in owner.keys.apply_inventory(worker, adopted, without_call, now):
             owner.spawn(owner.requests.deliver_with_body(request_id, result))
         for task_id in self._adopted.find_missing(worker, [task.task_id for task in running]):
             if self._adopted.remove(worker, task_id):
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -14,7 +14,7 @@
     outcome_unknown_refusal,
 )
 from baobabhoist.model import Answer, EndedTask, Request
-from baobabhoist.ownership.keys import Result
+from baobabhoist.ownership.request_keys import Result
 
 # The worker stores every answer as well. Keeping large bodies here for up to ten minutes, the
 # longest retention of a key, would exhaust the memory of a small VM.
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -16,20 +16,21 @@
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
 from baobabhoist.ownership.events import (
-    Action,
     AdvanceEpoch,
-    ClaimWanted,
+    ClaimAction,
+    ClaimEvent,
+    ClaimRequested,
+    ClaimState,
     EpochConflict,
     EpochGranted,
     EpochUnavailable,
     FenceRefused,
+    HandOverAccepted,
     HandOverRefused,
-    HandOverTaken,
-    HandOverWanted,
+    HandOverRequested,
     PresentToken,
-    ReleaseWanted,
+    ReleaseRequested,
     SendQueue,
-    ShardState,
     StateChanged,
     Tick,
     WorkerConfirmed,
@@ -40,7 +41,6 @@
     WorkerReportedLive,
     WorkersChanged,
 )
-from baobabhoist.ownership.events import Event as ClaimEvent
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.store.table import Committed, Table, Transaction, within
 from baobabhoist.upstream.messages import (
@@ -67,7 +67,7 @@
 CONFIRM_ATTEMPTS = 3
 CONFIRM_SAMPLE_SIZE = 3
 
-ENDED_STATES = (ShardState.LOST, ShardState.IDLE)
+ENDED_STATES = (ClaimState.LOST, ClaimState.IDLE)
 
 # These arrive once a second for each worker. Without an action of the claim, they can change the
 # set of usable workers only while some worker is unverified.
@@ -77,7 +77,7 @@
 class ClaimListener(Protocol):
     """Receive the events of a shard's claim."""
 
-    def on_state_changed(self, state: ShardState) -> None:
+    def on_state_changed(self, state: ClaimState) -> None:
         """Handle a new state of the claim."""
 
     def on_inventory(
@@ -159,7 +159,7 @@
 
     async def release(self) -> None:
         """Release the shard."""
-        await self.apply(ReleaseWanted())
+        await self.apply(ReleaseRequested())
 
     async def hand_over(self, successor: str) -> bool:
         """Stop dispatch, send the queue to the successor and return whether the claim ended.
@@ -167,8 +167,8 @@
         The claim itself aborts a hand-over whose deadline passes.
         """
         self._hand_over_finished.clear()
-        await self.apply(HandOverWanted(successor))
-        if self.claim.state is ShardState.HANDING_OVER:
+        await self.apply(HandOverRequested(successor))
+        if self.claim.state is ClaimState.HANDING_OVER:
             await self._hand_over_finished.wait()
         return self.ended.is_set()
 
@@ -179,10 +179,10 @@
     async def confirm_owned_at(self, at: float) -> bool:
         """Return whether this instance certainly owned the shard at a time; may call workers."""
         for _ in range(CONFIRM_ATTEMPTS):
-            if self.claim.confirmed_after(at) or self.ended.is_set():
+            if self.claim.is_confirmed_since(at) or self.ended.is_set():
                 break
             await asyncio.wait((self.start_confirmation(),))
-        return self.claim.confirmed_after(at)
+        return self.claim.is_confirmed_since(at)
 
     def start_confirmation(self) -> asyncio.Task[None]:
         """Ask some workers to confirm the token; concurrent callers share one round."""
@@ -191,7 +191,7 @@
         return self._confirmation
 
     async def _confirm_with_workers(self) -> None:
-        workers = [name for name in self.claim.fenced if self._pool.connected(name)]
+        workers = [name for name in self.claim.fenced_workers if self._pool.connected(name)]
         sample = workers[:CONFIRM_SAMPLE_SIZE]
         await asyncio.gather(*(self._renew_worker(worker) for worker in sample))
 
@@ -225,7 +225,7 @@
         """
         if self.ended.is_set():
             return
-        had_unverified = bool(self.claim.unverified)
+        had_unverified = bool(self.claim.unverified_workers)
         try:
             actions = self.claim.step(event, self._clock())
         except InvariantBreachError:
@@ -241,7 +241,7 @@
         if self._has_claimed and self.claim.state in ENDED_STATES:
             self.ended.set()
 
-    async def _perform(self, action: Action) -> None:
+    async def _perform(self, action: ClaimAction) -> None:
         match action:
             case AdvanceEpoch(expected, target):
                 await self.apply(await self._advance_epoch(expected, target))
@@ -252,7 +252,7 @@
             case StateChanged(state):
                 shard, token = self.claim.shard, self.claim.token
                 emit(log, Event.SHARD_STATE, shard=shard, state=state.value, token=token)
-                if state is not ShardState.HANDING_OVER:
+                if state is not ClaimState.HANDING_OVER:
                     self._hand_over_finished.set()
                 self._listener.on_state_changed(state)
 
@@ -263,7 +263,7 @@
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
             epoch = None
-        await self.apply(ClaimWanted(epoch))
+        await self.apply(ClaimRequested(epoch))
 
     async def _advance_epoch(
         self, expected: int, target: int
@@ -294,18 +294,18 @@
         """Advance the epoch in the table once it is reachable, after a claim without it."""
         while True:
             await asyncio.sleep(EPOCH_CONFIRM_INTERVAL_S)
-            if self.claim.confirmed:
+            if self.claim.is_epoch_committed:
                 continue
             try:
                 epoch = _stored_epoch((await self._table.read(self._row_key)).value)
             except PlatformError:
                 continue
-            await self.apply(ClaimWanted(epoch))
+            await self.apply(ClaimRequested(epoch))
 
     async def _send_queue(self, successor: str, token: Token) -> None:
         is_accepted = await self._listener.send_queue(successor, token)
         if is_accepted is not None:
-            await self.apply(HandOverTaken() if is_accepted else HandOverRefused())
+            await self.apply(HandOverAccepted() if is_accepted else HandOverRefused())
 
     async def _run_ticks(self) -> None:
         while True:
@@ -369,7 +369,7 @@
     async def _renew_leases(self) -> None:
         while True:
             await asyncio.sleep(RENEW_INTERVAL_S)
-            for worker in list(self.claim.fenced):
+            for worker in list(self.claim.fenced_workers):
                 if self._pool.connected(worker):
                     self._spawn(self._renew_worker(worker))
 
@@ -387,7 +387,7 @@
         self._renewal_timeouts.pop(worker, None)
         if isinstance(reply, TokenRefused):
             await self.on_token_refused(worker, reply.highest)
-        elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced:
+        elif isinstance(reply, LeasesRenewed) and worker in self.claim.fenced_workers:
             await self.apply(WorkerConfirmed(worker, token, sent_at))
             self._listener.on_leases_renewed(worker, reply, watermark)
 
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -196,7 +196,9 @@
         return PlacesGiven(request.team, units if committed else 0)
 
     def _eligible_owners(self) -> list[ShardOwner]:
-        return [owner for owner in self._context.active_owners() if owner.claim.escrow_usable]
+        return [
+            owner for owner in self._context.active_owners() if owner.claim.can_use_full_escrow
+        ]
 
     def _account_of(self, owner: ShardOwner) -> ShardAccount:
         account = self._accounts.get(owner.shard)
@@ -272,7 +274,7 @@
 
     def _sync_ledger(self, account: ShardAccount) -> None:
         owner = account.owner
-        if not owner.claim.escrow_usable:
+        if not owner.claim.can_use_full_escrow:
             return
         held = {team: current.row.held(owner.shard) for team, current in self.rows.items()}
         has_gained = owner.quota_ledger.takeover_cap is not None
--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -10,7 +10,7 @@
 
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Outcome, Request, Task, WorkKind
-from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
+from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
 # Work that starts within this time is not worth forwarding.
 FORWARD_DELAY_S = 0.05
@@ -43,10 +43,10 @@
     target: str = ""
 
 
-def is_queued(keys: KeyLedger, entry: PendingRequest) -> bool:
+def is_queued(keys: RequestKeyLedger, entry: PendingRequest) -> bool:
     """Return whether a request waits in the queue of this shard."""
     key = keys.entries.get(entry.req.request_id)
-    return key is not None and key.state is KeyState.QUEUED and not entry.is_forwarding
+    return key is not None and key.state is RequestKeyState.QUEUED and not entry.is_forwarding
 
 
 class TaskQueue(Protocol):
@@ -63,7 +63,7 @@
     """Define the shard that forwards requests and keeps the state of their keys."""
 
     pending: dict[str, PendingRequest]
-    keys: KeyLedger
+    keys: RequestKeyLedger
 
     @property
     def is_usable(self) -> bool:
@@ -148,8 +148,8 @@
         """Mark the keys of forwarded requests as dispatched, before the queue is dropped."""
         for entry in self._home.pending.values():
             key = self._home.keys.entries.get(entry.req.request_id)
-            if entry.is_forwarding and key is not None and key.state is KeyState.QUEUED:
-                self._home.keys.dispatched(entry.req.request_id)
+            if entry.is_forwarding and key is not None and key.state is RequestKeyState.QUEUED:
+                self._home.keys.record_dispatch(entry.req.request_id)
 
     async def _await_result(
         self, entry: PendingRequest, pending_result: Awaitable[Result]
@@ -168,5 +168,5 @@
                 return
             result = refusal
         elif is_still_queued and not is_not_run:
-            home.keys.dispatched(entry.req.request_id)
+            home.keys.record_dispatch(entry.req.request_id)
         home.finish(entry.req.request_id, result)
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -13,8 +13,10 @@
 from baobabhoist.errors import ErrorKind, LinkClosedError, PlatformError, Refusal
 from baobabhoist.jobs.coordinator import JobCoordinator
 from baobabhoist.jobs.messages import (
+    CancelTasks,
+    CancelTasksReply,
+    HoldAck,
     HoldCommit,
-    HoldDone,
     HoldRelease,
     HoldReply,
     HoldRequest,
@@ -23,19 +25,17 @@
     JobsQuery,
     JobsReport,
     JobVerb,
-    TasksCancelled,
-    TasksCancelWanted,
     TasksQuery,
     TasksReport,
 )
 from baobabhoist.jobs.rows import (
-    ACTIVE_PREFIX,
-    active_key,
-    home_of,
+    UNFINISHED_PREFIX,
+    home_shard_of,
     job_id_of,
     job_key,
-    job_row,
-    team_key,
+    job_to_row,
+    team_job_key,
+    unfinished_job_key,
 )
 from baobabhoist.jobs.state import JobRun
 from baobabhoist.model import (
@@ -136,11 +136,11 @@
     def __init__(self, context: JobContext) -> None:
         self._context = context
 
-    async def run(self, req: Request) -> Answer | Refusal:
+    async def run_task(self, req: Request) -> Answer | Refusal:
         """Run a task and return its result."""
         return await self._context.route(req)
 
-    async def query(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
+    async def query_tasks(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
         """Return which tasks run and why the others wait, including forwarded ones."""
         reply = await self.call(shard, TasksQuery(shard, task_ids))
         if not isinstance(reply, TasksReport):
@@ -156,30 +156,30 @@
             waiting.update(forwarded_reply.waiting)
         return TasksReport(tuple(running), waiting)
 
-    async def cancel(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
+    async def cancel_tasks(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
         """Cancel tasks; a refusal means that a shard was unreachable."""
-        reply = await self.call(shard, TasksCancelWanted(shard, task_ids))
-        if not isinstance(reply, TasksCancelled):
+        reply = await self.call(shard, CancelTasks(shard, task_ids))
+        if not isinstance(reply, CancelTasksReply):
             return _owner_unreachable(shard)
         for target, forwarded_ids in _group_by_shard(reply.elsewhere).items():
-            forwarded_reply = await self.call(target, TasksCancelWanted(target, forwarded_ids))
-            if not isinstance(forwarded_reply, TasksCancelled):
+            forwarded_reply = await self.call(target, CancelTasks(target, forwarded_ids))
+            if not isinstance(forwarded_reply, CancelTasksReply):
                 return _owner_unreachable(target)
         return None
 
-    async def hold(
+    async def hold_capacity(
         self, shard: str, job_id: str, tasks: tuple[Task, ...], deadline: float
     ) -> HoldReply:
         """Hold capacity for as many of the tasks as possible."""
         reply = await self.call(shard, HoldRequest(shard, job_id, tasks, deadline))
         return reply if isinstance(reply, HoldReply) else HoldReply(())
 
-    async def commit(self, shard: str, job_id: str) -> bool:
+    async def commit_hold(self, shard: str, job_id: str) -> bool:
         """Start the tasks of a hold; return whether the hold was still valid."""
         reply = await self.call(shard, HoldCommit(shard, job_id))
-        return isinstance(reply, HoldDone) and reply.done
+        return isinstance(reply, HoldAck) and reply.done
 
-    async def release(self, shard: str, job_id: str) -> None:
+    async def release_hold(self, shard: str, job_id: str) -> None:
         """Release a hold."""
         await self.call(shard, HoldRelease(shard, job_id))
 
@@ -200,15 +200,15 @@
     match message:
         case TasksQuery(_, task_ids):
             return shard.report_tasks(task_ids, now)
-        case TasksCancelWanted(_, task_ids):
-            return TasksCancelled(await shard.cancel_tasks(task_ids))
+        case CancelTasks(_, task_ids):
+            return CancelTasksReply(await shard.cancel_tasks(task_ids))
         case HoldRequest(_, job_id, tasks, deadline):
             return shard.hold(job_id, tasks, deadline, now)
         case HoldCommit(_, job_id):
-            return HoldDone(await shard.commit_hold(job_id, now))
+            return HoldAck(await shard.commit_hold(job_id, now))
         case HoldRelease(_, job_id):
             shard.release_hold(job_id)
-            return HoldDone(True)
+            return HoldAck(True)
     return None
 
 
@@ -240,9 +240,9 @@
         txn = Transaction(
             checks={job_key(spec.job_id): 0},
             writes={
-                job_key(spec.job_id): job_row(run),
-                active_key(run.home, spec.job_id): entry,
-                team_key(spec.team, spec.job_id): entry,
+                job_key(spec.job_id): job_to_row(run),
+                unfinished_job_key(run.home, spec.job_id): entry,
+                team_job_key(spec.team, spec.job_id): entry,
             },
         )
         try:
@@ -282,7 +282,9 @@
         try:
             rows = await self._scan(prefix, MAX_LISTED_JOBS)
             # A job that ends between the two scans is read from the table with its final state.
-            homes = {job_id_of(row): home_of(row) for row in await self._scan(ACTIVE_PREFIX)}
+            homes = {
+                job_id_of(row): home_shard_of(row) for row in await self._scan(UNFINISHED_PREFIX)
+            }
             job_ids = [job_id_of(row) for row in rows]
             statuses = await self._query_homes(
                 [job_id for job_id in job_ids if job_id in homes], homes
@@ -300,7 +302,7 @@
         """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
         job_ids = []
         try:
-            for row in await self._scan(ACTIVE_PREFIX):
+            for row in await self._scan(UNFINISHED_PREFIX):
                 job_queue = row.value.get("queue")
                 if job_queue is None:
                     # Earlier releases wrote these rows without the queue.
@@ -358,7 +360,7 @@
 
     def _stored_status(self, run: JobRun) -> JobStatus:
         status = run.status()
-        if run.finished:
+        if run.is_finished:
             return status
         reason = f"the owner of shard {run.home} did not answer; this is the last stored state"
         return attrs.evolve(status, reason=reason)
@@ -385,7 +387,7 @@
             return JobReply(refusal=_platform_unavailable(exc))
         if run is None or team not in (None, run.spec.team):
             return JobReply(refusal=_job_not_found(job_id))
-        if run.finished:
+        if run.is_finished:
             return await self._apply_verb(run, verb)
         call = JobCall(run.home, job_id, verb)
         if self._context.local_shard(run.home) is not None:
@@ -412,7 +414,7 @@
                 return _platform_unavailable(exc)
             if run is None:
                 return _job_not_found(job_id)
-            if not run.finished:
+            if not run.is_finished:
                 if not is_new or run.revision:
                     run.resume()
                 self._coordinator.adopt(run)
@@ -422,13 +424,13 @@
     async def _apply_verb(self, run: JobRun, verb: JobVerb) -> JobReply:
         if verb is JobVerb.EXPLAIN:
             return JobReply(explanation=await self._coordinator.explain(run))
-        if verb is JobVerb.CANCEL and not run.finished:
+        if verb is JobVerb.CANCEL and not run.is_finished:
             return JobReply(status=await self._coordinator.cancel(run))
         return JobReply(status=await self._coordinator.status(run))
 
     async def _watch_ownership(self) -> None:
         while True:
-            self._coordinator.own(self._context.owned_shards())
+            self._coordinator.set_owned_shards(self._context.owned_shards())
             await asyncio.sleep(OWNERSHIP_POLL_INTERVAL_S)
 
 
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -19,8 +19,8 @@
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ClaimTimes, ShardState
-from baobabhoist.ownership.rendezvous import Candidate, rank
+from baobabhoist.ownership.events import ClaimState, ClaimTiming
+from baobabhoist.ownership.rendezvous import OwnerCandidate, rank_owners
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS
 from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
 
@@ -41,7 +41,7 @@
 # A higher-ranked instance must have been live this long before a shard moves to it.
 REBALANCE_DELAY_S = 20.0
 
-ACTIVE_STATES = (ShardState.PARTIAL, ShardState.OWNED, ShardState.HANDING_OVER)
+ACTIVE_STATES = (ClaimState.PARTIAL, ClaimState.OWNED, ClaimState.HANDING_OVER)
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
         peers: Peers,
         make_owner: MakeOwner,
         *,
-        times: ClaimTimes | None = None,
+        times: ClaimTiming | None = None,
         clock: Callable[[], float] = time.time,
         is_reachable: Callable[[list[WorkerSpec]], Any] = is_any_reachable,
     ) -> None:
@@ -118,7 +118,7 @@
         self._shards = shards
         self._peers = peers
         self._make_owner = make_owner
-        self._times = times or ClaimTimes()
+        self._times = times or ClaimTiming()
         self._clock = clock
         self._is_reachable = is_reachable
         # Workers would obey two processes that present equal tokens. Each process of an instance
@@ -167,9 +167,9 @@
         names = tuple(spec.name for spec in workers)
         claim = self._claims.get(shard)
         if claim is None or claim.state in ACTIVE_STATES:
-            seen = claim.highest_seen if claim is not None else None
+            seen = claim.highest_token_seen if claim is not None else None
             claim = ShardClaim(shard, self._claimant_id, names, times=self._times)
-            claim.highest_seen = seen or claim.highest_seen
+            claim.highest_token_seen = seen or claim.highest_token_seen
             self._claims[shard] = claim
         claim.workers = names
         owner = self._make_owner(claim, workers, inherited)
@@ -266,14 +266,14 @@
 
     def _rank_candidates(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
-            Candidate(heartbeat.instance_id, heartbeat.data_centre, heartbeat.weight)
+            OwnerCandidate(heartbeat.instance_id, heartbeat.data_centre, heartbeat.weight)
             for heartbeat in self._peers.beats()
             if not heartbeat.draining
         ]
         if not others_only:
             local = self._local
-            candidates.append(Candidate(local.instance_id, local.data_centre, local.weight))
-        return rank(shard, self._shards.data_centre_of(shard), candidates)
+            candidates.append(OwnerCandidate(local.instance_id, local.data_centre, local.weight))
+        return rank_owners(shard, self._shards.data_centre_of(shard), candidates)
 
     def _rebalance(self, shard: str, now: float) -> None:
         """Move a shard to an instance that has ranked higher for a while, one shard at a time."""
@@ -286,7 +286,7 @@
             self._preferred_since[shard] = (preferred, now)
             return
         owner = self.owners[shard]
-        is_owned = owner.claim.state is ShardState.OWNED
+        is_owned = owner.claim.state is ClaimState.OWNED
         if is_owned and now - since > REBALANCE_DELAY_S and self._moving_shard is None:
             self._moving_shard = shard
             del self._preferred_since[shard]
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -10,18 +10,22 @@
 from baobabhoist.daemon.forwarding import FORWARD_DELAY_S, PendingRequest
 from baobabhoist.errors import InvariantBreachError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
-from baobabhoist.ownership.keys import KeyLedger, KeyState, Result
+from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
 # asyncio accepts no infinite timeout. Requests without a deadline wait in steps of this length.
 MAX_WAIT_S = 86400.0
-FINAL_STATES = (KeyState.ANSWERED, KeyState.NOT_RUN)
+FINAL_STATES = (RequestKeyState.ANSWERED, RequestKeyState.NOT_RUN)
 
 
 class RequestRegistry:
     """Deliver one result per request to all callers that wait for it."""
 
     def __init__(
-        self, shard: str, keys: KeyLedger, resolve: ResolveOutcome, clock: Callable[[], float]
+        self,
+        shard: str,
+        keys: RequestKeyLedger,
+        resolve: ResolveOutcome,
+        clock: Callable[[], float],
     ) -> None:
         self.pending: dict[str, PendingRequest] = {}
         self.keys = keys
@@ -60,7 +64,7 @@
         elif key is not None:
             try:
                 stripped = self.answers.strip_body(request_id, result, key.worker)
-                stored = self.keys.answered(request_id, stripped)
+                stored = self.keys.record_result(request_id, stripped)
                 result = result if stored is stripped else stored
             except InvariantBreachError:
                 result = outcome_unknown_refusal(
@@ -86,7 +90,7 @@
 
         After a hand-over the next owner may run the queue, so no request is reported `not_run`.
         """
-        for request_id, result in self.keys.drop(self._clock()):
+        for request_id, result in self.keys.settle_open_keys(self._clock()):
             if request_id in elsewhere:
                 continue
             is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -8,7 +8,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.jobs.messages import HoldReply, TasksReport
 from baobabhoist.model import Request, Task
-from baobabhoist.ownership.keys import Run
+from baobabhoist.ownership.request_keys import RunNew
 from baobabhoist.upstream.messages import StopTask
 
 # The id of a cancelled task is refused for this long, in case its request is still in transit.
@@ -83,7 +83,7 @@
         for placement in placements:
             task = placement.task
             req = Request(task.task_id, owner.shard, task.submitted_at, task, True)
-            if isinstance(owner.keys.admit(req, now), Run):
+            if isinstance(owner.keys.admit(req, now), RunNew):
                 owner.requests.get_or_create(req, now)
                 owner.start_task(placement, now)
             else:
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -42,8 +42,8 @@
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
-from baobabhoist.ownership.events import ShardState
-from baobabhoist.ownership.keys import Join, KeyLedger, Reply, Result
+from baobabhoist.ownership.events import ClaimState
+from baobabhoist.ownership.request_keys import JoinExisting, ReplyNow, RequestKeyLedger, Result
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import HandOver
 from baobabhoist.quota.ledger import QuotaLedger
@@ -58,7 +58,7 @@
 
 TICK_INTERVAL_S = 0.1
 DISPATCH_BATCH_SIZE = 32
-USABLE_STATES = (ShardState.PARTIAL, ShardState.OWNED)
+USABLE_STATES = (ClaimState.PARTIAL, ClaimState.OWNED)
 
 
 class ShardOwner:
@@ -85,7 +85,7 @@
         self.claim = claim
         self.quota_ledger = QuotaLedger(claim.shard)
         self.quota_ledger.begin_takeover()
-        self.keys = KeyLedger(clock_skew_s=lease_settings.clock_skew_s)
+        self.keys = RequestKeyLedger(clock_skew_s=lease_settings.clock_skew_s)
         self.shard_quota = ShardQuota(self.quota_ledger, self._kind_of)
         self.scheduler = Scheduler.for_workers(specs, self.shard_quota)
         self.scheduler.queues.is_class_full = self.shard_quota.is_class_full
@@ -159,7 +159,7 @@
 
     def was_owned_at(self, at: float) -> bool:
         """Return whether this instance surely owned the shard at a time, or start to verify it."""
-        if self.claim.confirmed_after(at):
+        if self.claim.is_confirmed_since(at):
             return True
         self.claim_driver.start_confirmation()
         return False
@@ -169,7 +169,7 @@
         if not self.is_usable:
             return not_owner_refusal(self.shard)
         now = self._clock()
-        if self.claim.state is not ShardState.OWNED and not req.first_attempt:
+        if self.claim.state is not ClaimState.OWNED and not req.first_attempt:
             # Only the inventories of all workers show whether this key has run.
             return not_owner_refusal(self.shard)
         if req.request_id in self.cancelled_until:
@@ -190,10 +190,10 @@
 
     async def _submit(self, req: Request, forwarded: bool, now: float) -> Result:
         decision = self.keys.admit(req, now)
-        if isinstance(decision, Reply):
+        if isinstance(decision, ReplyNow):
             return await self.requests.answers.load_body(req, decision.result)
         entry = self.requests.get_or_create(req, now)
-        if not isinstance(decision, Join):
+        if not isinstance(decision, JoinExisting):
             entry.arrived_forwarded = forwarded
             refusal = self.shard_quota.permanent_refusal(req.task) or self.scheduler.enqueue(
                 req.task, now
@@ -235,13 +235,13 @@
     def start_task(self, placement: Placement, now: float) -> None:
         """Send a placed task to its worker."""
         task, worker = placement.task, placement.worker
-        if not (self.claim.may_dispatch(worker) and self.pool.connected(worker)):
+        if not (self.claim.can_dispatch_to(worker) and self.pool.connected(worker)):
             self.release_unsent(task.task_id, now)
             self._mark_worker_down(worker)
             self._requeue(task, now)
             return
         try:
-            self.keys.dispatched(task.task_id, worker)
+            self.keys.record_dispatch(task.task_id, worker)
         except InvariantBreachError:
             self.release_unsent(task.task_id, now)
             return
@@ -287,7 +287,9 @@
             was_stopped = task.task_id in self.stopping_tasks and not succeeded
             self.scheduler.task_ended(task.task_id, succeeded, now, preempted=was_stopped)
         self.stopping_tasks.discard(task.task_id)
-        if isinstance(outcome, LostTask) and self.keys.retry(task.task_id, task.deadline, now):
+        if isinstance(outcome, LostTask) and self.keys.requeue_for_retry(
+            task.task_id, task.deadline, now
+        ):
             self._requeue(task, now)
         else:
             is_completed = isinstance(outcome, Completed)
@@ -302,7 +304,7 @@
     def _on_superseded(self, task_id: str, superseded: Superseded) -> None:
         """Refer the entry instance to the new owner, which accounts for the task's quota."""
         key = self.keys.entries.get(task_id)
-        dispatched_once = key is not None and key.dispatches <= 1
+        dispatched_once = key is not None and key.dispatch_count <= 1
         outcome = Outcome.NOT_RUN if dispatched_once and not superseded.sent else Outcome.UNKNOWN
         self.requests.deliver(task_id, not_owner_refusal(self.shard, outcome))
 
@@ -322,9 +324,9 @@
 
     # Methods of ClaimListener.
 
-    def on_state_changed(self, state: ShardState) -> None:
+    def on_state_changed(self, state: ClaimState) -> None:
         """Handle a new state of the claim."""
-        if state is ShardState.OWNED and not self._has_owned:
+        if state is ClaimState.OWNED and not self._has_owned:
             self._has_owned = True
             self._begin_ownership()
         self.refresh_escrow()
@@ -352,7 +354,7 @@
         """Update the set of workers that work may be dispatched to."""
         for worker in self.claim.workers:
             is_usable = (
-                self.claim.may_dispatch(worker)
+                self.claim.can_dispatch_to(worker)
                 and self.pool.connected(worker)
                 and worker not in self.leaving_workers
             )
@@ -397,7 +399,7 @@
 
     def refresh_escrow(self) -> None:
         """Use the full escrow once the epoch is confirmed and no worker obeys an earlier owner."""
-        if self.quota_ledger.takeover_cap is not None and self.claim.escrow_usable:
+        if self.quota_ledger.takeover_cap is not None and self.claim.can_use_full_escrow:
             escrow = self._read_escrow(self.shard)
             if escrow is not None:
                 self.lift_takeover_cap(escrow)
@@ -475,7 +477,7 @@
 
     def _begin_ownership(self) -> None:
         """Take over the keys and the queue; a planned hand-over leaves no gap in known keys."""
-        self.keys.take_over(self._keys_known_since())
+        self.keys.begin_ownership(self._keys_known_since())
         message, self._inherited = self._inherited, None
         if message is not None:
             self._enqueue_handed_over(message)
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -66,7 +66,7 @@
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
         self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
-        for number, count in invariants.breaches.items():
+        for number, count in invariants.breach_counts.items():
             for _ in range(count - self._reported_breaches.get(number, 0)):
                 self._metrics.invariant_breached(str(number))
             self._reported_breaches[number] = count
--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -1,4 +1,4 @@
-"""Define the states, periods, events and actions of a claim on a shard."""
+"""Define the states, timing, events and actions of a shard claim."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from baobabhoist.ownership.tokens import Token
 
 
-class ShardState(enum.StrEnum):
-    """Name the states of a claim."""
+class ClaimState(enum.StrEnum):
+    """List the states of a shard claim."""
 
     IDLE = "idle"
     CLAIMING = "claiming"
@@ -21,37 +21,37 @@
     LOST = "lost"
 
 
-IDLE = ShardState.IDLE
-CLAIMING = ShardState.CLAIMING
-PARTIAL = ShardState.PARTIAL
-OWNED = ShardState.OWNED
-HANDING_OVER = ShardState.HANDING_OVER
-LOST = ShardState.LOST
+IDLE = ClaimState.IDLE
+CLAIMING = ClaimState.CLAIMING
+PARTIAL = ClaimState.PARTIAL
+OWNED = ClaimState.OWNED
+HANDING_OVER = ClaimState.HANDING_OVER
+LOST = ClaimState.LOST
 
-ACTIVE = (CLAIMING, PARTIAL, OWNED, HANDING_OVER)
+ACTIVE_STATES = (CLAIMING, PARTIAL, OWNED, HANDING_OVER)
 
 
 @attrs.frozen
-class ClaimTimes:
-    """Hold the periods of a claim in seconds."""
+class ClaimTiming:
+    """Hold the time limits of a claim in seconds."""
 
     membership_lag_s: float = 3.0
-    longest_lease_s: float = 10.0
+    max_lease_s: float = 10.0
     backoff_min_s: float = 0.05
     backoff_max_s: float = 0.5
-    hand_over_s: float = 5.0
+    hand_over_timeout_s: float = 5.0
 
     @property
-    def gone_s(self) -> float:
-        """Return how long a worker must be reported gone until nothing can run there."""
-        return self.membership_lag_s + self.longest_lease_s
+    def worker_gone_after_s(self) -> float:
+        """Return how long a worker must be reported gone until all its leases have expired."""
+        return self.membership_lag_s + self.max_lease_s
 
 
 @attrs.frozen
-class ClaimWanted:
-    """Ask for the shard; `epoch` is the row's epoch, or None while the table is down.
+class ClaimRequested:
+    """Request the shard; `epoch` is the epoch in the row, or None while the table is down.
 
-    While the shard is owned under a round, an epoch asks the table to confirm the ownership.
+    If the shard is already owned under a round, request that its epoch be committed.
     """
 
     epoch: int | None
@@ -59,42 +59,42 @@
 
 @attrs.frozen
 class EpochGranted:
-    """Report that the table holds the new epoch under this instance's name."""
+    """Report that the new epoch is committed to the table under this instance's id."""
 
     epoch: int
 
 
 @attrs.frozen
 class EpochUnavailable:
-    """Report that the table did not answer; the write may have taken effect."""
+    """Report that the table did not answer; the write may still have taken effect."""
 
 
 @attrs.frozen
 class EpochConflict:
-    """Report that another instance advanced the row to this epoch."""
+    """Report that another instance has advanced the row to this epoch."""
 
     epoch: int
 
 
 @attrs.frozen
 class WorkerFenced:
-    """Report that a worker holds a token, with its inventory.
+    """Report that a worker has accepted a token, with its inventory of tasks.
 
-    `previous` is the token that the worker held before, None if it did not report one;
-    `sent_at` is when the token was sent (Unix seconds), None if that is this moment.
+    `previous_token` is the token that the worker held before, or None if it reported none.
+    `sent_at` is the time at which the token was sent (Unix seconds), or None for the present.
     """
 
     worker: str
     token: Token
     running: tuple[RunningTask, ...] = ()
     ended: tuple[EndedTask, ...] = ()
-    previous: Token | None = None
+    previous_token: Token | None = None
     sent_at: float | None = None
 
 
 @attrs.frozen
 class WorkerConfirmed:
-    """Report that a worker accepted a call under this token that was sent at `sent_at`."""
+    """Report that a worker accepted a call which was sent under this token at `sent_at`."""
 
     worker: str
     token: Token
@@ -103,76 +103,76 @@
 
 @attrs.frozen
 class FenceRefused:
-    """Report that a worker refused a call and which token it holds."""
+    """Report that a worker refused a call, and the token that it holds."""
 
     worker: str
-    highest: Token
+    highest_token: Token
 
 
 @attrs.frozen
 class WorkerConnected:
-    """Report a new connection to a worker, which may have restarted."""
+    """Report a new connection to a worker, which may have restarted since the last one."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerDisconnected:
-    """Report that the connection to a worker ended."""
+    """Report that the connection to a worker was closed."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerReportedGone:
-    """Report that the membership list shows a worker as gone; repeat on each reading."""
+    """Report on each reading of the membership list that shows a worker as gone."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkerReportedLive:
-    """Report that the membership list shows a worker as live."""
+    """Report on each reading of the membership list that shows a worker as live."""
 
     worker: str
 
 
 @attrs.frozen
 class WorkersChanged:
-    """Report the workers that the shard's record names now."""
+    """Report the workers that are now listed in the shard's record."""
 
     workers: tuple[str, ...]
 
 
 @attrs.frozen
 class Tick:
-    """Let the claim compare its stored deadlines with the time."""
+    """Trigger the check of stored deadlines."""
 
 
 @attrs.frozen
-class HandOverWanted:
-    """Ask to hand the shard to another instance."""
+class HandOverRequested:
+    """Request that the shard be handed over to another instance."""
 
     successor: str
 
 
 @attrs.frozen
-class HandOverTaken:
-    """Report that the successor has the queue."""
+class HandOverAccepted:
+    """Report that the successor has accepted the queue."""
 
 
 @attrs.frozen
 class HandOverRefused:
-    """Report that the successor refused the queue and will not use it."""
+    """Report that the successor refused the queue and will not run any of it."""
 
 
 @attrs.frozen
-class ReleaseWanted:
-    """Ask to give the shard up."""
+class ReleaseRequested:
+    """Request that the shard be released."""
 
 
-Event = (
-    ClaimWanted
+ClaimEvent = (
+    ClaimRequested
     | EpochGranted
     | EpochUnavailable
     | EpochConflict
@@ -185,16 +185,16 @@
     | WorkerReportedLive
     | WorkersChanged
     | Tick
-    | HandOverWanted
-    | HandOverTaken
+    | HandOverRequested
+    | HandOverAccepted
     | HandOverRefused
-    | ReleaseWanted
+    | ReleaseRequested
 )
 
 
 @attrs.frozen
 class AdvanceEpoch:
-    """Set the row's epoch to `target` under this instance's name if it is `expected`."""
+    """Set the row's epoch to `target` under this instance's id if it is still `expected`."""
 
     expected: int
     target: int = 0
@@ -202,7 +202,7 @@
 
 @attrs.frozen
 class PresentToken:
-    """Present the token to a worker until it answers or the token changes."""
+    """Send the token to a worker, with retries until it answers or the token changes."""
 
     worker: str
     token: Token
@@ -210,7 +210,7 @@
 
 @attrs.frozen
 class SendQueue:
-    """Send the queue and the queued keys to the successor."""
+    """Send the queued requests and their keys to the successor."""
 
     successor: str
     token: Token
@@ -220,14 +220,14 @@
 class StateChanged:
     """Report the new state of the claim."""
 
-    state: ShardState
+    state: ClaimState
 
 
 @attrs.frozen
-class TakeInventory:
-    """Take a worker's report into the keys and the quota before any later action.
+class ApplyInventory:
+    """Apply a worker's inventory to the request keys and the quota before any later action.
 
-    A report that the claim does not accept (of an earlier token) must not be counted.
+    An inventory that was reported under an earlier token must not be applied.
     """
 
     worker: str
@@ -235,4 +235,4 @@
     ended: tuple[EndedTask, ...]
 
 
-Action = AdvanceEpoch | PresentToken | TakeInventory | SendQueue | StateChanged
+ClaimAction = AdvanceEpoch | PresentToken | ApplyInventory | SendQueue | StateChanged
--- a/baobabhoist/tests/test_cell_speed_estimates.py
+++ b/baobabhoist/tests/test_cell_speed_estimates.py
@@ -4,7 +4,7 @@
 
 from baobabhoist.cell.model import Step
 from baobabhoist.cell.speed_estimates import SpeedEstimates
-from baobabhoist.control.rowmap import decode_speeds, encode_speeds
+from baobabhoist.control.row_schema import decode_speeds, encode_speeds
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job
 
 SLOWDOWNS = {"fast": 0.7, "mean": 1.0, "slow": 1.7}
--- /dev/null
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -0,0 +1,179 @@
+"""Test the answers to callers: admission, refusals, job states and counts."""
+
+import asyncio
+
+import orjson
+import pytest
+
+from baobabhoist.cell.model import CellRules, JobPhase, Queue
+from baobabhoist.cell.progress_rows import JobProgress, encode
+from baobabhoist.control import job_api as job_api_module
+from baobabhoist.control.clock import StoreClock
+from baobabhoist.control.config import ActiveConfig, CellConfig, Route
+from baobabhoist.control.job_api import AdmittedCall, ApiCall, JobApi
+from baobabhoist.control.job_writer import JobWriter
+from baobabhoist.control.messages import JobNotice, NotOwner, PendingReply, StateReply
+from baobabhoist.control.row_schema import job_row_key, progress_row_key
+from baobabhoist.control.store_health import StoreHealth
+from baobabhoist.errors import ErrorKind, LinkClosedError
+from baobabhoist.platform.decode import PlatformDecoder
+from baobabhoist.store.rows import RowsTxn
+from baobabhoist.testing.rows import MemoryRows
+
+ID = "0123456789abcdef"
+JOB = orjson.dumps({"taskSpec": "x", "steps": [{"count": 1, "cpu": 10}]})
+REVOKE_MS = 5_000.0
+
+
+class FakeOwnerRouter:
+    """Answer in place of the cell's owner, or fail as if it were unreachable."""
+
+    def __init__(self):
+        self.answer = None
+        self.notices = []
+        self.is_owner_reachable = True
+
+    async def call(self, query, timeout_s):
+        if self.answer is None:
+            raise LinkClosedError("no owner")
+        return self.answer
+
+    def notify(self, notice):
+        self.notices.append(notice)
+
+
+class JobApiHarness:
+    """Run a job API with an in-memory store and a clock set by the test."""
+
+    def __init__(self, monkeypatch):
+        self.now = 50_000.0
+        monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
+        self.rows = MemoryRows()
+        self.owner_router = FakeOwnerRouter()
+        self.config = ActiveConfig()
+        self.job_api = JobApi(
+            self.config,
+            self.rows,
+            JobWriter(self.rows, StoreHealth()),
+            PlatformDecoder(),
+            StoreClock(),
+            self.owner_router,
+            REVOKE_MS,
+            65_536,
+        )
+
+    def configure(self, version=1, keys=None):
+        queue = Queue("q", "svc")
+        routes = (
+            Route("h", "/q/", queue),
+            Route("h", "/open/", Queue("o", "svc", is_public=True)),
+        )
+        rules = CellRules(version, {"q": queue}, {})
+        keys = {"k": "team"} if keys is None else keys
+        self.config.accept(CellConfig(version, rules, routes, keys, 10_000))
+        self.config.confirm(self.now)
+
+    def call(self, path=f"/q/{ID}", key="k"):
+        return ApiCall("h", path, key, self.now + 3_000.0)
+
+    def admit(self, **options):
+        return self.job_api.admit(self.call(**options))
+
+    def submit(self, body=JOB):
+        call = self.call()
+        return asyncio.run(self.job_api.submit(call, self.job_api.admit(call), body))
+
+
+@pytest.fixture
+def harness(monkeypatch):
+    harness = JobApiHarness(monkeypatch)
+    harness.configure()
+    return harness
+
+
+def test_call_without_a_configuration_is_refused_with_a_retry_time(monkeypatch):
+    """Guard against a 404 or 401 from an instance that has just started."""
+    refusal = JobApiHarness(monkeypatch).admit()
+    assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
+    assert refusal.retry_after_s is not None
+
+
+def test_keys_are_refused_once_the_configuration_is_too_old(harness):
+    """Guard against a withdrawn key that still works on an instance cut off from the store."""
+    assert isinstance(harness.admit(), AdmittedCall)
+    harness.now += REVOKE_MS * 0.9
+    assert harness.admit().kind is ErrorKind.PLATFORM_UNAVAILABLE
+    assert isinstance(harness.admit(path=f"/open/{ID}", key=""), AdmittedCall)
+
+
+def test_older_configuration_never_replaces_a_newer_one(harness):
+    """Guard against a withdrawn key that a delayed read makes valid again."""
+    harness.configure(version=3, keys={})
+    harness.configure(version=2, keys={"k": "team"})
+    assert harness.admit().kind is ErrorKind.KEY_REJECTED
+
+
+def test_accepted_job_is_stored_before_the_answer(harness):
+    """Guard against an accepted job that the next owner would not find."""
+    assert harness.submit() is None
+    assert job_row_key(ID) in harness.rows.rows
+    assert isinstance(harness.owner_router.notices[0], JobNotice)
+    assert harness.submit() is None
+    assert len(harness.owner_router.notices) == 1
+
+
+def test_job_larger_than_a_row_is_refused(harness):
+    """Guard against a job whose oversized row makes every later write fail."""
+    harness.job_api.row_max_bytes = 10
+    assert harness.submit().kind is ErrorKind.BODY_TOO_LARGE
+    assert harness.rows.rows == {}
+
+
+def test_state_is_read_from_the_store_without_an_owner(harness):
+    """Guard against an accepted job that is reported as unknown during a takeover."""
+    harness.submit()
+    admitted = harness.admit()
+    assert asyncio.run(harness.job_api.job_state(admitted)) == "queued"
+    done = encode(JobProgress(JobPhase.COMPLETED))
+    harness.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
+    assert asyncio.run(harness.job_api.job_state(admitted)) == "completed"
+
+
+def test_job_unknown_to_the_owner_is_read_from_the_store(harness):
+    """Guard against a 410 for a job whose notification has not reached the owner yet."""
+    harness.submit()
+    harness.owner_router.answer = StateReply()
+    assert asyncio.run(harness.job_api.job_state(harness.admit())) == "queued"
+
+
+def test_unreadable_state_is_not_reported_as_missing(harness):
+    """Guard against a 410 for an accepted job while neither the owner nor the store answers."""
+    harness.submit()
+    harness.rows.down = True
+    refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
+    assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
+
+
+def test_job_of_another_team_is_forbidden(harness):
+    """Guard against a key that gives access to the jobs of other teams."""
+    harness.owner_router.answer = StateReply("running", "q", "other")
+    refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
+    assert refusal.kind is ErrorKind.FORBIDDEN
+
+
+def test_pending_count_comes_from_the_owner_or_is_refused(harness):
+    """Guard against a queue that is reported as empty during a change of owner."""
+    harness.owner_router.answer = PendingReply(7)
+    assert asyncio.run(harness.job_api.count_pending_jobs(harness.admit(path="/q/"))) == 7
+    harness.owner_router.answer = NotOwner("n2")
+    refusal = asyncio.run(harness.job_api.count_pending_jobs(harness.admit(path="/q/")))
+    assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
+
+
+def test_cancellation_is_stored_before_the_answer(harness):
+    """Guard against a cancelled job that the next owner still runs."""
+    harness.submit()
+    harness.owner_router.answer = StateReply("running", "q", "team")
+    call = harness.call()
+    assert asyncio.run(harness.job_api.cancel(call, harness.admit())) is None
+    assert any(key.key == f"{ID}/cancel" for key in harness.rows.rows)
--- a/baobabhoist/tests/test_daemon_shard_owner.py
+++ b/baobabhoist/tests/test_daemon_shard_owner.py
@@ -9,7 +9,7 @@
 from baobabhoist.daemon.preemption import apply_preemption
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome
-from baobabhoist.ownership.events import ShardState
+from baobabhoist.ownership.events import ClaimState
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.scheduling.policy import PreemptionAction
 from baobabhoist.scheduling.results import Preemption
@@ -71,7 +71,7 @@
     await present_higher_token(harness)
     refusal = await queued
     assert (refusal.kind, refusal.outcome) == (ErrorKind.SHARD_UNAVAILABLE, Outcome.NOT_RUN)
-    assert owner.claim.state is ShardState.LOST
+    assert owner.claim.state is ClaimState.LOST
     # The worker answers the call in flight although a higher token was presented.
     assert isinstance(await dispatched, Answer)
     await asyncio.wait_for(harness.tasks[0], 5)
@@ -143,9 +143,9 @@
     await until(lambda: old.worker_of("long"))
     harness.table.down = True
     new, _ = harness.make_owner("b")
-    new.claim.highest_seen = old.claim.token
+    new.claim.highest_token_seen = old.claim.token
     harness.start(new)
-    await until(lambda: new.claim.state is ShardState.OWNED)
+    await until(lambda: new.claim.state is ClaimState.OWNED)
     assert new.quota_ledger.allowed("team") == 1
     waiting = asyncio.ensure_future(new.submit(request("next")))
     await asyncio.sleep(0.1)
@@ -153,7 +153,7 @@
     harness.table.down = False
     # Once the table confirms the epoch, the owner gets its full escrow without losing ownership.
     assert isinstance(await asyncio.wait_for(waiting, 5), Answer)
-    assert new.claim.confirmed
+    assert new.claim.is_epoch_committed
     assert new.quota_ledger.allowed("team") == 8
     assert harness.table.rows["shard/r"].value["epoch"] == new.claim.token.epoch
 
@@ -169,23 +169,23 @@
             while True:
                 owner = claimants[name]
                 others = [other for other in claimants.values() if other is not owner]
-                if not any(other.claim.state is ShardState.OWNED for other in others):
+                if not any(other.claim.state is ClaimState.OWNED for other in others):
                     task = harness.start(owner)
                     await owner.claim_driver.ended.wait()
                     await asyncio.wait((task,), timeout=0.1)
-                    seen = owner.claim.highest_seen
+                    seen = owner.claim.highest_token_seen
                     owner, _ = harness.make_owner(owner.claim.instance_id)
-                    owner.claim.highest_seen = seen
+                    owner.claim.highest_token_seen = seen
                     claimants[name] = owner
                 # Random backoff, so that the claimants do not collide again.
                 await asyncio.sleep(owner.claim.rng.uniform(0.01, 0.05))
 
         tasks = [asyncio.ensure_future(contend(name)) for name in claimants]
         await until(
-            lambda c=claimants: sum(o.claim.state is ShardState.OWNED for o in c.values()) == 1
+            lambda c=claimants: sum(o.claim.state is ClaimState.OWNED for o in c.values()) == 1
         )
-        (winner,) = (o for o in claimants.values() if o.claim.state is ShardState.OWNED)
-        assert all(w.fence.highest == winner.claim.token for w in harness.workers.values())
+        (winner,) = (o for o in claimants.values() if o.claim.state is ClaimState.OWNED)
+        assert all(w.fence.highest_token == winner.claim.token for w in harness.workers.values())
         for task in tasks:
             task.cancel()
         await harness.close()
@@ -254,7 +254,7 @@
     harness.workers["w3"] = Worker("w3", CAPACITY)
     spec = attrs.evolve(harness.specs[0], name="w3")
     await owner.set_workers([spec])
-    await until(lambda: owner.claim.may_dispatch("w3") and links["w3"].connected)
+    await until(lambda: owner.claim.can_dispatch_to("w3") and links["w3"].connected)
     await owner.submit(request("new"))
     assert isinstance(links["w3"].calls[0], FenceWorker)
     assert len(links["w3"].sent(RunTask)) == 1
@@ -393,7 +393,7 @@
     second = harness.spawn(owner.submit(request("second")))
     await until(owner.forwarder.forwarded_ids)
     await present_higher_token(harness)
-    await until(lambda: owner.claim.state is ShardState.LOST)
+    await until(lambda: owner.claim.state is ClaimState.LOST)
     await asyncio.sleep(0.02)
     assert not second.done()
     answered.set()
