--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -82,7 +82,7 @@
         owner.scheduler.adopt(worker, adopted, now)
         owner.shard_quota.adopt(worker, adopted)
         # Calls in flight report the end of their tasks themselves. Recording an end twice would
-        # violate the state machine of the idempotency keys.
+        # violate the state machine of the request keys.
         without_call = [task for task in ended if task.task_id not in owner.in_flight]
         owner.requests.answers.note_omitted_bodies(worker, without_call)
         for request_id, result in owner.keys.apply_inventory(worker, adopted, without_call, now):
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -1,4 +1,4 @@
-"""Keep small answers with their idempotency keys and fetch large ones from the worker."""
+"""Keep small answers with their request keys and fetch large ones from the worker."""
 
 from __future__ import annotations
 
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -1,4 +1,4 @@
-"""Track the pending requests of a shard and the state of their idempotency keys."""
+"""Track the pending requests of a shard and the state of their request keys."""
 
 from __future__ import annotations
 
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -1,4 +1,4 @@
-"""Own one shard: its queue, its idempotency keys, its quota and the tasks on its workers."""
+"""Own one shard: its queue, its request keys, its quota and the tasks on its workers."""
 
 from __future__ import annotations
 
--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -1,4 +1,4 @@
-"""Test which idempotency keys the next owner knows after a planned hand-over."""
+"""Test which request keys the next owner knows after a planned hand-over."""
 
 import asyncio
 import time
