--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -1,8 +1,7 @@
 """Synchronise the quota of owned shards with the escrow rows of their teams.
 
-The escrow row of a team divides the team's limit between the shards and an unassigned pool. A
-shard starts work only within the units of quota that it holds. Messages and log lines call such
-a unit a place.
+The escrow row of a team divides the team's limit into the places of each shard and a pool of free
+places. A place is the right to run one task. A shard starts work only within its places.
 """
 
 from __future__ import annotations
@@ -163,7 +162,7 @@
         self._wake.set()
 
     async def grant(self, request: PlacesWanted) -> PlacesGiven:
-        """Transfer free quota to another shard and return how many units."""
+        """Transfer free places to another shard and return how many."""
         async with self._lock:
             return await self._grant_locked(request)
 
@@ -178,9 +177,9 @@
             return no_grant
         try:
             row = _decode_row(request.team, await self._context.table.read(_row_key(request.team)))
-            units = min(request.places, owner.quota_ledger.transferable(request.team))
+            places = min(request.places, owner.quota_ledger.transferable(request.team))
             committed = await self._transfer_out(
-                account, request.team, row, units, request.to_shard
+                account, request.team, row, places, request.to_shard
             )
         except (PlatformError, InvariantBreachError):
             return no_grant
@@ -188,12 +187,12 @@
             emit(
                 log,
                 Event.ESCROW_MOVED,
-                places=units,
+                places=places,
                 team=request.team,
                 source=request.from_shard,
                 target=request.to_shard,
             )
-        return PlacesGiven(request.team, units if committed else 0)
+        return PlacesGiven(request.team, places if committed else 0)
 
     def _eligible_owners(self) -> list[ShardOwner]:
         return [
@@ -280,8 +279,8 @@
         has_gained = owner.quota_ledger.takeover_cap is not None
         if has_gained:
             owner.lift_takeover_cap(held)
-        for team, units in held.items():
-            difference = units - owner.quota_ledger.escrow.get(team, 0)
+        for team, places in held.items():
+            difference = places - owner.quota_ledger.escrow.get(team, 0)
             if team in account.in_doubt or not difference:
                 continue
             if difference > 0:
@@ -291,7 +290,7 @@
                 log.error(
                     "shard %s exceeds its escrow by %d for team %s", owner.shard, -difference, team
                 )
-                owner.quota_ledger.escrow[team] = units
+                owner.quota_ledger.escrow[team] = places
         self._set_ceilings(owner)
         if has_gained:
             owner.scheduler.places_changed()
@@ -321,9 +320,9 @@
             ):
                 continue
             excess = current.row.held(owner.shard) - owner.quota_ledger.allowed(team)
-            units = min(excess, owner.quota_ledger.transferable(team))
-            if units > 0:
-                await self._transfer_out(account, team, current, units, None)
+            places = min(excess, owner.quota_ledger.transferable(team))
+            if places > 0:
+                await self._transfer_out(account, team, current, places, None)
 
     def _stop_excess(self, account: ShardAccount) -> None:
         """Checkpoint or stop tasks above a lowered limit, except requests, which end soon."""
@@ -422,27 +421,27 @@
         account: ShardAccount,
         team: str,
         current: VersionedRow,
-        units: int,
+        places: int,
         target: str | None,
     ) -> bool:
         """Transfer quota to another shard or the pool; return whether the commit succeeded.
 
-        The units are taken out of use before the commit, so that they are never used twice.
+        The places are taken out of use before the commit, so that they are never used twice.
         """
         owner = account.owner
-        if units <= 0:
+        if places <= 0:
             return False
-        moves = [PlaceMove(owner.shard, owner.claim.token.epoch, -units)]
+        moves = [PlaceMove(owner.shard, owner.claim.token.epoch, -places)]
         if target is not None:
-            moves.append(PlaceMove(target, current.row.epochs.get(target, 0), units))
+            moves.append(PlaceMove(target, current.row.epochs.get(target, 0), places))
         new_row = escrow.apply_moves(team, current.row, moves)
         if isinstance(new_row, Refusal):
             return False
-        owner.quota_ledger.withdraw(team, units)
+        owner.quota_ledger.withdraw(team, places)
         account.in_doubt[team] = current.revision
         is_committed = await self._commit(account, team, current.revision, new_row)
         if not is_committed:
-            owner.quota_ledger.deposit(team, units)
+            owner.quota_ledger.deposit(team, places)
         return is_committed
 
     async def _commit(
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -181,9 +181,9 @@
 
 def _headroom(digest: ShardDigest, task: Task) -> int:
     """Return how many tasks like this one a shard could start now."""
-    units = digest.spare.get(task.team, 0)
-    in_class = digest.class_spare.get(class_key(task.team, task.kind), units)
-    return min(units, in_class, digest.free_slots - digest.queued)
+    places = digest.spare.get(task.team, 0)
+    in_class = digest.class_spare.get(class_key(task.team, task.kind), places)
+    return min(places, in_class, digest.free_slots - digest.queued)
 
 
 def _delays_drain(req: Request) -> bool:
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -46,7 +46,7 @@
         )
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a unit of quota for a task, or return why there is none."""
+        """Acquire a place for a task, or return why there is none."""
         kind = self.kind_of(task_id)
         if self.is_class_full(team, kind):
             return self._class_full_refusal(team, kind)
@@ -56,7 +56,7 @@
         return refusal
 
     def release(self, task_id: str) -> None:
-        """Return the quota of a task, if it still holds any."""
+        """Release the place of a task, if it still holds one."""
         confirmed = task_id in self.confirmed_ends
         self.confirmed_ends.discard(task_id)
         for ledger in (self.team_ledger, self.class_ledger):
@@ -70,7 +70,7 @@
         self.class_ledger.adopt(worker, tasks)
 
     def confirm_ends(self, worker: str, watermark: int) -> None:
-        """Release the quota of tasks whose end was known before an accepted call was sent."""
+        """Confirm the ends of tasks that were known before an accepted call was sent."""
         self.team_ledger.confirm_ends(worker, watermark)
         self.class_ledger.confirm_ends(worker, watermark)
 
@@ -85,8 +85,8 @@
         """Return how many tasks of a team and kind may start here now."""
         if self.is_class_full(team, kind):
             return 0
-        units = max(0, self.team_ledger.allowed(team) - self.team_ledger.used[team])
-        return min(units, self.class_ledger.spare(class_key(team, kind)))
+        places = max(0, self.team_ledger.allowed(team) - self.team_ledger.used[team])
+        return min(places, self.class_ledger.spare(class_key(team, kind)))
 
     def class_headroom(self) -> dict[str, int]:
         """Return how many tasks of each limited class may start here now."""
