--- a/baobabhoist/daemon/sync.py
+++ b/baobabhoist/daemon/record_sync.py
@@ -1,4 +1,4 @@
-"""Keep the records up to date: pull the change log, push to peers and load from them."""
+"""Synchronise the records: pull the change log, push changes to peers and pull from peers."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.5
-# An instance that does not poll for its data centre still looks now and then, in case the
-# one that does has failed in a way that its heartbeats do not show.
-LAZY_POLL_INTERVAL_S = 5.0
-PAGE = 1000
-KEPT_ENTRIES = 2000
-PEER_CALL_S = 2.0
+# Instances other than the poller of a data centre poll at this interval, in case the poller has
+# failed in a way that its heartbeats do not show.
+STANDBY_POLL_INTERVAL_S = 5.0
+SCAN_PAGE_SIZE = 1000
+MAX_RECENT_ENTRIES = 2000
+PEER_CALL_TIMEOUT_S = 2.0
 
 
 class Peers(Protocol):
-    """Send to the other instances."""
+    """Send messages to the other instances."""
 
     async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
@@ -46,13 +46,13 @@
         """Send a message to every connected peer, or to those of one data centre."""
 
 
-def encode(record: Record) -> bytes:
-    """Return a record as JSON, the form in which the table has it."""
+def encode_record(record: Record) -> bytes:
+    """Encode a record as JSON, as it is stored in the table."""
     return orjson.dumps(attrs.asdict(record))
 
 
-def decode(data: bytes) -> Record:
-    """Return the record in JSON, without fields that only a later release knows."""
+def decode_record(data: bytes) -> Record:
+    """Decode a record from JSON, and ignore unknown fields, which later releases may add."""
     known = {field.name for field in attrs.fields(Record)}
     return Record(**{name: value for name, value in orjson.loads(data).items() if name in known})
 
@@ -78,9 +78,9 @@
         self._data_centre = data_centre
         self._clock = clock
         self._confirmed_at = clock()
-        self._recent: deque[Record] = deque(maxlen=KEPT_ENTRIES)
+        self._recent: deque[Record] = deque(maxlen=MAX_RECENT_ENTRIES)
         self._wake = asyncio.Event()
-        self._pulling = False
+        self._is_pulling = False
 
     async def run(self) -> None:
         """Poll the change log until cancelled."""
@@ -90,90 +90,97 @@
             except PlatformError as exc:
                 emit(log, Event.PLATFORM_DOWN, detail=exc)
             self._wake.clear()
-            lazy = self.loaded.is_set() and not self.is_poller()
+            is_standby = self.loaded.is_set() and not self.is_poller()
             try:
-                async with asyncio.timeout(LAZY_POLL_INTERVAL_S if lazy else POLL_INTERVAL_S):
+                async with asyncio.timeout(
+                    STANDBY_POLL_INTERVAL_S if is_standby else POLL_INTERVAL_S
+                ):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
     def cut_off_s(self) -> float:
-        """Return for how many seconds no answer of the platform confirmed the records."""
+        """Return the seconds since the platform last confirmed that the records are current."""
         return max(0.0, self._clock() - self._confirmed_at)
 
-    def pull_soon(self) -> None:
-        """Pull now, because a change was accepted."""
+    def request_pull(self) -> None:
+        """Pull at once instead of at the next interval, because a change was committed."""
         self._wake.set()
 
     async def pull(self) -> None:
-        """Apply the entries of the change log behind the revision in force."""
+        """Apply the entries of the change log that follow the current revision."""
         if self._view.revision == 0:
             await self._load()
         applied: list[Record] = []
         while True:
-            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), PAGE)
+            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), SCAN_PAGE_SIZE)
             applied += self._apply([record_of(row) for row in rows])
-            if len(rows) < PAGE:
+            if len(rows) < SCAN_PAGE_SIZE:
                 break
-        self._confirm(self._clock())
+        self._note_confirmed(self._clock())
         self._set_loaded()
         if applied:
-            await self._push(applied)
+            await self._push_to_peers(applied)
 
     async def _load(self) -> None:
-        """Load the rows of all records as of the head of the log, not its whole history."""
+        """Load the rows of all records as of the head of the log, instead of its whole history."""
         head = int((await self._table.read(LOG_HEAD)).value or 0)
         records: list[Record] = []
         after = ""
         while head:
-            rows = await self._table.scan(RECORD_PREFIX, after, PAGE)
+            rows = await self._table.scan(RECORD_PREFIX, after, SCAN_PAGE_SIZE)
             records += [record_of(row) for row in rows]
-            if len(rows) < PAGE:
+            if len(rows) < SCAN_PAGE_SIZE:
                 break
             after = rows[-1].key
-        # Later versions come with the log, in order.
-        kept = [record for record in records if record.revision <= head]
-        if head and self._view.restore([r for r in kept if r.body is not None], head):
+        # Versions after the head follow with the log, in order.
+        up_to_head = [record for record in records if record.revision <= head]
+        if head and self._view.restore([r for r in up_to_head if r.body is not None], head):
             emit(log, Event.RECORDS_LOADED, revision=head)
-            self._announce()
+            self._notify_changed()
 
-    async def heard(self, instance_id: str, revision: int, platform_age_s: float) -> None:
-        """Take a peer's revision and for how long it has been cut off from the platform."""
-        self._confirm(self._clock() - platform_age_s, revision)
-        if revision <= self._view.revision or self._pulling or self.peers is None:
+    async def on_peer_revision(
+        self, instance_id: str, revision: int, platform_age_s: float
+    ) -> None:
+        """Handle a peer's revision and the time for which it has been cut off from the platform.
+
+        A newer revision is pulled from the peer.
+        """
+        self._note_confirmed(self._clock() - platform_age_s, revision)
+        if revision <= self._view.revision or self._is_pulling or self.peers is None:
             return
-        self._pulling = True
+        self._is_pulling = True
         try:
             reply = await self.peers.call(
-                instance_id, RecordPull(self._view.revision), PEER_CALL_S
+                instance_id, RecordPull(self._view.revision), PEER_CALL_TIMEOUT_S
             )
             await self.receive(reply)
         except (LinkClosedError, TimeoutError):
-            log.info("instance %s did not send its records", instance_id)
+            log.info("instance %s did not answer the pull of its records", instance_id)
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
     async def receive(self, message: Any) -> RecordEntries | RecordSnapshot | None:
-        """Take a message about records and return the reply to a pull."""
+        """Handle a message about records, and return the reply to a pull."""
         match message:
             case RecordPull(after):
-                return self._reply(after)
+                return self._build_pull_reply(after)
             case RecordEntries(_, entries):
-                applied = self._apply([decode(entry) for entry in entries])
+                applied = self._apply([decode_record(entry) for entry in entries])
                 if applied:
                     self._set_loaded()
             case RecordSnapshot(revision, records):
-                if self._view.restore([decode(record) for record in records], revision):
+                if self._view.restore([decode_record(record) for record in records], revision):
                     emit(log, Event.RECORDS_LOADED, revision=revision)
                     self._recent.clear()
                     self._set_loaded()
-                    self._announce()
+                    self._notify_changed()
         return None
 
     def _apply(self, records: list[Record]) -> list[Record]:
         """Apply the records that continue the log without a gap, and return them.
 
-        An entry behind a gap would hide the missing one for good; the next pull brings both.
+        An entry after a gap would hide the missing ones for good. The next pull fetches them all.
         """
         applied = []
         for record in records:
@@ -188,10 +195,10 @@
                     revision=record.revision,
                 )
         if applied:
-            self._announce()
+            self._notify_changed()
         return applied
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         self.changed.set()
 
     def _set_loaded(self) -> None:
@@ -199,19 +206,19 @@
             emit(log, Event.DAEMON_READY)
             self.loaded.set()
 
-    def _confirm(self, at: float, revision: int | None = None) -> None:
-        """Note that the platform had no later record at a time."""
+    def _note_confirmed(self, at: float, revision: int | None = None) -> None:
+        """Record a time at which the platform had no later record than the given revision."""
         if revision is None or revision <= self._view.revision:
             self._confirmed_at = max(self._confirmed_at, at)
 
-    def _reply(self, after: int) -> RecordEntries | RecordSnapshot:
+    def _build_pull_reply(self, after: int) -> RecordEntries | RecordSnapshot:
         entries = [record for record in self._recent if record.revision > after]
         if entries and entries[0].revision == after + 1:
-            return RecordEntries(self._instance_id, tuple(map(encode, entries)))
-        records = tuple(encode(record) for record in self._view.snapshot())
+            return RecordEntries(self._instance_id, tuple(map(encode_record, entries)))
+        records = tuple(encode_record(record) for record in self._view.snapshot())
         return RecordSnapshot(self._view.revision, records)
 
-    async def _push(self, records: list[Record]) -> None:
+    async def _push_to_peers(self, records: list[Record]) -> None:
         if self.peers is not None:
-            message = RecordEntries(self._instance_id, tuple(map(encode, records)))
+            message = RecordEntries(self._instance_id, tuple(map(encode_record, records)))
             await self.peers.broadcast(message, self._data_centre)
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -1,4 +1,4 @@
-"""Report what the shards of this instance do as metrics."""
+"""Report the activity of this instance's shards as metrics."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from baobabhoist import invariants
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.model import Task
 from baobabhoist.observability.metrics import Metrics
 from baobabhoist.peer.link import TRAFFIC
@@ -17,72 +17,79 @@
 
 
 class MetricsObserver:
-    """Feed the histograms from the events of a shard."""
+    """Record the events of a shard in histograms."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def started(self, task: Task, now: float) -> None:
-        """Observe how long a task waited; its time of submission is another VM's clock."""
+    def task_started(self, task: Task, now: float) -> None:
+        """Record how long a task waited.
+
+        The time is clamped at zero, because another VM's clock set the time of submission.
+        """
         self._metrics.waited(task.team, task.kind.value, max(0.0, now - task.submitted_at))
 
-    def ended(self, task: Task, seconds: float) -> None:
-        """Observe how long a task was with its worker."""
+    def task_ended(self, task: Task, seconds: float) -> None:
+        """Record how long a task was on its worker."""
         self._metrics.served(task.team, task.kind.value, seconds)
 
-    def decided(self, task: Task, seconds: float) -> None:
-        """Observe the processor time of one placement."""
+    def placement_decided(self, task: Task, seconds: float) -> None:
+        """Record the duration of one placement decision."""
         self._metrics.decided(task.team, task.kind.value, seconds)
 
 
-class Fleet(Protocol):
-    """Be what the gauges are read from."""
+class GaugeSource(Protocol):
+    """Define what the gauges are computed from."""
 
-    def busy_owners(self) -> Iterable[ShardOwner]:
-        """Return the shards that this instance works for."""
+    def active_owners(self) -> Iterable[ShardOwner]:
+        """Return the owners of the shards that this instance serves."""
 
 
-class Gauges:
-    """Own the gauges and counters that are read at intervals."""
+class GaugeUpdater:
+    """Update the gauges and counters that are sampled at intervals."""
 
-    def __init__(self, metrics: Metrics, fleet: Fleet, revision: Callable[[], int]) -> None:
+    def __init__(self, metrics: Metrics, source: GaugeSource, revision: Callable[[], int]) -> None:
         self._metrics = metrics
-        self._fleet = fleet
+        self._source = source
         self._revision = revision
-        self._breaches_seen: dict[int, int] = {}
+        self._reported_breaches: dict[int, int] = {}
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Update the metrics until cancelled."""
         while True:
-            self.read()
+            self.update()
             await asyncio.sleep(GAUGE_INTERVAL_S)
 
-    def read(self) -> None:
-        """Set every gauge to its present value."""
-        owners = list(self._fleet.busy_owners())
+    def update(self) -> None:
+        """Set every gauge to its current value."""
+        owners = list(self._source.active_owners())
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
         self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
         for number, count in invariants.breach_counts.items():
-            for _ in range(count - self._breaches_seen.get(number, 0)):
+            for _ in range(count - self._reported_breaches.get(number, 0)):
                 self._metrics.invariant_breached(str(number))
-            self._breaches_seen[number] = count
+            self._reported_breaches[number] = count
         for owner in owners:
             self._read_shard(owner)
 
     def _read_shard(self, owner: ShardOwner) -> None:
         fairness = owner.scheduler.fairness
-        teams = set(owner.quota.escrow) | set(owner.quota.used)
+        teams = set(owner.quota_ledger.escrow) | set(owner.quota_ledger.used)
         for team in teams:
             self._metrics.set_share(team, owner.shard, fairness.dominant_share(team))
-            self._metrics.set_escrow(team, owner.shard, owner.quota.allowed(team))
-        self._metrics.set_packing(owner.shard, packing(owner.scheduler.index))
+            self._metrics.set_escrow(team, owner.shard, owner.quota_ledger.allowed(team))
+        self._metrics.set_packing(owner.shard, packing_ratio(owner.scheduler.index))
 
 
-def packing(index: CapacityIndex) -> float:
-    """Return the bound fraction, from 0 to 1, of the resource that is scarcest."""
+def packing_ratio(index: CapacityIndex) -> float:
+    """Return the allocated fraction, from 0 to 1, of the most utilized resource."""
     free = [
         sum(amounts) for amounts in zip(*(w.free for w in index.workers.values()), strict=True)
     ]
-    bound = [1.0 - left / total for left, total in zip(free, index.total, strict=False) if total]
-    return max(bound, default=0.0)
+    utilizations = [
+        1.0 - free_amount / total
+        for free_amount, total in zip(free, index.total, strict=False)
+        if total
+    ]
+    return max(utilizations, default=0.0)
