--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shard_harness.py
@@ -1,11 +1,11 @@
-"""Provide workers in memory and owners over them for tests."""
+"""Provide in-memory workers and shard owners that use them, for tests."""
 
 import asyncio
 import time
 
-from baobabhoist.daemon import dispatch, fencing, shard
-from baobabhoist.daemon.dispatch import ShardTimes
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon import claim_driver, dispatch, shard_owner
+from baobabhoist.daemon.dispatch import LeaseSettings
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import Request, Resources, Task, WorkerSpec, WorkKind
 from baobabhoist.ownership.claim import ShardClaim
@@ -13,22 +13,22 @@
 from baobabhoist.testing.worker import Worker
 from baobabhoist.upstream.messages import QueryOutcome, RunTask
 
-WAIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 CAPACITY = Resources(16000, 65536, 0, 4)
 
 
-def quicken(monkeypatch):
-    """Shorten the periods of owners, so that tests need not wait for them."""
-    for name, value in {"RENEW_INTERVAL_S": 0.05, "CONFIRM_INTERVAL_S": 0.05}.items():
-        monkeypatch.setattr(fencing, name, value)
-    monkeypatch.setattr(fencing, "RETRY_INTERVAL_S", 0.01)
-    monkeypatch.setattr(fencing, "TICK_INTERVAL_S", 0.02)
+def shorten_intervals(monkeypatch):
+    """Shorten the intervals of shard owners, so that tests run quickly."""
+    for name, value in {"RENEW_INTERVAL_S": 0.05, "EPOCH_CONFIRM_INTERVAL_S": 0.05}.items():
+        monkeypatch.setattr(claim_driver, name, value)
+    monkeypatch.setattr(claim_driver, "FENCE_RETRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr(claim_driver, "TICK_INTERVAL_S", 0.02)
     monkeypatch.setattr(dispatch, "QUERY_INTERVAL_S", 0.01)
-    monkeypatch.setattr(shard, "TICK_INTERVAL_S", 0.02)
+    monkeypatch.setattr(shard_owner, "TICK_INTERVAL_S", 0.02)
 
 
 class MemoryLink:
-    """Connect an owner to a worker in memory; `lose_next_reply` breaks one call after it ran."""
+    """Connect an owner to an in-memory worker; `lose_next_reply` fails one call after it ran."""
 
     def __init__(self, spec, on_change, workers):
         self.spec = spec
@@ -77,7 +77,7 @@
         raise TimeoutError
 
     def cut(self):
-        """Break the calls that are open, and make no new connection."""
+        """Break all calls in flight and refuse new connections."""
         self.up = False
         self._broken.set()
         self._broken = asyncio.Event()
@@ -90,8 +90,8 @@
         return [message for message in self.calls if isinstance(message, kind)]
 
 
-class Rack:
-    """Hold the workers of one shard and the owners that compete for it."""
+class ShardHarness:
+    """Run the workers of one shard and the owners that compete for it."""
 
     def __init__(self, table, names=("w1", "w2"), run_s=0.0, shard="r"):
         self.shard = shard
@@ -101,7 +101,7 @@
         self.limit = {"team": 8}
         self.tasks = []
 
-    def owner(self, name, **options):
+    def make_owner(self, name, **options):
         """Return an owner and its links by worker; call `start` to run it."""
         links = {}
 
@@ -117,7 +117,7 @@
             self.specs,
             self.table,
             lambda shard: self.limit,
-            times=ShardTimes(options.pop("lease_s", 3.0), 0.0),
+            lease_settings=LeaseSettings(options.pop("lease_s", 3.0), 0.0),
             make_link=make_link,
             **options,
         )
@@ -125,17 +125,17 @@
 
     def start(self, owner):
         """Run an owner in the background."""
-        return self.begin(owner.run())
+        return self.spawn(owner.run())
 
-    def begin(self, coro):
-        """Run a coroutine until the rack is closed."""
+    def spawn(self, coro):
+        """Run a coroutine until the harness is closed."""
         task = asyncio.ensure_future(coro)
         self.tasks.append(task)
         return task
 
-    async def owned(self, name, **options):
+    async def start_owner(self, name, **options):
         """Start an owner and wait until it owns the shard."""
-        owner, links = self.owner(name, **options)
+        owner, links = self.make_owner(name, **options)
         self.start(owner)
         await until(lambda: owner.claim.state is ClaimState.OWNED)
         return owner, links
@@ -148,10 +148,10 @@
 
 
 async def until(condition):
-    """Wait until a condition holds; fails when it never does."""
-    give_up_at = time.monotonic() + WAIT_S
+    """Wait until a condition holds; fail if it does not within the timeout."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
-        if time.monotonic() > give_up_at:
+        if time.monotonic() > deadline:
             raise AssertionError("the condition never held")
         await asyncio.sleep(0.005)
 
@@ -174,6 +174,6 @@
     return Request(name, more.pop("shard", "r"), first_sent_at, task, first_attempt)
 
 
-def queried(link):
-    """Return the ids whose outcome was asked for over a link."""
+def queried_task_ids(link):
+    """Return the ids of the tasks whose outcome was queried over a link."""
     return [message.task_id for message in link.sent(QueryOutcome)]
--- a/baobabhoist/tests/test_quota_class_limits.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -4,16 +4,16 @@
 
 import attrs
 
-from baobabhoist.daemon.digests import digest_of
-from baobabhoist.daemon.places import ShardPlaces
+from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.policies import class_limits
+from baobabhoist.daemon.shard_quota import ShardQuota
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Answer, Outcome, Resources, RunningTask, WorkKind
 from baobabhoist.quota.class_limits import class_key
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.shards import Rack, quicken, request, until
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
+from baobabhoist.tests.shard_harness import ShardHarness, request, shorten_intervals, until
 
 BATCH = class_key("team", WorkKind.BATCH)
 
@@ -35,8 +35,8 @@
     """Return the places of a new owner after a worker reported running tasks of these kinds."""
     quota = QuotaLedger("r")
     quota.begin_takeover()
-    places = ShardPlaces(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
-    places.classes.limits = {BATCH: 2}
+    places = ShardQuota(quota, lambda task_id: WorkKind(task_id.split("-")[0]))
+    places.class_ledger.limits = {BATCH: 2}
     running = [
         RunningTask(f"{kind.value}-{n}", "team", Resources(), kind) for n, kind in enumerate(kinds)
     ]
@@ -47,7 +47,7 @@
 def test_new_owner_counts_the_tasks_of_each_kind_that_already_run():
     """Guard against a new owner that starts tasks up to the class limit beyond those that run."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.quota.lift_takeover_cap({"team": 9})
+    places.team_ledger.lift_takeover_cap({"team": 9})
     assert places.acquire("team", "batch-8", "w1") is None
     refused = places.acquire("team", "batch-9", "w1")
     assert (refused.kind, "batch" in refused.message) == (ErrorKind.TEAM_LIMIT, True)
@@ -57,7 +57,7 @@
 def test_takeover_cap_bounds_each_class_to_the_tasks_that_run():
     """Guard against exceeding a class limit while workers that are not fenced yet may run more."""
     places = places_after_takeover([WorkKind.BATCH, WorkKind.REQUEST])
-    places.confirmed.add("request-1")
+    places.confirmed_ends.add("request-1")
     places.release("request-1")
     assert places.acquire("team", "batch-8", "w1") is not None
     assert places.acquire("team", "request-8", "w1") is None
@@ -66,41 +66,41 @@
 def test_unconfirmed_end_does_not_release_a_class_place():
     """Guard against a start on another worker while a new owner may still count the ended task."""
     places = places_after_takeover([])
-    places.quota.lift_takeover_cap({"team": 9})
+    places.team_ledger.lift_takeover_cap({"team": 9})
     assert [places.acquire("team", f"batch-{n}", "w1") for n in range(2)] == [None, None]
     places.release("batch-0")
     assert places.acquire("team", "batch-2", "w2") is not None
-    places.confirm_ends("w1", places.quota.end_watermark())
+    places.confirm_ends("w1", places.team_ledger.end_watermark())
     assert places.acquire("team", "batch-2", "w2") is None
 
 
 def test_full_class_waits_without_blocking_other_work_of_the_team(monkeypatch):
     """Guard against batch work above its class limit, and against requests that wait behind it."""
-    quicken(monkeypatch)
+    shorten_intervals(monkeypatch)
 
     async def scenario():
-        rack = Rack(MemoryTable())
+        rack = ShardHarness(MemoryTable())
         try:
-            owner, _ = await rack.owned("a")
-            owner.places.classes.limits = {BATCH: 1}
+            owner, _ = await rack.start_owner("a")
+            owner.shard_quota.class_ledger.limits = {BATCH: 1}
             calls = []
             for n in range(3):
                 req = request(f"b{n}", b'{"run_s": 60}' if n == 0 else b"x")
                 req = attrs.evolve(req, task=attrs.evolve(req.task, kind=WorkKind.BATCH))
                 calls.append(asyncio.ensure_future(owner.submit(req)))
-            await until(lambda: len(owner.open) == 3 and owner.running_on("b0"))
+            await until(lambda: len(owner.pending) == 3 and owner.worker_of("b0"))
             assert isinstance(await owner.submit(request("now")), Answer)
-            assert [n for n in range(3) if owner.running_on(f"b{n}")] == [0]
+            assert [n for n in range(3) if owner.worker_of(f"b{n}")] == [0]
             assert "batch work" in owner.scheduler.explain("b1", owner.now).message
-            digest = digest_of(owner)
+            digest = build_digest(owner)
             assert (digest.unmet, digest.class_spare) == ({}, {BATCH: 0})
-            owner.places.classes.limits = {BATCH: 0}
+            owner.shard_quota.class_ledger.limits = {BATCH: 0}
             req = request("never", idempotent=True)
             req = attrs.evolve(req, task=attrs.evolve(req.task, kind=WorkKind.BATCH))
             refused = await owner.submit(req)
             # The job coordinator can send a refused task to another shard, as it has not run.
             assert (refused.kind, refused.outcome) == (ErrorKind.TEAM_LIMIT, Outcome.NOT_RUN)
-            owner.places.classes.limits = {BATCH: 2}
+            owner.shard_quota.class_ledger.limits = {BATCH: 2}
             assert all(isinstance(result, Answer) for result in await asyncio.gather(*calls[1:]))
             calls[0].cancel()
         finally:
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -9,7 +9,7 @@
 from baobabhoist.records.keys import check_key, key_digest
 from baobabhoist.records.store import RecordChange, RecordStore, render_record
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 
 def new_store():
--- a/specs/core_protocol.py
+++ b/specs/core_protocol.py
@@ -65,7 +65,7 @@
 
 
 class Worker(NamedTuple):
-    """Hold the token of a worker, if it is up, its number of plain tasks and if it ran the key."""
+    """Hold a worker's token and number of plain tasks, and whether it is up and ran the key."""
 
     token: int
     up: bool
@@ -79,9 +79,11 @@
     `fenced` workers have confirmed the token, `resolved` ones are fenced or expired, `usable`
     ones are fenced and connected, and `unverified` ones wait until the others have confirmed.
     `confirmed` is true if the epoch of the token is in the table. `places` is the quota escrow
-    if `has_full_escrow`, and the takeover cap otherwise. `key_is_new` is true if the key was not
-    sent before the takeover. `provisional_token` is the token under which the shard was owned
-    before the table confirmed it.
+    if `has_full_escrow`, and the takeover cap otherwise. `end_reports` counts the ends of tasks
+    that the instance has yet to process, and `unconfirmed` the places of ended tasks that the
+    worker has yet to confirm by a later call. `key_is_new` is true if the key was not sent before
+    the takeover. `provisional_token` is the token under which the shard was owned before the
+    table confirmed it.
     """
 
     status: int = IDLE
@@ -298,7 +300,7 @@
                     )
             elif not inst.usable & bit:
                 yield from self._fence_steps(s, i, w)
-            elif inst.unverified & bit and self._do_others_confirm(s, i, w):
+            elif inst.unverified & bit and self._have_others_confirmed(s, i, w):
                 verified = inst._replace(unverified=inst.unverified & ~bit)
                 yield f"instance {i} verified worker {w}", with_instance(s, i, verified)
 
@@ -342,7 +344,7 @@
             key=SETTLED if worker.key else inst.key,
         )
 
-    def _do_others_confirm(self, s: State, i: int, w: int) -> bool:
+    def _have_others_confirmed(self, s: State, i: int, w: int) -> bool:
         inst = s.instances[i]
         return all(
             s.workers[other].up and s.workers[other].token == inst.token
@@ -360,12 +362,14 @@
         if inst.key != QUEUED:
             return
         settled = with_instance(s, i, inst._replace(key=SETTLED))
-        ready = inst.usable & ~inst.unverified
-        holds_token = any(ready & 1 << w and s.workers[w].token == inst.token for w in WORKERS)
+        usable_workers = inst.usable & ~inst.unverified
+        holds_token = any(
+            usable_workers & 1 << w and s.workers[w].token == inst.token for w in WORKERS
+        )
         if holds_token or not self.rules.confirm_before_not_run:
             yield f"instance {i} answers not_run", settled._replace(told_not_run=True)
         for w in WORKERS:
-            if ready & 1 << w and len(s.messages) < self.bounds.in_flight:
+            if usable_workers & 1 << w and len(s.messages) < self.bounds.in_flight:
                 call = ("run_key", i, w, inst.token)
                 yield f"instance {i} sends the key to worker {w}", with_message(settled, call)
 
@@ -456,7 +460,7 @@
         return invariants
 
     def _has_single_owner(self, fields: dict[str, Any]) -> bool:
-        """Return whether no worker obeyed a stale token and no two instances hold the same one."""
+        """Return whether no worker accepted a stale token and no two instances share a token."""
         if fields["stale_effect"]:
             return False
         first, second = fields["instances"]
