--- a/baobabhoist/control/cell_loader.py
+++ b/baobabhoist/control/cell_loader.py
@@ -13,7 +13,7 @@
     PROGRESS_TABLE,
     SPEEDS_ROW_KEY,
 )
-from baobabhoist.store.rows import Rows, RowStore, StoredRow
+from baobabhoist.store.row_store import RowSet, RowStore, StoredRow
 
 # More concurrent reads would share a slow link, so that none of them completes in time.
 MAX_CONCURRENT_READS = 6
@@ -49,7 +49,7 @@
     def __init__(self, store: RowStore, directory_table: str) -> None:
         self._store = store
         self._directory = TablePartition(directory_table)
-        self._rows_read: dict[TablePartition, Rows] = {}
+        self._rows_read: dict[TablePartition, RowSet] = {}
         self._partitions = (
             TablePartition(PROGRESS_TABLE),
             TablePartition(CELL_TABLE),
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -1,4 +1,4 @@
-"""Assemble the parts of the daemon."""
+"""Assemble the components of the daemon."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from typing import Any
 
 from baobabhoist.config.settings import Settings, TlsSettings
-from baobabhoist.daemon.digests import digest_of
-from baobabhoist.daemon.dispatch import ShardTimes
-from baobabhoist.daemon.escrow import Escrow
-from baobabhoist.daemon.jobs import Jobs
-from baobabhoist.daemon.owners import BUSY_STATES, Owners, Place
+from baobabhoist.daemon.digests import build_digest
+from baobabhoist.daemon.dispatch import LeaseSettings
+from baobabhoist.daemon.escrow import EscrowManager
+from baobabhoist.daemon.jobs import JobManager
+from baobabhoist.daemon.owners import ACTIVE_STATES, LocalInstance, OwnershipManager
 from baobabhoist.daemon.policies import (
     FleetSlots,
     class_limits,
     queue_policies,
     team_policies,
-    use_elsewhere,
+    usage_elsewhere,
 )
+from baobabhoist.daemon.record_sync import RecordSync
 from baobabhoist.daemon.routing import RequestRouter
-from baobabhoist.daemon.shard import ShardOwner
 from baobabhoist.daemon.shard_jobs import ShardJobs
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.daemon.shutdown import Drain
-from baobabhoist.daemon.sync import RecordSync
-from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
-from baobabhoist.errors import NotSentError
+from baobabhoist.daemon.telemetry import GaugeUpdater, MetricsObserver
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.gateway.admin import admin_app
 from baobabhoist.gateway.callers import caller_app
 from baobabhoist.gateway.context import CallerOptions
@@ -53,24 +53,24 @@
     ShardDigest,
 )
 from baobabhoist.peer.tls import PeerTls
-from baobabhoist.records.changes import LOG_HEAD
+from baobabhoist.records.changes import LOG_HEAD_KEY
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
-from baobabhoist.store.client import PlatformTable
-from baobabhoist.store.members import MemberList
-from baobabhoist.store.table import Table, WatchedTable
+from baobabhoist.store.membership import MembershipList
+from baobabhoist.store.table import CommitNotifyingTable, Table
+from baobabhoist.store.table_client import PlatformTableClient
 
 log = logging.getLogger(__name__)
 
 TLS_CHECK_INTERVAL_S = 2.0
 USAGE_INTERVAL_S = 0.5
-# Members of this kind that name a port are instances, also when no settings list them.
-ENTRY_KIND = "entry"
+# Members of this kind with a port are daemon instances, even if the settings do not list them.
+ENTRY_MEMBER_KIND = "entry"
 RECORD_MESSAGES = (RecordPull, RecordEntries, RecordSnapshot)
 
 
 class ShardRecords:
-    """Know the shards of the records."""
+    """Look up shards in the records."""
 
     def __init__(self, view: RecordView) -> None:
         self._view = view
@@ -86,7 +86,7 @@
 
     def workers_of(self, shard: str) -> list[WorkerSpec]:
         """Return the workers of a shard."""
-        return self._view.workers_of(shard)
+        return self._view.workers_in_shard(shard)
 
 
 def _listener_tls(cfg: TlsSettings | None) -> ReloadingTls | None:
@@ -94,17 +94,19 @@
 
 
 class Daemon:
-    """Hold the parts of one instance."""
+    """Run the components of one instance."""
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
-        platform = PlatformTable(cfg.platform_url)
-        self.table: Table = WatchedTable(platform, LOG_HEAD, lambda: self.sync.pull_soon())
+        platform = PlatformTableClient(cfg.platform_url)
+        self.table: Table = CommitNotifyingTable(
+            platform, LOG_HEAD_KEY, lambda: self.sync.request_pull()
+        )
         self.view = RecordView()
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
         self.sync = RecordSync(self.view, self.table, cfg.instance_id, cfg.data_centre)
-        self.members = MemberList(platform, self._members_read)
+        self.members = MembershipList(platform, self._on_membership_read)
         self.tls = PeerTls(cfg.peer_tls) if cfg.peer_tls is not None else None
         self._addresses = {
             peer.instance_id: PeerAddress(peer.instance_id, peer.data_centre, peer.host, peer.port)
@@ -114,33 +116,33 @@
             list(self._addresses.values()),
             self.heartbeat,
             self._on_peer_message,
-            on_heartbeat=self._heard,
+            on_heartbeat=self._on_heartbeat,
             tls=self.tls,
         )
-        self.owners = Owners(
-            Place(cfg.instance_id, cfg.data_centre, cfg.vm_weight),
+        self.ownership = OwnershipManager(
+            LocalInstance(cfg.instance_id, cfg.data_centre, cfg.vm_weight),
             self.shards,
             self.mesh,
             self._make_owner,
             times=ClaimTiming(membership_lag_s=cfg.membership_lag_s, max_lease_s=cfg.task_lease_s),
         )
-        self.router = RequestRouter(self.owners.owners, self.mesh, self.shards.data_centre_of)
-        self.jobs = Jobs(self)
-        self.escrow = Escrow(self)
+        self.router = RequestRouter(self.ownership.owners, self.mesh, self.shards.data_centre_of)
+        self.jobs = JobManager(self)
+        self.escrow = EscrowManager(self)
         self.open_requests = OpenRequests()
-        # As of the last heartbeat: forwarding asks often, and older figures serve it as well.
+        # Updated with each heartbeat. Forwarding reads the digests often and tolerates older ones.
         self._own_digests: list[ShardDigest] = []
         self.drain = Drain(
             self.open_requests,
-            self.owners,
+            self.ownership,
             lambda: self.router.open_requests,
-            self._close_callers,
+            self._close_caller_server,
         )
         self.sync.peers = self.mesh
         self.sync.is_poller = self._is_poller
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener_tls = (_listener_tls(cfg.caller_tls), _listener_tls(cfg.admin_tls))
-        self._callers = http_server(
+        self._caller_server = http_server(
             caller_app(
                 self,
                 CallerOptions(
@@ -158,7 +160,7 @@
             HttpLimits(max_body_bytes=cfg.max_body_bytes),
             self._listener_tls[0].context if self._listener_tls[0] is not None else None,
         )
-        self._admin = http_server(
+        self._admin_server = http_server(
             admin_app(
                 self,
                 AdminOptions(
@@ -174,46 +176,46 @@
         )
 
     async def run(self) -> None:
-        """Serve until the drain has ended or the task is cancelled."""
+        """Serve until the instance is drained or the task is cancelled."""
         emit(
             log,
             Event.DAEMON_STARTED,
             instance_id=self.cfg.instance_id,
             data_centre=self.cfg.data_centre,
         )
-        self._callers.listen(self.cfg.caller_port, self.cfg.host)
-        self._admin.listen(self.cfg.admin_port, self.cfg.host)
-        loops = [
+        self._caller_server.listen(self.cfg.caller_port, self.cfg.host)
+        self._admin_server.listen(self.cfg.admin_port, self.cfg.host)
+        coroutines = [
             self.sync.run(),
             self.members.run(),
             self.mesh.run(self.cfg.host, self.cfg.peer_port),
-            self._own_shards(),
+            self._run_ownership(),
             self._apply_records(),
-            self._share_usage(),
+            self._update_fleet_usage(),
             self._reload_tls(),
             self.jobs.run(),
             self.escrow.run(),
-            Gauges(self.metrics, self, lambda: self.view.revision).run(),
+            GaugeUpdater(self.metrics, self, lambda: self.view.revision).run(),
         ]
         async with asyncio.TaskGroup() as tg:
-            running = [tg.create_task(loop) for loop in loops]
+            tasks = [tg.create_task(coroutine) for coroutine in coroutines]
             await self.drain.run()
-            for task in running:
+            for task in tasks:
                 task.cancel()
 
     @property
     def ready(self) -> bool:
-        """Tell whether the instance can serve callers."""
+        """Return whether the instance can serve callers."""
         return self.sync.loaded.is_set() and not self.drain.started.is_set()
 
     def heartbeat(self) -> Heartbeat:
-        """Describe this instance to its peers."""
-        busy = self.busy_owners()
-        self._own_digests = [digest_of(owner) for owner in busy]
+        """Return the heartbeat that this instance sends to its peers."""
+        active = self.active_owners()
+        self._own_digests = [build_digest(owner) for owner in active]
         return Heartbeat(
             self.cfg.instance_id,
             self.cfg.data_centre,
-            tuple(owner.shard for owner in busy),
+            tuple(owner.shard for owner in active),
             self.view.revision,
             draining=self.drain.started.is_set(),
             shards=tuple(self._own_digests),
@@ -226,7 +228,7 @@
         """Return the result of a request from the owner of its shard."""
         return await self.router.route(req)
 
-    # What the job coordinator needs.
+    # Methods of JobContext and EscrowContext.
 
     def shard_names(self) -> list[str]:
         """Return the names of all shards in the records."""
@@ -234,16 +236,16 @@
 
     def policy_of(self, queue: str) -> Policy:
         """Return the policy of a queue."""
-        return self.view.policy_of(queue)
+        return self.view.policy_for_queue(queue)
 
     def owned_shards(self) -> list[str]:
-        """Return the shards that this instance owns fully."""
-        owners = self.owners.owners.items()
+        """Return the shards that this instance fully owns."""
+        owners = self.ownership.owners.items()
         return [name for name, owner in owners if owner.claim.state is ClaimState.OWNED]
 
     def local_shard(self, shard: str) -> ShardJobs | None:
-        """Return a shard that this instance owns fully, or None."""
-        owner = self.owners.owners.get(shard)
+        """Return a shard that this instance fully owns, or None."""
+        owner = self.ownership.owners.get(shard)
         if owner is None or owner.claim.state is not ClaimState.OWNED:
             return None
         return ShardJobs(owner)
@@ -256,94 +258,104 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
         peer = self.mesh.owner_of(shard)
         if peer is None:
-            raise NotSentError(f"no live instance owns shard {shard}")
+            raise MessageNotSentError(f"no live instance owns shard {shard}")
         return await self.mesh.call(peer, message, timeout_s)
 
-    # What peers and the platform report.
+    # Events from peers and the platform.
 
     async def _on_peer_message(self, message: Any) -> Any | None:
         if isinstance(message, RelayRequest):
-            return await self.router.answer(message)
+            return await self.router.handle_relay(message)
         if isinstance(message, RECORD_MESSAGES):
             return await self.sync.receive(message)
         if isinstance(message, HandOver):
-            return self.owners.take(message)
+            return self.ownership.accept_hand_over(message)
         if isinstance(message, PlacesWanted):
-            return await self.escrow.give(message)
+            return await self.escrow.grant(message)
         if isinstance(message, JOB_MESSAGES):
             return await self.jobs.handle(message)
         return Ack()
 
-    def _heard(self, beat: Heartbeat) -> None:
-        self._spawn(self.sync.heard(beat.instance_id, beat.records_revision, beat.cut_off_s))
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self._spawn(
+            self.sync.on_peer_revision(
+                heartbeat.instance_id, heartbeat.records_revision, heartbeat.cut_off_s
+            )
+        )
 
-    async def _members_read(self, members: MemberList) -> None:
+    async def _on_membership_read(self, members: MembershipList) -> None:
         gone = members.gone()
-        for owner in list(self.owners.owners.values()):
-            owner.set_leaving(members.leaving() | self.view.drained_workers(owner.shard))
-            await owner.fencing.members_read(gone)
+        for owner in list(self.ownership.owners.values()):
+            owner.set_leaving_workers(members.not_live() | self.view.drained_workers(owner.shard))
+            await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
             self.mesh.forget(name)
-        listed = [
+        member_addresses = [
             PeerAddress(member.name, member.data_centre, member.host, member.port)
             for member in members.members.values()
-            if member.kind == ENTRY_KIND and member.port and member.state != "gone"
+            if member.kind == ENTRY_MEMBER_KIND and member.port and member.state != "gone"
         ]
-        back = [self._addresses[name] for name in self._addresses if name not in gone]
-        own = self.cfg.instance_id
-        self.mesh.consider(peer for peer in (*back, *listed) if peer.instance_id != own)
+        configured_addresses = [
+            self._addresses[name] for name in self._addresses if name not in gone
+        ]
+        own_id = self.cfg.instance_id
+        self.mesh.consider(
+            peer
+            for peer in (*configured_addresses, *member_addresses)
+            if peer.instance_id != own_id
+        )
 
     def _is_poller(self) -> bool:
-        """Tell whether this instance polls the change log for its data centre."""
-        here = [
-            beat.instance_id
-            for beat in self.mesh.beats()
-            if beat.data_centre == self.cfg.data_centre and not beat.draining
+        """Return whether this instance polls the change log for its data centre."""
+        poller_candidates = [
+            heartbeat.instance_id
+            for heartbeat in self.mesh.beats()
+            if heartbeat.data_centre == self.cfg.data_centre and not heartbeat.draining
         ]
-        return all(self.cfg.instance_id < other for other in here)
+        return all(self.cfg.instance_id < other for other in poller_candidates)
 
-    # What runs in the background.
+    # Background tasks.
 
-    async def _own_shards(self) -> None:
+    async def _run_ownership(self) -> None:
         await self.sync.loaded.wait()
-        await self.owners.run()
+        await self.ownership.run()
 
     async def _apply_records(self) -> None:
-        """Bring changed records into the running shards."""
+        """Apply changed records to the shards that this instance owns."""
         while True:
             await self.sync.changed.wait()
             self.sync.changed.clear()
-            leaving = self.members.leaving()
-            for owner in list(self.owners.owners.values()):
-                await owner.set_workers(self.view.workers_of(owner.shard))
-                owner.set_leaving(leaving | self.view.drained_workers(owner.shard))
-                self._set_policies(owner)
-            self.escrow.limits_changed()
-
-    def _set_policies(self, owner: ShardOwner) -> None:
+            leaving = self.members.not_live()
+            for owner in list(self.ownership.owners.values()):
+                await owner.set_workers(self.view.workers_in_shard(owner.shard))
+                owner.set_leaving_workers(leaving | self.view.drained_workers(owner.shard))
+                self._apply_policies(owner)
+            self.escrow.apply_lowered_limits()
+
+    def _apply_policies(self, owner: ShardOwner) -> None:
         owner.scheduler.set_policies(queue_policies(self.view), team_policies(self.view))
-        owner.places.classes.limits = class_limits(self.view, owner.shard)
+        owner.shard_quota.class_ledger.limits = class_limits(self.view, owner.shard)
 
-    async def _share_usage(self) -> None:
-        """Tell the decisions of each shard what its teams use elsewhere."""
+    async def _update_fleet_usage(self) -> None:
+        """Update the scheduler of each shard with the usage of its teams in other shards."""
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            digests = [*self.mesh.digests(), *map(digest_of, self.busy_owners())]
-            for owner in self.busy_owners():
-                elsewhere, part = use_elsewhere(slots, owner.shard, digests)
-                owner.scheduler.set_fleet_usage(elsewhere, part)
+            digests = [*self.mesh.digests(), *map(build_digest, self.active_owners())]
+            for owner in self.active_owners():
+                usage, shard_fraction = usage_elsewhere(slots, owner.shard, digests)
+                owner.scheduler.set_fleet_usage(usage, shard_fraction)
 
     async def _reload_tls(self) -> None:
-        watched = [tls for tls in (self.tls, *self._listener_tls) if tls is not None]
+        reloadable = [tls for tls in (self.tls, *self._listener_tls) if tls is not None]
         while True:
             await asyncio.sleep(TLS_CHECK_INTERVAL_S)
-            for tls in watched:
+            for tls in reloadable:
                 tls.reload_if_changed()
 
-    async def _close_callers(self) -> None:
-        self._callers.stop()
-        await self._callers.close_all_connections()
+    async def _close_caller_server(self) -> None:
+        self._caller_server.stop()
+        await self._caller_server.close_all_connections()
 
     def _make_owner(
         self, claim: ShardClaim, workers: list[WorkerSpec], inherited: HandOver | None
@@ -352,23 +364,23 @@
             claim,
             workers,
             self.table,
-            times=ShardTimes(self.cfg.task_lease_s, self.cfg.clock_skew_s),
+            lease_settings=LeaseSettings(self.cfg.task_lease_s, self.cfg.clock_skew_s),
             forward=self._forward,
-            send_hand_over=self.owners.send_hand_over,
+            send_hand_over=self.ownership.send_hand_over,
             inherited=inherited,
             observer=MetricsObserver(self.metrics),
         )
-        owner.set_leaving(self.members.leaving() | self.view.drained_workers(owner.shard))
-        self._set_policies(owner)
+        owner.set_leaving_workers(self.members.not_live() | self.view.drained_workers(owner.shard))
+        self._apply_policies(owner)
         return owner
 
     def _forward(self, req: Request) -> Any:
         return self.router.forward(req, self._own_digests)
 
-    def busy_owners(self) -> list[ShardOwner]:
-        """Return the shards that this instance works for."""
-        owners = self.owners.owners.values()
-        return [owner for owner in owners if owner.claim.state in BUSY_STATES]
+    def active_owners(self) -> list[ShardOwner]:
+        """Return the owners of the shards that this instance serves."""
+        owners = self.ownership.owners.values()
+        return [owner for owner in owners if owner.claim.state in ACTIVE_STATES]
 
     def _spawn(self, coro: Any) -> None:
         task = asyncio.create_task(coro)
--- a/baobabhoist/daemon/digests.py
+++ b/baobabhoist/daemon/digests.py
@@ -1,4 +1,4 @@
-"""Summarise an owned shard for the other instances."""
+"""Summarise the load of an owned shard for the other instances."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from baobabhoist.peer.messages import ShardDigest
 
 if TYPE_CHECKING:
-    from baobabhoist.daemon.shard import ShardOwner
+    from baobabhoist.daemon.shard_owner import ShardOwner
 
 
-def digest_of(owner: ShardOwner) -> ShardDigest:
-    """Return the use, the spare places and the unmet wishes of a shard by team."""
-    quota = owner.quota
-    # What a class limit keeps waiting asks neither for places nor for workers.
+def build_digest(owner: ShardOwner) -> ShardDigest:
+    """Return the usage, the spare quota and the unmet demand of a shard by team."""
+    quota = owner.quota_ledger
+    # Work that waits for its class limit needs neither more quota nor more workers.
     waiting = [
         entry
-        for entry in owner.open.values()
+        for entry in owner.pending.values()
         if is_queued(owner.keys, entry)
-        and not owner.places.is_full(entry.req.task.team, entry.req.task.kind)
+        and not owner.shard_quota.is_class_full(entry.req.task.team, entry.req.task.kind)
     ]
     unmet = Counter(entry.req.task.team for entry in waiting)
     teams = set(quota.escrow) | set(quota.used)
@@ -33,5 +33,5 @@
         owner.free_slots(),
         len(waiting),
         dict(unmet),
-        owner.places.class_spare(),
+        owner.shard_quota.class_headroom(),
     )
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Send placed tasks to workers and find out what became of each."""
+"""Send placed tasks to workers and resolve their outcomes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import attrs
 
-from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
+from baobabhoist.errors import ErrorKind, LinkClosedError, MessageNotSentError, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome, Task
 from baobabhoist.ownership.request_keys import Result
 from baobabhoist.ownership.tokens import Token
@@ -26,23 +26,23 @@
 
 log = logging.getLogger(__name__)
 
-CALL_TIMEOUT_S = 1.0
-LEASE_S = 3.0
+WORKER_CALL_TIMEOUT_S = 1.0
+DEFAULT_LEASE_S = 3.0
 QUERY_INTERVAL_S = 0.2
-# A worker that answers late still does so within this time after the deadline; then the
-# task is stopped, because nothing else would end it.
-OVERRUN_S = 5.0
-# Longest wait for one reply; after it the owner asks for the outcome and waits again.
-LONGEST_CALL_S = 3600.0
+# Time after its deadline in which a task may still complete. Then the owner stops the task,
+# because nothing else would end it.
+DEADLINE_GRACE_S = 5.0
+# Longest wait for one reply. After that the owner queries the outcome and waits again.
+MAX_CALL_TIMEOUT_S = 3600.0
 
 HTTP_OK = 200
 
 
 @attrs.frozen
-class Ended:
-    """Know that the task ended, with its stored answer.
+class Completed:
+    """Represent a task that ended, with its stored answer.
 
-    `confirmed` tells that the worker held this owner's token when it reported the end.
+    `confirmed` states that the worker held this owner's token when it reported the end.
     """
 
     succeeded: bool
@@ -51,72 +51,75 @@
 
 
 @attrs.frozen
-class NeverRan:
-    """Know that the worker did not start the task and never will under this id."""
+class NotStarted:
+    """Represent a task that the worker did not start and never will under this id."""
 
     reason: str
 
 
 @attrs.frozen
 class Superseded:
-    """Know that the worker obeys a higher token; `sent` tells whether the task may run."""
+    """Represent a task whose worker obeys a higher token; `sent` states that it may run."""
 
     sent: bool
 
 
 @attrs.frozen
-class Lost:
-    """Know only that the task no longer runs: its lease expired or its worker restarted."""
+class LostTask:
+    """Represent a task that no longer runs because its lease expired or its worker restarted.
+
+    Whether the task completed is unknown.
+    """
 
 
-Fate = Ended | NeverRan | Superseded | Lost
+DispatchOutcome = Completed | NotStarted | Superseded | LostTask
 
 
 @attrs.frozen
-class ShardTimes:
-    """Hold the periods that the settings give, in seconds."""
+class LeaseSettings:
+    """Configure task leases, in seconds."""
 
-    lease_s: float = LEASE_S
+    lease_s: float = DEFAULT_LEASE_S
     clock_skew_s: float = 0.5
 
 
-class Observer(Protocol):
-    """Learn what a shard decides and how long its tasks take; times are in seconds."""
+class TaskObserver(Protocol):
+    """Observe the tasks and placements of a shard; times are in seconds."""
 
-    def started(self, task: Task, now: float) -> None:
-        """Learn that a task was sent to its worker."""
+    def task_started(self, task: Task, now: float) -> None:
+        """Handle a task that was sent to its worker."""
 
-    def ended(self, task: Task, seconds: float) -> None:
-        """Learn how long a task was with its worker."""
+    def task_ended(self, task: Task, seconds: float) -> None:
+        """Handle a task that spent `seconds` on its worker."""
 
-    def decided(self, task: Task, seconds: float) -> None:
-        """Learn the processor time of one placement."""
+    def placement_decided(self, task: Task, seconds: float) -> None:
+        """Handle a placement whose decision took `seconds`."""
 
 
-class Calls(Protocol):
+class WorkerClient(Protocol):
     """Send calls to workers."""
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
 
 @attrs.define
-class Leases:
-    """Know when the leases on each worker have certainly expired; times are Unix seconds."""
+class WorkerLeases:
+    """Track when all leases on a worker have certainly expired; times are Unix seconds."""
 
     lease_s: float
     clock_skew_s: float
-    latest: dict[str, float] = attrs.Factory(dict)
+    latest_deadlines: dict[str, float] = attrs.Factory(dict)
 
     def extend(self, worker: str, now: float) -> float:
-        """Return the deadline of a lease that is about to be sent, and remember it."""
+        """Record a lease that is about to be sent to a worker and return its deadline."""
         deadline = now + self.lease_s
-        self.latest[worker] = max(deadline, self.latest.get(worker, 0.0))
+        self.latest_deadlines[worker] = max(deadline, self.latest_deadlines.get(worker, 0.0))
         return deadline
 
-    def expired(self, worker: str, now: float) -> bool:
-        """Tell whether no lease that was ever sent to the worker can still hold."""
-        return now > self.latest.get(worker, 0.0) + self.clock_skew_s
+    def all_expired(self, worker: str, now: float) -> bool:
+        """Return whether every lease that was sent to the worker has expired."""
+        return now > self.latest_deadlines.get(worker, 0.0) + self.clock_skew_s
 
 
 class Dispatcher:
@@ -124,95 +127,99 @@
 
     def __init__(
         self,
-        calls: Calls,
-        leases: Leases,
+        client: WorkerClient,
+        leases: WorkerLeases,
         token: Callable[[], Token],
-        on_refused: Callable[[str, Token], Awaitable[None]],
+        on_token_refused: Callable[[str, Token], Awaitable[None]],
         clock: Callable[[], float],
     ) -> None:
-        self._calls = calls
+        self._client = client
         self._leases = leases
         self._token = token
-        self._on_refused = on_refused
+        self._on_token_refused = on_token_refused
         self._clock = clock
         self._restarts: Counter[str] = Counter()
 
-    def worker_restarted(self, worker: str) -> None:
-        """Note that a worker may have forgotten what it was sent before."""
+    def count_worker_restart(self, worker: str) -> None:
+        """Record that a worker restarted and may have lost the tasks it was sent."""
         self._restarts[worker] += 1
 
-    async def execute(self, task: Task, worker: str) -> Fate:
-        """Run a task and return what became of it; it may take past the task's deadline."""
+    async def execute(self, task: Task, worker: str) -> DispatchOutcome:
+        """Run a task and return its outcome, possibly after the task's deadline."""
         now, token, restarts = self._clock(), self._token(), self._restarts[worker]
         call = RunTask(token, task, self._leases.extend(worker, now))
-        patience = min(task.deadline - now + OVERRUN_S, LONGEST_CALL_S)
+        timeout_s = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
         try:
-            reply = await self._calls.call(worker, call, patience)
-        except NotSentError:
-            return NeverRan("the worker is not connected")
+            reply = await self._client.call(worker, call, timeout_s)
+        except MessageNotSentError:
+            return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
-            return await self.resolve(task.task_id, task.deadline, worker, restarts)
+            return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
         match reply:
             case TaskEnded():
-                return Ended(reply.succeeded, reply.body, reply.token == self._token())
+                return Completed(reply.succeeded, reply.body, reply.token == self._token())
             case TaskRefused(reason="duplicate"):
-                return await self.resolve(task.task_id, task.deadline, worker, restarts)
+                return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
             case TaskRefused():
-                return NeverRan(reply.reason)
+                return NotStarted(reply.reason)
             case TokenRefused():
-                await self._on_refused(worker, reply.highest)
+                await self._on_token_refused(worker, reply.highest)
                 if reply.highest < token:
-                    return NeverRan("the worker restarted and must be fenced again")
+                    return NotStarted("the worker restarted and must be fenced again")
                 return Superseded(sent=False)
-        log.error("worker %s answered RunTask with %s", worker, type(reply).__name__)
-        return await self.resolve(task.task_id, task.deadline, worker, restarts)
+        log.error(
+            "worker %s sent an unexpected reply to RunTask: %s", worker, type(reply).__name__
+        )
+        return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
 
-    async def resolve(
+    async def resolve_outcome(
         self, task_id: str, deadline: float, worker: str, restarts: int | None = None
-    ) -> Fate:
-        """Ask the worker what became of a task until it is known or its lease has expired.
+    ) -> DispatchOutcome:
+        """Query the worker for the outcome of a task until it is known or the lease expires.
 
-        `restarts` is the worker's number of restarts before the task was sent; after another
-        one `never` only means that the worker has forgotten the task.
+        `restarts` is the number of restarts of the worker when the task was sent. If it has
+        restarted since, `never` only means that the worker has lost its record of the task.
         """
-        before = self._restarts[worker] if restarts is None else restarts
+        known_restarts = self._restarts[worker] if restarts is None else restarts
         while True:
-            fate = await self._query(task_id, worker)
-            if isinstance(fate, NeverRan) and self._restarts[worker] != before:
-                return Lost()
-            if fate is not None:
-                return fate
+            outcome = await self._query_outcome(task_id, worker)
+            if isinstance(outcome, NotStarted) and self._restarts[worker] != known_restarts:
+                return LostTask()
+            if outcome is not None:
+                return outcome
             now = self._clock()
-            if now > deadline + OVERRUN_S:
-                await self._stop(task_id, worker)
+            if now > deadline + DEADLINE_GRACE_S:
+                await self._stop_task(task_id, worker)
             await asyncio.sleep(QUERY_INTERVAL_S)
 
-    async def _query(self, task_id: str, worker: str) -> Fate | None:
+    async def _query_outcome(self, task_id: str, worker: str) -> DispatchOutcome | None:
         try:
-            report = await self._calls.call(
-                worker, QueryOutcome(self._token(), task_id), CALL_TIMEOUT_S
+            report = await self._client.call(
+                worker, QueryOutcome(self._token(), task_id), WORKER_CALL_TIMEOUT_S
             )
         except (LinkClosedError, TimeoutError):
-            return Lost() if self._leases.expired(worker, self._clock()) else None
+            return LostTask() if self._leases.all_expired(worker, self._clock()) else None
         match report:
             case TokenRefused(highest):
-                await self._on_refused(worker, highest)
+                await self._on_token_refused(worker, highest)
                 return Superseded(sent=True) if highest > self._token() else None
             case OutcomeReport(ended=EndedTask() as ended):
-                return Ended(ended.succeeded, ended.body)
+                return Completed(ended.succeeded, ended.body)
             case OutcomeReport(state="never"):
-                return NeverRan("the worker never started it")
+                return NotStarted("the worker never started it")
         return None
 
-    async def _stop(self, task_id: str, worker: str) -> None:
+    async def _stop_task(self, task_id: str, worker: str) -> None:
         try:
-            await self._calls.call(worker, StopTask(self._token(), task_id), CALL_TIMEOUT_S)
+            await self._client.call(
+                worker, StopTask(self._token(), task_id), WORKER_CALL_TIMEOUT_S
+            )
         except (LinkClosedError, TimeoutError):
-            log.info("worker %s did not confirm the stop of %s", worker, task_id)
+            log.info("worker %s did not confirm that it stopped task %s", worker, task_id)
 
 
-def result_of_end(task_id: str, succeeded: bool, body: bytes) -> Result:
-    """Return the result of a task that its worker reports as ended."""
+def completed_result(task_id: str, succeeded: bool, body: bytes) -> Result:
+    """Return the result of a task that ended on its worker."""
     if succeeded:
         return Answer(task_id, HTTP_OK, body)
     return Refusal(
@@ -223,8 +230,8 @@
     )
 
 
-def never_ran(reason: str) -> Refusal:
-    """Return the refusal of a task that its worker did not start."""
+def not_started_refusal(reason: str) -> Refusal:
+    """Return the refusal for a task that its worker did not start."""
     return Refusal(
         ErrorKind.NO_CAPACITY,
         f"the worker refused the task: {reason}",
@@ -233,8 +240,8 @@
     )
 
 
-def outcome_unknown(reason: str) -> Refusal:
-    """Return the refusal of a task that may have run."""
+def outcome_unknown_refusal(reason: str) -> Refusal:
+    """Return the refusal for a task that may have run."""
     return Refusal(
         ErrorKind.OUTCOME_UNKNOWN,
         reason,
@@ -243,8 +250,8 @@
     )
 
 
-def not_owner(shard: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
-    """Return the refusal of an instance that does not own the shard, or no longer does."""
+def not_owner_refusal(shard: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
+    """Return the refusal for an instance that does not own the shard, or no longer does."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
         f"this instance does not own shard {shard}",
@@ -254,11 +261,11 @@
     )
 
 
-def result_of_fate(task_id: str, fate: Fate) -> Result:
-    """Return the result of a task of which this is known."""
-    match fate:
-        case Ended(succeeded, body):
-            return result_of_end(task_id, succeeded, body)
-        case NeverRan(reason):
-            return never_ran(reason)
-    return outcome_unknown("the worker did not report what became of the task")
+def result_of_outcome(task_id: str, outcome: DispatchOutcome) -> Result:
+    """Convert the outcome of a dispatched task to the result of its request."""
+    match outcome:
+        case Completed(succeeded, body):
+            return completed_result(task_id, succeeded, body)
+        case NotStarted(reason):
+            return not_started_refusal(reason)
+    return outcome_unknown_refusal("the worker did not report what became of the task")
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -1,4 +1,4 @@
-"""Accept jobs, and connect their coordinator to shards on this and other instances."""
+"""Accept jobs, and connect the job coordinator to shards on this and other instances."""
 
 from __future__ import annotations
 
@@ -54,37 +54,37 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 2.0
-# The owner of a home shard asks other owners in turn before it answers for many jobs.
+# Before the owner of a home shard reports on many jobs, it calls other owners itself.
 LIST_TIMEOUT_S = 2 * CALL_TIMEOUT_S
-OWNED_INTERVAL_S = 0.25
-LIST_PAGE = 500
-LIST_MAX = 2000
+OWNERSHIP_POLL_INTERVAL_S = 0.25
+LIST_PAGE_SIZE = 500
+MAX_LISTED_JOBS = 2000
 
 
 class LocalShard(Protocol):
-    """Be what jobs need of a shard that this instance owns."""
+    """Define what the job manager needs from a shard that this instance owns."""
 
     def report_tasks(self, task_ids: tuple[str, ...], now: float) -> TasksReport:
         """Return which tasks run and why the others wait."""
 
     async def cancel_tasks(self, task_ids: tuple[str, ...]) -> dict[str, str]:
-        """Cancel queued tasks, stop running ones, and refuse the ids from now on.
+        """Cancel queued tasks, stop running ones, and refuse their ids from now on.
 
-        Returns the shards that have the forwarded ones.
+        Returns the target shard of each task that was forwarded.
         """
 
     def hold(self, job_id: str, tasks: tuple[Task, ...], deadline: float, now: float) -> HoldReply:
-        """Hold capacity and places for as many of the tasks as possible."""
+        """Hold capacity and quota for as many of the tasks as possible."""
 
     async def commit_hold(self, job_id: str, now: float) -> bool:
-        """Start the tasks of a hold; tell whether it still stood."""
+        """Start the tasks of a hold; return whether the hold was still valid."""
 
     def release_hold(self, job_id: str) -> None:
-        """Give a hold back."""
+        """Release a hold."""
 
 
-class Node(Protocol):
-    """Be what jobs need of the instance."""
+class JobContext(Protocol):
+    """Define what the job manager needs from the instance."""
 
     table: Table
 
@@ -95,10 +95,10 @@
         """Return the policy of a queue."""
 
     def owned_shards(self) -> list[str]:
-        """Return the shards that this instance owns fully."""
+        """Return the shards that this instance fully owns."""
 
     def local_shard(self, shard: str) -> LocalShard | None:
-        """Return a shard that this instance owns fully, or None."""
+        """Return a shard that this instance fully owns, or None."""
 
     async def route(self, req: Request) -> Answer | Refusal:
         """Return the result of a request from the owner of its shard."""
@@ -107,7 +107,7 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
 
 
-def _unreachable(shard: str) -> Refusal:
+def _owner_unreachable(shard: str) -> Refusal:
     return Refusal(
         ErrorKind.PEER_UNREACHABLE,
         f"the owner of shard {shard} did not answer",
@@ -117,85 +117,85 @@
     )
 
 
-def _not_found(job_id: str) -> Refusal:
+def _job_not_found(job_id: str) -> Refusal:
     return Refusal(
         ErrorKind.NOT_FOUND, f"there is no job {job_id}", remedy="list the jobs of the team"
     )
 
 
-def _by_shard(elsewhere: dict[str, str]) -> dict[str, tuple[str, ...]]:
-    names: dict[str, list[str]] = {}
-    for task_id, shard in elsewhere.items():
-        names.setdefault(shard, []).append(task_id)
-    return {shard: tuple(found) for shard, found in names.items()}
+def _group_by_shard(shard_by_id: dict[str, str]) -> dict[str, tuple[str, ...]]:
+    ids_by_shard: dict[str, list[str]] = {}
+    for item_id, shard in shard_by_id.items():
+        ids_by_shard.setdefault(shard, []).append(item_id)
+    return {shard: tuple(item_ids) for shard, item_ids in ids_by_shard.items()}
 
 
-class ShardDirectory:
-    """Reach shards on this instance directly and others over the peer links."""
+class ShardClient:
+    """Call shards on this instance directly and others over the peer links."""
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    def __init__(self, context: JobContext) -> None:
+        self._context = context
 
     async def run_task(self, req: Request) -> Answer | Refusal:
         """Run a task and return its result."""
-        return await self._node.route(req)
+        return await self._context.route(req)
 
     async def query_tasks(self, shard: str, task_ids: tuple[str, ...]) -> TasksReport | Refusal:
-        """Return which tasks run and why the others wait, also of those forwarded from here."""
+        """Return which tasks run and why the others wait, including forwarded ones."""
         reply = await self.call(shard, TasksQuery(shard, task_ids))
         if not isinstance(reply, TasksReport):
-            return _unreachable(shard)
+            return _owner_unreachable(shard)
         if not reply.elsewhere:
             return reply
         running, waiting = [*reply.running], dict(reply.waiting)
-        for target, names in _by_shard(reply.elsewhere).items():
-            found = await self.call(target, TasksQuery(target, names))
-            if not isinstance(found, TasksReport):
-                return _unreachable(target)
-            running.extend(found.running)
-            waiting.update(found.waiting)
+        for target, forwarded_ids in _group_by_shard(reply.elsewhere).items():
+            forwarded_reply = await self.call(target, TasksQuery(target, forwarded_ids))
+            if not isinstance(forwarded_reply, TasksReport):
+                return _owner_unreachable(target)
+            running.extend(forwarded_reply.running)
+            waiting.update(forwarded_reply.waiting)
         return TasksReport(tuple(running), waiting)
 
     async def cancel_tasks(self, shard: str, task_ids: tuple[str, ...]) -> Refusal | None:
-        """Cancel tasks; a refusal means that the shard could not be asked."""
+        """Cancel tasks; a refusal means that a shard was unreachable."""
         reply = await self.call(shard, CancelTasks(shard, task_ids))
         if not isinstance(reply, CancelTasksReply):
-            return _unreachable(shard)
-        for target, names in _by_shard(reply.elsewhere).items():
-            found = await self.call(target, CancelTasks(target, names))
-            if not isinstance(found, CancelTasksReply):
-                return _unreachable(target)
+            return _owner_unreachable(shard)
+        for target, forwarded_ids in _group_by_shard(reply.elsewhere).items():
+            forwarded_reply = await self.call(target, CancelTasks(target, forwarded_ids))
+            if not isinstance(forwarded_reply, CancelTasksReply):
+                return _owner_unreachable(target)
         return None
 
     async def hold_capacity(
         self, shard: str, job_id: str, tasks: tuple[Task, ...], deadline: float
     ) -> HoldReply:
-        """Hold capacity for as many of the tasks as the shard can."""
+        """Hold capacity for as many of the tasks as possible."""
         reply = await self.call(shard, HoldRequest(shard, job_id, tasks, deadline))
         return reply if isinstance(reply, HoldReply) else HoldReply(())
 
     async def commit_hold(self, shard: str, job_id: str) -> bool:
-        """Start the tasks of a hold; tell whether the hold still stood."""
+        """Start the tasks of a hold; return whether the hold was still valid."""
         reply = await self.call(shard, HoldCommit(shard, job_id))
         return isinstance(reply, HoldAck) and reply.done
 
     async def release_hold(self, shard: str, job_id: str) -> None:
-        """Give a hold back."""
+        """Release a hold."""
         await self.call(shard, HoldRelease(shard, job_id))
 
     async def call(self, shard: str, message: Any) -> Any | None:
-        """Return the reply of a shard's owner, or None when there is none."""
-        local = self._node.local_shard(shard)
+        """Return the reply of a shard's owner, or None without one."""
+        local = self._context.local_shard(shard)
         if local is not None:
-            return await answer_shard_call(local, message)
+            return await handle_shard_call(local, message)
         try:
-            return await self._node.call_owner(shard, message, CALL_TIMEOUT_S)
+            return await self._context.call_owner(shard, message, CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             return None
 
 
-async def answer_shard_call(shard: LocalShard, message: Any) -> Any | None:
-    """Answer a call about the tasks of a shard that this instance owns."""
+async def handle_shard_call(shard: LocalShard, message: Any) -> Any | None:
+    """Handle a call about the tasks of a shard that this instance owns."""
     now = time.time()
     match message:
         case TasksQuery(_, task_ids):
@@ -212,23 +212,23 @@
     return None
 
 
-class Jobs:
+class JobManager:
     """Accept jobs from callers and coordinate those whose home shards are owned here."""
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
-        self._directory = ShardDirectory(node)
-        self._coordinator = JobCoordinator(node.table, self._directory, node.policy_of)
+    def __init__(self, context: JobContext) -> None:
+        self._context = context
+        self._shards = ShardClient(context)
+        self._coordinator = JobCoordinator(context.table, self._shards, context.policy_of)
 
     async def run(self) -> None:
         """Coordinate jobs until cancelled."""
         async with asyncio.TaskGroup() as tg:
             tg.create_task(self._coordinator.run())
-            tg.create_task(self._follow_ownership())
+            tg.create_task(self._watch_ownership())
 
     async def submit(self, spec: JobSpec) -> Refusal | JobStatus:
-        """Accept a job durably; a repeated job id of the same team returns its status."""
-        shards = tuple(self._node.shard_names())
+        """Store a job durably and accept it; a repeated job id of the team returns its status."""
+        shards = tuple(self._context.shard_names())
         if not shards:
             return Refusal(
                 ErrorKind.SHARD_UNAVAILABLE,
@@ -246,113 +246,117 @@
             },
         )
         try:
-            outcome = await self._node.table.commit(txn)
+            outcome = await self._context.table.commit(txn)
         except PlatformError as exc:
-            return _platform_down(exc)
+            return _platform_unavailable(exc)
         if isinstance(outcome, Refusal):
             return await self.status(spec.job_id, spec.team)
-        if self._node.local_shard(run.home) is not None:
+        if self._context.local_shard(run.home) is not None:
             self._coordinator.adopt(run)
         else:
-            # Without an answer the owner finds the job in the table at its next scan.
-            await self._directory.call(run.home, JobCall(run.home, spec.job_id, JobVerb.ADOPT))
+            # If this call fails, the owner finds the job in the table at its next scan.
+            await self._shards.call(run.home, JobCall(run.home, spec.job_id, JobVerb.ADOPT))
         return run.status()
 
     async def status(self, job_id: str, team: str | None) -> Refusal | JobStatus:
         """Return the state of a job."""
-        reply = await self._ask(job_id, team, JobVerb.STATUS)
-        return reply.status or reply.refusal or _not_found(job_id)
+        reply = await self._call_home(job_id, team, JobVerb.STATUS)
+        return reply.status or reply.refusal or _job_not_found(job_id)
 
     async def cancel(self, job_id: str, team: str | None) -> Refusal | JobStatus:
-        """Cancel a job and return its state after that."""
-        reply = await self._ask(job_id, team, JobVerb.CANCEL)
-        return reply.status or reply.refusal or _not_found(job_id)
+        """Cancel a job and return its resulting state."""
+        reply = await self._call_home(job_id, team, JobVerb.CANCEL)
+        return reply.status or reply.refusal or _job_not_found(job_id)
 
     async def explain(self, job_id: str, team: str | None) -> Refusal | JobExplanation:
         """Explain why a job is in its state."""
-        reply = await self._ask(job_id, team, JobVerb.EXPLAIN)
-        return reply.explanation or reply.refusal or _not_found(job_id)
+        reply = await self._call_home(job_id, team, JobVerb.EXPLAIN)
+        return reply.explanation or reply.refusal or _job_not_found(job_id)
 
     async def list(self, team: str | None) -> Refusal | tuple[JobStatus, ...]:
         """Return the state of each job of a team, or of all teams.
 
-        The table lags behind the coordinators, which therefore report on unfinished jobs.
+        The table lags behind the coordinators, so these report on the unfinished jobs.
         """
         prefix = "team_job/" if team is None else f"team_job/{team}/"
         try:
-            rows = await self._scan(prefix, LIST_MAX)
-            # A job that ends between the two scans is read from the table, with its last state.
+            rows = await self._scan(prefix, MAX_LISTED_JOBS)
+            # A job that ends between the two scans is read from the table with its final state.
             homes = {
                 job_id_of(row): home_shard_of(row) for row in await self._scan(UNFINISHED_PREFIX)
             }
-            wanted = [job_id_of(row) for row in rows]
-            found = await self._ask_homes([name for name in wanted if name in homes], homes)
-            for job_id in wanted:
-                if job_id not in found:
-                    run = await self._load(job_id)
+            job_ids = [job_id_of(row) for row in rows]
+            statuses = await self._query_homes(
+                [job_id for job_id in job_ids if job_id in homes], homes
+            )
+            for job_id in job_ids:
+                if job_id not in statuses:
+                    run = await self._find_run(job_id)
                     if run is not None:
-                        found[job_id] = self._stored_status(run)
+                        statuses[job_id] = self._stored_status(run)
         except PlatformError as exc:
-            return _platform_down(exc)
-        return tuple(found[job_id] for job_id in wanted if job_id in found)
+            return _platform_unavailable(exc)
+        return tuple(statuses[job_id] for job_id in job_ids if job_id in statuses)
 
     async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
-        """Return the ids of all unfinished jobs of a queue, from the rows that mark them."""
-        found = []
+        """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
+        job_ids = []
         try:
             for row in await self._scan(UNFINISHED_PREFIX):
-                name = row.value.get("queue")
-                if name is None:
-                    # Earlier releases wrote the row without the queue.
+                job_queue = row.value.get("queue")
+                if job_queue is None:
+                    # Earlier releases wrote these rows without the queue.
                     run = await self._coordinator.load(job_id_of(row))
-                    name = run.spec.queue if run is not None else ""
-                if name == queue:
-                    found.append(job_id_of(row))
+                    job_queue = run.spec.queue if run is not None else ""
+                if job_queue == queue:
+                    job_ids.append(job_id_of(row))
         except PlatformError as exc:
-            return _platform_down(exc)
-        return tuple(found)
+            return _platform_unavailable(exc)
+        return tuple(job_ids)
 
-    async def _scan(self, prefix: str, most: int | None = None) -> Sequence[Row]:
+    async def _scan(self, prefix: str, max_rows: int | None = None) -> Sequence[Row]:
         rows: list[Row] = []
-        while most is None or len(rows) < most:
+        while max_rows is None or len(rows) < max_rows:
             after = rows[-1].key if rows else ""
-            page = await self._node.table.scan(prefix, after=after, limit=LIST_PAGE)
+            page = await self._context.table.scan(prefix, after=after, limit=LIST_PAGE_SIZE)
             rows.extend(page)
-            if len(page) < LIST_PAGE:
+            if len(page) < LIST_PAGE_SIZE:
                 break
-        return [row for row in rows[:most] if row.value is not None]
+        return [row for row in rows[:max_rows] if row.value is not None]
 
-    async def _ask_homes(
+    async def _query_homes(
         self, job_ids: Sequence[str], homes: dict[str, str]
     ) -> dict[str, JobStatus]:
-        """Return what the coordinators of jobs report; unreachable ones are left out."""
+        """Return the statuses that the jobs' coordinators report; omit unreachable ones."""
         queries = [
-            JobsQuery(home, names[start : start + LIST_PAGE])
-            for home, names in _by_shard({name: homes[name] for name in job_ids}).items()
-            for start in range(0, len(names), LIST_PAGE)
+            JobsQuery(home, home_job_ids[start : start + LIST_PAGE_SIZE])
+            for home, home_job_ids in _group_by_shard(
+                {job_id: homes[job_id] for job_id in job_ids}
+            ).items()
+            for start in range(0, len(home_job_ids), LIST_PAGE_SIZE)
         ]
-        reports = await asyncio.gather(*[self._ask_home(query) for query in queries])
+        reports = await asyncio.gather(*[self._query_home(query) for query in queries])
         return {status.job_id: status for report in reports for status in report.statuses}
 
-    async def _ask_home(self, query: JobsQuery) -> JobsReport:
-        if self._node.local_shard(query.home) is not None:
-            return await self._report(query)
+    async def _query_home(self, query: JobsQuery) -> JobsReport:
+        if self._context.local_shard(query.home) is not None:
+            return await self._report_jobs(query)
         try:
-            reply = await self._node.call_owner(query.home, query, LIST_TIMEOUT_S)
+            reply = await self._context.call_owner(query.home, query, LIST_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
             return JobsReport(())
         return reply if isinstance(reply, JobsReport) else JobsReport(())
 
-    async def _report(self, query: JobsQuery) -> JobsReport:
-        """Report on jobs that are coordinated here; others may be finished or not yet known."""
-        if self._node.local_shard(query.home) is None:
+    async def _report_jobs(self, query: JobsQuery) -> JobsReport:
+        """Report on the jobs that this instance coordinates; omit finished and unknown ones."""
+        if self._context.local_shard(query.home) is None:
             return JobsReport(())
-        found = []
+        runs = []
         for job_id in query.job_ids:
-            known = await self._known(job_id)
-            if isinstance(known, JobRun):
-                found.append(known)
-        return JobsReport(await self._coordinator.statuses(found))
+            run = await self._get_or_adopt(job_id)
+            if isinstance(run, JobRun):
+                runs.append(run)
+        return JobsReport(await self._coordinator.statuses(runs))
 
     def _stored_status(self, run: JobRun) -> JobStatus:
         status = run.status()
@@ -362,75 +366,75 @@
         return attrs.evolve(status, reason=reason)
 
     async def handle(self, message: Any) -> Any | None:
-        """Answer a peer's message about jobs or about the tasks of an owned shard."""
+        """Handle a peer's message about jobs or about the tasks of an owned shard."""
         if isinstance(message, JobCall):
-            return await self._answer(message)
+            return await self._handle_job_call(message)
         if isinstance(message, JobsQuery):
-            return await self._report(message)
-        shard = self._node.local_shard(message.shard)
+            return await self._report_jobs(message)
+        shard = self._context.local_shard(message.shard)
         if shard is None:
-            return JobReply(refusal=_unreachable(message.shard))
-        return await answer_shard_call(shard, message)
+            return JobReply(refusal=_owner_unreachable(message.shard))
+        return await handle_shard_call(shard, message)
 
-    async def _load(self, job_id: str) -> JobRun | None:
-        known = self._coordinator.runs.get(job_id)
-        return known or await self._coordinator.load(job_id)
+    async def _find_run(self, job_id: str) -> JobRun | None:
+        run = self._coordinator.runs.get(job_id)
+        return run or await self._coordinator.load(job_id)
 
-    async def _ask(self, job_id: str, team: str | None, verb: JobVerb) -> JobReply:
+    async def _call_home(self, job_id: str, team: str | None, verb: JobVerb) -> JobReply:
         try:
-            run = await self._load(job_id)
+            run = await self._find_run(job_id)
         except PlatformError as exc:
-            return JobReply(refusal=_platform_down(exc))
+            return JobReply(refusal=_platform_unavailable(exc))
         if run is None or team not in (None, run.spec.team):
-            return JobReply(refusal=_not_found(job_id))
+            return JobReply(refusal=_job_not_found(job_id))
         if run.is_finished:
-            return await self._perform(run, verb)
+            return await self._apply_verb(run, verb)
         call = JobCall(run.home, job_id, verb)
-        if self._node.local_shard(run.home) is not None:
-            return await self._answer(call)
+        if self._context.local_shard(run.home) is not None:
+            return await self._handle_job_call(call)
         try:
-            reply = await self._node.call_owner(run.home, call, CALL_TIMEOUT_S)
+            reply = await self._context.call_owner(run.home, call, CALL_TIMEOUT_S)
         except (LinkClosedError, TimeoutError):
-            return JobReply(refusal=_unreachable(run.home))
+            return JobReply(refusal=_owner_unreachable(run.home))
         return reply if isinstance(reply, JobReply) else JobReply()
 
-    async def _answer(self, call: JobCall) -> JobReply:
-        run = await self._known(call.job_id, new=call.verb is JobVerb.ADOPT)
+    async def _handle_job_call(self, call: JobCall) -> JobReply:
+        run = await self._get_or_adopt(call.job_id, is_new=call.verb is JobVerb.ADOPT)
         if isinstance(run, Refusal):
             return JobReply(refusal=run)
-        return await self._perform(run, call.verb)
+        return await self._apply_verb(run, call.verb)
 
-    async def _known(self, job_id: str, new: bool = False) -> JobRun | Refusal:
-        """Return a job of an owned home shard; one that is not coordinated yet is taken over."""
+    async def _get_or_adopt(self, job_id: str, is_new: bool = False) -> JobRun | Refusal:
+        """Return a job of an owned home shard, and adopt it if it is not coordinated yet."""
         run = self._coordinator.runs.get(job_id)
         if run is None:
             try:
                 run = await self._coordinator.load(job_id)
             except PlatformError as exc:
-                return _platform_down(exc)
+                return _platform_unavailable(exc)
             if run is None:
-                return _not_found(job_id)
+                return _job_not_found(job_id)
             if not run.is_finished:
-                if not new or run.revision:
+                if not is_new or run.revision:
                     run.resume()
                 self._coordinator.adopt(run)
                 run = self._coordinator.runs.get(job_id, run)
         return run
 
-    async def _perform(self, run: JobRun, verb: JobVerb) -> JobReply:
+    async def _apply_verb(self, run: JobRun, verb: JobVerb) -> JobReply:
         if verb is JobVerb.EXPLAIN:
             return JobReply(explanation=await self._coordinator.explain(run))
         if verb is JobVerb.CANCEL and not run.is_finished:
             return JobReply(status=await self._coordinator.cancel(run))
         return JobReply(status=await self._coordinator.status(run))
 
-    async def _follow_ownership(self) -> None:
+    async def _watch_ownership(self) -> None:
         while True:
-            self._coordinator.set_owned_shards(self._node.owned_shards())
-            await asyncio.sleep(OWNED_INTERVAL_S)
+            self._coordinator.set_owned_shards(self._context.owned_shards())
+            await asyncio.sleep(OWNERSHIP_POLL_INTERVAL_S)
 
 
-def _platform_down(exc: PlatformError) -> Refusal:
+def _platform_unavailable(exc: PlatformError) -> Refusal:
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
         f"the platform's table gave no answer: {exc}",
--- a/baobabhoist/daemon/preemption.py
+++ b/baobabhoist/daemon/preemption.py
@@ -1,4 +1,4 @@
-"""Carry out what the scheduler asks of running tasks."""
+"""Carry out the scheduler's preemptions of running tasks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 PERCENT = 100
-PREEMPTED = Refusal(
+PREEMPTED_REFUSAL = Refusal(
     ErrorKind.PREEMPTED,
     "the task was stopped to make room for other work or to keep a limit",
     Outcome.RAN,
@@ -25,34 +25,36 @@
 )
 
 
-class Owner(Protocol):
-    """Be the shard whose workers are told."""
+class PreemptionOwner(Protocol):
+    """Define what preemption needs from the owner of a shard."""
 
     claim: ShardClaim
     scheduler: Scheduler
-    stopping: set[str]
+    stopping_tasks: set[str]
 
-    async def tell_worker(self, worker: str, message: Any) -> bool:
-        """Send a worker a call; tell whether it was confirmed."""
+    async def call_worker(self, worker: str, message: Any) -> bool:
+        """Call a worker; return whether it confirmed the call."""
 
 
-async def preempt(owner: Owner, wanted: Preemption) -> None:
+async def apply_preemption(owner: PreemptionOwner, preemption: Preemption) -> None:
     """Ask a worker to checkpoint, throttle or stop a task so that another one fits."""
-    token, task_id = owner.claim.token, wanted.task_id
-    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=wanted.for_task_id)
-    if wanted.action is PreemptionAction.THROTTLE:
+    token, task_id = owner.claim.token, preemption.task_id
+    emit(log, Event.TASK_PREEMPTED, task_id=task_id, for_task_id=preemption.for_task_id)
+    if preemption.action is PreemptionAction.THROTTLE:
         placed = owner.scheduler.placements.get(task_id)
-        had = placed.task.resources.cpu_milli if placed is not None else 0
-        percent = wanted.cpu_milli * PERCENT // had if had else PERCENT
+        granted_milli = placed.task.resources.cpu_milli if placed is not None else 0
+        percent = preemption.cpu_milli * PERCENT // granted_milli if granted_milli else PERCENT
         message = ThrottleTask(token, task_id, max(1, percent))
-        if await owner.tell_worker(wanted.worker, message):
-            owner.scheduler.task_throttled(task_id, wanted.cpu_milli)
-    elif wanted.action is not PreemptionAction.NEVER:
-        owner.stopping.add(task_id)
-        await owner.tell_worker(wanted.worker, stop_message(owner, task_id, wanted.action))
+        if await owner.call_worker(preemption.worker, message):
+            owner.scheduler.task_throttled(task_id, preemption.cpu_milli)
+    elif preemption.action is not PreemptionAction.NEVER:
+        owner.stopping_tasks.add(task_id)
+        await owner.call_worker(
+            preemption.worker, build_stop_message(owner, task_id, preemption.action)
+        )
 
 
-def stop_message(owner: Owner, task_id: str, action: PreemptionAction) -> Any:
-    """Return the message that ends a task, with its progress saved if so wished."""
+def build_stop_message(owner: PreemptionOwner, task_id: str, action: PreemptionAction) -> Any:
+    """Return the message that stops a task, after a checkpoint if the action asks for one."""
     checkpoint = action is PreemptionAction.CHECKPOINT
     return (CheckpointTask if checkpoint else StopTask)(owner.claim.token, task_id)
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -1,4 +1,4 @@
-"""Bring each request to the owner of its shard and its result back."""
+"""Route each request to the owner of its shard and return the result."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 import attrs
 
-from baobabhoist.daemon.dispatch import not_owner, outcome_unknown
+from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
 from baobabhoist.errors import (
     ErrorKind,
     LinkClosedError,
+    MessageNotSentError,
     MessageTooLargeError,
-    NotSentError,
     Refusal,
 )
 from baobabhoist.model import Outcome, Request, Task, WorkKind
@@ -23,28 +23,28 @@
 from baobabhoist.peer.messages import RelayAnswer, RelayRefusal, RelayRequest, ShardDigest
 from baobabhoist.quota.class_limits import class_key
 
-# A takeover lasts up to 5 s; a request that no owner has seen waits that long for one.
-PATIENCE_S = 6.0
-FORWARD_PATIENCE_S = 0.5
-ASK_AGAIN_S = 0.05
-# The owner answers at the deadline at the latest; its answer needs time to arrive.
-ANSWER_MARGIN_S = 0.5
-LONGEST_CALL_S = 3600.0
+# A takeover lasts up to 5 s. A request that no owner has received waits longer than that.
+OWNER_WAIT_S = 6.0
+FORWARD_OWNER_WAIT_S = 0.5
+RETRY_INTERVAL_S = 0.05
+# The owner replies by the deadline at the latest; the reply needs time to arrive.
+REPLY_MARGIN_S = 0.5
+MAX_CALL_TIMEOUT_S = 3600.0
 
 
 class Owner(Protocol):
-    """Be a shard that this instance may own."""
+    """Define what routing needs from the owner of a shard on this instance."""
 
     @property
-    def usable(self) -> bool:
-        """Tell whether work may be accepted."""
+    def is_usable(self) -> bool:
+        """Return whether the owner may accept work."""
 
     async def submit(self, req: Request, forwarded: bool = False) -> Result:
         """Return the result of a request."""
 
 
 class Peers(Protocol):
-    """Know and call the other instances."""
+    """Look up and call the other instances."""
 
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
@@ -57,158 +57,166 @@
 
 
 @attrs.frozen
-class LostRelay:
-    """Know that the relay broke; `sent` tells whether the owner may have the request."""
+class RelayFailure:
+    """Represent a failed relay; `sent` states that the owner may have received the request."""
 
     sent: bool
 
 
 class RequestRouter:
-    """Find the owner of a request and ask it, and the next owner if it fails."""
+    """Submit requests to the owners of their shards, and retry at the next owner on failure."""
 
     def __init__(
         self,
         owners: Mapping[str, Owner],
         peers: Peers,
-        home_of: Callable[[str], str] = lambda shard: "",
+        data_centre_of: Callable[[str], str] = lambda shard: "",
         clock: Callable[[], float] = time.time,
         rng: random.Random | None = None,
     ) -> None:
         self.open_requests = 0
         self._owners = owners
         self._peers = peers
-        self._home_of = home_of
+        self._data_centre_of = data_centre_of
         self._clock = clock
         self._rng = rng or random.Random()
 
     async def route(self, req: Request) -> Result:
         """Return the result of a request from the owner of its shard."""
-        counted = _is_counted(req)
-        self.open_requests += counted
+        delays_drain = _delays_drain(req)
+        self.open_requests += delays_drain
         try:
-            return await self._ask_until(req, False, PATIENCE_S)
+            return await self._submit_until(req, False, OWNER_WAIT_S)
         finally:
-            self.open_requests -= counted
+            self.open_requests -= delays_drain
 
-    async def answer(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
-        """Answer a request that another instance relayed."""
+    async def handle_relay(self, message: RelayRequest) -> RelayAnswer | RelayRefusal:
+        """Handle a request that another instance relayed."""
         req = message.request
         owner = self._owners.get(req.shard)
-        result: Result = not_owner(req.shard)
+        result: Result = not_owner_refusal(req.shard)
         if owner is not None:
-            counted = _is_counted(req)
-            self.open_requests += counted
+            delays_drain = _delays_drain(req)
+            self.open_requests += delays_drain
             try:
                 result = await owner.submit(req, message.forwarded)
             finally:
-                self.open_requests -= counted
+                self.open_requests -= delays_drain
         if isinstance(result, Refusal):
             return RelayRefusal(req.request_id, result)
         return RelayAnswer(result)
 
     def forward(
-        self, req: Request, own: list[ShardDigest]
+        self, req: Request, local_digests: list[ShardDigest]
     ) -> tuple[str, Awaitable[Result]] | None:
-        """Send a request to another shard with room for it and return both, or None.
+        """Forward a request to another shard with headroom, or return None without one.
 
-        Its home shard keeps the key, so no other owner of that shard has seen the id.
+        Returns the shard and an awaitable result. The request counts as a first attempt there:
+        its key stays with the home shard, so no earlier owner of the target has seen its id.
         """
-        home = self._home_of(req.shard)
-        rooms = [
-            (digest, _room(digest, req.task))
-            for digest in (*self._peers.digests(), *own)
+        data_centre = self._data_centre_of(req.shard)
+        candidates = [
+            (digest, _headroom(digest, req.task))
+            for digest in (*self._peers.digests(), *local_digests)
             if digest.shard != req.shard
         ]
-        rooms = [(digest, room) for digest, room in rooms if room > 0]
-        near = [found for found in rooms if self._home_of(found[0].shard) == home]
-        chosen = near or rooms
+        candidates = [(digest, headroom) for digest, headroom in candidates if headroom > 0]
+        local = [
+            candidate
+            for candidate in candidates
+            if self._data_centre_of(candidate[0].shard) == data_centre
+        ]
+        chosen = local or candidates
         if not chosen:
             return None
-        # A draw in proportion to the room keeps many owners from choosing the same shard.
-        (target, _), *_ = self._rng.choices(chosen, [room for _, room in chosen])
+        # A choice weighted by headroom keeps many owners from choosing the same shard.
+        (target, _), *_ = self._rng.choices(chosen, [headroom for _, headroom in chosen])
         forwarded = attrs.evolve(req, shard=target.shard, first_attempt=True)
-        return target.shard, self._ask_until(forwarded, True, FORWARD_PATIENCE_S)
+        return target.shard, self._submit_until(forwarded, True, FORWARD_OWNER_WAIT_S)
 
-    async def _ask_until(self, req: Request, forwarded: bool, patience_s: float) -> Result:
+    async def _submit_until(self, req: Request, forwarded: bool, owner_wait_s: float) -> Result:
         deadline = req.task.deadline
-        patient_until = min(deadline, self._clock() + patience_s)
+        retry_until = min(deadline, self._clock() + owner_wait_s)
         maybe_ran = False
         while True:
-            result = await self._ask(req, forwarded)
-            if not _ask_again(result):
-                assert not isinstance(result, LostRelay)
-                return _truthful(result, req, maybe_ran)
-            if _maybe_ran(result):
+            result = await self._submit_once(req, forwarded)
+            if not _should_retry(result):
+                assert not isinstance(result, RelayFailure)
+                return _withdraw_unproven_not_run(result, req, maybe_ran)
+            if _may_have_run(result):
                 maybe_ran = True
                 req = attrs.evolve(req, first_attempt=False)
-            if self._clock() >= (deadline if maybe_ran else patient_until):
+            if self._clock() >= (deadline if maybe_ran else retry_until):
                 break
-            await asyncio.sleep(ASK_AGAIN_S * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5))
         if maybe_ran:
-            return outcome_unknown("the owner of the shard was lost after it had the request")
-        return _no_owner(req)
+            return outcome_unknown_refusal(
+                "the owner of the shard was lost after it had the request"
+            )
+        return _no_owner_refusal(req)
 
-    async def _ask(self, req: Request, forwarded: bool) -> Result | LostRelay:
+    async def _submit_once(self, req: Request, forwarded: bool) -> Result | RelayFailure:
         owner = self._owners.get(req.shard)
-        if owner is not None and owner.usable:
+        if owner is not None and owner.is_usable:
             return await owner.submit(req, forwarded)
         peer = self._peers.owner_of(req.shard)
         if peer is None:
-            return not_owner(req.shard)
-        left_s = min(req.task.deadline - self._clock() + ANSWER_MARGIN_S, LONGEST_CALL_S)
+            return not_owner_refusal(req.shard)
+        timeout_s = min(req.task.deadline - self._clock() + REPLY_MARGIN_S, MAX_CALL_TIMEOUT_S)
         try:
-            reply = await self._peers.call(peer, RelayRequest(req, forwarded), left_s)
-        except NotSentError:
-            return LostRelay(sent=False)
+            reply = await self._peers.call(peer, RelayRequest(req, forwarded), timeout_s)
+        except MessageNotSentError:
+            return RelayFailure(sent=False)
         except MessageTooLargeError as exc:
             return Refusal(ErrorKind.BODY_TOO_LARGE, str(exc), remedy="send a smaller body")
         except (LinkClosedError, TimeoutError):
-            return LostRelay(sent=True)
+            return RelayFailure(sent=True)
         match reply:
             case RelayAnswer(answer):
                 return answer
             case RelayRefusal(_, refusal):
                 return refusal
-        return LostRelay(sent=True)
+        return RelayFailure(sent=True)
 
 
-def _room(digest: ShardDigest, task: Task) -> int:
-    """Return how many tasks like this one a shard could start."""
+def _headroom(digest: ShardDigest, task: Task) -> int:
+    """Return how many tasks like this one a shard could start now."""
     places = digest.spare.get(task.team, 0)
     in_class = digest.class_spare.get(class_key(task.team, task.kind), places)
     return min(places, in_class, digest.free_slots - digest.queued)
 
 
-def _is_counted(req: Request) -> bool:
-    """Tell whether a drain waits for the request; tasks of jobs go on without this instance."""
+def _delays_drain(req: Request) -> bool:
+    """Return whether a drain waits for the request; tasks of jobs outlive this instance."""
     return req.task.kind is WorkKind.REQUEST
 
 
-def _ask_again(result: Result | LostRelay) -> bool:
-    if isinstance(result, LostRelay):
+def _should_retry(result: Result | RelayFailure) -> bool:
+    if isinstance(result, RelayFailure):
         return True
     return isinstance(result, Refusal) and result.kind is ErrorKind.SHARD_UNAVAILABLE
 
 
-def _maybe_ran(result: Result | LostRelay) -> bool:
-    if isinstance(result, LostRelay):
+def _may_have_run(result: Result | RelayFailure) -> bool:
+    if isinstance(result, RelayFailure):
         return result.sent
     return isinstance(result, Refusal) and result.outcome is Outcome.UNKNOWN
 
 
-def _truthful(result: Result, req: Request, maybe_ran: bool) -> Result:
-    """Withdraw a `not_run` that a later owner cannot know of an earlier one.
+def _withdraw_unproven_not_run(result: Result, req: Request, maybe_ran: bool) -> Result:
+    """Replace a `not_run` that cannot be proven, because an earlier owner may have run the work.
 
-    It can for other requests: it refuses those that may have been sent before its takeover.
+    This concerns only idempotent work. A later owner refuses other requests that may have been
+    dispatched before its takeover, so its `not_run` is reliable for them.
     """
     claims_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
     if claims_not_run and maybe_ran and req.task.idempotent:
-        return outcome_unknown("an earlier owner of the shard may have run the request")
+        return outcome_unknown_refusal("an earlier owner of the shard may have run the request")
     return result
 
 
-def _no_owner(req: Request) -> Refusal:
-    """Return the refusal of a request that reached no owner; an earlier copy may have."""
+def _no_owner_refusal(req: Request) -> Refusal:
+    """Return the refusal for a request without an owner; an earlier attempt may have had one."""
     return Refusal(
         ErrorKind.SHARD_UNAVAILABLE,
         f"no live instance owns shard {req.shard}",
--- a/baobabhoist/scheduling/capacity.py
+++ b/baobabhoist/scheduling/capacity.py
@@ -150,7 +150,7 @@
         return self._tree[1]
 
     def allocate(self, worker: WorkerState, demand: ResourceVector, task_id: str) -> None:
-        """Allocate free capacity to a task; raises InvariantBreachError if there is too little."""
+        """Allocate free capacity; raises InvariantViolationError if there is too little."""
         remaining = subtract(worker.free, demand)
         check(
             min(remaining) >= 0 and task_id not in worker.task_ids,
--- a/baobabhoist/testing/memory_row_store.py
+++ b/baobabhoist/testing/memory_row_store.py
@@ -8,13 +8,13 @@
 
 import attrs
 
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
-    Rows,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowSet,
+    RowTransaction,
     StoredRow,
     StoreRefusedError,
     StoreUnansweredError,
@@ -33,36 +33,36 @@
     history: list[StoredRow] = attrs.Factory(list)
     # Returns "" for no failure, "refused", "lost" (applied, but the reply is lost) or "late" (the
     # reply is lost, and `apply_delayed` applies the transaction).
-    choose_failure: Callable[[RowsTxn], str] = lambda txn: ""
+    choose_failure: Callable[[RowTransaction], str] = lambda txn: ""
     # While this is set, commits never return.
     commits_hang: bool = False
-    delayed: list[RowsTxn] = attrs.Factory(list)
+    delayed: list[RowTransaction] = attrs.Factory(list)
     commit_count: int = 0
     _ticks: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
-        """Return the rows of a part with keys from `first` up to, not including, `last`."""
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
+        """Return the rows of a part with keys from `start` up to, not including, `end`."""
         self._raise_if_down()
         matching = [
             row
             for key, row in self.rows.items()
             if (key.table, key.part) == (table, part)
-            and key.key >= first
-            and (not last or key.key < last)
+            and key.key >= start
+            and (not end or key.key < end)
         ]
         matching.sort(key=lambda row: row.key.key)
-        return Rows(tuple(matching), self.version, self._advance_clock())
+        return RowSet(tuple(matching), self.version, self._advance_clock())
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return what changed after a version, without waiting for a change."""
         self._raise_if_down()
         if after_version < self.history_start_version:
             raise HistoryLostError("the change history was truncated")
         await asyncio.sleep(0)
         matching = [r for r in self.history if r.key.table == table and r.version > after_version]
-        return Rows(tuple(matching), self.version, self._advance_clock())
+        return RowSet(tuple(matching), self.version, self._advance_clock())
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction, or fail as `choose_failure` decides."""
         self._raise_if_down()
         self.commit_count += 1
@@ -85,12 +85,12 @@
         for txn in delayed:
             self.apply(txn)
 
-    def apply(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    def apply(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction atomically."""
-        for key, expected_version in txn.expected.items():
+        for key, expected_version in txn.expected_versions.items():
             row = self.rows.get(key)
             if (row.version if row is not None else 0) != expected_version:
-                current = [self.rows[k] for k in txn.expected if k in self.rows]
+                current = [self.rows[k] for k in txn.expected_versions if k in self.rows]
                 return RowsConflict(tuple(current))
         self.version += 1
         for key, value in txn.puts.items():
--- a/baobabhoist/testing/soak.py
+++ b/baobabhoist/testing/soak.py
@@ -15,7 +15,7 @@
 from absl import app, flags
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
-from baobabhoist.records.view import digest
+from baobabhoist.records.view import key_digest
 from baobabhoist.testing import soak_driver, soak_faults
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster
 from baobabhoist.testing.soak_checker import GuaranteeChecker
@@ -99,7 +99,7 @@
             await self.retry_until_accepted(self.put_record, "shard", shard, body)
         for team, limit in TEAM_LIMITS.items():
             await self.retry_until_accepted(self.put_team_limit, team, limit)
-            key = {"team": team, "digest": digest(f"key-of-{team}")}
+            key = {"team": team, "digest": key_digest(f"key-of-{team}")}
             await self.retry_until_accepted(self.put_record, "key", team, key)
         await self.retry_until_accepted(self.put_revocable_key)
         for queue in ("entries", MARKER_QUEUE):
@@ -183,7 +183,7 @@
 
     async def put_revocable_key(self, withdrawn: bool = False) -> int:
         """Write the record of the team key that the fault `revoke` withdraws."""
-        body = {"team": "walkin", "digest": digest(self.revocable_key), "withdrawn": withdrawn}
+        body = {"team": "walkin", "digest": key_digest(self.revocable_key), "withdrawn": withdrawn}
         return await self.put_record("key", self.revocable_key, body)
 
     async def put_team_limit(self, team: str, limit: int) -> int:
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -8,19 +8,19 @@
 from baobabhoist.control.metrics import NodeMetrics
 from baobabhoist.control.relay import FailoverStore, RelayPeers
 from baobabhoist.control.store_health import MonitoredStore
-from baobabhoist.errors import NotSentError
-from baobabhoist.store.rows import (
+from baobabhoist.errors import MessageNotSentError
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowTransaction,
     StoreRefusedError,
     StoreUnansweredError,
 )
 from baobabhoist.testing.memory_row_store import MemoryRowStore
 
 KEY = RowKey("jobs", "0", "0123")
-TXN = RowsTxn({KEY: 0}, {KEY: b"value"})
+TXN = RowTransaction({KEY: 0}, {KEY: b"value"})
 
 
 class StoreView(MemoryRowStore):
@@ -34,9 +34,9 @@
         self._raise_if_down()
         return await self.shared.commit(txn)
 
-    async def follow(self, table, after_version, wait_ms):
+    async def poll_changes(self, table, after_version, wait_ms):
         self._raise_if_down()
-        return await self.shared.follow(table, after_version, wait_ms)
+        return await self.shared.poll_changes(table, after_version, wait_ms)
 
 
 class FakeLink:
@@ -52,7 +52,7 @@
         if self.silent:
             raise TimeoutError
         if self.peer is None:
-            raise NotSentError("closed")
+            raise MessageNotSentError("closed")
         received = CODEC.decode(CODEC.encode(message)).message
         reply = await self.peer.serve(received)
         return CODEC.decode(CODEC.encode(reply)).message
@@ -89,7 +89,7 @@
         again = await store.commit(TXN)
         assert isinstance(again, RowsConflict)
         assert again.version_of(KEY) == shared.rows[KEY].version
-        changes = await store.follow("jobs", 0, 10)
+        changes = await store.poll_changes("jobs", 0, 10)
         assert [row.value for row in changes.rows] == [b"value"]
 
     asyncio.run(run())
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -15,10 +15,10 @@
 from baobabhoist.gateway import bodies
 from baobabhoist.gateway.jobs import status_body
 from baobabhoist.model import JobState, JobStatus, Outcome
-from baobabhoist.records.checks import ABSENT
 from baobabhoist.records.kinds import RecordKind
 from baobabhoist.records.schema import SCHEMAS
-from baobabhoist.records.store import as_written
+from baobabhoist.records.store import render_record
+from baobabhoist.records.validators import ABSENT
 from baobabhoist.records.view import Record
 from baobabhoist.tests.gateways import OPERATOR, ROSTER, Gateway
 from baobabhoist.tests.test_records_schema import JSON
@@ -66,8 +66,8 @@
     error = SCHEMA["Error"]
     assert error["properties"]["kind"]["enum"] == [kind.value for kind in ErrorKind]
     assert error["properties"]["outcome"]["enum"] == [outcome.value for outcome in Outcome]
-    assert list(Refusal(ErrorKind.CONFLICT, "m").as_body()) == error["required"]
-    full = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).as_body()
+    assert list(Refusal(ErrorKind.CONFLICT, "m").to_body()) == error["required"]
+    full = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).to_body()
     assert list(full) == list(error["properties"])
     assert list(full["problems"][0]) == error["properties"]["problems"]["items"]["required"]
 
@@ -83,13 +83,13 @@
     """Guard against a described field that is refused, and the reverse."""
     for kind, versions in SCHEMAS.items():
         for number, version in versions.items():
-            assert_same_fields(version.check, SCHEMA[f"{kind.value.capitalize()}V{number}"])
+            assert_same_fields(version.validator, SCHEMA[f"{kind.value.capitalize()}V{number}"])
     assert_same_fields(bodies.JOB, SCHEMA["Job"])
     assert SCHEMA["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
     assert set(status_body(JobStatus("j", JobState.QUEUED))) == set(
         SCHEMA["JobStatus"]["required"]
     )
-    record = as_written(Record("team", "a", 1, 1, {"limit": 1}))
+    record = render_record(Record("team", "a", 1, 1, {"limit": 1}))
     assert list(record) == SCHEMA["Record"]["required"]
 
 
--- a/baobabhoist/tests/test_ownership_claim.py
+++ b/baobabhoist/tests/test_ownership_claim.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabhoist import invariants
-from baobabhoist.errors import InvariantBreachError
+from baobabhoist.errors import InvariantViolationError
 from baobabhoist.model import Resources, RunningTask
 from baobabhoist.ownership import claim as shard_claim
 from baobabhoist.ownership import events
@@ -284,7 +284,7 @@
     monkeypatch.setitem(
         shard_claim.TRANSITION_HANDLERS, (ClaimState.OWNED, events.Tick), faulty_handler
     )
-    with pytest.raises(InvariantBreachError, match=str(int(event))):
+    with pytest.raises(InvariantViolationError, match=str(int(event))):
         claim.step(events.Tick(), NOW)
     assert attrs.asdict(claim) == state_before
     assert invariants.breach_counts[event] == count_before + 1
@@ -310,6 +310,6 @@
     monkeypatch.setitem(
         shard_claim.TRANSITION_HANDLERS, (ClaimState.PARTIAL, events.Tick), faulty_handler
     )
-    with pytest.raises(InvariantBreachError, match=str(int(event))):
+    with pytest.raises(InvariantViolationError, match=str(int(event))):
         claim.step(events.Tick(), NOW)
     assert claim.state is ClaimState.PARTIAL
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -9,7 +9,7 @@
 from websockets.asyncio.server import serve
 
 from baobabhoist.config.settings import TlsSettings
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import Answer
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer import mesh
@@ -28,7 +28,7 @@
 from baobabhoist.testing.cluster import free_port
 from baobabhoist.testing.network import Relay
 from baobabhoist.tests.certificates import Authority
-from baobabhoist.tests.shards import request, until
+from baobabhoist.tests.shard_harness import request, until
 
 
 @contextlib.asynccontextmanager
@@ -99,7 +99,7 @@
     async def scenario():
         async with linked(echo) as link:
             link.abort()
-            with pytest.raises(NotSentError):
+            with pytest.raises(MessageNotSentError):
                 await link.call(Ack(), 1.0)
 
     asyncio.run(scenario())
@@ -175,12 +175,12 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def pair(ports, reach, tls=(None, None)):
+def pair(ports, is_reachable, tls=(None, None)):
     """Return two meshes; `reach` are the ports at which each finds the other."""
     names = ("a", "b")
     found = []
     for me, other in ((0, 1), (1, 0)):
-        address = PeerAddress(names[other], "north", "127.0.0.1", reach[me])
+        address = PeerAddress(names[other], "north", "127.0.0.1", is_reachable[me])
         describe = lambda me=me: beat(names[me])  # noqa: E731
         found.append(Mesh([address], describe, echo, tls=tls[me]))
     return [(one, port) for one, port in zip(found, ports, strict=True)]
--- a/baobabhoist/tests/test_records_store.py
+++ b/baobabhoist/tests/test_records_store.py
@@ -1,55 +1,57 @@
-"""Test changes of records as transactions, their log and the view."""
+"""Test transactional changes of records, the change log and the record view."""
 
 import asyncio
 
 from baobabhoist.errors import ErrorKind
 from baobabhoist.model import Outcome
-from baobabhoist.records.changes import record_of
-from baobabhoist.records.diff import difference
-from baobabhoist.records.keys import accept, digest
-from baobabhoist.records.store import Change, RecordStore, as_written
+from baobabhoist.records.changes import record_from_row
+from baobabhoist.records.diff import diff_bodies
+from baobabhoist.records.keys import check_key, key_digest
+from baobabhoist.records.store import RecordChange, RecordStore, render_record
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 
 def new_store():
     return RecordStore(MemoryTable(), RecordView())
 
 
-def put(store, kind, name, body, based_on=0, version=1):
-    return asyncio.run(store.put(Change(kind, name, version, body, based_on, "tess"), 5.0))
+def put(store, kind, name, body, base_revision=0, version=1):
+    return asyncio.run(
+        store.put(RecordChange(kind, name, version, body, base_revision, "tess"), 5.0)
+    )
 
 
-def delete(store, kind, name, based_on):
-    return asyncio.run(store.delete(Change(kind, name, 0, None, based_on), 6.0))
+def delete(store, kind, name, base_revision):
+    return asyncio.run(store.delete(RecordChange(kind, name, 0, None, base_revision), 6.0))
 
 
-def catch_up(store):
+def sync_view(store):
     for row in asyncio.run(store.table.scan("log/")):
-        store.view.apply(record_of(row))
+        store.view.apply(record_from_row(row))
 
 
 def test_a_change_based_on_an_old_revision_is_a_conflict():
-    """Guard against one operator undoing another's change unseen."""
+    """Guard against an operator who unknowingly overwrites another operator's change."""
     store = new_store()
     assert put(store, "team", "roster", {"limit": 1}).revision == 1
     assert put(store, "team", "roster", {"limit": 2}, 1).revision == 2
-    late = put(store, "team", "roster", {"limit": 3}, 1)
-    assert late.kind is ErrorKind.CONFLICT
-    assert 'If-Match: "2"' in late.remedy
+    stale = put(store, "team", "roster", {"limit": 3}, 1)
+    assert stale.kind is ErrorKind.CONFLICT
+    assert 'If-Match: "2"' in stale.remedy
     assert put(store, "team", "roster", {"limit": 3}).kind is ErrorKind.CONFLICT
     assert put(store, "team", "other", {"limit": 3}, 7).kind is ErrorKind.CONFLICT
 
 
 def test_a_race_on_the_same_record_is_a_conflict_and_on_another_is_not():
-    """Guard against a lost change when two operators commit at once."""
+    """Guard against a lost update when two operators commit at the same time."""
     store = new_store()
     put(store, "team", "roster", {"limit": 1})
-    rival = RecordStore(store.table, RecordView())
+    other_store = RecordStore(store.table, RecordView())
 
-    def change(name, based_on):
+    def change(name, base_revision):
         async def run():
-            await rival.put(Change("team", name, 1, {"limit": 9}, based_on), 5.0)
+            await other_store.put(RecordChange("team", name, 1, {"limit": 9}, base_revision), 5.0)
 
         return run
 
@@ -60,8 +62,8 @@
     assert asyncio.run(store.read("team", "roster")).body["limit"] == 9
 
 
-def test_a_platform_outage_says_what_is_known_of_the_change():
-    """Guard against a change reported as not made that was made."""
+def test_a_platform_outage_reports_whether_the_change_was_made():
+    """Guard against a committed change that is reported as not made."""
     store = new_store()
     store.table.down = True
     refusal = put(store, "team", "roster", {"limit": 1})
@@ -70,10 +72,10 @@
     assert put(store, "team", "roster", {"limit": 1}).outcome is Outcome.UNKNOWN
 
 
-def test_records_in_use_are_not_deleted_and_references_must_lead_somewhere():
-    """Guard against keys without a team and queues without their policy, also in a stale view."""
+def test_records_in_use_are_not_deleted_and_references_must_exist():
+    """Guard against references to missing teams and policies, also when the view is stale."""
     store = new_store()
-    key = {"team": "roster", "digest": digest("k")}
+    key = {"team": "roster", "digest": key_digest("k")}
     assert put(store, "key", "k1", key).problems[0].path == "body.team"
     put(store, "team", "roster", {"limit": 1})
     put(store, "key", "k1", key)
@@ -94,42 +96,42 @@
     put(store, "team", "roster", {"limit": 1})
     delete(store, "team", "roster", 1)
     put(store, "team", "roster", {"limits": {"total": 3}}, version=2)
-    history = asyncio.run(store.history("team", "roster"))
+    history = asyncio.run(store.read_history("team", "roster"))
     assert [(record.revision, record.schema_version) for record in history] == [
         (3, 2),
         (2, 1),
         (1, 1),
     ]
     assert history[0].changed_by == "tess"
-    assert as_written(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
-    assert as_written(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
-    first = asyncio.run(store.version("team", "roster", 1))
-    found = difference(first.body, history[0].body)
-    assert [(item.path, item.old, item.new) for item in found] == [("body.limit", 1, 3)]
-    assert asyncio.run(store.version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
+    assert render_record(history[0])["body"]["limits"] == {"total": 3, "classes": {}}
+    assert render_record(history[0], 1)["body"] == {"limit": 3, "share": 1.0}
+    first = asyncio.run(store.read_version("team", "roster", 1))
+    differences = diff_bodies(first.body, history[0].body)
+    assert [(item.path, item.old, item.new) for item in differences] == [("body.limit", 1, 3)]
+    assert asyncio.run(store.read_version("team", "other", 1)).kind is ErrorKind.NOT_FOUND
 
 
 def test_the_view_applies_only_higher_revisions_and_keeps_its_indexes():
-    """Guard against a deleted or withdrawn key that still opens the door."""
+    """Guard against a deleted or withdrawn key that is still accepted."""
     view = RecordView()
-    key = {"team": "roster", "digest": digest("k")}
+    key = {"team": "roster", "digest": key_digest("k")}
     assert view.apply(Record("key", "k1", 1, 4, key))
     assert not view.apply(Record("key", "k1", 1, 4, None))
     assert view.team_of_key("k") == "roster"
     view.apply(Record("key", "k1", 1, 5, {**key, "withdrawn": True}))
     assert view.team_of_key("k") is None
-    assert "withdrawn" in accept(view.key_of("k"), 0.0, "H").message
+    assert "withdrawn" in check_key(view.find_key("k"), 0.0, "H").message
     view.apply(Record("key", "k1", 1, 6, {**key, "offline_grace_s": 2.0}))
-    assert accept(view.key_of("k"), 1.0, "H").team == "roster"
-    assert accept(view.key_of("k"), 3.0, "H").kind is ErrorKind.KEY_REJECTED
-    view.apply(Record("key", "k1", 1, 7, {**key, "digest": digest("n")}))
-    assert (view.key_of("k"), view.team_of_key("n")) == (None, "roster")
+    assert check_key(view.find_key("k"), 1.0, "H").team == "roster"
+    assert check_key(view.find_key("k"), 3.0, "H").kind is ErrorKind.KEY_REJECTED
+    view.apply(Record("key", "k1", 1, 7, {**key, "digest": key_digest("n")}))
+    assert (view.find_key("k"), view.team_of_key("n")) == (None, "roster")
     view.apply(Record("key", "k1", 1, 8, None))
-    assert view.key_of("n") is None
+    assert view.find_key("n") is None
 
 
-def test_home_shards_follow_the_records_and_unreadable_records_are_isolated():
-    """Guard against a stale cache of shards and one bad row stopping all records."""
+def test_shards_of_a_data_centre_are_updated_and_unreadable_records_are_isolated():
+    """Guard against a stale cache of shards and a malformed row that blocks all records."""
     view = RecordView()
     view.apply(Record("shard", "b", 1, 1, {"data_centre": "north", "workers": []}))
     view.apply(Record("shard", "a", 1, 2, {"data_centre": "south", "workers": []}))
@@ -146,4 +148,4 @@
     copied = view.copy()
     copied.apply(Record("shard", "c", 1, 5, None))
     assert (copied.shards_in(()), view.shards_in(())) == (("a", "b"), ("a", "b", "c"))
-    assert len(view.of_kind("shard")) == 3
+    assert len(view.records_of_kind("shard")) == 3
