--- a/baobabhoist/testing/soak_driver.py
+++ b/baobabhoist/testing/soak_driver.py
@@ -36,11 +36,11 @@
 
 
 async def try_fetch(
-    http: AsyncHTTPClient, url: str, timeout_s: float, **options: Any
+    http_client: AsyncHTTPClient, url: str, timeout_s: float, **options: Any
 ) -> HTTPResponse | str:
     """Return the response, or the reason why there is none."""
     try:
-        return await http.fetch(
+        return await http_client.fetch(
             url,
             raise_error=False,
             request_timeout=timeout_s,
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -44,7 +44,7 @@
 # SLOWDOWN_FACTOR times as long. hang: tasks run until they are stopped. leaving: as normal.
 MODES = ("normal", "fail", "slow", "hang", "leaving")
 SLOWDOWN_FACTOR = 10.0
-# A request key is valid until its deadline, at most 10 minutes, plus the allowed clock skew.
+# Request keys are retained until their deadline, at most 10 minutes, plus the allowed clock skew.
 TASK_ID_RETENTION_S = 660.0
 TICK_INTERVAL_S = 0.1
 # Limits of one page of an inventory; larger bodies are omitted from it.
