--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -27,10 +27,10 @@
 from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
 from baobabhoist.errors import NotSentError
 from baobabhoist.gateway.admin import admin_app
+from baobabhoist.gateway.admin_handler import AdminOptions
+from baobabhoist.gateway.caller_handler import CallerOptions
 from baobabhoist.gateway.callers import caller_app
-from baobabhoist.gateway.context import CallerOptions
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.operators import AdminOptions
 from baobabhoist.gateway.server import HttpLimits, http_server
 from baobabhoist.gateway.tls import ReloadingTls, TlsFiles
 from baobabhoist.jobs.messages import JOB_MESSAGES
--- a/baobabhoist/gateway/admin.py
+++ b/baobabhoist/gateway/admin.py
@@ -9,18 +9,18 @@
 from tornado.web import Application
 
 from baobabhoist.errors import Refusal
-from baobabhoist.gateway.auth import OPERATOR_KEY_HEADER as OPERATOR_KEY_HEADER
-from baobabhoist.gateway.context import NAME_IN_PATH, not_ready
-from baobabhoist.gateway.handler import NotFoundHandler, log_faults
-from baobabhoist.gateway.jobs import explanation_body, no_jobs, status_body
-from baobabhoist.gateway.limits import pending_limits
-from baobabhoist.gateway.metrics import open_requests_gauge
-from baobabhoist.gateway.operators import (
+from baobabhoist.gateway.admin_handler import (
     AdminBackend,
     AdminHandler,
     AdminOptions,
     OpenAdminHandler,
 )
+from baobabhoist.gateway.auth import OPERATOR_KEY_HEADER as OPERATOR_KEY_HEADER
+from baobabhoist.gateway.base_handler import NotFoundHandler, log_faults
+from baobabhoist.gateway.caller_handler import NAME_IN_PATH, not_ready
+from baobabhoist.gateway.jobs import explanation_body, no_jobs, status_body
+from baobabhoist.gateway.metrics import open_requests_gauge
+from baobabhoist.gateway.pending_limits import pending_limits
 from baobabhoist.gateway.records import (
     DiffHandler,
     HistoryHandler,
--- a/baobabhoist/gateway/operators.py
+++ b/baobabhoist/gateway/admin_handler.py
@@ -11,8 +11,8 @@
 
 from baobabhoist.errors import Refusal
 from baobabhoist.gateway.auth import operator_of
+from baobabhoist.gateway.base_handler import TypedHandler
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.handler import TypedHandler
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.observability.metrics import Metrics
--- a/baobabhoist/gateway/context.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -8,8 +8,8 @@
 import attrs
 
 from baobabhoist.errors import ErrorKind, Refusal
+from baobabhoist.gateway.base_handler import TypedHandler
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.handler import TypedHandler
 from baobabhoist.gateway.metrics import ANSWERED, EntryMetrics
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Request, WorkKind
--- a/baobabhoist/gateway/callers.py
+++ b/baobabhoist/gateway/callers.py
@@ -13,7 +13,8 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.gateway.auth import KEY_HEADER as KEY_HEADER
 from baobabhoist.gateway.auth import team_of
-from baobabhoist.gateway.context import (
+from baobabhoist.gateway.base_handler import NotFoundHandler, log_faults
+from baobabhoist.gateway.caller_handler import (
     NAME_IN_PATH,
     CallerHandler,
     CallerOptions,
@@ -22,7 +23,6 @@
     no_queue,
     not_ready,
 )
-from baobabhoist.gateway.handler import NotFoundHandler, log_faults
 from baobabhoist.gateway.headers import (
     FIRST_SENT,
     RequestHeaders,
--- a/baobabhoist/gateway/jobs.py
+++ b/baobabhoist/gateway/jobs.py
@@ -9,7 +9,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.gateway.auth import team_of
 from baobabhoist.gateway.bodies import JobBody, job_id_of, read_job
-from baobabhoist.gateway.context import CallerHandler, kind_refusal, no_queue
+from baobabhoist.gateway.caller_handler import CallerHandler, kind_refusal, no_queue
 from baobabhoist.gateway.headers import deadline_refusal, read_idempotency_key
 from baobabhoist.model import JobExplanation, JobSpec, JobStatus
 from baobabhoist.records.schema import MAX_DEADLINE_S
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -9,9 +9,9 @@
 import attrs
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
+from baobabhoist.gateway.admin_handler import AdminHandler
 from baobabhoist.gateway.bodies import read_json
-from baobabhoist.gateway.limits import PendingLimit, pending_limit
-from baobabhoist.gateway.operators import AdminHandler
+from baobabhoist.gateway.pending_limits import PendingLimit, pending_limit
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.records.checks import ABSENT, Problems, integer
 from baobabhoist.records.diff import difference
--- a/baobabhoist/tests/gateways.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -9,9 +9,9 @@
 
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.gateway.admin import admin_app
+from baobabhoist.gateway.admin_handler import AdminOptions
+from baobabhoist.gateway.caller_handler import CallerOptions
 from baobabhoist.gateway.callers import caller_app
-from baobabhoist.gateway.context import CallerOptions
-from baobabhoist.gateway.operators import AdminOptions
 from baobabhoist.gateway.server import http_server
 from baobabhoist.model import (
     FINAL_JOB_STATES,
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -16,7 +16,7 @@
 from baobabhoist.model import FINAL_JOB_STATES, JobState, Outcome
 from baobabhoist.records.view import RecordView
 from baobabhoist.testing.cluster import free_port
-from baobabhoist.tests.gateways import with_gateway
+from baobabhoist.tests.gateway_harness import with_gateway
 
 TEAM = {"kind": "team", "name": "fibre", "schema_version": 1, "body": {"limit": 3}}
 
--- a/baobabhoist/tests/test_gateway_admin.py
+++ b/baobabhoist/tests/test_gateway_admin.py
@@ -5,7 +5,7 @@
 from baobabhoist.quota.escrow import PlaceMove, apply_moves, encode_row, initial_row, set_limit
 from baobabhoist.records.view import RecordView
 from baobabhoist.store.table import Row
-from baobabhoist.tests.gateways import OPERATOR, ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, with_gateway
 
 TEAM = "/v1/records/team/fibre"
 CREATE = {**OPERATOR, "If-None-Match": "*"}
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -9,7 +9,7 @@
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Answer, Outcome, Urgency
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.gateways import ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import ROSTER, with_gateway
 
 PATH = "/v1/queues/entries/requests"
 CHECKS = "/v1/queues/checks/requests"
--- a/baobabhoist/tests/test_gateway_jobs.py
+++ b/baobabhoist/tests/test_gateway_jobs.py
@@ -7,7 +7,7 @@
 
 from baobabhoist.model import WorkKind
 from baobabhoist.records.view import Record
-from baobabhoist.tests.gateways import OPERATOR, ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, with_gateway
 
 OTHER = {"X-Team-Key": "other-key"}
 
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -20,7 +20,7 @@
 from baobabhoist.records.schema import SCHEMAS
 from baobabhoist.records.store import as_written
 from baobabhoist.records.view import Record
-from baobabhoist.tests.gateways import OPERATOR, ROSTER, Gateway
+from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, Gateway
 from baobabhoist.tests.test_records_schema import JSON
 
 METHODS = ("get", "put", "post", "delete", "patch", "head", "options")
