--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -26,13 +26,13 @@
 from baobabhoist.daemon.sync import RecordSync
 from baobabhoist.daemon.telemetry import Gauges, MetricsObserver
 from baobabhoist.errors import NotSentError
-from baobabhoist.gateway.admin import admin_app
+from baobabhoist.gateway.admin import make_admin_app
 from baobabhoist.gateway.admin_handler import AdminOptions
 from baobabhoist.gateway.caller_handler import CallerOptions
-from baobabhoist.gateway.callers import caller_app
+from baobabhoist.gateway.callers import make_caller_app
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.server import HttpLimits, http_server
-from baobabhoist.gateway.tls import ReloadingTls, TlsFiles
+from baobabhoist.gateway.server import HttpLimits, make_http_server
+from baobabhoist.gateway.tls import ReloadingTlsContext, TlsFiles
 from baobabhoist.jobs.messages import JOB_MESSAGES
 from baobabhoist.model import Request, WorkerSpec
 from baobabhoist.observability.events import Event, emit
@@ -89,8 +89,8 @@
         return self._view.workers_of(shard)
 
 
-def _listener_tls(cfg: TlsSettings | None) -> ReloadingTls | None:
-    return ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca)) if cfg else None
+def _listener_tls(cfg: TlsSettings | None) -> ReloadingTlsContext | None:
+    return ReloadingTlsContext.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca)) if cfg else None
 
 
 class Daemon:
@@ -140,8 +140,8 @@
         self.sync.is_poller = self._is_poller
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener_tls = (_listener_tls(cfg.caller_tls), _listener_tls(cfg.admin_tls))
-        self._callers = http_server(
-            caller_app(
+        self._callers = make_http_server(
+            make_caller_app(
                 self,
                 CallerOptions(
                     jobs=self.jobs,
@@ -158,8 +158,8 @@
             HttpLimits(max_body_bytes=cfg.max_body_bytes),
             self._listener_tls[0].context if self._listener_tls[0] is not None else None,
         )
-        self._admin = http_server(
-            admin_app(
+        self._admin = make_http_server(
+            make_admin_app(
                 self,
                 AdminOptions(
                     jobs=self.jobs,
--- a/baobabhoist/gateway/admin.py
+++ b/baobabhoist/gateway/admin.py
@@ -52,7 +52,7 @@
             {
                 **own,
                 "ready": not_ready(self.backend.ready, open_requests) is None,
-                "draining": bool(own.get("draining")) or open_requests.leaving,
+                "draining": bool(own.get("draining")) or open_requests.leaving_balancer,
                 "open_requests": open_requests.count,
                 "records_unconfirmed_s": self.options.cut_off_s(),
                 "pending_limits": (
@@ -185,7 +185,7 @@
         self.answer_json({"ready": True})
 
 
-def admin_app(daemon: AdminBackend, options: AdminOptions | None = None) -> Application:
+def make_admin_app(daemon: AdminBackend, options: AdminOptions | None = None) -> Application:
     """Return the HTTP application for operators."""
     options = options or AdminOptions()
     context: dict[str, Any] = {"backend": daemon, "options": options}
--- a/baobabhoist/gateway/base_handler.py
+++ b/baobabhoist/gateway/base_handler.py
@@ -73,7 +73,7 @@
         """Return why the request is refused whatever its body is, or None."""
         if not self.counted:
             return None
-        refusal = self.options.open_requests.enter()
+        refusal = self.options.open_requests.admit()
         self._counted = refusal is None
         return refusal
 
@@ -121,7 +121,7 @@
     def finish(self, chunk: Any = None) -> Any:
         """Send the answer; the request stays open until all of it is written."""
         self._stop_timer()
-        if self.options.open_requests.leaving:
+        if self.options.open_requests.leaving_balancer:
             self.set_header("Connection", "close")
         stream = self.request.connection.stream  # type: ignore[union-attr]
         written = super().finish(chunk)
@@ -187,7 +187,7 @@
     def _leave(self) -> None:
         if getattr(self, "_counted", False):
             self._counted = False
-            self.options.open_requests.leave()
+            self.options.open_requests.finish()
 
 
 def _refusal_of(status: int, method: str, path: str, exc: BaseException | None) -> Refusal:
--- a/baobabhoist/gateway/caller_handler.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -122,7 +122,7 @@
 def not_ready(loaded: bool, open_requests: OpenRequests) -> Refusal | None:
     """Return why callers should not be sent to this instance, or None."""
     remedy = "send callers to another instance"
-    if open_requests.leaving:
+    if open_requests.leaving_balancer:
         return Refusal(ErrorKind.DRAINING, "this instance is being drained", remedy=remedy)
     if not loaded:
         return Refusal(
--- a/baobabhoist/gateway/callers.py
+++ b/baobabhoist/gateway/callers.py
@@ -166,7 +166,7 @@
         self.answer_json({"ready": True})
 
 
-def caller_app(router: Router, options: CallerOptions | None = None) -> Application:
+def make_caller_app(router: Router, options: CallerOptions | None = None) -> Application:
     """Return the HTTP application for callers."""
     options = options or CallerOptions()
     metrics = EntryMetrics(options.metrics) if options.metrics is not None else None
--- a/baobabhoist/gateway/drain.py
+++ b/baobabhoist/gateway/drain.py
@@ -20,11 +20,11 @@
     """
 
     count: int = 0
-    leaving: bool = False
+    leaving_balancer: bool = False
     draining: bool = False
     _empty: asyncio.Event = attrs.Factory(asyncio.Event)
 
-    def enter(self) -> Refusal | None:
+    def admit(self) -> Refusal | None:
         """Count a new request, or return why it is refused."""
         if self.draining:
             return Refusal(
@@ -36,21 +36,21 @@
         self.count += 1
         return None
 
-    def leave(self) -> None:
+    def finish(self) -> None:
         """Count a request as answered."""
         self.count -= 1
         self._update()
 
     def leave_balancer(self) -> None:
         """Make /readyz answer 503 and still serve."""
-        self.leaving = True
+        self.leaving_balancer = True
 
     def begin_drain(self) -> None:
         """Refuse new requests from now on."""
-        self.leaving = self.draining = True
+        self.leaving_balancer = self.draining = True
         self._update()
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until the drain has begun and every open request has been answered."""
         await self._empty.wait()
 
--- a/baobabhoist/gateway/server.py
+++ b/baobabhoist/gateway/server.py
@@ -22,9 +22,9 @@
 WRITE_TIMEOUT_S = 60.0
 # The handlers bound bodies themselves, because tornado answers an oversize body without a
 # typed error.
-UNBOUNDED = 1 << 62
+UNLIMITED_BODY_BYTES = 1 << 62
 # What tornado writes to a connection whose bytes are not HTTP.
-BARE_REFUSAL = b"HTTP/1.1 400 Bad Request\r\n\r\n"
+TORNADO_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 
 
 @attrs.frozen
@@ -57,17 +57,17 @@
     return head.encode() + body
 
 
-TYPED_REFUSAL = _typed_refusal()
+JSON_BAD_REQUEST = _typed_refusal()
 
 
 def _with_typed_refusal(write: Callable[..., Any]) -> Callable[..., Any]:
     def typed_write(data: bytes | memoryview) -> Any:
-        return write(TYPED_REFUSAL if data == BARE_REFUSAL else data)
+        return write(JSON_BAD_REQUEST if data == TORNADO_BAD_REQUEST else data)
 
     return typed_write
 
 
-class TypedHTTPServer(HTTPServer):
+class JsonErrorHTTPServer(HTTPServer):
     """Give the refusal of malformed HTTP the error body that every other refusal has."""
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
@@ -76,14 +76,14 @@
         super().handle_stream(stream, address)
 
 
-def http_server(
+def make_http_server(
     app: Application, limits: HttpLimits, context: ssl.SSLContext | None = None
 ) -> HTTPServer:
     """Return a server for an application of this package, over TLS if a context is given."""
-    return TypedHTTPServer(
+    return JsonErrorHTTPServer(
         app,
         ssl_options=context,
         max_header_size=limits.max_header_bytes,
-        max_body_size=UNBOUNDED,
+        max_body_size=UNLIMITED_BODY_BYTES,
         idle_connection_timeout=limits.idle_timeout_s,
     )
--- a/baobabhoist/gateway/tls.py
+++ b/baobabhoist/gateway/tls.py
@@ -16,7 +16,7 @@
 
 RELOAD_INTERVAL_S = 5.0
 # The modification time, size and inode of a file; a replaced file differs in at least one.
-Signature = tuple[int, int, int]
+FileStamp = tuple[int, int, int]
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class ReloadingTls:
+class ReloadingTlsContext:
     """Own the TLS context of a listener.
 
     The outer context serves every listener socket for its whole life. It picks the newest inner
@@ -47,16 +47,16 @@
     files: TlsFiles
     context: ssl.SSLContext
     _inner: ssl.SSLContext
-    _signatures: tuple[Signature | None, ...]
+    _signatures: tuple[FileStamp | None, ...]
 
     @classmethod
-    def load(cls, files: TlsFiles) -> ReloadingTls:
+    def load(cls, files: TlsFiles) -> ReloadingTlsContext:
         """Read the files; raises SettingsError that names the file that cannot be used."""
         signatures = _signatures(files)
-        inner = server_context(files)
+        inner = make_server_context(files)
         # The outer context is complete as well: its verification settings apply before the
         # inner one is chosen.
-        found = cls(files, server_context(files), inner, signatures)
+        found = cls(files, make_server_context(files), inner, signatures)
         found.context.sni_callback = found._choose
         return found
 
@@ -70,7 +70,7 @@
         if signatures == self._signatures:
             return False
         try:
-            self._inner = server_context(self.files)
+            self._inner = make_server_context(self.files)
         except SettingsError as exc:
             emit(log, Event.TLS_RELOAD_FAILED, path=self.files.certificate, detail=str(exc))
             return False
@@ -88,7 +88,7 @@
         conn.context = self._inner
 
 
-def server_context(files: TlsFiles) -> ssl.SSLContext:
+def make_server_context(files: TlsFiles) -> ssl.SSLContext:
     """Return the context for a listener; raises SettingsError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -118,11 +118,11 @@
     raise ValueError("the key is encrypted")
 
 
-def _signatures(files: TlsFiles) -> tuple[Signature | None, ...]:
+def _signatures(files: TlsFiles) -> tuple[FileStamp | None, ...]:
     return tuple(_signature(path) for path in files.paths())
 
 
-def _signature(path: str) -> Signature | None:
+def _signature(path: str) -> FileStamp | None:
     try:
         found = os.stat(path)
     except OSError:
--- a/baobabhoist/peer/tls.py
+++ b/baobabhoist/peer/tls.py
@@ -6,7 +6,7 @@
 
 from baobabhoist.config.settings import TlsSettings
 from baobabhoist.errors import SettingsError
-from baobabhoist.gateway.tls import ReloadingTls, TlsFiles
+from baobabhoist.gateway.tls import ReloadingTlsContext, TlsFiles
 
 
 class PeerTls:
@@ -14,7 +14,7 @@
 
     def __init__(self, cfg: TlsSettings) -> None:
         self._cfg = cfg
-        self._listener = ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca))
+        self._listener = ReloadingTlsContext.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca))
         self.client = client_context(cfg)
 
     @property
--- a/baobabhoist/tests/gateway_harness.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -8,11 +8,11 @@
 from tornado.testing import bind_unused_port
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.gateway.admin import admin_app
+from baobabhoist.gateway.admin import make_admin_app
 from baobabhoist.gateway.admin_handler import AdminOptions
 from baobabhoist.gateway.caller_handler import CallerOptions
-from baobabhoist.gateway.callers import caller_app
-from baobabhoist.gateway.server import http_server
+from baobabhoist.gateway.callers import make_caller_app
+from baobabhoist.gateway.server import make_http_server
 from baobabhoist.model import (
     FINAL_JOB_STATES,
     Answer,
@@ -149,8 +149,8 @@
             jobs=self.jobs, open_requests=self.callers.open_requests, metrics=self.callers.metrics
         )
         self.apps = {
-            "callers": caller_app(self.node, self.callers),
-            "admin": admin_app(self.node, self.admin),
+            "callers": make_caller_app(self.node, self.callers),
+            "admin": make_admin_app(self.node, self.admin),
         }
         self.ports = {}
         self._servers = []
@@ -159,7 +159,7 @@
         for name, app in self.apps.items():
             limits = self.callers.limits if name == "callers" else self.admin.limits
             sock, self.ports[name] = bind_unused_port()
-            server = http_server(app, limits)
+            server = make_http_server(app, limits)
             server.add_sockets([sock])
             self._servers.append(server)
         return self
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -259,18 +259,18 @@
 
         drain = Drain(requests, owners, lambda: work[0], close, balancer_s=0.05)
         running = asyncio.ensure_future(drain.run())
-        assert requests.enter() is None
+        assert requests.admit() is None
         await drain.start()
         await asyncio.sleep(0.02)
         # The balancer still sends callers here for a while, and they are served.
-        assert requests.leaving
-        assert requests.enter() is None
-        requests.leave()
+        assert requests.leaving_balancer
+        assert requests.admit() is None
+        requests.finish()
         await asyncio.sleep(0.1)
-        assert requests.enter() is not None
+        assert requests.admit() is not None
         assert owners.handed_over
         assert not closed
-        requests.leave()
+        requests.finish()
         work[0] = 0
         await running
         assert closed == [(0, 0)]
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -327,7 +327,7 @@
         assert (await gateway.call("callers", "GET", "/readyz")).status == 200
         open_requests.leave_balancer()
         assert_error(await gateway.call("callers", "GET", "/readyz"), 503, "draining")
-        drained = asyncio.create_task(open_requests.drained())
+        drained = asyncio.create_task(open_requests.wait_drained())
         open_requests.begin_drain()
         refused = await gateway.post(PATH, ROSTER)
         assert_error(refused, 503, "draining")
@@ -362,7 +362,7 @@
         assert (await gateway.post(PATH, ROSTER)).json["kind"] == "draining"
         assert gateway.callers.open_requests.count == 1
         finish.set()
-        await gateway.callers.open_requests.drained()
+        await gateway.callers.open_requests.wait_drained()
 
     with_gateway(test)
 
@@ -381,7 +381,7 @@
         await reader.readexactly(8)
         gateway.callers.open_requests.begin_drain()
         assert gateway.callers.open_requests.count == 1
-        await gateway.callers.open_requests.drained()
+        await gateway.callers.open_requests.wait_drained()
         writer.transport.abort()
 
     with_gateway(test, limits=HttpLimits(write_timeout_s=0.2))
--- a/baobabhoist/tests/test_gateway_tls.py
+++ b/baobabhoist/tests/test_gateway_tls.py
@@ -9,8 +9,8 @@
 
 from baobabhoist.cli.client import Client, UnreachableError
 from baobabhoist.errors import SettingsError
-from baobabhoist.gateway.server import HttpLimits, http_server
-from baobabhoist.gateway.tls import ReloadingTls, TlsFiles
+from baobabhoist.gateway.server import HttpLimits, make_http_server
+from baobabhoist.gateway.tls import ReloadingTlsContext, TlsFiles
 from baobabhoist.tests.certificates import Authority
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: here\r\n\r\n"
@@ -56,7 +56,7 @@
 def run_with_server(tls, body):
     async def run():
         sock, port = bind_unused_port()
-        server = http_server(Application([("/", Hello)]), HttpLimits(), tls.context)
+        server = make_http_server(Application([("/", Hello)]), HttpLimits(), tls.context)
         server.add_sockets([sock])
         try:
             await body(port)
@@ -70,7 +70,7 @@
 def test_a_replaced_certificate_serves_new_connections_and_keeps_old_ones(files):
     """Guard against a reload that cuts a connection, has no effect or looks like wrong usage."""
     authority, certificate, key, ca = files
-    tls = ReloadingTls.load(TlsFiles(str(certificate), str(key)))
+    tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key)))
     context = client_context(ca)
 
     async def body(port):
@@ -96,7 +96,7 @@
 def test_a_half_replaced_certificate_leaves_the_old_one_in_use(files, tmp_path):
     """Guard against a listener that stops because only one of two files was replaced."""
     authority, certificate, key, ca = files
-    tls = ReloadingTls.load(TlsFiles(str(certificate), str(key)))
+    tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key)))
     new_key = tmp_path / "new.key"
     authority.issue("second", certificate, new_key)
     assert not tls.reload_if_changed()
@@ -123,7 +123,7 @@
     old.write(clients)
     old_id = old.issue("old", tmp_path / "old.pem", tmp_path / "old.key")
     new_id = new.issue("new", tmp_path / "new.pem", tmp_path / "new.key")
-    tls = ReloadingTls.load(TlsFiles(str(certificate), str(key), str(clients)))
+    tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key), str(clients)))
 
     async def accepted(port, identity):
         try:
@@ -152,8 +152,8 @@
     bad = tmp_path / "bad.pem"
     bad.write_text("no certificate")
     with pytest.raises(SettingsError, match=r"bad\.pem"):
-        ReloadingTls.load(TlsFiles(str(bad), str(key)))
+        ReloadingTlsContext.load(TlsFiles(str(bad), str(key)))
     with pytest.raises(SettingsError, match=r"bad\.pem"):
-        ReloadingTls.load(TlsFiles(str(certificate), str(key), str(bad)))
+        ReloadingTlsContext.load(TlsFiles(str(certificate), str(key), str(bad)))
     with pytest.raises(SettingsError, match=r"missing\.key"):
-        ReloadingTls.load(TlsFiles(str(certificate), str(tmp_path / "missing.key")))
+        ReloadingTlsContext.load(TlsFiles(str(certificate), str(tmp_path / "missing.key")))
