--- a/baobabhoist/cli/options.py
+++ b/baobabhoist/cli/options.py
@@ -10,7 +10,7 @@
 from absl import flags
 
 from baobabhoist.cli.client import DEFAULT_TIMEOUT_S, Client, UsageError
-from baobabhoist.gateway.auth import KEY_HEADER, OPERATOR_KEY_HEADER
+from baobabhoist.gateway.auth import OPERATOR_KEY_HEADER, TEAM_KEY_HEADER
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("admin_url", "http://127.0.0.1:7001", "Address of the API for operators.")
@@ -73,7 +73,7 @@
     """Return a client of the API for callers."""
     key = key_from("team_key", TEAM_KEY_VARIABLE)
     wait_s = FLAGS.timeout_s if timeout_s is None else timeout_s
-    return Client(FLAGS.caller_url, KEY_HEADER, key, tls_context(), wait_s)
+    return Client(FLAGS.caller_url, TEAM_KEY_HEADER, key, tls_context(), wait_s)
 
 
 def job_client() -> Client:
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -296,7 +296,7 @@
             return _platform_down(exc)
         return tuple(found[job_id] for job_id in wanted if job_id in found)
 
-    async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
+    async def unfinished_job_ids(self, queue: str) -> Refusal | tuple[str, ...]:
         """Return the ids of all unfinished jobs of a queue, from the rows that mark them."""
         found = []
         try:
--- a/baobabhoist/gateway/admin.py
+++ b/baobabhoist/gateway/admin.py
@@ -13,14 +13,14 @@
     AdminBackend,
     AdminHandler,
     AdminOptions,
-    OpenAdminHandler,
+    UnauthenticatedAdminHandler,
 )
 from baobabhoist.gateway.auth import OPERATOR_KEY_HEADER as OPERATOR_KEY_HEADER
-from baobabhoist.gateway.base_handler import NotFoundHandler, log_faults
-from baobabhoist.gateway.caller_handler import NAME_IN_PATH, not_ready
-from baobabhoist.gateway.jobs import explanation_body, no_jobs, status_body
-from baobabhoist.gateway.metrics import open_requests_gauge
-from baobabhoist.gateway.pending_limits import pending_limits
+from baobabhoist.gateway.base_handler import NotFoundHandler, log_server_errors
+from baobabhoist.gateway.caller_handler import PATH_SEGMENT, check_ready
+from baobabhoist.gateway.jobs import explanation_body, jobs_unavailable, status_body
+from baobabhoist.gateway.metrics import register_open_requests_gauge
+from baobabhoist.gateway.pending_limits import read_pending_limits
 from baobabhoist.gateway.records import (
     DiffHandler,
     HistoryHandler,
@@ -38,9 +38,9 @@
 
     async def get(self) -> None:
         """Return what this instance owns and applies, and what its peers report."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
-        pending = await pending_limits(self.backend.table, self.backend.view.teams())
+        pending = await read_pending_limits(self.backend.table, self.backend.view.teams())
         own = _CONVERTER.unstructure(self.backend.heartbeat())
         now = self.now()
         peers = [
@@ -48,13 +48,13 @@
             for instance_id, peer in sorted(self.backend.mesh.peers.items())
         ]
         open_requests = self.options.open_requests
-        self.answer_json(
+        self.send_json(
             {
                 **own,
-                "ready": not_ready(self.backend.ready, open_requests) is None,
+                "ready": check_ready(self.backend.ready, open_requests) is None,
                 "draining": bool(own.get("draining")) or open_requests.leaving_balancer,
                 "open_requests": open_requests.count,
-                "records_unconfirmed_s": self.options.cut_off_s(),
+                "records_unconfirmed_s": self.options.records_unconfirmed_s(),
                 "pending_limits": (
                     [attrs.asdict(each) for each in pending] if pending is not None else None
                 ),
@@ -74,14 +74,14 @@
 
     async def post(self) -> None:
         """Start the drain and answer with the number of open requests."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         if self.options.drain is not None:
             await self.options.drain()
         else:
             self.options.open_requests.begin_drain()
         self.set_status(HTTP_ACCEPTED)
-        self.answer_json({"draining": True, "open_requests": self.options.open_requests.count})
+        self.send_json({"draining": True, "open_requests": self.options.open_requests.count})
 
 
 class AdminJobsHandler(AdminHandler):
@@ -89,14 +89,14 @@
 
     async def get(self) -> None:
         """Return the state of each job."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        found = await jobs.list(None) if jobs is not None else no_jobs()
+        found = await jobs.list(None) if jobs is not None else jobs_unavailable()
         if isinstance(found, Refusal):
             self.refuse(found)
             return
-        self.answer_json({"jobs": [status_body(status) for status in found]})
+        self.send_json({"jobs": [status_body(status) for status in found]})
 
 
 class AdminJobHandler(AdminHandler):
@@ -104,23 +104,23 @@
 
     async def get(self, job_id: str) -> None:
         """Return the state of a job."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        self._answer(await jobs.status(job_id, None) if jobs is not None else no_jobs())
+        self._answer(await jobs.status(job_id, None) if jobs is not None else jobs_unavailable())
 
     async def delete(self, job_id: str) -> None:
         """Cancel a job."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        self._answer(await jobs.cancel(job_id, None) if jobs is not None else no_jobs())
+        self._answer(await jobs.cancel(job_id, None) if jobs is not None else jobs_unavailable())
 
     def _answer(self, found: Refusal | JobStatus) -> None:
         if isinstance(found, Refusal):
             self.refuse(found)
         else:
-            self.answer_json(status_body(found))
+            self.send_json(status_body(found))
 
 
 class AdminExplainHandler(AdminHandler):
@@ -128,14 +128,14 @@
 
     async def get(self, job_id: str) -> None:
         """Return why a job is in its state."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        found = await jobs.explain(job_id, None) if jobs is not None else no_jobs()
+        found = await jobs.explain(job_id, None) if jobs is not None else jobs_unavailable()
         if isinstance(found, Refusal):
             self.refuse(found)
             return
-        self.answer_json(explanation_body(found))
+        self.send_json(explanation_body(found))
 
 
 class MetricsHandler(AdminHandler):
@@ -148,7 +148,7 @@
 
     def get(self) -> None:
         """Return the metrics in the form that the collector accepts."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         if self.options.metrics is None:
             self.set_header("Content-Type", "text/plain; version=0.0.4")
@@ -162,52 +162,52 @@
         self.finish(content)
 
 
-class HealthHandler(OpenAdminHandler):
+class HealthHandler(UnauthenticatedAdminHandler):
     """Tell that the process answers: GET /healthz."""
 
     def get(self) -> None:
         """Answer 200 as long as the event loop runs."""
-        if self.receive() is not None:
-            self.answer_json({"healthy": True})
+        if self.receive_body() is not None:
+            self.send_json({"healthy": True})
 
 
-class AdminReadyHandler(OpenAdminHandler):
+class AdminReadyHandler(UnauthenticatedAdminHandler):
     """Tell whether callers should be sent to this instance: GET /readyz."""
 
     def get(self) -> None:
         """Answer 200 when ready and 503 otherwise."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
-        refusal = not_ready(self.backend.ready, self.options.open_requests)
+        refusal = check_ready(self.backend.ready, self.options.open_requests)
         if refusal is not None:
             self.refuse(refusal)
             return
-        self.answer_json({"ready": True})
+        self.send_json({"ready": True})
 
 
 def make_admin_app(daemon: AdminBackend, options: AdminOptions | None = None) -> Application:
     """Return the HTTP application for operators."""
     options = options or AdminOptions()
     context: dict[str, Any] = {"backend": daemon, "options": options}
-    gauge = open_requests_gauge(options.metrics) if options.metrics is not None else None
-    record = rf"/v1/records/{NAME_IN_PATH}/{NAME_IN_PATH}"
+    gauge = register_open_requests_gauge(options.metrics) if options.metrics is not None else None
+    record = rf"/v1/records/{PATH_SEGMENT}/{PATH_SEGMENT}"
     return Application(
         [
             (r"/v1/records", RecordListHandler, context),
-            (rf"/v1/records/{NAME_IN_PATH}", RecordListHandler, context),
+            (rf"/v1/records/{PATH_SEGMENT}", RecordListHandler, context),
             (record, RecordHandler, context),
             (rf"{record}/history", HistoryHandler, context),
             (rf"{record}/diff", DiffHandler, context),
             (r"/v1/status", StatusHandler, context),
             (r"/v1/drain", DrainHandler, context),
             (r"/v1/jobs", AdminJobsHandler, context),
-            (rf"/v1/jobs/{NAME_IN_PATH}", AdminJobHandler, context),
-            (rf"/v1/jobs/{NAME_IN_PATH}/explain", AdminExplainHandler, context),
+            (rf"/v1/jobs/{PATH_SEGMENT}", AdminJobHandler, context),
+            (rf"/v1/jobs/{PATH_SEGMENT}/explain", AdminExplainHandler, context),
             (r"/metrics", MetricsHandler, {**context, "gauge": gauge}),
             (r"/healthz", HealthHandler, context),
             (r"/readyz", AdminReadyHandler, context),
         ],
         default_handler_class=NotFoundHandler,
         default_handler_args={"options": options},
-        log_function=log_faults,
+        log_function=log_server_errors,
     )
--- a/baobabhoist/gateway/admin_handler.py
+++ b/baobabhoist/gateway/admin_handler.py
@@ -10,8 +10,8 @@
 import attrs
 
 from baobabhoist.errors import Refusal
-from baobabhoist.gateway.auth import operator_of
-from baobabhoist.gateway.base_handler import TypedHandler
+from baobabhoist.gateway.auth import authenticate_operator
+from baobabhoist.gateway.base_handler import ApiHandler
 from baobabhoist.gateway.drain import OpenRequests
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.observability.events import Event, emit
@@ -35,14 +35,14 @@
         """Return the SHA-256 digest of the operator key in the settings."""
 
 
-class PeerReport(Protocol):
+class PeerStatus(Protocol):
     """Be what the handlers need of a peer's state; `live_until` is in Unix seconds."""
 
     heartbeat: Any
     live_until: float
 
 
-class PeerReports(Protocol):
+class PeerStatuses(Protocol):
     """Be what the handlers need of the mesh."""
 
     @property
@@ -66,7 +66,7 @@
         """Return the settings."""
 
     @property
-    def mesh(self) -> PeerReports:
+    def mesh(self) -> PeerStatuses:
         """Return the links to the other instances."""
 
     @property
@@ -93,15 +93,15 @@
     limits: HttpLimits = attrs.Factory(lambda: HttpLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES))
     open_requests: OpenRequests = attrs.Factory(OpenRequests)
     drain: Callable[[], Awaitable[None]] | None = None
-    cut_off_s: Callable[[], float] = _connected
+    records_unconfirmed_s: Callable[[], float] = _connected
     metrics: Metrics | None = None
 
 
-class OpenAdminHandler(TypedHandler):
+class UnauthenticatedAdminHandler(ApiHandler):
     """Share what the handlers need that serve without a key."""
 
     # Operators must be able to watch an instance while it drains.
-    counted = False
+    counts_as_open = False
 
     def initialize(self, backend: AdminBackend, options: AdminOptions) -> None:
         """Take the daemon and the options."""
@@ -114,16 +114,16 @@
         return time.time()
 
 
-class AdminHandler(OpenAdminHandler):
+class AdminHandler(UnauthenticatedAdminHandler):
     """Share what all handlers for operators need."""
 
     def admit(self) -> Refusal | None:
         """Refuse callers without a valid operator key."""
-        found = operator_of(
+        found = authenticate_operator(
             self.backend.view,
             self.backend.cfg.operator_key_digest,
             self.request.headers,
-            self.options.cut_off_s(),
+            self.options.records_unconfirmed_s(),
         )
         if isinstance(found, Refusal):
             emit(log, Event.OPERATOR_REFUSED, address=self.request.remote_ip)
--- a/baobabhoist/gateway/auth.py
+++ b/baobabhoist/gateway/auth.py
@@ -9,28 +9,31 @@
 from baobabhoist.records.kinds import PUBLIC_TEAM, Queue
 from baobabhoist.records.view import RecordView
 
-KEY_HEADER = "X-Team-Key"
+TEAM_KEY_HEADER = "X-Team-Key"
 OPERATOR_KEY_HEADER = "X-Operator-Key"
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 # Changes made with the key from the settings are logged under this name.
 SETTINGS_OPERATOR = "settings"
 
 
-def team_of(
-    view: RecordView, headers: HTTPHeaders, cut_off_s: float, queue: Queue | None = None
+def authenticate_team(
+    view: RecordView,
+    headers: HTTPHeaders,
+    records_unconfirmed_s: float,
+    queue: Queue | None = None,
 ) -> str | Refusal:
     """Return the team of the presented key, or the public team on a queue open to all.
 
     A key that is presented is always checked, so that a caller never runs for another team
     than it believes.
     """
-    presented = headers.get(KEY_HEADER)
+    presented = headers.get(TEAM_KEY_HEADER)
     if presented is None and queue is not None and queue.open_to_all:
         return _public_team(view)
     if presented is None:
-        remedy = f"send the header {KEY_HEADER}"
+        remedy = f"send the header {TEAM_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no team key was sent", remedy=remedy)
-    key = accept(view.key_of(presented), cut_off_s, KEY_HEADER)
+    key = accept(view.key_of(presented), records_unconfirmed_s, TEAM_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.team:
@@ -49,8 +52,8 @@
     )
 
 
-def operator_of(
-    view: RecordView, settings_digest: str, headers: HTTPHeaders, cut_off_s: float
+def authenticate_operator(
+    view: RecordView, settings_digest: str, headers: HTTPHeaders, records_unconfirmed_s: float
 ) -> str | Refusal:
     """Return the name under which an operator's changes are logged.
 
@@ -59,14 +62,14 @@
     """
     presented = headers.get(OPERATOR_KEY_HEADER)
     bearer = headers.get("Authorization", "")
-    if presented is None and bearer.startswith(BEARER):
-        presented = bearer.removeprefix(BEARER)
+    if presented is None and bearer.startswith(BEARER_PREFIX):
+        presented = bearer.removeprefix(BEARER_PREFIX)
     if presented is None:
         remedy = f"send the header {OPERATOR_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no operator key was sent", remedy=remedy)
     if is_digest_of(digest(presented), settings_digest):
         return SETTINGS_OPERATOR
-    key = accept(view.key_of(presented), cut_off_s, OPERATOR_KEY_HEADER)
+    key = accept(view.key_of(presented), records_unconfirmed_s, OPERATOR_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.operator:
--- a/baobabhoist/gateway/base_handler.py
+++ b/baobabhoist/gateway/base_handler.py
@@ -24,7 +24,7 @@
 JSON_TYPE = "application/json"
 
 
-def log_faults(handler: RequestHandler) -> None:
+def log_server_errors(handler: RequestHandler) -> None:
     """Log only answers that report a fault; a line for each request would cost too much."""
     if handler.get_status() == http.HTTPStatus.INTERNAL_SERVER_ERROR:
         log.error("%s %s failed", handler.request.method, handler.request.path[:200])
@@ -43,11 +43,11 @@
 
 
 @stream_request_body
-class TypedHandler(RequestHandler):
+class ApiHandler(RequestHandler):
     """Collect the body within its bounds and answer every error with a typed body."""
 
     # Requests that work on the instance's behalf are counted and refused during a drain.
-    counted = True
+    counts_as_open = True
     options: Any
 
     def prepare(self) -> None:
@@ -71,7 +71,7 @@
 
     def admit(self) -> Refusal | None:
         """Return why the request is refused whatever its body is, or None."""
-        if not self.counted:
+        if not self.counts_as_open:
             return None
         refusal = self.options.open_requests.admit()
         self._counted = refusal is None
@@ -90,7 +90,7 @@
         if self._received > limit * DISCARD_FACTOR:
             self.refuse(self._too_large())
 
-    def receive(self) -> bytes | None:
+    def receive_body(self) -> bytes | None:
         """Return the whole body, or None once a refusal is sent; every method calls this first."""
         self._complete = True
         self._stop_timer()
@@ -111,9 +111,9 @@
         self.set_status(HTTP_STATUS[refusal.kind])
         if refusal.retry_after_s is not None:
             self.set_header("Retry-After", str(math.ceil(refusal.retry_after_s)))
-        self.answer_json(refusal.as_body())
+        self.send_json(refusal.as_body())
 
-    def answer_json(self, body: Any) -> None:
+    def send_json(self, body: Any) -> None:
         """Answer with a JSON body."""
         self.set_header("Content-Type", JSON_TYPE)
         self.finish(orjson.dumps(body, option=orjson.OPT_NON_STR_KEYS))
@@ -210,10 +210,10 @@
     )
 
 
-class NotFoundHandler(TypedHandler):
+class NotFoundHandler(ApiHandler):
     """Answer paths that do not exist."""
 
-    counted = False
+    counts_as_open = False
 
     def initialize(self, options: Any) -> None:
         """Take the options of the application."""
@@ -221,7 +221,7 @@
 
     def get(self) -> None:
         """Refuse any method."""
-        if self.receive() is not None:
+        if self.receive_body() is not None:
             self.send_error(http.HTTPStatus.NOT_FOUND)
 
     head = post = put = patch = delete = get
--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -41,7 +41,7 @@
 
 # A job's specification is one row of the table.
 MAX_TASKS = 10_000
-MAX_TIME = math.ldexp(1.0, 50)
+MAX_TIMESTAMP_S = math.ldexp(1.0, 50)
 JOB_KINDS = (WorkKind.BATCH, WorkKind.GANG, WorkKind.SERVICE)
 
 _RESOURCES = object_of(
@@ -76,7 +76,7 @@
     "resources": Field(_RESOURCES, _NO_RESOURCES),
     "expected_run_s": Field(number(0.001, MAX_DEADLINE_S), 1.0),
 }
-JOB = object_of(
+JOB_SCHEMA = object_of(
     {
         **_TASK_FIELDS,
         "queue": Field(text(NAME_PATTERN, NAME_REMEDY)),
@@ -84,14 +84,14 @@
         "tasks": Field(optional(list_of(object_of(_TASK_FIELDS), MAX_TASKS)), None),
         "replicas": Field(optional(integer(1, MAX_TASKS)), None),
         "idempotent": Field(boolean, False),
-        "deadline": Field(optional(number(0.0, MAX_TIME)), None),
+        "deadline": Field(optional(number(0.0, MAX_TIMESTAMP_S)), None),
         "urgency": Field(one_of(Urgency), Urgency.NORMAL),
     }
 )
 
 
 @attrs.frozen
-class JobBody:
+class JobSubmission:
     """Hold a job as it was submitted, before its team and queue are known."""
 
     queue: str
@@ -101,7 +101,7 @@
     deadline: float | None
     urgency: Urgency
 
-    def spec(self, job_id: str, team: str, default_deadline: float) -> JobSpec:
+    def to_spec(self, job_id: str, team: str, default_deadline: float) -> JobSpec:
         """Return the job; a service without a deadline runs until it is cancelled."""
         deadline = self.deadline
         if deadline is None:
@@ -118,7 +118,7 @@
         )
 
 
-def read_json(body: bytes) -> Any | Refusal:
+def parse_json(body: bytes) -> Any | Refusal:
     """Return a JSON body, or why it cannot be read."""
     try:
         return orjson.loads(body)
@@ -130,13 +130,13 @@
         )
 
 
-def read_job(body: bytes) -> JobBody | Refusal:
+def parse_job(body: bytes) -> JobSubmission | Refusal:
     """Return the job in a body, or all problems with it."""
-    raw = read_json(body)
+    raw = parse_json(body)
     if isinstance(raw, Refusal):
         return raw
     problems: Problems = []
-    found = JOB(raw, "job", problems)
+    found = JOB_SCHEMA(raw, "job", problems)
     if found is not ABSENT:
         problems.extend(_job_problems(raw, found))
     if problems:
@@ -145,7 +145,7 @@
         tasks = (_task(found),) * found["replicas"]
     else:
         tasks = tuple(_task(task) for task in found["tasks"])
-    return JobBody(
+    return JobSubmission(
         found["queue"],
         found["kind"],
         tasks,
@@ -185,7 +185,7 @@
     return [(f"job.tasks[{index}]", task) for index, task in enumerate(tasks)]
 
 
-def job_id_of(team: str, idempotency_key: str | None) -> str:
+def derive_job_id(team: str, idempotency_key: str | None) -> str:
     """Return the id of a job; a key gives the same id each time, so a repeat is no new job."""
     if idempotency_key is None:
         return f"job-{uuid.uuid4().hex}"
--- a/baobabhoist/gateway/caller_handler.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -8,9 +8,9 @@
 import attrs
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.gateway.base_handler import TypedHandler
+from baobabhoist.gateway.base_handler import ApiHandler
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.metrics import ANSWERED, EntryMetrics
+from baobabhoist.gateway.metrics import ANSWERED, RequestMetrics
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Request, WorkKind
 from baobabhoist.observability.metrics import Metrics
@@ -25,7 +25,7 @@
 DEFAULT_DEADLINE_S = 30.0
 CLOCK_SKEW_S = 0.5
 # Any name is routed, so that the answer can say that it does not exist.
-NAME_IN_PATH = r"([^/]{1,200})"
+PATH_SEGMENT = r"([^/]{1,200})"
 
 
 class Router(Protocol):
@@ -50,7 +50,7 @@
     """Hold the settings and parts that the API for callers uses.
 
     `data_centre` is that of this instance; without it, generated ids have their home anywhere.
-    `cut_off_s` returns for how many seconds the records have not been confirmed.
+    `records_unconfirmed_s` returns for how many seconds the records have not been confirmed.
     """
 
     jobs: JobService | None = None
@@ -60,15 +60,15 @@
     max_deadline_s: float = MAX_DEADLINE_S
     default_deadline_s: float = DEFAULT_DEADLINE_S
     clock_skew_s: float = CLOCK_SKEW_S
-    cut_off_s: Callable[[], float] = _connected
+    records_unconfirmed_s: Callable[[], float] = _connected
     metrics: Metrics | None = None
 
 
-class CallerHandler(TypedHandler):
+class CallerHandler(ApiHandler):
     """Share what all handlers for callers need."""
 
     def initialize(
-        self, router: Router, options: CallerOptions, metrics: EntryMetrics | None
+        self, router: Router, options: CallerOptions, metrics: RequestMetrics | None
     ) -> None:
         """Take the router, the options and the metrics."""
         self.router = router
@@ -82,24 +82,24 @@
 
         Before the records are loaded every key would look rejected, which is final for callers.
         """
-        if self.counted and not self.router.ready and self.router.view.revision == 0:
-            return not_ready(False, self.options.open_requests)
+        if self.counts_as_open and not self.router.ready and self.router.view.revision == 0:
+            return check_ready(False, self.options.open_requests)
         return super().admit()
 
     def refuse(self, refusal: Refusal) -> None:
         """Answer with a refusal and count it."""
         self.result = refusal.kind.value
-        if not self._finished and self.metrics is not None and self.counted:
+        if not self._finished and self.metrics is not None and self.counts_as_open:
             self.metrics.refused(self.team, self.result)
         super().refuse(refusal)
 
     def on_finish(self) -> None:
         """Measure the request."""
-        if self.metrics is not None and self.counted:
+        if self.metrics is not None and self.counts_as_open:
             self.metrics.finished(self.team, self.result, self.request.request_time())
 
 
-def no_queue(name: str) -> Refusal:
+def queue_not_found(name: str) -> Refusal:
     """Return the refusal for a queue that does not exist."""
     return Refusal(
         ErrorKind.NOT_FOUND,
@@ -108,7 +108,7 @@
     )
 
 
-def kind_refusal(name: str, queue: Queue, kind: WorkKind) -> Refusal | None:
+def check_work_kind(name: str, queue: Queue, kind: WorkKind) -> Refusal | None:
     """Return why a queue does not take a kind of work, or None."""
     if kind in queue.kinds:
         return None
@@ -119,7 +119,7 @@
     )
 
 
-def not_ready(loaded: bool, open_requests: OpenRequests) -> Refusal | None:
+def check_ready(loaded: bool, open_requests: OpenRequests) -> Refusal | None:
     """Return why callers should not be sent to this instance, or None."""
     remedy = "send callers to another instance"
     if open_requests.leaving_balancer:
--- a/baobabhoist/gateway/callers.py
+++ b/baobabhoist/gateway/callers.py
@@ -11,26 +11,26 @@
 from tornado.web import Application
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.gateway.auth import KEY_HEADER as KEY_HEADER
-from baobabhoist.gateway.auth import team_of
-from baobabhoist.gateway.base_handler import NotFoundHandler, log_faults
+from baobabhoist.gateway.auth import TEAM_KEY_HEADER as TEAM_KEY_HEADER
+from baobabhoist.gateway.auth import authenticate_team
+from baobabhoist.gateway.base_handler import NotFoundHandler, log_server_errors
 from baobabhoist.gateway.caller_handler import (
-    NAME_IN_PATH,
+    PATH_SEGMENT,
     CallerHandler,
     CallerOptions,
     Router,
-    kind_refusal,
-    no_queue,
-    not_ready,
+    check_ready,
+    check_work_kind,
+    queue_not_found,
 )
 from baobabhoist.gateway.headers import (
-    FIRST_SENT,
+    FIRST_SENT_HEADER,
     RequestHeaders,
-    deadline_refusal,
-    read_headers,
+    check_deadline,
+    parse_headers,
 )
 from baobabhoist.gateway.jobs import ExplainHandler, JobHandler, JobsHandler
-from baobabhoist.gateway.metrics import EntryMetrics
+from baobabhoist.gateway.metrics import RequestMetrics
 from baobabhoist.model import Request, Task, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.rendezvous import home_shard
@@ -47,7 +47,7 @@
 
     async def post(self, queue: str) -> None:
         """Run one request and return its whole answer."""
-        body = self.receive()
+        body = self.receive_body()
         if body is None:
             return
         req = self._parse(queue, body)
@@ -66,17 +66,19 @@
     def _parse(self, name: str, body: bytes) -> Request | Refusal:
         view = self.router.view
         queue = view.queue(name)
-        team = team_of(view, self.request.headers, self.options.cut_off_s(), queue)
+        team = authenticate_team(
+            view, self.request.headers, self.options.records_unconfirmed_s(), queue
+        )
         if isinstance(team, Refusal):
             emit(log, Event.KEY_REFUSED, queue=name[:64], kind=team.kind.value)
             return team
         self.team = team
         if queue is None:
-            return no_queue(name)
-        return request_of(name, queue, team, self.request.headers, body, view, self.options)
+            return queue_not_found(name)
+        return build_request(name, queue, team, self.request.headers, body, view, self.options)
 
 
-def request_of(
+def build_request(
     name: str,
     queue: Queue,
     team: str,
@@ -87,19 +89,19 @@
 ) -> Request | Refusal:
     """Return the request that a caller made on a queue, or why it is refused."""
     now = time.time()
-    found = read_headers(headers)
+    found = parse_headers(headers)
     if isinstance(found, Refusal):
         return found
     deadline = found.deadline
     if deadline is None:
         default_s = queue.default_deadline_s or options.default_deadline_s
         deadline = now + min(default_s, options.max_deadline_s)
-    refusal = kind_refusal(name, queue, WorkKind.REQUEST)
-    refusal = refusal or deadline_refusal(deadline, now, options.max_deadline_s)
+    refusal = check_work_kind(name, queue, WorkKind.REQUEST)
+    refusal = refusal or check_deadline(deadline, now, options.max_deadline_s)
     if refusal is None and (found.first_sent_at or 0.0) > now + options.clock_skew_s:
         ahead_s = (found.first_sent_at or 0.0) - now
         remedy = "send the time at which the key was first used, and check the caller's clock"
-        message = f"the time in {FIRST_SENT} lies {ahead_s:.1f} s in the future"
+        message = f"the time in {FIRST_SENT_HEADER} lies {ahead_s:.1f} s in the future"
         refusal = Refusal(ErrorKind.BAD_REQUEST, message, remedy=remedy)
     shards = _home_shards(queue, found, view, options)
     if refusal is None and not shards:
@@ -153,33 +155,33 @@
 class ReadyHandler(CallerHandler):
     """Tell the platform's balancer whether to send callers here: GET /readyz."""
 
-    counted = False
+    counts_as_open = False
 
     def get(self) -> None:
         """Answer 200 when ready and 503 otherwise."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
-        refusal = not_ready(self.router.ready, self.options.open_requests)
+        refusal = check_ready(self.router.ready, self.options.open_requests)
         if refusal is not None:
             self.refuse(refusal)
             return
-        self.answer_json({"ready": True})
+        self.send_json({"ready": True})
 
 
 def make_caller_app(router: Router, options: CallerOptions | None = None) -> Application:
     """Return the HTTP application for callers."""
     options = options or CallerOptions()
-    metrics = EntryMetrics(options.metrics) if options.metrics is not None else None
+    metrics = RequestMetrics(options.metrics) if options.metrics is not None else None
     context: dict[str, Any] = {"router": router, "options": options, "metrics": metrics}
     return Application(
         [
-            (rf"/v1/queues/{NAME_IN_PATH}/requests", RequestsHandler, context),
+            (rf"/v1/queues/{PATH_SEGMENT}/requests", RequestsHandler, context),
             (r"/v1/jobs", JobsHandler, context),
-            (rf"/v1/jobs/{NAME_IN_PATH}", JobHandler, context),
-            (rf"/v1/jobs/{NAME_IN_PATH}/explain", ExplainHandler, context),
+            (rf"/v1/jobs/{PATH_SEGMENT}", JobHandler, context),
+            (rf"/v1/jobs/{PATH_SEGMENT}/explain", ExplainHandler, context),
             (r"/readyz", ReadyHandler, context),
         ],
         default_handler_class=NotFoundHandler,
         default_handler_args={"options": options},
-        log_function=log_faults,
+        log_function=log_server_errors,
     )
--- a/baobabhoist/gateway/headers.py
+++ b/baobabhoist/gateway/headers.py
@@ -20,17 +20,17 @@
     refusal_of,
 )
 
-KEY_PATTERN = re.compile(r"[!-~]{1,200}")
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"[!-~]{1,200}")
 INTEGER_PATTERN = re.compile(r"-?[0-9]{1,20}")
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
-TRUTH_VALUES = {"true": True, "false": False}
-
-IDEMPOTENCY_KEY = "Idempotency-Key"
-DEADLINE = "Request-Deadline"
-FIRST_SENT = "Idempotency-First-Sent"
-IDEMPOTENT = "X-Idempotent"
-URGENCY = "X-Urgency"
-EXPECTED_RUN = "X-Expected-Run-S"
+BOOLEAN_VALUES = {"true": True, "false": False}
+
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+DEADLINE_HEADER = "Request-Deadline"
+FIRST_SENT_HEADER = "Idempotency-First-Sent"
+IDEMPOTENT_HEADER = "X-Idempotent"
+URGENCY_HEADER = "X-Urgency"
+EXPECTED_RUN_HEADER = "X-Expected-Run-S"
 _URGENCY = one_of(Urgency)
 
 
@@ -70,21 +70,21 @@
 
     def truth(self, name: str) -> bool:
         value = self.headers.get(name, "false")
-        if value not in TRUTH_VALUES:
+        if value not in BOOLEAN_VALUES:
             message = f"{shown(value)} is not a truth value"
             self.problems.append(Problem(name, message, "give true or false"))
-        return TRUTH_VALUES.get(value, False)
+        return BOOLEAN_VALUES.get(value, False)
 
     def urgency(self) -> Urgency:
-        found = _URGENCY(self.headers.get(URGENCY, "normal"), URGENCY, self.problems)
+        found = _URGENCY(self.headers.get(URGENCY_HEADER, "normal"), URGENCY_HEADER, self.problems)
         return Urgency.NORMAL if found is ABSENT else Urgency(found)
 
     def key(self) -> str | None:
-        value = self.headers.get(IDEMPOTENCY_KEY)
-        if value is not None and KEY_PATTERN.fullmatch(value) is None:
+        value = self.headers.get(IDEMPOTENCY_KEY_HEADER)
+        if value is not None and IDEMPOTENCY_KEY_PATTERN.fullmatch(value) is None:
             message = f"{shown(value)} is not allowed"
             remedy = "give 1 to 200 visible ASCII characters without blanks"
-            self.problems.append(Problem(IDEMPOTENCY_KEY, message, remedy))
+            self.problems.append(Problem(IDEMPOTENCY_KEY_HEADER, message, remedy))
         return value
 
     def resources(self) -> Resources:
@@ -96,36 +96,38 @@
         )
 
 
-def read_headers(headers: HTTPHeaders) -> RequestHeaders | Refusal:
+def parse_headers(headers: HTTPHeaders) -> RequestHeaders | Refusal:
     """Return the headers of a request, or all problems with them."""
     reader = _Reader(headers)
     found = RequestHeaders(
         idempotency_key=reader.key(),
-        deadline=reader.decimal(DEADLINE, 0.0, math.ldexp(1.0, 50)),
-        first_sent_at=reader.decimal(FIRST_SENT, 0.0, math.ldexp(1.0, 50)),
-        idempotent=reader.truth(IDEMPOTENT),
+        deadline=reader.decimal(DEADLINE_HEADER, 0.0, math.ldexp(1.0, 50)),
+        first_sent_at=reader.decimal(FIRST_SENT_HEADER, 0.0, math.ldexp(1.0, 50)),
+        idempotent=reader.truth(IDEMPOTENT_HEADER),
         urgency=reader.urgency(),
         resources=reader.resources(),
-        expected_run_s=reader.decimal(EXPECTED_RUN, 0.001, MAX_DEADLINE_S) or 1.0,
+        expected_run_s=reader.decimal(EXPECTED_RUN_HEADER, 0.001, MAX_DEADLINE_S) or 1.0,
     )
-    if found.idempotency_key is not None and DEADLINE not in headers:
-        message = f"the header is missing; {IDEMPOTENCY_KEY} needs it"
+    if found.idempotency_key is not None and DEADLINE_HEADER not in headers:
+        message = f"the header is missing; {IDEMPOTENCY_KEY_HEADER} needs it"
         remedy = "send the time after which the answer is of no use, in Unix seconds"
-        reader.problems.append(Problem(DEADLINE, message, remedy))
+        reader.problems.append(Problem(DEADLINE_HEADER, message, remedy))
     if found.first_sent_at is not None and found.idempotency_key is None:
-        message = f"the header has no meaning without {IDEMPOTENCY_KEY}"
-        reader.problems.append(Problem(FIRST_SENT, message, f"send {IDEMPOTENCY_KEY} as well"))
+        message = f"the header has no meaning without {IDEMPOTENCY_KEY_HEADER}"
+        reader.problems.append(
+            Problem(FIRST_SENT_HEADER, message, f"send {IDEMPOTENCY_KEY_HEADER} as well")
+        )
     return refusal_of(reader.problems, "the request") if reader.problems else found
 
 
-def read_idempotency_key(headers: HTTPHeaders) -> str | Refusal | None:
+def parse_idempotency_key(headers: HTTPHeaders) -> str | Refusal | None:
     """Return the key under which a job is submitted, None without one, or why it is refused."""
     reader = _Reader(headers)
     key = reader.key()
     return refusal_of(reader.problems, "the request") if reader.problems else key
 
 
-def deadline_refusal(deadline: float, now: float, longest_s: float) -> Refusal | None:
+def check_deadline(deadline: float, now: float, longest_s: float) -> Refusal | None:
     """Return why a deadline is refused, or None."""
     if deadline <= now:
         return Refusal(
--- a/baobabhoist/gateway/jobs.py
+++ b/baobabhoist/gateway/jobs.py
@@ -7,10 +7,10 @@
 from typing import Any, Protocol
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.gateway.auth import team_of
-from baobabhoist.gateway.bodies import JobBody, job_id_of, read_job
-from baobabhoist.gateway.caller_handler import CallerHandler, kind_refusal, no_queue
-from baobabhoist.gateway.headers import deadline_refusal, read_idempotency_key
+from baobabhoist.gateway.auth import authenticate_team
+from baobabhoist.gateway.bodies import JobSubmission, derive_job_id, parse_job
+from baobabhoist.gateway.caller_handler import CallerHandler, check_work_kind, queue_not_found
+from baobabhoist.gateway.headers import check_deadline, parse_idempotency_key
 from baobabhoist.model import JobExplanation, JobSpec, JobStatus
 from baobabhoist.records.schema import MAX_DEADLINE_S
 
@@ -41,7 +41,7 @@
     async def list(self, team: str | None) -> Refusal | tuple[JobStatus, ...]:
         """Return the state of each job of a team."""
 
-    async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
+    async def unfinished_job_ids(self, queue: str) -> Refusal | tuple[str, ...]:
         """Return the ids of all unfinished jobs of a queue."""
 
 
@@ -69,7 +69,7 @@
     }
 
 
-def no_jobs() -> Refusal:
+def jobs_unavailable() -> Refusal:
     """Return the refusal of an instance that does not coordinate jobs."""
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
@@ -84,14 +84,14 @@
 
     def service(self) -> JobService | None:
         """Return the job service once the body has arrived, or None after a refusal."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return None
         return self.jobs_or_refuse()
 
     def jobs_or_refuse(self) -> JobService | None:
         """Return the job service, or None after a refusal."""
         if self.options.jobs is None:
-            self.refuse(no_jobs())
+            self.refuse(jobs_unavailable())
         return self.options.jobs
 
     def team_or_public(self) -> str | Refusal:
@@ -102,15 +102,17 @@
         view = self.router.view
         open_queues = (queue for queue in view.queues().values() if queue.open_to_all)
         queue = next(open_queues, None)
-        return team_of(view, self.request.headers, self.options.cut_off_s(), queue)
+        return authenticate_team(
+            view, self.request.headers, self.options.records_unconfirmed_s(), queue
+        )
 
-    def answer_status(self, found: Refusal | JobStatus, status: int = 200) -> None:
+    def send_job_status(self, found: Refusal | JobStatus, status: int = 200) -> None:
         """Answer with the state of a job."""
         if isinstance(found, Refusal):
             self.refuse(found)
             return
         self.set_status(status)
-        self.answer_json(status_body(found))
+        self.send_json(status_body(found))
 
 
 class JobsHandler(JobServiceHandler):
@@ -118,7 +120,7 @@
 
     async def post(self) -> None:
         """Accept a job."""
-        body = self.receive()
+        body = self.receive_body()
         jobs = self.jobs_or_refuse() if body is not None else None
         if body is None or jobs is None:
             return
@@ -126,42 +128,46 @@
         if isinstance(spec, Refusal):
             self.refuse(spec)
             return
-        self.answer_status(await jobs.submit(spec), HTTP_ACCEPTED)
+        self.send_job_status(await jobs.submit(spec), HTTP_ACCEPTED)
 
     async def get(self) -> None:
         """List the jobs of the team; this needs a key, since it shows ids of jobs."""
         jobs = self.service()
         if jobs is None:
             return
-        team = team_of(self.router.view, self.request.headers, self.options.cut_off_s())
+        team = authenticate_team(
+            self.router.view, self.request.headers, self.options.records_unconfirmed_s()
+        )
         found = team if isinstance(team, Refusal) else await jobs.list(team)
         if isinstance(found, Refusal):
             self.refuse(found)
             return
-        self.answer_json({"jobs": [status_body(status) for status in found]})
+        self.send_json({"jobs": [status_body(status) for status in found]})
 
     def _parse(self, body: bytes) -> JobSpec | Refusal:
         view = self.router.view
-        job = read_job(body)
-        queue = view.queue(job.queue) if isinstance(job, JobBody) else None
+        job = parse_job(body)
+        queue = view.queue(job.queue) if isinstance(job, JobSubmission) else None
         # The key is checked first: without one, problems of the body are nobody's business.
-        team = team_of(view, self.request.headers, self.options.cut_off_s(), queue)
+        team = authenticate_team(
+            view, self.request.headers, self.options.records_unconfirmed_s(), queue
+        )
         if isinstance(team, Refusal):
             return team
         self.team = team
         if isinstance(job, Refusal):
             return job
         if queue is None:
-            return no_queue(job.queue)
-        key = read_idempotency_key(self.request.headers)
+            return queue_not_found(job.queue)
+        key = parse_idempotency_key(self.request.headers)
         if isinstance(key, Refusal):
             return key
         now = time.time()
         default_s = queue.default_deadline_s or DEFAULT_JOB_DEADLINE_S
-        spec = job.spec(job_id_of(team, key), team, now + default_s)
-        refusal = kind_refusal(job.queue, queue, job.kind)
+        spec = job.to_spec(derive_job_id(team, key), team, now + default_s)
+        refusal = check_work_kind(job.queue, queue, job.kind)
         if refusal is None and not math.isinf(spec.deadline):
-            refusal = deadline_refusal(spec.deadline, now, MAX_DEADLINE_S)
+            refusal = check_deadline(spec.deadline, now, MAX_DEADLINE_S)
         return refusal or spec
 
 
@@ -175,7 +181,7 @@
             return
         team = self.team_or_public()
         found = team if isinstance(team, Refusal) else await jobs.status(job_id, team)
-        self.answer_status(found)
+        self.send_job_status(found)
 
     async def delete(self, job_id: str) -> None:
         """Cancel a job."""
@@ -184,7 +190,7 @@
             return
         team = self.team_or_public()
         found = team if isinstance(team, Refusal) else await jobs.cancel(job_id, team)
-        self.answer_status(found)
+        self.send_job_status(found)
 
 
 class ExplainHandler(JobServiceHandler):
@@ -200,4 +206,4 @@
         if isinstance(found, Refusal):
             self.refuse(found)
             return
-        self.answer_json(explanation_body(found))
+        self.send_json(explanation_body(found))
--- a/baobabhoist/gateway/metrics.py
+++ b/baobabhoist/gateway/metrics.py
@@ -13,7 +13,7 @@
 NO_TEAM = "none"
 
 
-class EntryMetrics:
+class RequestMetrics:
     """Add the collectors of the entry to the registry of an instance; times are in seconds."""
 
     def __init__(self, metrics: Metrics) -> None:
@@ -43,7 +43,7 @@
         self._metrics.refused(team or NO_TEAM, kind)
 
 
-def open_requests_gauge(metrics: Metrics) -> Gauge:
+def register_open_requests_gauge(metrics: Metrics) -> Gauge:
     """Return the gauge that the operators' API sets each time the metrics are read."""
     return Gauge(
         "baobabhoist_open_requests",
--- a/baobabhoist/gateway/pending_limits.py
+++ b/baobabhoist/gateway/pending_limits.py
@@ -30,7 +30,7 @@
     in_force: int
 
 
-async def pending_limit(table: Table, name: str, team: Team) -> PendingLimit | None:
+async def read_pending_limit(table: Table, name: str, team: Team) -> PendingLimit | None:
     """Return the pending limit of a team; None if there is none or the table does not answer."""
     try:
         async with asyncio.timeout(READ_TIMEOUT_S):
@@ -39,7 +39,9 @@
         return None
 
 
-async def pending_limits(table: Table, teams: Mapping[str, Team]) -> list[PendingLimit] | None:
+async def read_pending_limits(
+    table: Table, teams: Mapping[str, Team]
+) -> list[PendingLimit] | None:
     """Return the pending limits of all teams, or None if the table does not answer."""
     found = []
     after = ""
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -10,8 +10,8 @@
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.gateway.admin_handler import AdminHandler
-from baobabhoist.gateway.bodies import read_json
-from baobabhoist.gateway.pending_limits import PendingLimit, pending_limit
+from baobabhoist.gateway.bodies import parse_json
+from baobabhoist.gateway.pending_limits import PendingLimit, read_pending_limit
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.records.checks import ABSENT, Problems, integer
 from baobabhoist.records.diff import difference
@@ -66,7 +66,7 @@
         found = integer(low, high)(parsed, name, problems)
         return refusal_of(problems, "the query") if found is ABSENT else int(found)
 
-    def answer_record(
+    def send_record(
         self,
         record: Record,
         version: int = 0,
@@ -82,7 +82,7 @@
         self.set_header("ETag", f'"{record.revision}"')
         if pending is not None:
             body = {**body, "pending_limit": attrs.asdict(pending)}
-        self.answer_json(body)
+        self.send_json(body)
 
     def refuse_change(self, kind: str, name: str, refusal: Refusal) -> None:
         """Answer with the refusal of a change; conflicts between operators are logged."""
@@ -93,7 +93,7 @@
     async def _jobs_in(self, kind: str, name: str) -> Refusal | None:
         if kind != RecordKind.QUEUE or self.options.jobs is None:
             return None
-        users = await self.options.jobs.unfinished(name)
+        users = await self.options.jobs.unfinished_job_ids(name)
         if isinstance(users, Refusal):
             return users
         remedy = "cancel these jobs or wait for their end"
@@ -105,7 +105,7 @@
 
     def get(self, kind: str | None = None) -> None:
         """Return the records in force on this instance."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         if kind is not None and kind not in set(RecordKind):
             self.refuse(bad_name(kind, "any") or Refusal(ErrorKind.NOT_FOUND, "no such kind"))
@@ -117,7 +117,7 @@
             for record in view.of_kind(each)
         ]
         found = [body for body in records if not isinstance(body, Refusal)]
-        self.answer_json({"revision": view.revision, "records": found})
+        self.send_json({"revision": view.revision, "records": found})
 
 
 class RecordHandler(RecordsHandler):
@@ -125,7 +125,7 @@
 
     async def get(self, kind: str, name: str) -> None:
         """Return the record in the table, or the one in force while the platform is down."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         version = self.number("schema_version", 1, 1000, 0)
         if isinstance(version, Refusal):
@@ -137,7 +137,7 @@
         if isinstance(record, Refusal):
             self.refuse(record)
             return
-        self.answer_record(record, version, pending=await self._pending(record))
+        self.send_record(record, version, pending=await self._pending(record))
 
     async def _pending(self, record: Record) -> PendingLimit | None:
         if record.kind != RecordKind.TEAM or record.body is None:
@@ -149,11 +149,11 @@
             return None
         if not isinstance(team, Team):
             return None
-        return await pending_limit(self.backend.table, record.name, team)
+        return await read_pending_limit(self.backend.table, record.name, team)
 
     async def put(self, kind: str, name: str) -> None:
         """Create or replace a record."""
-        body = self.receive()
+        body = self.receive_body()
         if body is None:
             return
         wanted = self._wanted(kind, name, body)
@@ -165,11 +165,11 @@
             self.refuse_change(kind, name, record)
             return
         status = 200 if wanted.based_on else HTTP_CREATED
-        self.answer_record(record, status=status, pending=await self._pending(record))
+        self.send_record(record, status=status, pending=await self._pending(record))
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete a record."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         based_on = self.based_on()
         if isinstance(based_on, Refusal):
@@ -180,10 +180,10 @@
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
-        self.answer_record(record)
+        self.send_record(record)
 
     def _wanted(self, kind: str, name: str, body: bytes) -> Change | Refusal:
-        raw = read_json(body)
+        raw = parse_json(body)
         if isinstance(raw, Refusal):
             return raw
         problems = _envelope_problems(raw)
@@ -217,7 +217,7 @@
 
     async def get(self, kind: str, name: str) -> None:
         """Return the latest versions, the newest first."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         limit = self.number("limit", 1, MAX_HISTORY, DEFAULT_HISTORY)
         if isinstance(limit, Refusal):
@@ -228,7 +228,7 @@
             self.refuse(found)
             return
         bodies = [as_written(record) for record in found]
-        self.answer_json({"versions": [body for body in bodies if not isinstance(body, Refusal)]})
+        self.send_json({"versions": [body for body in bodies if not isinstance(body, Refusal)]})
 
 
 class DiffHandler(RecordsHandler):
@@ -236,7 +236,7 @@
 
     async def get(self, kind: str, name: str) -> None:
         """Return the values that differ; without `to`, compare with the latest version."""
-        if self.receive() is None:
+        if self.receive_body() is None:
             return
         old = await self._version(kind, name, self.number("from", 1, MAX_REVISION, None))
         if isinstance(old, Refusal):
@@ -247,7 +247,7 @@
             self.refuse(new)
             return
         before, after = _comparable(old, new)
-        self.answer_json(
+        self.send_json(
             {
                 "from": old.revision,
                 "to": new.revision,
--- a/baobabhoist/tests/gateway_harness.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -82,7 +82,7 @@
         specs = [spec for spec in self.specs.values() if team in (None, spec.team)]
         return tuple([await self.status(spec.job_id, team) for spec in specs])
 
-    async def unfinished(self, queue):
+    async def unfinished_job_ids(self, queue):
         if self.state in FINAL_JOB_STATES:
             return ()
         return tuple(spec.job_id for spec in self.specs.values() if spec.queue == queue)
--- a/baobabhoist/tests/test_daemon_jobs.py
+++ b/baobabhoist/tests/test_daemon_jobs.py
@@ -188,11 +188,11 @@
             await others.submit(spec(name, WorkKind.BATCH, 1))
         await until(lambda: len(here.sent) == 4)
         del here.table.rows["active/rack-1/j2"].value["queue"]
-        assert await others.unfinished("entries") == ("j1", "j2", "j3", "j4")
-        assert await others.unfinished("reports") == ()
+        assert await others.unfinished_job_ids("entries") == ("j1", "j2", "j3", "j4")
+        assert await others.unfinished_job_ids("reports") == ()
         here.finish.set()
         await until(lambda: here.table.rows["active/rack-1/j4"].value is None)
-        assert await others.unfinished("entries") == ()
+        assert await others.unfinished_job_ids("entries") == ()
 
     two(scenario)
 
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -91,7 +91,7 @@
         assert_error(await gateway.post(PATH, ROSTER), 401, "key_rejected")
         assert (await gateway.post(PATH, {"X-Team-Key": "other-key"})).status == 200
 
-    with_gateway(test, cut_off_s=lambda: cut_off[0])
+    with_gateway(test, records_unconfirmed_s=lambda: cut_off[0])
 
 
 def test_caller_keys_are_scoped_by_team_and_have_a_fixed_home():
--- a/baobabhoist/tests/test_gateway_guides.py
+++ b/baobabhoist/tests/test_gateway_guides.py
@@ -9,7 +9,7 @@
 from baobabhoist.cli.client import ExitCode
 from baobabhoist.cli.main import find_command
 from baobabhoist.errors import HTTP_STATUS, ErrorKind, Refusal
-from baobabhoist.gateway.bodies import JobBody, read_job
+from baobabhoist.gateway.bodies import JobSubmission, parse_job
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.records.kinds import RecordKind
 from baobabhoist.records.schema import parse
@@ -54,7 +54,7 @@
         r'^\{\s*"queue".*?^\}$|^\{"queue".*\}$', "\n".join(blocks(CALLERS)), re.M | re.S
     )
     assert len(jobs) == 2
-    assert all(isinstance(read_job(job.encode()), JobBody) for job in jobs)
+    assert all(isinstance(parse_job(job.encode()), JobSubmission) for job in jobs)
 
 
 @pytest.mark.parametrize("words", [*commands(CALLERS), *commands(OPERATORS)], ids=" ".join)
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -84,7 +84,7 @@
     for kind, versions in SCHEMAS.items():
         for number, version in versions.items():
             assert_same_fields(version.check, SCHEMA[f"{kind.value.capitalize()}V{number}"])
-    assert_same_fields(bodies.JOB, SCHEMA["Job"])
+    assert_same_fields(bodies.JOB_SCHEMA, SCHEMA["Job"])
     assert SCHEMA["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
     assert set(status_body(JobStatus("j", JobState.QUEUED))) == set(
         SCHEMA["JobStatus"]["required"]
