--- a/baobabhoist/gateway/admin_handler.py
+++ b/baobabhoist/gateway/admin_handler.py
@@ -77,7 +77,7 @@
         """Return what this instance reports to its peers."""
 
 
-def _connected() -> float:
+def _always_confirmed() -> float:
     return 0.0
 
 
@@ -93,7 +93,7 @@
     limits: HttpLimits = attrs.Factory(lambda: HttpLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES))
     open_requests: OpenRequests = attrs.Factory(OpenRequests)
     drain: Callable[[], Awaitable[None]] | None = None
-    records_unconfirmed_s: Callable[[], float] = _connected
+    records_unconfirmed_s: Callable[[], float] = _always_confirmed
     metrics: Metrics | None = None
 
 
--- a/baobabhoist/gateway/caller_handler.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -10,7 +10,7 @@
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.gateway.base_handler import ApiHandler
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.metrics import ANSWERED, RequestMetrics
+from baobabhoist.gateway.metrics import RESULT_ANSWERED, RequestMetrics
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Request, WorkKind
 from baobabhoist.observability.metrics import Metrics
@@ -21,8 +21,8 @@
 if TYPE_CHECKING:
     from baobabhoist.gateway.jobs import JobService
 
-MAX_DEADLINE_S = 600.0
-DEFAULT_DEADLINE_S = 30.0
+MAX_REQUEST_DEADLINE_S = 600.0
+DEFAULT_REQUEST_DEADLINE_S = 30.0
 CLOCK_SKEW_S = 0.5
 # Any name is routed, so that the answer can say that it does not exist.
 PATH_SEGMENT = r"([^/]{1,200})"
@@ -41,7 +41,7 @@
         """Return the result of a request."""
 
 
-def _connected() -> float:
+def _always_confirmed() -> float:
     return 0.0
 
 
@@ -57,10 +57,10 @@
     data_centre: str = ""
     limits: HttpLimits = attrs.Factory(HttpLimits)
     open_requests: OpenRequests = attrs.Factory(OpenRequests)
-    max_deadline_s: float = MAX_DEADLINE_S
-    default_deadline_s: float = DEFAULT_DEADLINE_S
+    max_deadline_s: float = MAX_REQUEST_DEADLINE_S
+    default_deadline_s: float = DEFAULT_REQUEST_DEADLINE_S
     clock_skew_s: float = CLOCK_SKEW_S
-    records_unconfirmed_s: Callable[[], float] = _connected
+    records_unconfirmed_s: Callable[[], float] = _always_confirmed
     metrics: Metrics | None = None
 
 
@@ -75,7 +75,7 @@
         self.options: CallerOptions = options
         self.metrics = metrics
         self.team = ""
-        self.result = ANSWERED
+        self.result = RESULT_ANSWERED
 
     def admit(self) -> Refusal | None:
         """Return why the request is refused whatever its body is, or None.
@@ -90,13 +90,13 @@
         """Answer with a refusal and count it."""
         self.result = refusal.kind.value
         if not self._finished and self.metrics is not None and self.counts_as_open:
-            self.metrics.refused(self.team, self.result)
+            self.metrics.count_refusal(self.team, self.result)
         super().refuse(refusal)
 
     def on_finish(self) -> None:
         """Measure the request."""
         if self.metrics is not None and self.counts_as_open:
-            self.metrics.finished(self.team, self.result, self.request.request_time())
+            self.metrics.observe_result(self.team, self.result, self.request.request_time())
 
 
 def queue_not_found(name: str) -> Refusal:
--- a/baobabhoist/gateway/jobs.py
+++ b/baobabhoist/gateway/jobs.py
@@ -79,22 +79,22 @@
     )
 
 
-class JobServiceHandler(CallerHandler):
+class JobApiHandler(CallerHandler):
     """Share what the handlers for jobs need."""
 
-    def service(self) -> JobService | None:
+    def job_service(self) -> JobService | None:
         """Return the job service once the body has arrived, or None after a refusal."""
         if self.receive_body() is None:
             return None
-        return self.jobs_or_refuse()
+        return self.job_service_or_refuse()
 
-    def jobs_or_refuse(self) -> JobService | None:
+    def job_service_or_refuse(self) -> JobService | None:
         """Return the job service, or None after a refusal."""
         if self.options.jobs is None:
             self.refuse(jobs_unavailable())
         return self.options.jobs
 
-    def team_or_public(self) -> str | Refusal:
+    def authenticate_team_or_public(self) -> str | Refusal:
         """Return the team of the key; without a key, the public team if any queue is open.
 
         The id of a job cannot be guessed, so whoever knows that of a public job may see it.
@@ -115,13 +115,13 @@
         self.send_json(status_body(found))
 
 
-class JobsHandler(JobServiceHandler):
+class JobsHandler(JobApiHandler):
     """Submit and list jobs: /v1/jobs."""
 
     async def post(self) -> None:
         """Accept a job."""
         body = self.receive_body()
-        jobs = self.jobs_or_refuse() if body is not None else None
+        jobs = self.job_service_or_refuse() if body is not None else None
         if body is None or jobs is None:
             return
         spec = self._parse(body)
@@ -132,7 +132,7 @@
 
     async def get(self) -> None:
         """List the jobs of the team; this needs a key, since it shows ids of jobs."""
-        jobs = self.service()
+        jobs = self.job_service()
         if jobs is None:
             return
         team = authenticate_team(
@@ -171,37 +171,37 @@
         return refusal or spec
 
 
-class JobHandler(JobServiceHandler):
+class JobHandler(JobApiHandler):
     """Show and cancel a job: /v1/jobs/ID."""
 
     async def get(self, job_id: str) -> None:
         """Return the state of a job."""
-        jobs = self.service()
+        jobs = self.job_service()
         if jobs is None:
             return
-        team = self.team_or_public()
+        team = self.authenticate_team_or_public()
         found = team if isinstance(team, Refusal) else await jobs.status(job_id, team)
         self.send_job_status(found)
 
     async def delete(self, job_id: str) -> None:
         """Cancel a job."""
-        jobs = self.service()
+        jobs = self.job_service()
         if jobs is None:
             return
-        team = self.team_or_public()
+        team = self.authenticate_team_or_public()
         found = team if isinstance(team, Refusal) else await jobs.cancel(job_id, team)
         self.send_job_status(found)
 
 
-class ExplainHandler(JobServiceHandler):
+class ExplainHandler(JobApiHandler):
     """Explain the state of a job: GET /v1/jobs/ID/explain."""
 
     async def get(self, job_id: str) -> None:
         """Return why a job is in its state."""
-        jobs = self.service()
+        jobs = self.job_service()
         if jobs is None:
             return
-        team = self.team_or_public()
+        team = self.authenticate_team_or_public()
         found = team if isinstance(team, Refusal) else await jobs.explain(job_id, team)
         if isinstance(found, Refusal):
             self.refuse(found)
--- a/baobabhoist/gateway/metrics.py
+++ b/baobabhoist/gateway/metrics.py
@@ -8,8 +8,8 @@
 
 INF = float("inf")
 # The target is 5 ms added at p99, and urgent work starts within 1.5 s.
-ANSWER_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.05, 0.2, 0.5, 1.5, 5.0, 30.0, 120.0, 600.0, INF)
-ANSWERED = "answered"
+LATENCY_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.05, 0.2, 0.5, 1.5, 5.0, 30.0, 120.0, 600.0, INF)
+RESULT_ANSWERED = "answered"
 NO_TEAM = "none"
 
 
@@ -24,7 +24,7 @@
             "baobabhoist_answer_seconds",
             "Time from the arrival of a request's headers to its answer or refusal.",
             registry=registry,
-            buckets=ANSWER_BUCKETS_S,
+            buckets=LATENCY_BUCKETS_S,
         )
         self._requests = Counter(
             "baobabhoist_requests_total",
@@ -32,13 +32,13 @@
             registry=registry,
         )
 
-    def finished(self, team: str, result: str, seconds: float) -> None:
+    def observe_result(self, team: str, result: str, seconds: float) -> None:
         """Observe an answer or a refusal; requests without an accepted key have no team."""
         label = self._teams.of(team) if team else NO_TEAM
         self._answers.observe({"team": label}, seconds)
         self._requests.inc({"team": label, "result": result})
 
-    def refused(self, team: str, kind: str) -> None:
+    def count_refusal(self, team: str, kind: str) -> None:
         """Count a refusal among those of the instance."""
         self._metrics.refused(team or NO_TEAM, kind)
 
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -31,14 +31,14 @@
 HTTP_CREATED = 201
 
 
-class RecordsHandler(AdminHandler):
+class RecordApiHandler(AdminHandler):
     """Share what the handlers for records need."""
 
-    def store(self) -> RecordStore:
+    def record_store(self) -> RecordStore:
         """Return the store over the table and the view in force."""
-        return RecordStore(self.backend.table, self.backend.view, self._jobs_in)
+        return RecordStore(self.backend.table, self.backend.view, self._check_no_jobs)
 
-    def based_on(self) -> int | Refusal:
+    def parse_expected_revision(self) -> int | Refusal:
         """Return the revision that the change is based on, 0 for a record to create."""
         if self.request.headers.get("If-None-Match") == "*":
             return ABSENT_REVISION
@@ -56,7 +56,9 @@
             return refusal_of([problem], "the request")
         return int(match[2])
 
-    def number(self, name: str, low: int, high: int, default: int | None) -> int | Refusal:
+    def parse_query_integer(
+        self, name: str, low: int, high: int, default: int | None
+    ) -> int | Refusal:
         """Return a query argument that is a whole number."""
         value = self.get_query_argument(name, None)
         if value is None and default is not None:
@@ -90,7 +92,7 @@
             emit(log, Event.RECORD_CONFLICT, kind=kind, name=name, operator=self.operator)
         self.refuse(refusal)
 
-    async def _jobs_in(self, kind: str, name: str) -> Refusal | None:
+    async def _check_no_jobs(self, kind: str, name: str) -> Refusal | None:
         if kind != RecordKind.QUEUE or self.options.jobs is None:
             return None
         users = await self.options.jobs.unfinished_job_ids(name)
@@ -100,7 +102,7 @@
         return in_use(kind, name, "jobs", list(users), remedy) if users else None
 
 
-class RecordListHandler(RecordsHandler):
+class RecordListHandler(RecordApiHandler):
     """List records: GET /v1/records and /v1/records/KIND."""
 
     def get(self, kind: str | None = None) -> None:
@@ -120,26 +122,26 @@
         self.send_json({"revision": view.revision, "records": found})
 
 
-class RecordHandler(RecordsHandler):
+class RecordHandler(RecordApiHandler):
     """Read and change a record: /v1/records/KIND/NAME."""
 
     async def get(self, kind: str, name: str) -> None:
         """Return the record in the table, or the one in force while the platform is down."""
         if self.receive_body() is None:
             return
-        version = self.number("schema_version", 1, 1000, 0)
+        version = self.parse_query_integer("schema_version", 1, 1000, 0)
         if isinstance(version, Refusal):
             self.refuse(version)
             return
-        record = await self.store().read(kind, name)
+        record = await self.record_store().read(kind, name)
         if isinstance(record, Refusal) and record.kind is ErrorKind.PLATFORM_UNAVAILABLE:
             record = self.backend.view.get(kind, name) or record
         if isinstance(record, Refusal):
             self.refuse(record)
             return
-        self.send_record(record, version, pending=await self._pending(record))
+        self.send_record(record, version, pending=await self._pending_limit_of(record))
 
-    async def _pending(self, record: Record) -> PendingLimit | None:
+    async def _pending_limit_of(self, record: Record) -> PendingLimit | None:
         if record.kind != RecordKind.TEAM or record.body is None:
             return None
         try:
@@ -156,43 +158,45 @@
         body = self.receive_body()
         if body is None:
             return
-        wanted = self._wanted(kind, name, body)
-        if isinstance(wanted, Refusal):
-            self.refuse(wanted)
+        change = self._parse_change(kind, name, body)
+        if isinstance(change, Refusal):
+            self.refuse(change)
             return
-        record = await self.store().put(wanted, self.now())
+        record = await self.record_store().put(change, self.now())
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
-        status = 200 if wanted.based_on else HTTP_CREATED
-        self.send_record(record, status=status, pending=await self._pending(record))
+        status = 200 if change.based_on else HTTP_CREATED
+        self.send_record(record, status=status, pending=await self._pending_limit_of(record))
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete a record."""
         if self.receive_body() is None:
             return
-        based_on = self.based_on()
-        if isinstance(based_on, Refusal):
-            self.refuse(based_on)
+        expected_revision = self.parse_expected_revision()
+        if isinstance(expected_revision, Refusal):
+            self.refuse(expected_revision)
             return
-        wanted = Change(kind, name, 0, None, based_on, self.operator)
-        record = await self.store().delete(wanted, self.now())
+        change = Change(kind, name, 0, None, expected_revision, self.operator)
+        record = await self.record_store().delete(change, self.now())
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
         self.send_record(record)
 
-    def _wanted(self, kind: str, name: str, body: bytes) -> Change | Refusal:
+    def _parse_change(self, kind: str, name: str, body: bytes) -> Change | Refusal:
         raw = parse_json(body)
         if isinstance(raw, Refusal):
             return raw
         problems = _envelope_problems(raw)
         if problems:
             return refusal_of(problems, "the change")
-        based_on = self.based_on()
-        if isinstance(based_on, Refusal):
-            return based_on
-        return Change(kind, name, raw["schema_version"], raw["body"], based_on, self.operator)
+        expected_revision = self.parse_expected_revision()
+        if isinstance(expected_revision, Refusal):
+            return expected_revision
+        return Change(
+            kind, name, raw["schema_version"], raw["body"], expected_revision, self.operator
+        )
 
 
 def _envelope_problems(raw: Any) -> Problems:
@@ -212,18 +216,18 @@
     return missing + unknown
 
 
-class HistoryHandler(RecordsHandler):
+class HistoryHandler(RecordApiHandler):
     """Show the versions of a record: GET /v1/records/KIND/NAME/history."""
 
     async def get(self, kind: str, name: str) -> None:
         """Return the latest versions, the newest first."""
         if self.receive_body() is None:
             return
-        limit = self.number("limit", 1, MAX_HISTORY, DEFAULT_HISTORY)
+        limit = self.parse_query_integer("limit", 1, MAX_HISTORY, DEFAULT_HISTORY)
         if isinstance(limit, Refusal):
             self.refuse(limit)
             return
-        found = await self.store().history(kind, name, limit)
+        found = await self.record_store().history(kind, name, limit)
         if isinstance(found, Refusal):
             self.refuse(found)
             return
@@ -231,22 +235,26 @@
         self.send_json({"versions": [body for body in bodies if not isinstance(body, Refusal)]})
 
 
-class DiffHandler(RecordsHandler):
+class DiffHandler(RecordApiHandler):
     """Compare two versions of a record: GET /v1/records/KIND/NAME/diff?from=&to=."""
 
     async def get(self, kind: str, name: str) -> None:
         """Return the values that differ; without `to`, compare with the latest version."""
         if self.receive_body() is None:
             return
-        old = await self._version(kind, name, self.number("from", 1, MAX_REVISION, None))
+        old = await self._read_version(
+            kind, name, self.parse_query_integer("from", 1, MAX_REVISION, None)
+        )
         if isinstance(old, Refusal):
             self.refuse(old)
             return
-        new = await self._version(kind, name, self.number("to", 0, MAX_REVISION, 0))
+        new = await self._read_version(
+            kind, name, self.parse_query_integer("to", 0, MAX_REVISION, 0)
+        )
         if isinstance(new, Refusal):
             self.refuse(new)
             return
-        before, after = _comparable(old, new)
+        before, after = _bodies_to_compare(old, new)
         self.send_json(
             {
                 "from": old.revision,
@@ -258,16 +266,18 @@
             }
         )
 
-    async def _version(self, kind: str, name: str, revision: int | Refusal) -> Record | Refusal:
+    async def _read_version(
+        self, kind: str, name: str, revision: int | Refusal
+    ) -> Record | Refusal:
         if isinstance(revision, Refusal):
             return revision
         if revision:
-            return await self.store().version(kind, name, revision)
-        latest = await self.store().history(kind, name, 1)
+            return await self.record_store().version(kind, name, revision)
+        latest = await self.record_store().history(kind, name, 1)
         return latest if isinstance(latest, Refusal) else latest[0]
 
 
-def _comparable(old: Record, new: Record) -> tuple[Any, Any]:
+def _bodies_to_compare(old: Record, new: Record) -> tuple[Any, Any]:
     """Return both bodies in the newer one's schema version; canonical where that fails."""
     bodies = [as_written(record, new.schema_version) for record in (old, new)]
     if any(isinstance(body, Refusal) for body in bodies):
