--- a/baobabhoist/cli/client.py
+++ b/baobabhoist/cli/client.py
@@ -16,7 +16,7 @@
 CONNECT_TIMEOUT_S = 5.0
 DEFAULT_TIMEOUT_S = 30.0
 # tornado reports a missing answer under this status.
-NO_ANSWER = 599
+NO_RESPONSE_STATUS = 599
 
 
 class ExitCode(enum.IntEnum):
@@ -56,7 +56,7 @@
 
 
 # The outcome is decisive before the kind: whoever reads the code must know of a possible run.
-EXIT_OF_KIND: dict[str, ExitCode] = {
+EXIT_CODE_BY_ERROR_KIND: dict[str, ExitCode] = {
     "conflict": ExitCode.CONFLICT,
     "precondition_missing": ExitCode.CONFLICT,
     "not_found": ExitCode.NOT_FOUND,
@@ -65,15 +65,15 @@
 }
 
 
-def exit_code_of(exc: RefusedError) -> ExitCode:
+def exit_code_for(exc: RefusedError) -> ExitCode:
     """Return the exit code of a refusal."""
     if exc.body.get("outcome") == "unknown":
         return ExitCode.OUTCOME_UNKNOWN
-    return EXIT_OF_KIND.get(str(exc.body.get("kind")), ExitCode.REFUSED)
+    return EXIT_CODE_BY_ERROR_KIND.get(str(exc.body.get("kind")), ExitCode.REFUSED)
 
 
 @attrs.frozen
-class Reply:
+class Response:
     """Hold a successful answer."""
 
     status: int
@@ -85,7 +85,7 @@
         return orjson.loads(self.body) if self.body else None
 
 
-def path(*parts: str) -> str:
+def url_path(*parts: str) -> str:
     """Return a path whose parts are escaped."""
     return "/" + "/".join(quote(part, safe="") for part in parts)
 
@@ -100,13 +100,13 @@
     tls: ssl.SSLContext | None = None
     timeout_s: float = DEFAULT_TIMEOUT_S
 
-    def call(
+    def send(
         self,
         method: str,
         target: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Reply:
+    ) -> Response:
         """Return the answer; raises RefusedError or UnreachableError."""
         sent = dict(headers or {})
         if self.key:
@@ -135,16 +135,16 @@
             raise UsageError(f"{self.base_url} is not a usable address: {exc}") from exc
         finally:
             http.close()
-        return Reply(answer.code, dict(answer.headers.get_all()), answer.body)
+        return Response(answer.code, dict(answer.headers.get_all()), answer.body)
 
-    def json(self, method: str, target: str, body: Any = None, **headers: str) -> Any:
+    def request_json(self, method: str, target: str, body: Any = None, **headers: str) -> Any:
         """Return the JSON answer to a JSON request; header names use underscores."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         data = orjson.dumps(body) if body is not None else None
-        return self.call(method, target, data, named).json()
+        return self.send(method, target, data, named).json()
 
     def _failure(self, exc: HTTPClientError) -> BaobabhoistError:
-        if exc.response is None or exc.code == NO_ANSWER:
+        if exc.response is None or exc.code == NO_RESPONSE_STATUS:
             sent = "while connecting" not in str(exc)
             return UnreachableError(f"{self.base_url} does not answer: {exc}", sent)
         try:
--- a/baobabhoist/cli/instances.py
+++ b/baobabhoist/cli/instances.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from baobabhoist.cli.client import Client, ExitCode, UsageError
-from baobabhoist.cli.output import Result, table
-from baobabhoist.cli.records import pending_line
+from baobabhoist.cli.output import CommandResult, format_table
+from baobabhoist.cli.records import format_pending_limit
 from baobabhoist.config.load import load_with_warnings
 from baobabhoist.config.settings import Settings
 from baobabhoist.control.settings import NodeSettings
@@ -15,12 +15,12 @@
 HEADINGS = ["INSTANCE", "DATA CENTRE", "LIVE", "DRAINING", "REVISION", "SHARDS"]
 
 
-def status(client: Client) -> Result:
+def show_status(client: Client) -> CommandResult:
     """Show the instance, its peers and the revision of the records in force on each."""
-    found = client.json("GET", "/v1/status")
+    found = client.request_json("GET", "/v1/status")
     rows = [_row({**found, "live": True}), *(_row(peer) for peer in found["peers"])]
-    notes = [pending_line(each) for each in found.get("pending_limits") or ()]
-    return Result(found, [*table(HEADINGS, rows), *notes])
+    notes = [format_pending_limit(each) for each in found.get("pending_limits") or ()]
+    return CommandResult(found, [*format_table(HEADINGS, rows), *notes])
 
 
 def _row(each: dict[str, Any]) -> list[Any]:
@@ -34,10 +34,12 @@
     ]
 
 
-def drain(client: Client) -> Result:
+def start_drain(client: Client) -> CommandResult:
     """Start the drain of the instance."""
-    found = client.json("POST", "/v1/drain")
-    return Result(found, [f"the instance drains; {found['open_requests']} requests are open"])
+    found = client.request_json("POST", "/v1/drain")
+    return CommandResult(
+        found, [f"the instance drains; {found['open_requests']} requests are open"]
+    )
 
 
 # The kinds of settings files; an instance on the users' platform has its own.
@@ -47,7 +49,7 @@
 }
 
 
-def check_config(file: str, kind: str) -> Result:
+def check_config(file: str, kind: str) -> CommandResult:
     """Check a settings file of a kind without starting a process."""
     if kind not in SETTINGS_KINDS:
         raise UsageError(f"give one of {', '.join(SETTINGS_KINDS)}, not {kind}")
@@ -55,7 +57,7 @@
         loaded = load_with_warnings(file, SETTINGS_KINDS[kind])
     except SettingsError as exc:
         problems = str(exc).splitlines()
-        return Result({"valid": False, "problems": problems}, problems, ExitCode.REFUSED)
+        return CommandResult({"valid": False, "problems": problems}, problems, ExitCode.REFUSED)
     warnings = [str(problem) for problem in loaded.warnings]
     lines = [f"{file} is valid", *(f"warning: {text}" for text in warnings)]
-    return Result({"valid": True, "warnings": warnings}, lines)
+    return CommandResult({"valid": True, "warnings": warnings}, lines)
--- a/baobabhoist/cli/jobs.py
+++ b/baobabhoist/cli/jobs.py
@@ -11,8 +11,8 @@
 
 import yaml
 
-from baobabhoist.cli.client import Client, ExitCode, UnreachableError, UsageError, path
-from baobabhoist.cli.output import Result, refusal_lines, table
+from baobabhoist.cli.client import Client, ExitCode, UnreachableError, UsageError, url_path
+from baobabhoist.cli.output import CommandResult, format_error, format_table
 
 POLL_INTERVAL_S = 0.5
 FINAL_STATES = {
@@ -23,7 +23,7 @@
 CLEAR_LINE = "\r\x1b[K"
 
 
-def read_job(file: str) -> dict[str, Any]:
+def load_job(file: str) -> dict[str, Any]:
     """Return the job in a YAML or JSON file; raises UsageError."""
     try:
         found = yaml.safe_load(Path(file).read_text(encoding="utf-8"))
@@ -34,45 +34,47 @@
     return found
 
 
-def submit_job(client: Client, file: str, key: str = "") -> Result:
+def submit_job(client: Client, file: str, key: str = "") -> CommandResult:
     """Submit the job in a file; the key makes it safe to repeat the command."""
-    body = read_job(file)
+    body = load_job(file)
     key = key or uuid.uuid4().hex
     try:
-        found = client.json("POST", path("v1", "jobs"), body, Idempotency_Key=key)
+        found = client.request_json("POST", url_path("v1", "jobs"), body, Idempotency_Key=key)
     except UnreachableError as exc:
         raise _with_key(exc, key) from exc
-    return Result(found, [f"job {found['job_id']} is {found['state']}"])
+    return CommandResult(found, [f"job {found['job_id']} is {found['state']}"])
 
 
-def show_job(client: Client, job_id: str) -> Result:
+def show_job(client: Client, job_id: str) -> CommandResult:
     """Return the state of a job."""
-    found = client.json("GET", path("v1", "jobs", job_id))
-    return Result(found, job_lines(found))
+    found = client.request_json("GET", url_path("v1", "jobs", job_id))
+    return CommandResult(found, format_job(found))
 
 
-def list_jobs(client: Client) -> Result:
+def list_jobs(client: Client) -> CommandResult:
     """List the jobs of the team."""
-    found = client.json("GET", path("v1", "jobs"))
+    found = client.request_json("GET", url_path("v1", "jobs"))
     rows = [
         [each["job_id"], each["team"], each["queue"], each["kind"], each["state"], each["counts"]]
         for each in found["jobs"]
     ]
-    return Result(found, table(["JOB", "TEAM", "QUEUE", "KIND", "STATE", "TASKS"], rows))
+    return CommandResult(
+        found, format_table(["JOB", "TEAM", "QUEUE", "KIND", "STATE", "TASKS"], rows)
+    )
 
 
-def cancel_job(client: Client, job_id: str) -> Result:
+def cancel_job(client: Client, job_id: str) -> CommandResult:
     """Cancel a job."""
-    found = client.json("DELETE", path("v1", "jobs", job_id))
-    return Result(found, [f"job {found['job_id']} is {found['state']}"])
+    found = client.request_json("DELETE", url_path("v1", "jobs", job_id))
+    return CommandResult(found, [f"job {found['job_id']} is {found['state']}"])
 
 
-def explain_job(client: Client, job_id: str) -> Result:
+def explain_job(client: Client, job_id: str) -> CommandResult:
     """Explain why a job is in its state."""
-    found = client.json("GET", path("v1", "jobs", job_id, "explain"))
+    found = client.request_json("GET", url_path("v1", "jobs", job_id, "explain"))
     lines = [f"job {found['job_id']} is {found['state']}: {found['reason'] or 'no reason given'}"]
     lines += [f"  {count} tasks: {reason}" for reason, count in found["waiting"].items()]
-    return Result(found, lines)
+    return CommandResult(found, lines)
 
 
 def wait_for_job(
@@ -80,15 +82,15 @@
     job_id: str,
     give_up_at: float | None,
     progress: Callable[[dict[str, Any]], None],
-) -> Result:
+) -> CommandResult:
     """Wait until a job has ended; `give_up_at` is in Unix seconds, None waits without end."""
     while True:
         found = _status(client, job_id, give_up_at)
         if found["state"] in FINAL_STATES:
-            return Result(found, job_lines(found), FINAL_STATES[found["state"]])
+            return CommandResult(found, format_job(found), FINAL_STATES[found["state"]])
         progress(found)
         if give_up_at is not None and time.time() + POLL_INTERVAL_S > give_up_at:
-            return Result(found, job_lines(found), ExitCode.STILL_RUNNING)
+            return CommandResult(found, format_job(found), ExitCode.STILL_RUNNING)
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -96,7 +98,7 @@
     """Return the state of a job; an instance may be replaced while the command waits."""
     while True:
         try:
-            found: dict[str, Any] = client.json("GET", path("v1", "jobs", job_id))
+            found: dict[str, Any] = client.request_json("GET", url_path("v1", "jobs", job_id))
             return found
         except UnreachableError:
             if give_up_at is None or time.time() + POLL_INTERVAL_S > give_up_at:
@@ -104,7 +106,7 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def progress_line(found: dict[str, Any]) -> None:
+def show_progress(found: dict[str, Any]) -> None:
     """Show the state of a job on one line, if a person reads it."""
     if sys.stderr.isatty():
         counts = ", ".join(f"{count} {state}" for state, count in found["counts"].items())
@@ -112,23 +114,23 @@
         sys.stderr.flush()
 
 
-def end_progress() -> None:
+def clear_progress() -> None:
     """Remove the progress line."""
     if sys.stderr.isatty():
         sys.stderr.write(CLEAR_LINE)
         sys.stderr.flush()
 
 
-def job_lines(found: dict[str, Any]) -> list[str]:
+def format_job(found: dict[str, Any]) -> list[str]:
     """Return the state of a job for people."""
     fields = ["job_id", "team", "queue", "kind", "state", "counts", "reason"]
-    lines = table(["FIELD", "VALUE"], [[name, found.get(name)] for name in fields])
-    return lines + (refusal_lines(found["refusal"]) if found.get("refusal") else [])
+    lines = format_table(["FIELD", "VALUE"], [[name, found.get(name)] for name in fields])
+    return lines + (format_error(found["refusal"]) if found.get("refusal") else [])
 
 
 def submit_request(
     client: Client, queue: str, body: bytes, headers: dict[str, str], deadline: float
-) -> Result:
+) -> CommandResult:
     """Send one request under a key and return its whole answer.
 
     The key lets the command be repeated after a lost answer without a second run.
@@ -140,7 +142,7 @@
         headers["Idempotency-Key"] = uuid.uuid4().hex
         headers["Idempotency-First-Sent"] = f"{time.time():.3f}"
     try:
-        reply = client.call("POST", path("v1", "queues", queue, "requests"), body, headers)
+        reply = client.send("POST", url_path("v1", "queues", queue, "requests"), body, headers)
     except UnreachableError as exc:
         raise _with_key(exc, headers["Idempotency-Key"]) from exc
     data = {
@@ -148,7 +150,7 @@
         "request_id": reply.headers.get("Request-Id"),
         "body": reply.body.decode("utf-8", "replace"),
     }
-    return Result(data, raw=reply.body)
+    return CommandResult(data, raw=reply.body)
 
 
 def _with_key(exc: UnreachableError, key: str) -> UnreachableError:
--- a/baobabhoist/cli/logs.py
+++ b/baobabhoist/cli/logs.py
@@ -11,10 +11,12 @@
 import attrs
 
 from baobabhoist.cli.client import ExitCode, UsageError
-from baobabhoist.cli.output import Result
+from baobabhoist.cli.output import CommandResult
 
 # A line may begin with a time and the name of its process, as collectors write it.
-_LINE = re.compile(r"^\s*(?:(?P<at>-?\d+(?:\.\d+)?)\s+)?(?:(?P<node>[^\s{]+)\s+)?(?P<json>\{.*\})")
+_LINE_PATTERN = re.compile(
+    r"^\s*(?:(?P<at>-?\d+(?:\.\d+)?)\s+)?(?:(?P<node>[^\s{]+)\s+)?(?P<json>\{.*\})"
+)
 # Events that change what a process believes, shown while the job was in hand.
 CONTEXT_EVENTS = frozenset(
     {
@@ -42,7 +44,7 @@
 
 
 @attrs.frozen(order=True)
-class Line:
+class LogLine:
     """Hold one event: when it was logged, by which process, and its fields."""
 
     time: str
@@ -58,20 +60,20 @@
         return f"{self.time} {self.node} {self.name}: {self.message} {details}".rstrip()
 
 
-def merge(job_id: str, paths: Sequence[str]) -> Result:
+def merge_logs(job_id: str, paths: Sequence[str]) -> CommandResult:
     """Show what several logs say of a job, with what its processes and workers went through."""
     lines = sorted(_lines(paths))
     own = [line for line in lines if _concerns(line, job_id)]
     if not own:
         message = f"no line of these logs names {job_id}"
         body = {"error": {"kind": "not_found", "message": message}}
-        return Result(body, [message], ExitCode.NOT_FOUND)
-    shown = _with_context(own, lines)
-    data = [attrs.asdict(line) for line in shown]
-    return Result({"lines": data}, [line.text() for line in shown])
+        return CommandResult(body, [message], ExitCode.NOT_FOUND)
+    selected = _with_context(own, lines)
+    data = [attrs.asdict(line) for line in selected]
+    return CommandResult({"lines": data}, [line.text() for line in selected])
 
 
-def _lines(paths: Sequence[str]) -> Iterator[Line]:
+def _lines(paths: Sequence[str]) -> Iterator[LogLine]:
     for path in paths:
         try:
             with Path(path).open(encoding="utf-8", errors="replace") as file:
@@ -80,9 +82,9 @@
             raise UsageError(f"cannot read {path}: {exc.strerror}") from exc
 
 
-def _parse(file: Iterable[str], default_node: str) -> Iterator[Line]:
+def _parse(file: Iterable[str], default_node: str) -> Iterator[LogLine]:
     for text in file:
-        found = _LINE.match(text)
+        found = _LINE_PATTERN.match(text)
         if found is None:
             continue
         try:
@@ -90,7 +92,7 @@
         except ValueError:
             continue
         if isinstance(entry, dict) and "name" in entry:
-            yield Line(
+            yield LogLine(
                 str(entry.get("time", "")),
                 found["node"] or default_node,
                 str(entry["name"]),
@@ -99,17 +101,17 @@
             )
 
 
-def _concerns(line: Line, job_id: str) -> bool:
+def _concerns(line: LogLine, job_id: str) -> bool:
     return any(job_id in str(value) for value in line.fields.values())
 
 
-def _with_context(own: Sequence[Line], lines: Sequence[Line]) -> list[Line]:
+def _with_context(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[LogLine]:
     workers = {str(line.fields["worker"]) for line in own if "worker" in line.fields}
     nodes = {line.node for line in own}
     chosen = set(map(id, own))
     first, last = own[0].time, own[-1].time
 
-    def wanted(line: Line) -> bool:
+    def wanted(line: LogLine) -> bool:
         if id(line) in chosen:
             return True
         if line.node not in nodes or not first <= line.time <= last:
--- a/baobabhoist/cli/main.py
+++ b/baobabhoist/cli/main.py
@@ -17,15 +17,15 @@
     RefusedError,
     UnreachableError,
     UsageError,
-    exit_code_of,
+    exit_code_for,
 )
-from baobabhoist.cli.output import Result, refusal_lines, render
+from baobabhoist.cli.output import CommandResult, format_error, write_result
 
 FLAGS = flags.FLAGS
 # The answer to a request may come at its deadline; it needs this long to arrive.
 ANSWER_MARGIN_S = 5.0
 # Log files that one command merges.
-FILES_MAX = 1_000
+MAX_LOG_FILES = 1_000
 
 
 @attrs.frozen
@@ -33,90 +33,94 @@
     """Describe one command: its arguments as shown and how many it takes."""
 
     arguments: str
-    least: int
-    most: int
-    run: Callable[[Sequence[str]], Result]
+    min_args: int
+    max_args: int
+    run: Callable[[Sequence[str]], CommandResult]
 
 
-def _put(args: Sequence[str]) -> Result:
-    return records.put_records(options.admin_client(), args[0])
+def _put(args: Sequence[str]) -> CommandResult:
+    return records.put_records(options.make_admin_client(), args[0])
 
 
-def _get(args: Sequence[str]) -> Result:
-    return records.get_record(options.admin_client(), args[0], args[1])
+def _get(args: Sequence[str]) -> CommandResult:
+    return records.get_record(options.make_admin_client(), args[0], args[1])
 
 
-def _list_records(args: Sequence[str]) -> Result:
-    return records.list_records(options.admin_client(), *args)
+def _list_records(args: Sequence[str]) -> CommandResult:
+    return records.list_records(options.make_admin_client(), *args)
 
 
-def _delete(args: Sequence[str]) -> Result:
-    return records.delete_record(options.admin_client(), args[0], args[1], FLAGS.revision)
+def _delete(args: Sequence[str]) -> CommandResult:
+    return records.delete_record(options.make_admin_client(), args[0], args[1], FLAGS.revision)
 
 
-def _history(args: Sequence[str]) -> Result:
-    return records.history(options.admin_client(), args[0], args[1])
+def _history(args: Sequence[str]) -> CommandResult:
+    return records.show_history(options.make_admin_client(), args[0], args[1])
 
 
-def _diff(args: Sequence[str]) -> Result:
+def _diff(args: Sequence[str]) -> CommandResult:
     try:
         revisions = [int(arg) for arg in args[2:]]
     except ValueError as exc:
         raise UsageError("a revision is a whole number") from exc
-    return records.diff(options.admin_client(), args[0], args[1], *revisions)
+    return records.diff_revisions(options.make_admin_client(), args[0], args[1], *revisions)
 
 
-def _submit_job(args: Sequence[str]) -> Result:
-    return jobs.submit_job(options.caller_client(), args[0], FLAGS.idempotency_key)
+def _submit_job(args: Sequence[str]) -> CommandResult:
+    return jobs.submit_job(options.make_caller_client(), args[0], FLAGS.idempotency_key)
 
 
-def _submit_request(args: Sequence[str]) -> Result:
+def _submit_request(args: Sequence[str]) -> CommandResult:
     deadline = time.time() + FLAGS.deadline_s
-    client = options.caller_client(FLAGS.deadline_s + ANSWER_MARGIN_S)
+    client = options.make_caller_client(FLAGS.deadline_s + ANSWER_MARGIN_S)
     body = options.read_payload(args[1]) if len(args) > 1 else b""
-    return jobs.submit_request(client, args[0], body, options.request_headers(), deadline)
+    return jobs.submit_request(
+        client, args[0], body, options.request_headers_from_flags(), deadline
+    )
 
 
-def _show_job(args: Sequence[str]) -> Result:
-    return jobs.show_job(options.job_client(), args[0])
+def _show_job(args: Sequence[str]) -> CommandResult:
+    return jobs.show_job(options.make_job_client(), args[0])
 
 
-def _list_jobs(args: Sequence[str]) -> Result:
+def _list_jobs(args: Sequence[str]) -> CommandResult:
     del args
-    return jobs.list_jobs(options.job_client())
+    return jobs.list_jobs(options.make_job_client())
 
 
-def _cancel_job(args: Sequence[str]) -> Result:
-    return jobs.cancel_job(options.job_client(), args[0])
+def _cancel_job(args: Sequence[str]) -> CommandResult:
+    return jobs.cancel_job(options.make_job_client(), args[0])
 
 
-def _wait_job(args: Sequence[str]) -> Result:
+def _wait_job(args: Sequence[str]) -> CommandResult:
     give_up_at = None if FLAGS.wait_s is None else time.time() + FLAGS.wait_s
     try:
-        return jobs.wait_for_job(options.job_client(), args[0], give_up_at, jobs.progress_line)
+        return jobs.wait_for_job(
+            options.make_job_client(), args[0], give_up_at, jobs.show_progress
+        )
     finally:
-        jobs.end_progress()
+        jobs.clear_progress()
 
 
-def _explain(args: Sequence[str]) -> Result:
-    return jobs.explain_job(options.job_client(), args[0])
+def _explain(args: Sequence[str]) -> CommandResult:
+    return jobs.explain_job(options.make_job_client(), args[0])
 
 
-def _status(args: Sequence[str]) -> Result:
+def _status(args: Sequence[str]) -> CommandResult:
     del args
-    return instances.status(options.admin_client())
+    return instances.show_status(options.make_admin_client())
 
 
-def _drain(args: Sequence[str]) -> Result:
+def _drain(args: Sequence[str]) -> CommandResult:
     del args
-    return instances.drain(options.admin_client())
+    return instances.start_drain(options.make_admin_client())
 
 
-def _logs(args: Sequence[str]) -> Result:
-    return logs.merge(args[0], args[1:])
+def _logs(args: Sequence[str]) -> CommandResult:
+    return logs.merge_logs(args[0], args[1:])
 
 
-def _check_config(args: Sequence[str]) -> Result:
+def _check_config(args: Sequence[str]) -> CommandResult:
     return instances.check_config(args[0], args[1] if len(args) > 1 else "daemon")
 
 
@@ -137,7 +141,7 @@
     ("explain",): Command("JOB", 1, 1, _explain),
     ("status",): Command("", 0, 0, _status),
     ("drain",): Command("", 0, 0, _drain),
-    ("logs",): Command("JOB FILE [FILE ...]", 2, FILES_MAX, _logs),
+    ("logs",): Command("JOB FILE [FILE ...]", 2, MAX_LOG_FILES, _logs),
     ("check-config",): Command("FILE [daemon|platform]", 1, 2, _check_config),
 }
 
@@ -149,7 +153,7 @@
         command = COMMANDS.get(words)
         if command is None:
             continue
-        if command.least <= len(rest) <= command.most:
+        if command.min_args <= len(rest) <= command.max_args:
             return command, rest
         raise UsageError(f"usage: baobabhoist {' '.join(words)} {command.arguments}".rstrip())
     lines = [
@@ -159,7 +163,7 @@
     raise UsageError("usage:\n" + "\n".join(lines))
 
 
-def run_command(args: Sequence[str]) -> Result:
+def run_command(args: Sequence[str]) -> CommandResult:
     """Run a command; refusals and failures become results with their exit codes."""
     try:
         command, rest = find_command(args)
@@ -167,21 +171,21 @@
     except UsageError as exc:
         return _failed({"kind": "usage", "message": str(exc)}, ExitCode.USAGE, [str(exc)])
     except RefusedError as exc:
-        return _failed(exc.body, exit_code_of(exc), refusal_lines(exc.body))
+        return _failed(exc.body, exit_code_for(exc), format_error(exc.body))
     except UnreachableError as exc:
         # A read has no effect, but a change that may have arrived has an unknown outcome.
         unknown = exc.sent and args[0] in CHANGING_VERBS
         code = ExitCode.OUTCOME_UNKNOWN if unknown else ExitCode.UNREACHABLE
         outcome = "unknown" if unknown else "not_run"
         body = {"kind": "unreachable", "message": str(exc), "outcome": outcome}
-        return _failed(body, code, refusal_lines(body))
+        return _failed(body, code, format_error(body))
 
 
 CHANGING_VERBS = frozenset({"put", "delete", "submit", "cancel", "drain"})
 
 
-def _failed(body: Mapping[str, Any], code: ExitCode, lines: Sequence[str]) -> Result:
-    return Result({"error": dict(body)}, lines, code)
+def _failed(body: Mapping[str, Any], code: ExitCode, lines: Sequence[str]) -> CommandResult:
+    return CommandResult({"error": dict(body)}, lines, code)
 
 
 def main(argv: list[str]) -> int:
@@ -189,7 +193,7 @@
     result = run_command(argv[1:])
     failed = isinstance(result.data, dict) and "error" in result.data
     stream = sys.stderr if failed else sys.stdout
-    render(result, FLAGS.output, stream.buffer.write)
+    write_result(result, FLAGS.output, stream.buffer.write)
     stream.flush()
     return result.code
 
--- a/baobabhoist/cli/options.py
+++ b/baobabhoist/cli/options.py
@@ -38,7 +38,7 @@
 TEAM_KEY_VARIABLE = "BAOBABHOIST_TEAM_KEY"
 
 
-def key_from(flag: str, variable: str) -> str:
+def read_key(flag: str, variable: str) -> str:
     """Return a key from its flag, its file or the environment, in this order."""
     given = str(FLAGS[flag].value or "")
     file = str(FLAGS[f"{flag}_file"].value or "")
@@ -50,7 +50,7 @@
         raise UsageError(f"cannot read the key in {file}: {exc}") from exc
 
 
-def tls_context() -> ssl.SSLContext | None:
+def make_tls_context() -> ssl.SSLContext | None:
     """Return the TLS context that the flags ask for, None for the defaults."""
     if not (FLAGS.ca_file or FLAGS.client_certificate):
         return None
@@ -63,32 +63,32 @@
     return context
 
 
-def admin_client() -> Client:
+def make_admin_client() -> Client:
     """Return a client of the API for operators."""
-    key = key_from("operator_key", OPERATOR_KEY_VARIABLE)
-    return Client(FLAGS.admin_url, OPERATOR_KEY_HEADER, key, tls_context(), FLAGS.timeout_s)
+    key = read_key("operator_key", OPERATOR_KEY_VARIABLE)
+    return Client(FLAGS.admin_url, OPERATOR_KEY_HEADER, key, make_tls_context(), FLAGS.timeout_s)
 
 
-def caller_client(timeout_s: float | None = None) -> Client:
+def make_caller_client(timeout_s: float | None = None) -> Client:
     """Return a client of the API for callers."""
-    key = key_from("team_key", TEAM_KEY_VARIABLE)
+    key = read_key("team_key", TEAM_KEY_VARIABLE)
     wait_s = FLAGS.timeout_s if timeout_s is None else timeout_s
-    return Client(FLAGS.caller_url, TEAM_KEY_HEADER, key, tls_context(), wait_s)
+    return Client(FLAGS.caller_url, TEAM_KEY_HEADER, key, make_tls_context(), wait_s)
 
 
-def job_client() -> Client:
+def make_job_client() -> Client:
     """Return a client for existing jobs: as the team, if its key is given, or as an operator.
 
     Without any key, only jobs of queues open to all can be reached.
     """
-    if key_from("team_key", TEAM_KEY_VARIABLE):
-        return caller_client()
-    if key_from("operator_key", OPERATOR_KEY_VARIABLE):
-        return admin_client()
-    return caller_client()
+    if read_key("team_key", TEAM_KEY_VARIABLE):
+        return make_caller_client()
+    if read_key("operator_key", OPERATOR_KEY_VARIABLE):
+        return make_admin_client()
+    return make_caller_client()
 
 
-def request_headers() -> dict[str, str]:
+def request_headers_from_flags() -> dict[str, str]:
     """Return the headers of a request that the flags ask for."""
     headers = {
         "X-Idempotent": "true" if FLAGS.idempotent else "false",
--- a/baobabhoist/cli/records.py
+++ b/baobabhoist/cli/records.py
@@ -9,15 +9,15 @@
 
 import yaml
 
-from baobabhoist.cli.client import Client, RefusedError, UnreachableError, UsageError, path
-from baobabhoist.cli.output import Result, shown, table
+from baobabhoist.cli.client import Client, RefusedError, UnreachableError, UsageError, url_path
+from baobabhoist.cli.output import CommandResult, format_table, format_value
 
 RECORD_FIELDS = {"kind", "name", "schema_version", "body", "revision"}
 # `get record` shows these as well, so that its output can be edited and put back.
 IGNORED_FIELDS = {"previous", "changed_by", "changed_at", "pending_limit"}
 
 
-def read_records(file: str) -> list[dict[str, Any]]:
+def load_records(file: str) -> list[dict[str, Any]]:
     """Return the records in a YAML file of one or more documents; raises UsageError."""
     try:
         text = Path(file).read_text(encoding="utf-8")
@@ -49,14 +49,14 @@
     return found
 
 
-def put_records(client: Client, file: str) -> Result:
+def put_records(client: Client, file: str) -> CommandResult:
     """Write every record in a YAML file, in its order.
 
     A document with a revision is written only over that one (0: only if it does not exist). A
     document without one is written over the revision in force at that moment.
     """
     done: list[dict[str, Any]] = []
-    for record in read_records(file):
+    for record in load_records(file):
         named = f"{record['kind']} {record['name']}"
         try:
             done.append(_put_record(client, record))
@@ -72,8 +72,8 @@
     for each in done:
         lines.append(f"{each['kind']} {each['name']} is at revision {each['revision']}")
         if "pending_limit" in each:
-            lines.append(pending_line(each["pending_limit"]))
-    return Result(done, lines)
+            lines.append(format_pending_limit(each["pending_limit"]))
+    return CommandResult(done, lines)
 
 
 def _put_record(client: Client, record: dict[str, Any]) -> dict[str, Any]:
@@ -82,15 +82,15 @@
     if based_on is None:
         based_on = _revision_in_force(client, kind, name)
     body = {"schema_version": record["schema_version"], "body": record["body"]}
-    answer = client.json(
-        "PUT", path("v1", "records", kind, name), _plain(body), **_precondition(based_on)
+    answer = client.request_json(
+        "PUT", url_path("v1", "records", kind, name), _plain(body), **_precondition(based_on)
     )
     done = {"kind": kind, "name": name, "revision": answer["revision"]}
     pending = answer.get("pending_limit")
     return {**done, "pending_limit": pending} if pending else done
 
 
-def pending_line(pending: dict[str, Any]) -> str:
+def format_pending_limit(pending: dict[str, Any]) -> str:
     """Describe a lowered limit that is pending until the excess has ended."""
     return (
         f"team {pending['team']}: the limit {pending['limit']} is pending; "
@@ -115,45 +115,51 @@
 
 def _revision_in_force(client: Client, kind: str, name: str) -> int:
     try:
-        return int(client.json("GET", path("v1", "records", kind, name))["revision"])
+        return int(client.request_json("GET", url_path("v1", "records", kind, name))["revision"])
     except RefusedError as exc:
         if exc.body.get("kind") == "not_found":
             return 0
         raise
 
 
-def get_record(client: Client, kind: str, name: str) -> Result:
+def get_record(client: Client, kind: str, name: str) -> CommandResult:
     """Return a record; the printed form can be edited and put back."""
-    found = client.json("GET", path("v1", "records", kind, name))
+    found = client.request_json("GET", url_path("v1", "records", kind, name))
     kept = {key: value for key, value in found.items() if key not in IGNORED_FIELDS}
     text = yaml.safe_dump(kept, sort_keys=False, allow_unicode=True)
     # As a comment, the line does not get in the way when the output is put back.
-    notes = [f"# {pending_line(found['pending_limit'])}"] if "pending_limit" in found else []
-    return Result(found, [*notes, *text.splitlines()])
+    notes = (
+        [f"# {format_pending_limit(found['pending_limit'])}"] if "pending_limit" in found else []
+    )
+    return CommandResult(found, [*notes, *text.splitlines()])
 
 
-def list_records(client: Client, kind: str = "") -> Result:
+def list_records(client: Client, kind: str = "") -> CommandResult:
     """List the records in force on the instance."""
-    target = path("v1", "records", kind) if kind else path("v1", "records")
-    found = client.json("GET", target)
+    target = url_path("v1", "records", kind) if kind else url_path("v1", "records")
+    found = client.request_json("GET", target)
     rows = [
         [each["kind"], each["name"], each["schema_version"], each["revision"], each["body"]]
         for each in found["records"]
     ]
-    return Result(found, table(["KIND", "NAME", "VERSION", "REVISION", "BODY"], rows))
+    return CommandResult(
+        found, format_table(["KIND", "NAME", "VERSION", "REVISION", "BODY"], rows)
+    )
 
 
-def delete_record(client: Client, kind: str, name: str, revision: int | None = None) -> Result:
+def delete_record(
+    client: Client, kind: str, name: str, revision: int | None = None
+) -> CommandResult:
     """Delete a record at a revision, or at the one in force."""
     based_on = _revision_in_force(client, kind, name) if revision is None else revision
-    target = path("v1", "records", kind, name)
-    found = client.json("DELETE", target, None, If_Match=f'"{based_on}"')
-    return Result(found, [f"{kind} {name} was deleted in revision {found['revision']}"])
+    target = url_path("v1", "records", kind, name)
+    found = client.request_json("DELETE", target, None, If_Match=f'"{based_on}"')
+    return CommandResult(found, [f"{kind} {name} was deleted in revision {found['revision']}"])
 
 
-def history(client: Client, kind: str, name: str) -> Result:
+def show_history(client: Client, kind: str, name: str) -> CommandResult:
     """Show the versions of a record, the newest first."""
-    found = client.json("GET", path("v1", "records", kind, name, "history"))
+    found = client.request_json("GET", url_path("v1", "records", kind, name, "history"))
     rows = [
         [
             each["revision"],
@@ -164,20 +170,22 @@
         ]
         for each in found["versions"]
     ]
-    return Result(found, table(["REVISION", "CHANGED AT", "BY", "VERSION", "BODY"], rows))
+    return CommandResult(
+        found, format_table(["REVISION", "CHANGED AT", "BY", "VERSION", "BODY"], rows)
+    )
 
 
-def diff(client: Client, kind: str, name: str, old: int, new: int = 0) -> Result:
+def diff_revisions(client: Client, kind: str, name: str, old: int, new: int = 0) -> CommandResult:
     """Compare two revisions of a record, or one with the latest."""
     query = urlencode({"from": old, "to": new})
-    found = client.json("GET", f"{path('v1', 'records', kind, name, 'diff')}?{query}")
+    found = client.request_json("GET", f"{url_path('v1', 'records', kind, name, 'diff')}?{query}")
     lines = [f"--- revision {found['from']}", f"+++ revision {found['to']}"]
     for item in found["differences"]:
         if item["present"] != "new":
-            lines.append(f"- {item['path']}: {shown(item['old'])}")
+            lines.append(f"- {item['path']}: {format_value(item['old'])}")
         if item["present"] != "old":
-            lines.append(f"+ {item['path']}: {shown(item['new'])}")
-    return Result(found, lines)
+            lines.append(f"+ {item['path']}: {format_value(item['new'])}")
+    return CommandResult(found, lines)
 
 
 def _moment(seconds: float) -> str:
--- a/baobabhoist/tests/test_cli_idempotency_key.py
+++ b/baobabhoist/tests/test_cli_idempotency_key.py
@@ -8,7 +8,7 @@
 class Recorder:
     """Stand in for the HTTP client."""
 
-    def call(self, method, path, body, headers):
+    def send(self, method, path, body, headers):
         self.headers = headers
         raise AssertionError("sent")
 
--- a/baobabhoist/tests/test_cli_logs.py
+++ b/baobabhoist/tests/test_cli_logs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from baobabhoist.cli.client import ExitCode, UsageError
-from baobabhoist.cli.logs import merge
+from baobabhoist.cli.logs import merge_logs
 
 JOB = "0123456789abcdef"
 
@@ -32,7 +32,7 @@
         + line(5, "run_lost", prefix="  5.0 owner ", task=f"{JOB}.0.0.0", worker="w1")
         + line(6, "claim_lost", prefix="  6.0 owner ", token=1)
     )
-    result = merge(JOB, [str(two), str(one), str(tmp_path / "edge-3.log")])
+    result = merge_logs(JOB, [str(two), str(one), str(tmp_path / "edge-3.log")])
     names = [entry["name"] for entry in result.data["lines"]]
     assert names == ["job_stored", "config_in_force", "run_started", "worker_silent", "run_lost"]
     assert result.lines[0].startswith("2026-01-01T00:00:01Z edge-1 job_stored")
@@ -43,6 +43,6 @@
     """Guard against an empty answer that looks like a job without trouble."""
     path = tmp_path / "edge.log"
     path.write_text(line(1, "job_stored", job="f" * 16))
-    assert merge(JOB, [str(path)]).code == ExitCode.NOT_FOUND
+    assert merge_logs(JOB, [str(path)]).code == ExitCode.NOT_FOUND
     with pytest.raises(UsageError, match="cannot read"):
-        merge(JOB, [str(tmp_path / "missing.log")])
+        merge_logs(JOB, [str(tmp_path / "missing.log")])
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -11,7 +11,7 @@
 
 from baobabhoist.cli import main
 from baobabhoist.cli.client import Client, ExitCode
-from baobabhoist.cli.output import refusal_lines, shown, table
+from baobabhoist.cli.output import format_error, format_table, format_value
 from baobabhoist.errors import ErrorKind, Refusal
 from baobabhoist.model import FINAL_JOB_STATES, JobState, Outcome
 from baobabhoist.records.view import RecordView
@@ -246,7 +246,11 @@
 
 def test_what_is_printed_cannot_control_the_terminal():
     """Guard against control characters from a record or an answer."""
-    assert shown({"a": {"b": 1}, "c": [{}], "d": [1, 2]}) == "a=(b=1), c=1 entry, d=1, 2"
-    assert shown("\x1b[2Ja\nb") == "\\x1b[2Ja\\nb"
-    assert table(["A", "B"], [["x", None], ["long", True]]) == ["A     B", "x     -", "long  yes"]
-    assert refusal_lines({"kind": "k", "message": "\x07"}) == ["k: \\x07"]
+    assert format_value({"a": {"b": 1}, "c": [{}], "d": [1, 2]}) == "a=(b=1), c=1 entry, d=1, 2"
+    assert format_value("\x1b[2Ja\nb") == "\\x1b[2Ja\\nb"
+    assert format_table(["A", "B"], [["x", None], ["long", True]]) == [
+        "A     B",
+        "x     -",
+        "long  yes",
+    ]
+    assert format_error({"kind": "k", "message": "\x07"}) == ["k: \\x07"]
