--- a/baobabhoist/tests/gateway_harness.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -29,8 +29,8 @@
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.tables import MemoryTable
 
-OPERATOR = {"X-Operator-Key": "operator"}
-ROSTER = {"X-Team-Key": "roster-key"}
+OPERATOR_HEADERS = {"X-Operator-Key": "operator"}
+ROSTER_HEADERS = {"X-Team-Key": "roster-key"}
 SHARD = {"data_centre": "north", "workers": []}
 RECORDS = [
     ("team", "roster", {"limit": 4}),
@@ -48,7 +48,7 @@
 ]
 
 
-class Jobs:
+class FakeJobService:
     """Keep jobs in memory; all of them are in one state."""
 
     def __init__(self):
@@ -89,15 +89,15 @@
 
 
 @attrs.define
-class Settings:
+class FakeSettings:
     operator_key_digest: str = digest("operator")
 
 
-class Node:
+class FakeDaemon:
     """Stand in for the daemon; a request is answered with its body unless `answer` is set."""
 
     def __init__(self):
-        self.cfg = Settings()
+        self.cfg = FakeSettings()
         self.table = MemoryTable()
         self.view = RecordView()
         self.ready = True
@@ -120,13 +120,13 @@
             return await self.answer(req)
         return Answer(req.request_id, 200, req.task.payload, "text/plain")
 
-    async def catch_up(self):
+    async def apply_log(self):
         for row in await self.table.scan("log/"):
             self.view.apply(record_of(row))
 
 
 @attrs.frozen
-class Reply:
+class HttpReply:
     status: int
     headers: dict
     body: bytes
@@ -140,8 +140,8 @@
     """Serve the applications; use it as an asynchronous context manager."""
 
     def __init__(self, **caller_options):
-        self.node = Node()
-        self.jobs = Jobs()
+        self.daemon = FakeDaemon()
+        self.jobs = FakeJobService()
         self.callers = CallerOptions(
             jobs=self.jobs, data_centre="north", metrics=Metrics(), **caller_options
         )
@@ -149,8 +149,8 @@
             jobs=self.jobs, open_requests=self.callers.open_requests, metrics=self.callers.metrics
         )
         self.apps = {
-            "callers": make_caller_app(self.node, self.callers),
-            "admin": make_admin_app(self.node, self.admin),
+            "callers": make_caller_app(self.daemon, self.callers),
+            "admin": make_admin_app(self.daemon, self.admin),
         }
         self.ports = {}
         self._servers = []
@@ -180,7 +180,7 @@
             raise_error=False,
             allow_nonstandard_methods=True,
         )
-        return Reply(answer.code, dict(answer.headers.get_all()), answer.body)
+        return HttpReply(answer.code, dict(answer.headers.get_all()), answer.body)
 
     async def post(self, path, headers=None, body=b""):
         return await self.call("callers", "POST", path, headers, body)
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -56,7 +56,7 @@
     path = tmp_path / "records.yaml"
 
     async def test(gateway, tool):
-        gateway.node.view = RecordView()
+        gateway.daemon.view = RecordView()
         queue = {"kind": "queue", "name": "lots", "schema_version": 2, "body": {}}
         path.write_text(yaml.safe_dump_all([TEAM, queue]), encoding="utf-8")
         code, out, _ = await tool("put", "record", str(path))
@@ -70,7 +70,7 @@
         assert 'If-Match: "3"' in err
         _, out, _ = await tool("diff", "record", "team", "fibre", "1")
         assert out.splitlines()[2:] == ["- body.limit: 3", "+ body.limit: 5"]
-        await gateway.node.catch_up()
+        await gateway.daemon.apply_log()
         _, out, _ = await tool("list", "records", "team")
         assert out.splitlines()[1].split()[:4] == ["team", "fibre", "1", "3"]
         assert (await tool("delete", "record", "team", "fibre", revision=2))[0] == 3
@@ -120,7 +120,7 @@
         code, _, err = await tool("put", "record", str(path))
         assert code == ExitCode.USAGE
         assert message in err
-        assert gateway.node.table.rows == {}
+        assert gateway.daemon.table.rows == {}
 
     with_tool(test)
 
@@ -150,7 +150,7 @@
         path.write_bytes(b"lot 7\n")
         code, out, _ = await tool("submit", "request", "entries", str(path), urgency="urgent")
         assert (code, out) == (0, "lot 7\n")
-        assert gateway.node.routed[0].task.urgency == "urgent"
+        assert gateway.daemon.routed[0].task.urgency == "urgent"
 
     with_tool(test)
 
@@ -163,7 +163,7 @@
             async def answer(req):
                 return refusal
 
-            gateway.node.answer = answer
+            gateway.daemon.answer = answer
             code, _, err = await tool("submit", "request", "entries")
             assert f"outcome: {refusal.outcome}" in err
             return code
--- a/baobabhoist/tests/test_gateway_admin.py
+++ b/baobabhoist/tests/test_gateway_admin.py
@@ -5,10 +5,10 @@
 from baobabhoist.quota.escrow import PlaceMove, apply_moves, encode_row, initial_row, set_limit
 from baobabhoist.records.view import RecordView
 from baobabhoist.store.table import Row
-from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import OPERATOR_HEADERS, ROSTER_HEADERS, with_gateway
 
 TEAM = "/v1/records/team/fibre"
-CREATE = {**OPERATOR, "If-None-Match": "*"}
+CREATE = {**OPERATOR_HEADERS, "If-None-Match": "*"}
 
 
 def change(limit, version=1):
@@ -17,12 +17,12 @@
 
 
 def based_on(revision):
-    return {**OPERATOR, "If-Match": f'"{revision}"'}
+    return {**OPERATOR_HEADERS, "If-Match": f'"{revision}"'}
 
 
 def empty(gateway):
     """Start without records: those of the fixture are only in its view, not in its table."""
-    gateway.node.view = RecordView()
+    gateway.daemon.view = RecordView()
 
 
 def test_operator_keys_and_only_they_open_the_api():
@@ -34,16 +34,16 @@
 
         assert await status({}) == 401
         assert await status({"X-Operator-Key": "roster-key"}) == 401
-        assert await status(ROSTER) == 401
-        assert await status(OPERATOR) == 200
+        assert await status(ROSTER_HEADERS) == 401
+        assert await status(OPERATOR_HEADERS) == 200
         assert await status({"X-Operator-Key": "tess-key"}) == 200
         assert await status({"Authorization": "Bearer operator"}) == 200
         for path in ("/healthz", "/readyz"):
             assert (await gateway.call("admin", "GET", path)).status == 200
         assert (await gateway.call("admin", "GET", "/metrics")).status == 401
-        metrics = await gateway.call("admin", "GET", "/metrics", OPERATOR)
+        metrics = await gateway.call("admin", "GET", "/metrics", OPERATOR_HEADERS)
         assert b"baobabhoist_open_requests 0" in metrics.body
-        gateway.node.ready = False
+        gateway.daemon.ready = False
         assert (await gateway.call("admin", "GET", "/readyz")).status == 503
 
     with_gateway(test)
@@ -58,23 +58,23 @@
         assert (created.status, created.headers["Etag"]) == (201, '"1"')
         changed = await gateway.call("admin", "PUT", TEAM, based_on(1), change(2, 2))
         assert (changed.status, changed.json["revision"]) == (200, 2)
-        read = (await gateway.call("admin", "GET", TEAM, OPERATOR)).json
+        read = (await gateway.call("admin", "GET", TEAM, OPERATOR_HEADERS)).json
         assert read["body"] == {"limits": {"total": 2, "classes": {}}, "share_weight": 1.0}
         assert (read["schema_version"], read["changed_by"]) == (2, "settings")
-        old = await gateway.call("admin", "GET", f"{TEAM}?schema_version=1", OPERATOR)
+        old = await gateway.call("admin", "GET", f"{TEAM}?schema_version=1", OPERATOR_HEADERS)
         assert old.json["body"] == {"limit": 2, "share": 1.0}
-        history = (await gateway.call("admin", "GET", f"{TEAM}/history", OPERATOR)).json
+        history = (await gateway.call("admin", "GET", f"{TEAM}/history", OPERATOR_HEADERS)).json
         assert [each["revision"] for each in history["versions"]] == [2, 1]
-        diff = (await gateway.call("admin", "GET", f"{TEAM}/diff?from=1", OPERATOR)).json
+        diff = (await gateway.call("admin", "GET", f"{TEAM}/diff?from=1", OPERATOR_HEADERS)).json
         assert diff["differences"] == [
             {"path": "body.limits.total", "present": "both", "old": 1, "new": 2}
         ]
-        await gateway.node.catch_up()
-        listed = (await gateway.call("admin", "GET", "/v1/records/team", OPERATOR)).json
+        await gateway.daemon.apply_log()
+        listed = (await gateway.call("admin", "GET", "/v1/records/team", OPERATOR_HEADERS)).json
         assert (listed["revision"], listed["records"]) == (2, [read])
         gone = await gateway.call("admin", "DELETE", TEAM, based_on(2))
         assert (gone.status, gone.json["body"]) == (200, None)
-        assert (await gateway.call("admin", "GET", TEAM, OPERATOR)).status == 404
+        assert (await gateway.call("admin", "GET", TEAM, OPERATOR_HEADERS)).status == 404
 
     with_gateway(test)
 
@@ -84,10 +84,12 @@
 
     async def test(gateway):
         empty(gateway)
-        missing = await gateway.call("admin", "PUT", TEAM, OPERATOR, change(1))
+        missing = await gateway.call("admin", "PUT", TEAM, OPERATOR_HEADERS, change(1))
         assert (missing.status, missing.json["kind"]) == (428, "precondition_missing")
         for value in ("*", "abc", '"1', "-1"):
-            bad = await gateway.call("admin", "PUT", TEAM, {**OPERATOR, "If-Match": value}, b"{}")
+            bad = await gateway.call(
+                "admin", "PUT", TEAM, {**OPERATOR_HEADERS, "If-Match": value}, b"{}"
+            )
             assert bad.status == 400
         both = await asyncio.gather(
             *(gateway.call("admin", "PUT", TEAM, CREATE, change(limit)) for limit in (1, 2))
@@ -104,9 +106,9 @@
     """Guard against operators seeing nothing in an outage."""
 
     async def test(gateway):
-        gateway.node.table.down = True
+        gateway.daemon.table.down = True
         path = "/v1/records/team/roster"
-        assert (await gateway.call("admin", "GET", path, OPERATOR)).json["revision"] == 1
+        assert (await gateway.call("admin", "GET", path, OPERATOR_HEADERS)).json["revision"] == 1
         refused = await gateway.call("admin", "PUT", path, based_on(1), change(1))
         assert (refused.status, refused.json["kind"]) == (503, "platform_unavailable")
         assert refused.json["outcome"] == "not_run"
@@ -124,7 +126,7 @@
         await gateway.call("admin", "PUT", "/v1/records/team/public", CREATE, change(1))
         body = {"schema_version": 1, "body": {"open": True}}
         await gateway.call("admin", "PUT", "/v1/records/queue/checks", CREATE, body)
-        await gateway.node.catch_up()
+        await gateway.daemon.apply_log()
         job = {"queue": "checks", "kind": "batch", "replicas": 1}
         assert (await gateway.post("/v1/jobs", None, job)).status == 202
         kept = await gateway.call("admin", "DELETE", "/v1/records/queue/checks", based_on(3))
@@ -138,7 +140,7 @@
     """Guard against an operator believing that a record is in force everywhere."""
 
     async def test(gateway):
-        found = (await gateway.call("admin", "GET", "/v1/status", OPERATOR)).json
+        found = (await gateway.call("admin", "GET", "/v1/status", OPERATOR_HEADERS)).json
         assert (found["instance_id"], found["records_revision"]) == ("entry-1", 12)
         (peer,) = found["peers"]
         assert (peer["instance_id"], peer["records_revision"], peer["live"]) == (
@@ -146,10 +148,10 @@
             3,
             False,
         )
-        drained = await gateway.call("admin", "POST", "/v1/drain", OPERATOR)
+        drained = await gateway.call("admin", "POST", "/v1/drain", OPERATOR_HEADERS)
         assert (drained.status, drained.json["draining"]) == (202, True)
-        assert (await gateway.post("/v1/jobs", ROSTER, b"{}")).json["kind"] == "draining"
-        found = (await gateway.call("admin", "GET", "/v1/status", OPERATOR)).json
+        assert (await gateway.post("/v1/jobs", ROSTER_HEADERS, b"{}")).json["kind"] == "draining"
+        found = (await gateway.call("admin", "GET", "/v1/status", OPERATOR_HEADERS)).json
         assert (found["draining"], found["ready"]) == (True, False)
 
     with_gateway(test)
@@ -160,15 +162,15 @@
 
     async def test(gateway):
         empty(gateway)
-        table = gateway.node.table
+        table = gateway.daemon.table
         await gateway.call("admin", "PUT", TEAM, CREATE, change(9))
         row = initial_row(9, ["n1", "n2"])
         table.rows["escrow/fibre"] = Row("escrow/fibre", 1, encode_row(row))
 
         async def seen():
-            await gateway.node.catch_up()
-            record = (await gateway.call("admin", "GET", TEAM, OPERATOR)).json
-            status = (await gateway.call("admin", "GET", "/v1/status", OPERATOR)).json
+            await gateway.daemon.apply_log()
+            record = (await gateway.call("admin", "GET", TEAM, OPERATOR_HEADERS)).json
+            status = (await gateway.call("admin", "GET", "/v1/status", OPERATOR_HEADERS)).json
             return record.get("pending_limit"), status["pending_limits"]
 
         async def store(row):
@@ -189,7 +191,7 @@
         assert await seen_down(gateway) == (200, None)
 
     async def seen_down(gateway):
-        status = await gateway.call("admin", "GET", "/v1/status", OPERATOR)
+        status = await gateway.call("admin", "GET", "/v1/status", OPERATOR_HEADERS)
         return status.status, status.json["pending_limits"]
 
     with_gateway(test)
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -9,7 +9,7 @@
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.model import Answer, Outcome, Urgency
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.gateway_harness import ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import ROSTER_HEADERS, with_gateway
 
 PATH = "/v1/queues/entries/requests"
 CHECKS = "/v1/queues/checks/requests"
@@ -17,7 +17,7 @@
 
 def keyed(key="k1", ahead_s=60.0, **headers):
     return {
-        **ROSTER,
+        **ROSTER_HEADERS,
         "Idempotency-Key": key,
         "Request-Deadline": f"{time.time() + ahead_s:.3f}",
         **headers,
@@ -35,10 +35,10 @@
     """Guard against a changed body or type of the answer."""
 
     async def test(gateway):
-        reply = await gateway.post(PATH, ROSTER, b"\x00\xffwhistle")
+        reply = await gateway.post(PATH, ROSTER_HEADERS, b"\x00\xffwhistle")
         assert (reply.status, reply.body) == (200, b"\x00\xffwhistle")
         assert reply.headers["Content-Type"] == "text/plain"
-        assert reply.headers["Request-Id"] == gateway.node.routed[0].request_id
+        assert reply.headers["Request-Id"] == gateway.daemon.routed[0].request_id
 
     with_gateway(test)
 
@@ -47,11 +47,11 @@
     """Guard against a final `key_rejected` for a valid key while the records are loaded."""
 
     async def test(gateway):
-        gateway.node.ready = False
-        gateway.node.view = RecordView()
-        reply = await gateway.post(PATH, ROSTER)
+        gateway.daemon.ready = False
+        gateway.daemon.view = RecordView()
+        reply = await gateway.post(PATH, ROSTER_HEADERS)
         assert_error(reply, 503, "platform_unavailable")
-        assert gateway.node.routed == []
+        assert gateway.daemon.routed == []
 
     with_gateway(test)
 
@@ -60,19 +60,21 @@
     """Guard against work accepted for another team, or for none on a queue that needs a key."""
 
     async def test(gateway):
-        view = gateway.node.view
+        view = gateway.daemon.view
         assert_error(await gateway.post(PATH), 401, "key_missing")
         assert_error(await gateway.post(PATH, {"X-Team-Key": "bad"}), 401, "key_rejected")
         assert_error(await gateway.post(PATH, {"X-Team-Key": "tess-key"}), 401, "key_rejected")
         assert_error(await gateway.post(CHECKS, {"X-Team-Key": "bad"}), 401, "key_rejected")
-        assert_error(await gateway.post("/v1/queues/none/requests", ROSTER), 404, "not_found")
+        assert_error(
+            await gateway.post("/v1/queues/none/requests", ROSTER_HEADERS), 404, "not_found"
+        )
         assert_error(await gateway.post("/v1/queues/none/requests"), 401, "key_missing")
         assert (await gateway.post(CHECKS)).status == 200
-        assert (await gateway.post(CHECKS, ROSTER)).status == 200
-        assert [req.task.team for req in gateway.node.routed] == ["public", "roster"]
+        assert (await gateway.post(CHECKS, ROSTER_HEADERS)).status == 200
+        assert [req.task.team for req in gateway.daemon.routed] == ["public", "roster"]
         body = {**view.get("key", "roster-1").body, "withdrawn": True}
         view.apply(Record("key", "roster-1", 1, 100, body))
-        assert_error(await gateway.post(PATH, ROSTER), 401, "key_rejected")
+        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 401, "key_rejected")
         view.apply(Record("team", "public", 1, 101, None))
         assert_error(await gateway.post(CHECKS), 403, "forbidden")
 
@@ -84,11 +86,11 @@
     cut_off = [0.0]
 
     async def test(gateway):
-        key = {**gateway.node.view.get("key", "roster-1").body, "offline_grace_s": 5.0}
-        gateway.node.view.apply(Record("key", "roster-1", 1, 100, key))
-        assert (await gateway.post(PATH, ROSTER)).status == 200
+        key = {**gateway.daemon.view.get("key", "roster-1").body, "offline_grace_s": 5.0}
+        gateway.daemon.view.apply(Record("key", "roster-1", 1, 100, key))
+        assert (await gateway.post(PATH, ROSTER_HEADERS)).status == 200
         cut_off[0] = 5.5
-        assert_error(await gateway.post(PATH, ROSTER), 401, "key_rejected")
+        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 401, "key_rejected")
         assert (await gateway.post(PATH, {"X-Team-Key": "other-key"})).status == 200
 
     with_gateway(test, records_unconfirmed_s=lambda: cut_off[0])
@@ -100,14 +102,14 @@
     async def test(gateway):
         for headers in (keyed(), keyed(), keyed(**{"X-Team-Key": "other-key"})):
             assert (await gateway.post(PATH, headers)).status == 200
-        first, repeat, other = gateway.node.routed
+        first, repeat, other = gateway.daemon.routed
         assert first.request_id == repeat.request_id == "roster/key/k1"
         assert first.shard == repeat.shard
         assert other.request_id == "other/key/k1"
         assert not first.first_attempt
         assert first.first_sent_at == pytest.approx(first.task.deadline - 600.0)
         assert (await gateway.post(CHECKS, keyed())).status == 200
-        assert gateway.node.routed[-1].shard == "s1"
+        assert gateway.daemon.routed[-1].shard == "s1"
 
     with_gateway(test)
 
@@ -117,11 +119,11 @@
 
     async def test(gateway):
         for _ in range(20):
-            await gateway.post(PATH, ROSTER)
-        assert {req.shard for req in gateway.node.routed} == {"n1", "n2"}
-        assert all(req.first_attempt for req in gateway.node.routed)
+            await gateway.post(PATH, ROSTER_HEADERS)
+        assert {req.shard for req in gateway.daemon.routed} == {"n1", "n2"}
+        assert all(req.first_attempt for req in gateway.daemon.routed)
         await gateway.post(CHECKS)
-        assert gateway.node.routed[-1].shard == "s1"
+        assert gateway.daemon.routed[-1].shard == "s1"
 
     with_gateway(test)
 
@@ -144,7 +146,7 @@
             }
         )
         assert (await gateway.post(PATH, headers)).status == 200
-        (req,) = gateway.node.routed
+        (req,) = gateway.daemon.routed
         assert (req.task.idempotent, req.task.urgency) == (True, Urgency.URGENT)
         assert (req.task.resources.cpu_milli, req.task.resources.slots) == (1500, 2)
         assert req.task.expected_run_s == 2.5
@@ -180,7 +182,7 @@
         reply = await gateway.post(PATH, keyed(**{name: value}))
         assert_error(reply, 400, "bad_request")
         assert [problem["path"] for problem in reply.json["problems"]] == [name]
-        assert gateway.node.routed == []
+        assert gateway.daemon.routed == []
 
     with_gateway(test)
 
@@ -191,17 +193,17 @@
     async def test(gateway):
         assert_error(await gateway.post(PATH, keyed(ahead_s=-1)), 408, "deadline_passed")
         assert_error(await gateway.post(PATH, keyed(ahead_s=700)), 400, "deadline_too_far")
-        without = {**ROSTER, "Idempotency-Key": "k"}
+        without = {**ROSTER_HEADERS, "Idempotency-Key": "k"}
         assert_error(await gateway.post(PATH, without), 400, "bad_request")
         future = keyed(**{"Idempotency-First-Sent": f"{time.time() + 30:.3f}"})
         assert_error(await gateway.post(PATH, future), 400, "bad_request")
-        reply = await gateway.post("/v1/queues/reports/requests", ROSTER)
+        reply = await gateway.post("/v1/queues/reports/requests", ROSTER_HEADERS)
         assert_error(reply, 403, "forbidden")
         for name in ("n1", "n2", "s1"):
-            revision = gateway.node.view.revision + 1
-            gateway.node.view.apply(Record("shard", name, 1, revision, None))
-        assert_error(await gateway.post(PATH, ROSTER), 503, "shard_unavailable")
-        assert gateway.node.routed == []
+            revision = gateway.daemon.view.revision + 1
+            gateway.daemon.view.apply(Record("shard", name, 1, revision, None))
+        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 503, "shard_unavailable")
+        assert gateway.daemon.routed == []
 
     with_gateway(test)
 
@@ -220,8 +222,10 @@
         assert_error(await gateway.call("callers", "GET", PATH), 405, "method_not_allowed")
         odd = await gateway.raw("callers", b"BREW /v1/jobs HTTP/1.0\r\n\r\n")
         assert b'"kind":"method_not_allowed"' in odd
-        assert_error(await gateway.post("/v1/queues/%ff/requests", ROSTER), 400, "bad_request")
-        assert (await gateway.post(PATH, ROSTER, b"still served")).status == 200
+        assert_error(
+            await gateway.post("/v1/queues/%ff/requests", ROSTER_HEADERS), 400, "bad_request"
+        )
+        assert (await gateway.post(PATH, ROSTER_HEADERS, b"still served")).status == 200
 
     with_gateway(test)
 
@@ -233,8 +237,8 @@
         raise RuntimeError("secret")
 
     async def test(gateway):
-        gateway.node.answer = answer
-        reply = await gateway.post(PATH, ROSTER)
+        gateway.daemon.answer = answer
+        reply = await gateway.post(PATH, ROSTER_HEADERS)
         assert_error(reply, 500, "internal", "unknown")
         assert b"secret" not in reply.body
         assert gateway.callers.open_requests.count == 0
@@ -249,8 +253,8 @@
         return Refusal(ErrorKind.OUTCOME_UNKNOWN, "gone", Outcome.UNKNOWN, "check it", 1.2)
 
     async def test(gateway):
-        gateway.node.answer = answer
-        reply = await gateway.post(PATH, ROSTER)
+        gateway.daemon.answer = answer
+        reply = await gateway.post(PATH, ROSTER_HEADERS)
         assert_error(reply, 504, "outcome_unknown", "unknown")
         assert (reply.headers["Retry-After"], reply.json["retry_after"]) == ("2", 1.2)
         content, _ = gateway.callers.metrics.exposition()
@@ -269,8 +273,8 @@
     head = f"POST {PATH} HTTP/1.1\r\nHost: here\r\nX-Team-Key: roster-key\r\n"
 
     async def test(gateway):
-        assert (await gateway.post(PATH, ROSTER, b"x" * 1000)).status == 200
-        assert_error(await gateway.post(PATH, ROSTER, b"x" * 1001), 413, "body_too_large")
+        assert (await gateway.post(PATH, ROSTER_HEADERS, b"x" * 1000)).status == 200
+        assert_error(await gateway.post(PATH, ROSTER_HEADERS, b"x" * 1001), 413, "body_too_large")
         for length in (b"5000", b"9" * 30):
             raw = await gateway.raw(
                 "callers", head.encode() + b"Content-Length: " + length + b"\r\n\r\n"
@@ -279,7 +283,7 @@
         chunk = b"400\r\n" + b"x" * 0x400 + b"\r\n"
         chunked = head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 5
         assert (await gateway.raw("callers", chunked)).startswith(b"HTTP/1.1 413 ")
-        assert len(gateway.node.routed) == 1
+        assert len(gateway.daemon.routed) == 1
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(max_body_bytes=1000))
@@ -297,13 +301,13 @@
         gone = asyncio.create_task(
             gateway.raw("callers", head + b"Content-Length: 10\r\n\r\nabc", close=True)
         )
-        assert (await gateway.post(PATH, ROSTER, b"fast")).body == b"fast"
+        assert (await gateway.post(PATH, ROSTER_HEADERS, b"fast")).body == b"fast"
         late = await slow_body
         assert late.startswith(b"HTTP/1.1 408 ")
         assert b'"kind":"request_timeout"' in late
         assert await slow_head == b""
         await gone
-        assert [req.task.payload for req in gateway.node.routed] == [b"fast"]
+        assert [req.task.payload for req in gateway.daemon.routed] == [b"fast"]
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(body_timeout_s=1.0, idle_timeout_s=1.0))
@@ -321,15 +325,15 @@
             await finish.wait()
             return Answer(req.request_id, 200, b"done" * 100_000)
 
-        gateway.node.answer = answer
-        running = asyncio.create_task(gateway.post(PATH, ROSTER))
+        gateway.daemon.answer = answer
+        running = asyncio.create_task(gateway.post(PATH, ROSTER_HEADERS))
         await arrived.wait()
         assert (await gateway.call("callers", "GET", "/readyz")).status == 200
         open_requests.leave_balancer()
         assert_error(await gateway.call("callers", "GET", "/readyz"), 503, "draining")
         drained = asyncio.create_task(open_requests.wait_drained())
         open_requests.begin_drain()
-        refused = await gateway.post(PATH, ROSTER)
+        refused = await gateway.post(PATH, ROSTER_HEADERS)
         assert_error(refused, 503, "draining")
         assert refused.headers["Connection"] == "close"
         assert (open_requests.count, drained.done()) == (1, False)
@@ -352,14 +356,14 @@
             await finish.wait()
             return Answer(req.request_id, 200, b"late")
 
-        gateway.node.answer = answer
+        gateway.daemon.answer = answer
         _, writer = await asyncio.open_connection("127.0.0.1", gateway.ports["callers"])
         head = f"POST {PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
         writer.write(head.encode() + b"Content-Length: 0\r\n\r\n")
         await arrived.wait()
         writer.transport.abort()
         gateway.callers.open_requests.begin_drain()
-        assert (await gateway.post(PATH, ROSTER)).json["kind"] == "draining"
+        assert (await gateway.post(PATH, ROSTER_HEADERS)).json["kind"] == "draining"
         assert gateway.callers.open_requests.count == 1
         finish.set()
         await gateway.callers.open_requests.wait_drained()
@@ -374,7 +378,7 @@
         return Answer(req.request_id, 200, b"x" * (64 << 20))
 
     async def test(gateway):
-        gateway.node.answer = answer
+        gateway.daemon.answer = answer
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.ports["callers"])
         head = f"POST {PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
         writer.write(head.encode() + b"Content-Length: 0\r\n\r\n")
--- a/baobabhoist/tests/test_gateway_jobs.py
+++ b/baobabhoist/tests/test_gateway_jobs.py
@@ -7,7 +7,7 @@
 
 from baobabhoist.model import WorkKind
 from baobabhoist.records.view import Record
-from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, with_gateway
+from baobabhoist.tests.gateway_harness import OPERATOR_HEADERS, ROSTER_HEADERS, with_gateway
 
 OTHER = {"X-Team-Key": "other-key"}
 
@@ -23,19 +23,21 @@
     async def test(gateway):
         deadline = time.time() + 3600
         body = batch(deadline=deadline, idempotent=True, urgency="urgent")
-        accepted = await gateway.post("/v1/jobs", ROSTER, body)
+        accepted = await gateway.post("/v1/jobs", ROSTER_HEADERS, body)
         assert (accepted.status, accepted.json["counts"]) == (202, {"queued": 2})
         job_id = accepted.json["job_id"]
         spec = gateway.jobs.specs[job_id]
         assert [task.payload for task in spec.tasks] == [b"a", b"\x00\xff"]
         assert (spec.team, spec.deadline, spec.idempotent) == ("roster", deadline, True)
         path = f"/v1/jobs/{job_id}"
-        assert (await gateway.call("callers", "GET", path, ROSTER)).json["state"] == "queued"
-        explained = await gateway.call("callers", "GET", f"{path}/explain", ROSTER)
+        assert (await gateway.call("callers", "GET", path, ROSTER_HEADERS)).json[
+            "state"
+        ] == "queued"
+        explained = await gateway.call("callers", "GET", f"{path}/explain", ROSTER_HEADERS)
         assert explained.json["waiting"] == {"the team is at its limit": 2}
-        found = await gateway.call("admin", "GET", f"{path}/explain", OPERATOR)
+        found = await gateway.call("admin", "GET", f"{path}/explain", OPERATOR_HEADERS)
         assert found.json == explained.json
-        cancelled = await gateway.call("callers", "DELETE", path, ROSTER)
+        cancelled = await gateway.call("callers", "DELETE", path, ROSTER_HEADERS)
         assert cancelled.json["state"] == "cancelled"
 
     with_gateway(test)
@@ -45,18 +47,20 @@
     """Guard against one team reading or cancelling the work of another."""
 
     async def test(gateway):
-        job_id = (await gateway.post("/v1/jobs", ROSTER, batch())).json["job_id"]
+        job_id = (await gateway.post("/v1/jobs", ROSTER_HEADERS, batch())).json["job_id"]
         for method, path in (("GET", ""), ("DELETE", ""), ("GET", "/explain")):
             reply = await gateway.call("callers", method, f"/v1/jobs/{job_id}{path}", OTHER)
             assert (reply.status, reply.json["kind"]) == (404, "not_found")
         assert (await gateway.call("callers", "GET", "/v1/jobs", OTHER)).json == {"jobs": []}
         assert (await gateway.call("callers", "GET", "/v1/jobs")).json["kind"] == "key_missing"
         path = f"/v1/jobs/{job_id}"
-        assert (await gateway.call("admin", "GET", path, OPERATOR)).json["team"] == "roster"
+        assert (await gateway.call("admin", "GET", path, OPERATOR_HEADERS)).json[
+            "team"
+        ] == "roster"
         assert (await gateway.call("admin", "DELETE", path)).json["kind"] == "key_missing"
-        cancelled = await gateway.call("admin", "DELETE", path, OPERATOR)
+        cancelled = await gateway.call("admin", "DELETE", path, OPERATOR_HEADERS)
         assert cancelled.json["state"] == "cancelled"
-        listed = await gateway.call("admin", "GET", "/v1/jobs", OPERATOR)
+        listed = await gateway.call("admin", "GET", "/v1/jobs", OPERATOR_HEADERS)
         assert [job["job_id"] for job in listed.json["jobs"]] == [job_id]
 
     with_gateway(test)
@@ -68,7 +72,7 @@
     async def test(gateway):
         ids = [
             (await gateway.post("/v1/jobs", {**key, "Idempotency-Key": "week-7"}, batch())).json
-            for key in (ROSTER, ROSTER, OTHER)
+            for key in (ROSTER_HEADERS, ROSTER_HEADERS, OTHER)
         ]
         assert ids[0]["job_id"] == ids[1]["job_id"] != ids[2]["job_id"]
         assert len(gateway.jobs.specs) == 2
@@ -120,7 +124,7 @@
     """Guard against jobs that are accepted but can never run as meant."""
 
     async def test(gateway):
-        reply = await gateway.post("/v1/jobs", ROSTER, batch(**change))
+        reply = await gateway.post("/v1/jobs", ROSTER_HEADERS, batch(**change))
         assert (reply.status, reply.json["kind"]) == (400, "bad_request")
         assert path in [problem["path"] for problem in reply.json["problems"]]
         assert gateway.jobs.specs == {}
@@ -132,7 +136,7 @@
     """Guard against a job on a queue that does not exist or does not take its kind."""
 
     async def test(gateway):
-        async def kind_of(body, headers=ROSTER):
+        async def kind_of(body, headers=ROSTER_HEADERS):
             return (await gateway.post("/v1/jobs", headers, body)).json["kind"]
 
         assert await kind_of(batch(queue="none")) == "not_found"
@@ -141,7 +145,7 @@
         assert await kind_of(batch(deadline=time.time() + 1e9)) == "deadline_too_far"
         assert await kind_of(batch(), {}) == "key_missing"
         assert await kind_of(b"{NaN}") == "bad_request"
-        assert await kind_of(batch(), {**ROSTER, "Idempotency-Key": " "}) == "bad_request"
+        assert await kind_of(batch(), {**ROSTER_HEADERS, "Idempotency-Key": " "}) == "bad_request"
         gateway.callers.jobs = None
         assert await kind_of(batch()) == "platform_unavailable"
 
@@ -154,15 +158,15 @@
     async def test(gateway):
         path = "/v1/queues/entries/requests"
         now = time.time()
-        job = (await gateway.post("/v1/jobs", ROSTER, batch())).json["job_id"]
+        job = (await gateway.post("/v1/jobs", ROSTER_HEADERS, batch())).json["job_id"]
         assert gateway.jobs.specs[job].deadline >= now + 86_400.0
-        await gateway.post(path, ROSTER)
-        assert now + 20.0 <= gateway.node.routed[0].task.deadline < now + 86_400.0
+        await gateway.post(path, ROSTER_HEADERS)
+        assert now + 20.0 <= gateway.daemon.routed[0].task.deadline < now + 86_400.0
         queue = Record("queue", "entries", 2, 100, {"default_deadline_s": 400.0})
-        gateway.node.view.apply(queue)
-        await gateway.post(path, ROSTER)
-        job = (await gateway.post("/v1/jobs", ROSTER, batch())).json["job_id"]
-        found = [gateway.node.routed[1].task.deadline, gateway.jobs.specs[job].deadline]
+        gateway.daemon.view.apply(queue)
+        await gateway.post(path, ROSTER_HEADERS)
+        job = (await gateway.post("/v1/jobs", ROSTER_HEADERS, batch())).json["job_id"]
+        found = [gateway.daemon.routed[1].task.deadline, gateway.jobs.specs[job].deadline]
         assert all(now + 400.0 <= deadline < now + 86_400.0 for deadline in found)
 
     with_gateway(test, default_deadline_s=20.0)
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -20,7 +20,7 @@
 from baobabhoist.records.schema import SCHEMAS
 from baobabhoist.records.store import as_written
 from baobabhoist.records.view import Record
-from baobabhoist.tests.gateway_harness import OPERATOR, ROSTER, Gateway
+from baobabhoist.tests.gateway_harness import OPERATOR_HEADERS, ROSTER_HEADERS, Gateway
 from baobabhoist.tests.test_records_schema import JSON
 
 METHODS = ("get", "put", "post", "delete", "patch", "head", "options")
@@ -162,13 +162,13 @@
         async with Gateway() as gateway:
             for (listener, method, path), name, headers, body in calls:
                 target = "/".join(name if "{" in part else part for part in path.split("/"))
-                key = ROSTER if listener == "callers" else OPERATOR
+                key = ROSTER_HEADERS if listener == "callers" else OPERATOR_HEADERS
                 sent = body if method in ("post", "put") else None
                 reply = await gateway.call(
                     listener, method.upper(), target, {**headers, **key}, sent
                 )
                 assert_typed(reply)
-            fine = await gateway.post("/v1/queues/entries/requests", ROSTER, b"fine")
+            fine = await gateway.post("/v1/queues/entries/requests", ROSTER_HEADERS, b"fine")
             assert (fine.status, fine.body) == (200, b"fine")
             assert gateway.callers.open_requests.count == 0
 
