--- a/baobabhoist/gateway/auth.py
+++ b/baobabhoist/gateway/auth.py
@@ -1,4 +1,4 @@
-"""Decide for which team, or as which operator, a request is made."""
+"""Authenticate teams and operators by the keys in request headers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 TEAM_KEY_HEADER = "X-Team-Key"
 OPERATOR_KEY_HEADER = "X-Operator-Key"
 BEARER_PREFIX = "Bearer "
-# Changes made with the key from the settings are logged under this name.
+# The author of changes that were made with the operator key from the settings.
 SETTINGS_OPERATOR = "settings"
 
 
@@ -24,8 +24,8 @@
 ) -> str | Refusal:
     """Return the team of the presented key, or the public team on a queue open to all.
 
-    A key that is presented is always checked, so that a caller never runs for another team
-    than it believes.
+    A key is checked even on a queue open to all: a caller with a rejected key must not run
+    work for the public team in the belief that it runs for its own.
     """
     presented = headers.get(TEAM_KEY_HEADER)
     if presented is None and queue is not None and queue.open_to_all:
@@ -47,7 +47,7 @@
         return PUBLIC_TEAM
     return Refusal(
         ErrorKind.FORBIDDEN,
-        f"the queue is open to all, but there is no team {PUBLIC_TEAM} to run for",
+        f"the queue accepts requests without a key, but their team {PUBLIC_TEAM} does not exist",
         remedy=f"send a team key, or ask an operator to create the team {PUBLIC_TEAM}",
     )
 
@@ -55,10 +55,10 @@
 def authenticate_operator(
     view: RecordView, settings_digest: str, headers: HTTPHeaders, records_unconfirmed_s: float
 ) -> str | Refusal:
-    """Return the name under which an operator's changes are logged.
+    """Return the name that is stored as the author of an operator's changes.
 
-    The key is taken from the operators' header or from `Authorization: Bearer`, which
-    collectors of metrics can send.
+    The key is read from the operator header or from `Authorization: Bearer`, which metrics
+    collectors support.
     """
     presented = headers.get(OPERATOR_KEY_HEADER)
     bearer = headers.get("Authorization", "")
--- a/baobabhoist/gateway/drain.py
+++ b/baobabhoist/gateway/drain.py
@@ -1,4 +1,4 @@
-"""Count the open requests of an instance and let it drain."""
+"""Count the open requests of an instance so that it can drain."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 class OpenRequests:
     """Count open requests; once the drain has begun, new ones are refused.
 
-    `leaving` makes /readyz answer 503 before requests are refused, so that the balancer can
-    move callers away first.
+    `leaving_balancer` makes /readyz return 503 while requests are still served, so that the
+    load balancer can redirect callers before any request is refused.
     """
 
     count: int = 0
     leaving_balancer: bool = False
     draining: bool = False
-    _empty: asyncio.Event = attrs.Factory(asyncio.Event)
+    _no_open_requests: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def admit(self) -> Refusal | None:
-        """Count a new request, or return why it is refused."""
+        """Count a new request, or return the refusal during a drain."""
         if self.draining:
             return Refusal(
                 ErrorKind.DRAINING,
@@ -37,23 +37,23 @@
         return None
 
     def finish(self) -> None:
-        """Count a request as answered."""
+        """Remove a request from the count after its response was sent."""
         self.count -= 1
-        self._update()
+        self._notify_if_drained()
 
     def leave_balancer(self) -> None:
-        """Make /readyz answer 503 and still serve."""
+        """Make /readyz return 503 while requests are still served."""
         self.leaving_balancer = True
 
     def begin_drain(self) -> None:
         """Refuse new requests from now on."""
         self.leaving_balancer = self.draining = True
-        self._update()
+        self._notify_if_drained()
 
     async def wait_drained(self) -> None:
-        """Wait until the drain has begun and every open request has been answered."""
-        await self._empty.wait()
+        """Wait until the drain has begun and no request is open."""
+        await self._no_open_requests.wait()
 
-    def _update(self) -> None:
+    def _notify_if_drained(self) -> None:
         if self.draining and self.count == 0:
-            self._empty.set()
+            self._no_open_requests.set()
--- a/baobabhoist/gateway/server.py
+++ b/baobabhoist/gateway/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with bounded bodies and times, and answer every error with a typed body."""
+"""Build HTTP servers with size limits, timeouts and JSON error bodies."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
 MAX_HEADER_BYTES = 64 << 10
 BODY_TIMEOUT_S = 30.0
 IDLE_TIMEOUT_S = 75.0
-# A caller that does not read its answer would otherwise keep an instance from draining.
+# A caller that does not read its response would otherwise keep an instance from draining.
 WRITE_TIMEOUT_S = 60.0
-# The handlers bound bodies themselves, because tornado answers an oversize body without a
-# typed error.
+# The handlers enforce the body limit themselves, because tornado rejects an oversized body
+# without a JSON error.
 UNLIMITED_BODY_BYTES = 1 << 62
-# What tornado writes to a connection whose bytes are not HTTP.
+# The response that tornado sends if the bytes received are not valid HTTP.
 TORNADO_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 
 
 @attrs.frozen
 class HttpLimits:
-    """Bound what a connection may send: sizes in bytes, times in seconds.
+    """Hold the size limits in bytes and the timeouts in seconds of an HTTP connection.
 
-    `idle_timeout_s` covers a connection between two requests as well as one that sends its
-    headers slowly; it is closed without an answer, since there is no request to answer. A
-    connection that does not take its answer within `write_timeout_s` is closed as well.
+    `idle_timeout_s` applies between two requests and until the headers of a request are
+    complete; the connection is then closed without a response, since there is no request to
+    respond to. A connection is also closed if the client does not read a response within
+    `write_timeout_s`.
     """
 
     max_body_bytes: int = MAX_BODY_BYTES
@@ -43,7 +44,7 @@
     write_timeout_s: float = WRITE_TIMEOUT_S
 
 
-def _typed_refusal() -> bytes:
+def _json_bad_request() -> bytes:
     refusal = Refusal(
         ErrorKind.BAD_REQUEST,
         "the bytes received are not a valid HTTP request",
@@ -57,29 +58,32 @@
     return head.encode() + body
 
 
-JSON_BAD_REQUEST = _typed_refusal()
+JSON_BAD_REQUEST = _json_bad_request()
 
 
-def _with_typed_refusal(write: Callable[..., Any]) -> Callable[..., Any]:
-    def typed_write(data: bytes | memoryview) -> Any:
+def _replace_bad_request(write: Callable[..., Any]) -> Callable[..., Any]:
+    def write_with_json_error(data: bytes | memoryview) -> Any:
         return write(JSON_BAD_REQUEST if data == TORNADO_BAD_REQUEST else data)
 
-    return typed_write
+    return write_with_json_error
 
 
 class JsonErrorHTTPServer(HTTPServer):
-    """Give the refusal of malformed HTTP the error body that every other refusal has."""
+    """Reject malformed HTTP with the same JSON error body as every other refusal.
+
+    tornado rejects it before any handler runs, so its response is replaced in the stream.
+    """
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serve a new connection."""
-        stream.write = _with_typed_refusal(stream.write)  # type: ignore[method-assign]
+        """Serve a new connection with JSON error bodies."""
+        stream.write = _replace_bad_request(stream.write)  # type: ignore[method-assign]
         super().handle_stream(stream, address)
 
 
 def make_http_server(
     app: Application, limits: HttpLimits, context: ssl.SSLContext | None = None
 ) -> HTTPServer:
-    """Return a server for an application of this package, over TLS if a context is given."""
+    """Return an HTTP server for an application, over TLS if a context is given."""
     return JsonErrorHTTPServer(
         app,
         ssl_options=context,
--- a/baobabhoist/gateway/tls.py
+++ b/baobabhoist/gateway/tls.py
@@ -1,4 +1,4 @@
-"""Build TLS contexts for the listeners and load their certificates again when they change."""
+"""Build TLS contexts for the listeners and reload their certificates when the files change."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 class TlsFiles:
     """Name the PEM files of a listener.
 
-    With `client_ca`, clients must present a certificate that these authorities signed.
+    With `client_ca`, clients must present a certificate signed by one of these authorities.
     """
 
     certificate: str
@@ -31,71 +31,73 @@
     client_ca: str = ""
 
     def paths(self) -> tuple[str, ...]:
-        """Return the files that are read."""
+        """Return the paths of the configured files."""
         return tuple(path for path in (self.certificate, self.key, self.client_ca) if path)
 
 
 @attrs.define
 class ReloadingTlsContext:
-    """Own the TLS context of a listener.
+    """Provide the TLS context of a listener and reload its files.
 
-    The outer context serves every listener socket for its whole life. It picks the newest inner
-    context in each handshake, so that established connections keep the certificate they began
-    with and new ones get the new certificate and the new client authorities.
+    `context` serves the listener sockets for as long as they are open. In each handshake it
+    selects the latest loaded context, so that established connections keep their certificate
+    and new ones use the new certificate and the new client authorities.
     """
 
     files: TlsFiles
     context: ssl.SSLContext
-    _inner: ssl.SSLContext
-    _signatures: tuple[FileStamp | None, ...]
+    _current_context: ssl.SSLContext
+    _file_stamps: tuple[FileStamp | None, ...]
 
     @classmethod
     def load(cls, files: TlsFiles) -> ReloadingTlsContext:
-        """Read the files; raises SettingsError that names the file that cannot be used."""
-        signatures = _signatures(files)
-        inner = make_server_context(files)
-        # The outer context is complete as well: its verification settings apply before the
-        # inner one is chosen.
-        found = cls(files, make_server_context(files), inner, signatures)
-        found.context.sni_callback = found._choose
-        return found
+        """Load the files; raises a SettingsError that names an unusable file."""
+        stamps = _read_file_stamps(files)
+        current_context = make_server_context(files)
+        # `context` is loaded from the files as well, because its verification settings apply
+        # until the handshake has selected the current context.
+        reloading = cls(files, make_server_context(files), current_context, stamps)
+        reloading.context.sni_callback = reloading._select_current_context
+        return reloading
 
     def reload_if_changed(self) -> bool:
-        """Read the files again if one has changed; tell whether new ones are in use.
+        """Reload the files if one has changed, and return whether new ones are in use.
 
-        Files that do not fit together leave the old ones in use: an operator may have replaced
-        the certificate but not yet the key.
+        If the certificate and the key do not match, the old ones stay in use: an operator may
+        have replaced only the first of the two files so far.
         """
-        signatures = _signatures(self.files)
-        if signatures == self._signatures:
+        stamps = _read_file_stamps(self.files)
+        if stamps == self._file_stamps:
             return False
         try:
-            self._inner = make_server_context(self.files)
+            self._current_context = make_server_context(self.files)
         except SettingsError as exc:
             emit(log, Event.TLS_RELOAD_FAILED, path=self.files.certificate, detail=str(exc))
             return False
-        self._signatures = signatures
+        self._file_stamps = stamps
         emit(log, Event.TLS_RELOADED, path=self.files.certificate)
         return True
 
     async def watch(self, interval_s: float = RELOAD_INTERVAL_S) -> None:
-        """Look for changed files until cancelled."""
+        """Check the files for changes at an interval until cancelled."""
         while True:
             await asyncio.sleep(interval_s)
             self.reload_if_changed()
 
-    def _choose(self, conn: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext) -> None:
-        conn.context = self._inner
+    def _select_current_context(
+        self, conn: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
+    ) -> None:
+        conn.context = self._current_context
 
 
 def make_server_context(files: TlsFiles) -> ssl.SSLContext:
     """Return the context for a listener; raises SettingsError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    # A resumed session would skip the check of the client's certificate against new authorities.
+    # A resumed session would skip the check of the client certificate against new authorities.
     context.options |= ssl.OP_NO_TICKET
     try:
-        context.load_cert_chain(files.certificate, files.key, password=_no_password)
+        context.load_cert_chain(files.certificate, files.key, password=_refuse_password)
     except (OSError, ssl.SSLError, ValueError) as exc:
         raise SettingsError(
             f"cannot use the certificate {files.certificate} with the key {files.key}: {exc}; "
@@ -113,18 +115,18 @@
     return context
 
 
-def _no_password() -> str:
-    # Without this, OpenSSL asks on the terminal for the password of an encrypted key.
+def _refuse_password() -> str:
+    # Without a callback, OpenSSL prompts on the terminal for the password of an encrypted key.
     raise ValueError("the key is encrypted")
 
 
-def _signatures(files: TlsFiles) -> tuple[FileStamp | None, ...]:
-    return tuple(_signature(path) for path in files.paths())
+def _read_file_stamps(files: TlsFiles) -> tuple[FileStamp | None, ...]:
+    return tuple(_read_file_stamp(path) for path in files.paths())
 
 
-def _signature(path: str) -> FileStamp | None:
+def _read_file_stamp(path: str) -> FileStamp | None:
     try:
-        found = os.stat(path)
+        info = os.stat(path)
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return info.st_mtime_ns, info.st_size, info.st_ino
