--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -1,4 +1,4 @@
-"""Read JSON bodies and the jobs in them."""
+"""Parse JSON bodies and the job submissions in them."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     text,
 )
 
-# A job's specification is one row of the table.
+# A job is limited in size because its whole specification is stored in one row of the table.
 MAX_TASKS = 10_000
 MAX_TIMESTAMP_S = math.ldexp(1.0, 50)
 JOB_KINDS = (WorkKind.BATCH, WorkKind.GANG, WorkKind.SERVICE)
 
-_RESOURCES = object_of(
+_RESOURCES_SCHEMA = object_of(
     {
         "cpu_milli": Field(integer(0, MAX_CPU_MILLI), 0),
         "memory_mb": Field(integer(0, MAX_MEMORY_MB), 0),
@@ -52,17 +52,17 @@
         "slots": Field(integer(1, MAX_SLOTS), 1),
     }
 )
-_NO_RESOURCES = {"cpu_milli": 0, "memory_mb": 0, "accelerators": 0, "slots": 1}
+_DEFAULT_RESOURCES = {"cpu_milli": 0, "memory_mb": 0, "accelerators": 0, "slots": 1}
 
 
-def _payload(value: Any, path: str, problems: Problems) -> Any:
+def _encode_payload(value: Any, path: str, problems: Problems) -> Any:
     if type(value) is not str:
         problems.append(Problem(path, f"{shown(value)} is not a string", "give a string"))
         return ABSENT
     return value.encode("utf-8")
 
 
-def _base64_payload(value: Any, path: str, problems: Problems) -> Any:
+def _decode_base64_payload(value: Any, path: str, problems: Problems) -> Any:
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, ValueError, TypeError):
@@ -71,9 +71,9 @@
 
 
 _TASK_FIELDS = {
-    "payload": Field(_payload, b""),
-    "payload_base64": Field(_base64_payload, b""),
-    "resources": Field(_RESOURCES, _NO_RESOURCES),
+    "payload": Field(_encode_payload, b""),
+    "payload_base64": Field(_decode_base64_payload, b""),
+    "resources": Field(_RESOURCES_SCHEMA, _DEFAULT_RESOURCES),
     "expected_run_s": Field(number(0.001, MAX_DEADLINE_S), 1.0),
 }
 JOB_SCHEMA = object_of(
@@ -92,7 +92,7 @@
 
 @attrs.frozen
 class JobSubmission:
-    """Hold a job as it was submitted, before its team and queue are known."""
+    """Hold a job as it was submitted, before its team is known and its queue is looked up."""
 
     queue: str
     kind: WorkKind
@@ -102,7 +102,7 @@
     urgency: Urgency
 
     def to_spec(self, job_id: str, team: str, default_deadline: float) -> JobSpec:
-        """Return the job; a service without a deadline runs until it is cancelled."""
+        """Return the job's specification; a service without a deadline runs until cancelled."""
         deadline = self.deadline
         if deadline is None:
             deadline = math.inf if self.kind is WorkKind.SERVICE else default_deadline
@@ -119,74 +119,74 @@
 
 
 def parse_json(body: bytes) -> Any | Refusal:
-    """Return a JSON body, or why it cannot be read."""
+    """Return the value of a JSON body, or a refusal if it is malformed."""
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as exc:
         return Refusal(
             ErrorKind.BAD_REQUEST,
-            f"the body is not JSON: {exc}",
-            remedy="send a body in JSON; NaN and infinity are not part of it",
+            f"the body is not valid JSON: {exc}",
+            remedy="send valid JSON, which has no NaN or infinity",
         )
 
 
 def parse_job(body: bytes) -> JobSubmission | Refusal:
-    """Return the job in a body, or all problems with it."""
+    """Return the job in a body, or a refusal that lists all problems."""
     raw = parse_json(body)
     if isinstance(raw, Refusal):
         return raw
     problems: Problems = []
-    found = JOB_SCHEMA(raw, "job", problems)
-    if found is not ABSENT:
-        problems.extend(_job_problems(raw, found))
+    fields = JOB_SCHEMA(raw, "job", problems)
+    if fields is not ABSENT:
+        problems.extend(_find_job_problems(raw, fields))
     if problems:
         return refusal_of(problems, "the job")
-    if found["replicas"] is not None:
-        tasks = (_task(found),) * found["replicas"]
+    if fields["replicas"] is not None:
+        tasks = (_build_task(fields),) * fields["replicas"]
     else:
-        tasks = tuple(_task(task) for task in found["tasks"])
+        tasks = tuple(_build_task(task) for task in fields["tasks"])
     return JobSubmission(
-        found["queue"],
-        found["kind"],
+        fields["queue"],
+        fields["kind"],
         tasks,
-        found["idempotent"],
-        found["deadline"],
-        found["urgency"],
+        fields["idempotent"],
+        fields["deadline"],
+        fields["urgency"],
     )
 
 
-def _task(found: dict[str, Any]) -> TaskSpec:
-    payload = found["payload"] or found["payload_base64"]
-    return TaskSpec(payload, Resources(**found["resources"]), found["expected_run_s"])
+def _build_task(fields: dict[str, Any]) -> TaskSpec:
+    payload = fields["payload"] or fields["payload_base64"]
+    return TaskSpec(payload, Resources(**fields["resources"]), fields["expected_run_s"])
 
 
-def _job_problems(raw: dict[str, Any], found: dict[str, Any]) -> Problems:
+def _find_job_problems(raw: dict[str, Any], fields: dict[str, Any]) -> Problems:
     problems: Problems = []
-    if found["kind"] not in JOB_KINDS:
-        remedy = "give batch, gang or service; send single requests to the queue's requests"
-        problems.append(Problem("job.kind", "a job cannot be a request", remedy))
-    if (found["tasks"] is None) == (found["replicas"] is None):
-        remedy = "give tasks as a list, or replicas as the number of equal tasks"
-        problems.append(Problem("job.tasks", "a job has either tasks or replicas", remedy))
-    if found["tasks"] == ():
-        problems.append(Problem("job.tasks", "the job has no task", "give at least one"))
-    if found["tasks"] is not None:
+    if fields["kind"] not in JOB_KINDS:
+        remedy = "give batch, gang or service; send a single request to its queue instead"
+        problems.append(Problem("job.kind", "a job cannot be of the kind request", remedy))
+    if (fields["tasks"] is None) == (fields["replicas"] is None):
+        remedy = "give tasks as a list, or replicas as the number of identical tasks"
+        problems.append(Problem("job.tasks", "a job needs either tasks or replicas", remedy))
+    if fields["tasks"] == ():
+        problems.append(Problem("job.tasks", "the list of tasks is empty", "give at least one"))
+    if fields["tasks"] is not None:
         for name in sorted(_TASK_FIELDS.keys() & raw.keys()):
             remedy = "move it into each task"
-            problems.append(Problem(f"job.{name}", "the field belongs to replicas", remedy))
-    for path, task in [("job", found), *_with_paths(found["tasks"] or ())]:
+            problems.append(Problem(f"job.{name}", "the field requires replicas", remedy))
+    for path, task in [("job", fields), *_tasks_with_paths(fields["tasks"] or ())]:
         if task["payload"] and task["payload_base64"]:
-            message = "there are two payloads"
-            problems.append(Problem(f"{path}.payload", message, "give one of the two"))
+            message = "payload and payload_base64 are both given"
+            problems.append(Problem(f"{path}.payload", message, "give only one of them"))
     return problems
 
 
-def _with_paths(tasks: tuple[dict[str, Any], ...]) -> list[tuple[str, dict[str, Any]]]:
+def _tasks_with_paths(tasks: tuple[dict[str, Any], ...]) -> list[tuple[str, dict[str, Any]]]:
     return [(f"job.tasks[{index}]", task) for index, task in enumerate(tasks)]
 
 
 def derive_job_id(team: str, idempotency_key: str | None) -> str:
-    """Return the id of a job; a key gives the same id each time, so a repeat is no new job."""
+    """Return a job id, derived from the key if there is one, so that retries are idempotent."""
     if idempotency_key is None:
         return f"job-{uuid.uuid4().hex}"
     digest = hashlib.sha256(f"{team}\x00{idempotency_key}".encode()).hexdigest()
--- a/baobabhoist/gateway/headers.py
+++ b/baobabhoist/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Read the request headers that callers may send."""
+"""Parse the request headers that callers may send."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 IDEMPOTENT_HEADER = "X-Idempotent"
 URGENCY_HEADER = "X-Urgency"
 EXPECTED_RUN_HEADER = "X-Expected-Run-S"
-_URGENCY = one_of(Urgency)
+_URGENCY_CHECK = one_of(Urgency)
 
 
 @attrs.frozen
 class RequestHeaders:
-    """Hold what a caller asked for in headers; times are in Unix seconds."""
+    """Hold the parsed headers of a request; times are in Unix seconds."""
 
     idempotency_key: str | None
     deadline: float | None
@@ -48,97 +48,99 @@
 
 
 @attrs.frozen
-class _Reader:
+class _HeaderParser:
     headers: HTTPHeaders
     problems: Problems = attrs.Factory(list)
 
-    def whole(self, name: str, low: int, high: int, default: int) -> int:
+    def parse_integer(self, name: str, low: int, high: int, default: int) -> int:
         value = self.headers.get(name)
         if value is None:
             return default
         parsed = int(value) if INTEGER_PATTERN.fullmatch(value) else value
-        found = integer(low, high)(parsed, name, self.problems)
-        return default if found is ABSENT else int(found)
+        checked = integer(low, high)(parsed, name, self.problems)
+        return default if checked is ABSENT else int(checked)
 
-    def decimal(self, name: str, low: float, high: float) -> float | None:
+    def parse_decimal(self, name: str, low: float, high: float) -> float | None:
         value = self.headers.get(name)
         if value is None:
             return None
         parsed = float(value) if DECIMAL_PATTERN.fullmatch(value) else value
-        found = number(low, high)(parsed, name, self.problems)
-        return None if found is ABSENT else float(found)
+        checked = number(low, high)(parsed, name, self.problems)
+        return None if checked is ABSENT else float(checked)
 
-    def truth(self, name: str) -> bool:
+    def parse_boolean(self, name: str) -> bool:
         value = self.headers.get(name, "false")
         if value not in BOOLEAN_VALUES:
-            message = f"{shown(value)} is not a truth value"
+            message = f"{shown(value)} is not a boolean"
             self.problems.append(Problem(name, message, "give true or false"))
         return BOOLEAN_VALUES.get(value, False)
 
-    def urgency(self) -> Urgency:
-        found = _URGENCY(self.headers.get(URGENCY_HEADER, "normal"), URGENCY_HEADER, self.problems)
-        return Urgency.NORMAL if found is ABSENT else Urgency(found)
+    def parse_urgency(self) -> Urgency:
+        checked = _URGENCY_CHECK(
+            self.headers.get(URGENCY_HEADER, "normal"), URGENCY_HEADER, self.problems
+        )
+        return Urgency.NORMAL if checked is ABSENT else Urgency(checked)
 
-    def key(self) -> str | None:
+    def parse_idempotency_key(self) -> str | None:
         value = self.headers.get(IDEMPOTENCY_KEY_HEADER)
         if value is not None and IDEMPOTENCY_KEY_PATTERN.fullmatch(value) is None:
             message = f"{shown(value)} is not allowed"
-            remedy = "give 1 to 200 visible ASCII characters without blanks"
+            remedy = "give 1 to 200 visible ASCII characters without spaces"
             self.problems.append(Problem(IDEMPOTENCY_KEY_HEADER, message, remedy))
         return value
 
-    def resources(self) -> Resources:
+    def parse_resources(self) -> Resources:
         return Resources(
-            cpu_milli=self.whole("X-Cpu-Milli", 0, MAX_CPU_MILLI, 0),
-            memory_mb=self.whole("X-Memory-MB", 0, MAX_MEMORY_MB, 0),
-            accelerators=self.whole("X-Accelerators", 0, MAX_ACCELERATORS, 0),
-            slots=self.whole("X-Slots", 1, MAX_SLOTS, 1),
+            cpu_milli=self.parse_integer("X-Cpu-Milli", 0, MAX_CPU_MILLI, 0),
+            memory_mb=self.parse_integer("X-Memory-MB", 0, MAX_MEMORY_MB, 0),
+            accelerators=self.parse_integer("X-Accelerators", 0, MAX_ACCELERATORS, 0),
+            slots=self.parse_integer("X-Slots", 1, MAX_SLOTS, 1),
         )
 
 
 def parse_headers(headers: HTTPHeaders) -> RequestHeaders | Refusal:
-    """Return the headers of a request, or all problems with them."""
-    reader = _Reader(headers)
-    found = RequestHeaders(
-        idempotency_key=reader.key(),
-        deadline=reader.decimal(DEADLINE_HEADER, 0.0, math.ldexp(1.0, 50)),
-        first_sent_at=reader.decimal(FIRST_SENT_HEADER, 0.0, math.ldexp(1.0, 50)),
-        idempotent=reader.truth(IDEMPOTENT_HEADER),
-        urgency=reader.urgency(),
-        resources=reader.resources(),
-        expected_run_s=reader.decimal(EXPECTED_RUN_HEADER, 0.001, MAX_DEADLINE_S) or 1.0,
+    """Return the parsed headers of a request, or a refusal that lists all problems."""
+    parser = _HeaderParser(headers)
+    parsed = RequestHeaders(
+        idempotency_key=parser.parse_idempotency_key(),
+        deadline=parser.parse_decimal(DEADLINE_HEADER, 0.0, math.ldexp(1.0, 50)),
+        first_sent_at=parser.parse_decimal(FIRST_SENT_HEADER, 0.0, math.ldexp(1.0, 50)),
+        idempotent=parser.parse_boolean(IDEMPOTENT_HEADER),
+        urgency=parser.parse_urgency(),
+        resources=parser.parse_resources(),
+        expected_run_s=parser.parse_decimal(EXPECTED_RUN_HEADER, 0.001, MAX_DEADLINE_S) or 1.0,
     )
-    if found.idempotency_key is not None and DEADLINE_HEADER not in headers:
-        message = f"the header is missing; {IDEMPOTENCY_KEY_HEADER} needs it"
-        remedy = "send the time after which the answer is of no use, in Unix seconds"
-        reader.problems.append(Problem(DEADLINE_HEADER, message, remedy))
-    if found.first_sent_at is not None and found.idempotency_key is None:
-        message = f"the header has no meaning without {IDEMPOTENCY_KEY_HEADER}"
-        reader.problems.append(
+    if parsed.idempotency_key is not None and DEADLINE_HEADER not in headers:
+        message = f"the header is missing; {IDEMPOTENCY_KEY_HEADER} requires it"
+        remedy = "send the time until which the response is useful, in Unix seconds"
+        parser.problems.append(Problem(DEADLINE_HEADER, message, remedy))
+    if parsed.first_sent_at is not None and parsed.idempotency_key is None:
+        message = f"the header requires {IDEMPOTENCY_KEY_HEADER}"
+        parser.problems.append(
             Problem(FIRST_SENT_HEADER, message, f"send {IDEMPOTENCY_KEY_HEADER} as well")
         )
-    return refusal_of(reader.problems, "the request") if reader.problems else found
+    return refusal_of(parser.problems, "the request") if parser.problems else parsed
 
 
 def parse_idempotency_key(headers: HTTPHeaders) -> str | Refusal | None:
-    """Return the key under which a job is submitted, None without one, or why it is refused."""
-    reader = _Reader(headers)
-    key = reader.key()
-    return refusal_of(reader.problems, "the request") if reader.problems else key
+    """Return the idempotency key of a submission, None without one, or a refusal."""
+    parser = _HeaderParser(headers)
+    key = parser.parse_idempotency_key()
+    return refusal_of(parser.problems, "the request") if parser.problems else key
 
 
-def check_deadline(deadline: float, now: float, longest_s: float) -> Refusal | None:
-    """Return why a deadline is refused, or None."""
+def check_deadline(deadline: float, now: float, max_ahead_s: float) -> Refusal | None:
+    """Return the refusal of a deadline that has passed or is too far ahead, or None."""
     if deadline <= now:
         return Refusal(
             ErrorKind.DEADLINE_PASSED,
             f"the deadline passed {now - deadline:.3f} s ago",
-            remedy="send a later deadline; check the clock if it should not have passed",
+            remedy="send a later deadline; if it should not have passed, check the clock",
         )
-    if deadline > now + longest_s:
+    if deadline > now + max_ahead_s:
         return Refusal(
             ErrorKind.DEADLINE_TOO_FAR,
-            f"the deadline is {deadline - now:.0f} s ahead; at most {longest_s:g} s are allowed",
+            f"the deadline is {deadline - now:.0f} s ahead; at most {max_ahead_s:g} s are allowed",
             remedy="send an earlier deadline, in Unix seconds",
         )
     return None
--- a/baobabhoist/gateway/pending_limits.py
+++ b/baobabhoist/gateway/pending_limits.py
@@ -1,4 +1,4 @@
-"""Find the lowered limits of teams that are pending until the excess has ended."""
+"""Find lowered team limits that are pending until usage has fallen to them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from baobabhoist.store.table import Row, Table
 
 ESCROW_PREFIX = row_key("")
-PAGE = 1000
-# Operators look at the state during an outage too, and do not wait for the table then.
+PAGE_ROWS = 1000
+# /v1/status must respond during an outage of the table as well, without pending limits.
 READ_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class PendingLimit:
-    """Hold a lowered limit of a team, in places, and the upper limit that holds until then.
+    """Hold a team's lowered limit and the upper limit still in force, both in places.
 
     `in_force` falls to `limit` as the shards return the places of tasks that have ended.
     """
@@ -31,10 +31,10 @@
 
 
 async def read_pending_limit(table: Table, name: str, team: Team) -> PendingLimit | None:
-    """Return the pending limit of a team; None if there is none or the table does not answer."""
+    """Return the pending limit of a team; None if there is none or the table is unavailable."""
     try:
         async with asyncio.timeout(READ_TIMEOUT_S):
-            return _pending(await table.read(row_key(name)), name, team)
+            return _compare_limits(await table.read(row_key(name)), name, team)
     except (PlatformError, TimeoutError):
         return None
 
@@ -42,26 +42,26 @@
 async def read_pending_limits(
     table: Table, teams: Mapping[str, Team]
 ) -> list[PendingLimit] | None:
-    """Return the pending limits of all teams, or None if the table does not answer."""
-    found = []
-    after = ""
+    """Return the pending limits of all teams, or None if the table is unavailable."""
+    pending_limits = []
+    last_key = ""
     try:
         async with asyncio.timeout(READ_TIMEOUT_S):
             while True:
-                rows = await table.scan(ESCROW_PREFIX, after, PAGE)
+                rows = await table.scan(ESCROW_PREFIX, last_key, PAGE_ROWS)
                 for row in rows:
                     name = row.key.removeprefix(ESCROW_PREFIX)
-                    if name in teams and (pending := _pending(row, name, teams[name])):
-                        found.append(pending)
-                if len(rows) < PAGE:
-                    return found
-                after = rows[-1].key
+                    if name in teams and (pending := _compare_limits(row, name, teams[name])):
+                        pending_limits.append(pending)
+                if len(rows) < PAGE_ROWS:
+                    return pending_limits
+                last_key = rows[-1].key
     except (PlatformError, TimeoutError):
         return None
 
 
-def _pending(row: Row, name: str, team: Team) -> PendingLimit | None:
-    """Compare the row with the record, which the row follows within a second."""
+def _compare_limits(row: Row, name: str, team: Team) -> PendingLimit | None:
+    """Compare the escrow row with the team's record, which the row follows within a second."""
     if row.value is None:
         return None
     try:
