--- a/baobabhoist/gateway/admin.py
+++ b/baobabhoist/gateway/admin.py
@@ -1,4 +1,4 @@
-"""Serve operators over HTTP."""
+"""Serve the admin API over HTTP."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     """Report the state of the instances: GET /v1/status."""
 
     async def get(self) -> None:
-        """Return what this instance owns and applies, and what its peers report."""
+        """Return the state of this instance and the last reports of its peers."""
         if self.receive_body() is None:
             return
         pending = await read_pending_limits(self.backend.table, self.backend.view.teams())
-        own = _CONVERTER.unstructure(self.backend.heartbeat())
+        own_report = _CONVERTER.unstructure(self.backend.heartbeat())
         now = self.now()
         peers = [
             _peer_body(instance_id, peer, now)
@@ -50,9 +50,9 @@
         open_requests = self.options.open_requests
         self.send_json(
             {
-                **own,
+                **own_report,
                 "ready": check_ready(self.backend.ready, open_requests) is None,
-                "draining": bool(own.get("draining")) or open_requests.leaving_balancer,
+                "draining": bool(own_report.get("draining")) or open_requests.leaving_balancer,
                 "open_requests": open_requests.count,
                 "records_unconfirmed_s": self.options.records_unconfirmed_s(),
                 "pending_limits": (
@@ -64,16 +64,16 @@
 
 
 def _peer_body(instance_id: str, peer: Any, now: float) -> dict[str, Any]:
-    """Return the last report of a peer; one that is not live may have changed since."""
-    reported = _CONVERTER.unstructure(peer.heartbeat) if peer.heartbeat is not None else {}
-    return {**reported, "instance_id": instance_id, "live": peer.live_until > now}
+    """Return the last report of a peer, which may be outdated if the peer is not live."""
+    report = _CONVERTER.unstructure(peer.heartbeat) if peer.heartbeat is not None else {}
+    return {**report, "instance_id": instance_id, "live": peer.live_until > now}
 
 
 class DrainHandler(AdminHandler):
     """Drain this instance: POST /v1/drain."""
 
     async def post(self) -> None:
-        """Start the drain and answer with the number of open requests."""
+        """Start the drain and respond with the number of open requests."""
         if self.receive_body() is None:
             return
         if self.options.drain is not None:
@@ -92,11 +92,11 @@
         if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        found = await jobs.list(None) if jobs is not None else jobs_unavailable()
-        if isinstance(found, Refusal):
-            self.refuse(found)
+        statuses = await jobs.list(None) if jobs is not None else jobs_unavailable()
+        if isinstance(statuses, Refusal):
+            self.refuse(statuses)
             return
-        self.send_json({"jobs": [status_body(status) for status in found]})
+        self.send_json({"jobs": [status_body(status) for status in statuses]})
 
 
 class AdminJobHandler(AdminHandler):
@@ -107,47 +107,51 @@
         if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        self._answer(await jobs.status(job_id, None) if jobs is not None else jobs_unavailable())
+        self._send_job_status(
+            await jobs.status(job_id, None) if jobs is not None else jobs_unavailable()
+        )
 
     async def delete(self, job_id: str) -> None:
         """Cancel a job."""
         if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        self._answer(await jobs.cancel(job_id, None) if jobs is not None else jobs_unavailable())
+        self._send_job_status(
+            await jobs.cancel(job_id, None) if jobs is not None else jobs_unavailable()
+        )
 
-    def _answer(self, found: Refusal | JobStatus) -> None:
-        if isinstance(found, Refusal):
-            self.refuse(found)
+    def _send_job_status(self, status: Refusal | JobStatus) -> None:
+        if isinstance(status, Refusal):
+            self.refuse(status)
         else:
-            self.send_json(status_body(found))
+            self.send_json(status_body(status))
 
 
 class AdminExplainHandler(AdminHandler):
     """Explain the state of any team's job: GET /v1/jobs/ID/explain."""
 
     async def get(self, job_id: str) -> None:
-        """Return why a job is in its state."""
+        """Return the reason for the state of a job."""
         if self.receive_body() is None:
             return
         jobs = self.options.jobs
-        found = await jobs.explain(job_id, None) if jobs is not None else jobs_unavailable()
-        if isinstance(found, Refusal):
-            self.refuse(found)
+        explanation = await jobs.explain(job_id, None) if jobs is not None else jobs_unavailable()
+        if isinstance(explanation, Refusal):
+            self.refuse(explanation)
             return
-        self.send_json(explanation_body(found))
+        self.send_json(explanation_body(explanation))
 
 
 class MetricsHandler(AdminHandler):
     """Expose the metrics: GET /metrics."""
 
     def initialize(self, backend: AdminBackend, options: AdminOptions, gauge: Any = None) -> None:
-        """Take the daemon, the options and the gauge of open requests."""
+        """Store the daemon, the options and the gauge of open requests."""
         super().initialize(backend, options)
         self.gauge = gauge
 
     def get(self) -> None:
-        """Return the metrics in the form that the collector accepts."""
+        """Return the metrics in the format that the collector accepts."""
         if self.receive_body() is None:
             return
         if self.options.metrics is None:
@@ -163,19 +167,19 @@
 
 
 class HealthHandler(UnauthenticatedAdminHandler):
-    """Tell that the process answers: GET /healthz."""
+    """Report that the process is alive: GET /healthz."""
 
     def get(self) -> None:
-        """Answer 200 as long as the event loop runs."""
+        """Respond with 200 as long as the event loop runs."""
         if self.receive_body() is not None:
             self.send_json({"healthy": True})
 
 
 class AdminReadyHandler(UnauthenticatedAdminHandler):
-    """Tell whether callers should be sent to this instance: GET /readyz."""
+    """Report whether this instance should receive requests of callers: GET /readyz."""
 
     def get(self) -> None:
-        """Answer 200 when ready and 503 otherwise."""
+        """Respond with 200 when ready and with 503 otherwise."""
         if self.receive_body() is None:
             return
         refusal = check_ready(self.backend.ready, self.options.open_requests)
@@ -186,7 +190,7 @@
 
 
 def make_admin_app(daemon: AdminBackend, options: AdminOptions | None = None) -> Application:
-    """Return the HTTP application for operators."""
+    """Return the HTTP application of the admin API."""
     options = options or AdminOptions()
     context: dict[str, Any] = {"backend": daemon, "options": options}
     gauge = register_open_requests_gauge(options.metrics) if options.metrics is not None else None
--- a/baobabhoist/gateway/admin_handler.py
+++ b/baobabhoist/gateway/admin_handler.py
@@ -1,4 +1,4 @@
-"""Define what the handlers for operators need of the daemon and of their options."""
+"""Provide the base handlers, the options and the daemon interface of the admin API."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AdminSettings(Protocol):
-    """Be what the handlers need of the settings."""
+    """Provide the settings that the handlers need."""
 
     @property
     def operator_key_digest(self) -> str:
@@ -36,14 +36,14 @@
 
 
 class PeerStatus(Protocol):
-    """Be what the handlers need of a peer's state; `live_until` is in Unix seconds."""
+    """Provide the state of a peer that the handlers need; `live_until` is in Unix seconds."""
 
     heartbeat: Any
     live_until: float
 
 
 class PeerStatuses(Protocol):
-    """Be what the handlers need of the mesh."""
+    """Provide the states of the peers that the handlers need; the mesh implements it."""
 
     @property
     def peers(self) -> Mapping[str, Any]:
@@ -51,7 +51,7 @@
 
 
 class AdminBackend(Protocol):
-    """Be what the handlers need of the daemon."""
+    """Provide the parts of the daemon that the handlers need."""
 
     @property
     def table(self) -> Table:
@@ -67,14 +67,14 @@
 
     @property
     def mesh(self) -> PeerStatuses:
-        """Return the links to the other instances."""
+        """Return the states of the other instances."""
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers can be served."""
+        """Return whether requests of callers can be served."""
 
     def heartbeat(self) -> Any:
-        """Return what this instance reports to its peers."""
+        """Return the state that this instance reports to its peers."""
 
 
 def _always_confirmed() -> float:
@@ -83,10 +83,11 @@
 
 @attrs.define
 class AdminOptions:
-    """Hold the parts that the API for operators uses.
+    """Hold the components that the admin API uses.
 
-    `open_requests` is the count that the application for callers keeps. `drain` starts the drain
-    of the whole instance and returns at once; without it, only the gateway drains.
+    `open_requests` is the counter of the caller API. `drain` starts the drain of the whole
+    instance and returns at once; without it, only the gateway drains. `records_unconfirmed_s`
+    returns the seconds since the records were last confirmed.
     """
 
     jobs: JobService | None = None
@@ -98,13 +99,13 @@
 
 
 class UnauthenticatedAdminHandler(ApiHandler):
-    """Share what the handlers need that serve without a key."""
+    """Provide the base of the handlers that require no key."""
 
-    # Operators must be able to watch an instance while it drains.
+    # Operators must be able to monitor an instance while it drains.
     counts_as_open = False
 
     def initialize(self, backend: AdminBackend, options: AdminOptions) -> None:
-        """Take the daemon and the options."""
+        """Store the daemon and the options."""
         self.backend = backend
         self.options: AdminOptions = options
         self.operator = ""
@@ -115,18 +116,18 @@
 
 
 class AdminHandler(UnauthenticatedAdminHandler):
-    """Share what all handlers for operators need."""
+    """Provide the base of the handlers that require an operator key."""
 
     def admit(self) -> Refusal | None:
-        """Refuse callers without a valid operator key."""
-        found = authenticate_operator(
+        """Return the refusal of a request without a valid operator key, or None."""
+        operator = authenticate_operator(
             self.backend.view,
             self.backend.cfg.operator_key_digest,
             self.request.headers,
             self.options.records_unconfirmed_s(),
         )
-        if isinstance(found, Refusal):
+        if isinstance(operator, Refusal):
             emit(log, Event.OPERATOR_REFUSED, address=self.request.remote_ip)
-            return found
-        self.operator = found
+            return operator
+        self.operator = operator
         return None
--- a/baobabhoist/gateway/base_handler.py
+++ b/baobabhoist/gateway/base_handler.py
@@ -1,4 +1,4 @@
-"""Share what all HTTP handlers need: bounded bodies, typed errors and the count of requests."""
+"""Provide the base HTTP handler: body limits, JSON errors and the count of open requests."""
 
 from __future__ import annotations
 
@@ -18,59 +18,59 @@
 
 log = logging.getLogger(__name__)
 
-# The rest of a body that is too large is read and dropped up to this multiple of the limit, so
-# that the caller gets to read the answer; the connection is closed on larger ones.
+# A body that is too large is read and discarded up to this multiple of the limit, so that the
+# caller can read the response; the connection is closed if the body is larger still.
 DISCARD_FACTOR = 4
-JSON_TYPE = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 def log_server_errors(handler: RequestHandler) -> None:
-    """Log only answers that report a fault; a line for each request would cost too much."""
+    """Log only responses with status 500; a line for each request would cost too much."""
     if handler.get_status() == http.HTTPStatus.INTERNAL_SERVER_ERROR:
         log.error("%s %s failed", handler.request.method, handler.request.path[:200])
 
 
 class HandlerOptions(Protocol):
-    """Be what every handler needs of the options of its application."""
+    """Provide the options of an application that every handler needs."""
 
     @property
     def limits(self) -> HttpLimits:
-        """Return the bounds of a request."""
+        """Return the size limits and timeouts of a request."""
 
     @property
     def open_requests(self) -> OpenRequests:
-        """Return the count of open requests."""
+        """Return the counter of open requests."""
 
 
 @stream_request_body
 class ApiHandler(RequestHandler):
-    """Collect the body within its bounds and answer every error with a typed body."""
+    """Receive the body within its limits and respond to every error with a JSON body."""
 
-    # Requests that work on the instance's behalf are counted and refused during a drain.
+    # Whether requests count as open, so that a drain waits for them and refuses new ones.
     counts_as_open = True
     options: Any
 
     def prepare(self) -> None:
-        """Count the request and start to receive its body."""
+        """Count the request and start receiving its body."""
         self._chunks: list[bytes] = []
-        self._received = 0
-        self._complete = False
+        self._received_bytes = 0
+        self._is_body_complete = False
         self._counted = False
         self._timer: asyncio.TimerHandle | None = None
-        # A refusal is sent once the body has arrived: a connection that is closed with unread
-        # bytes is reset, and the caller may never see the answer.
+        # A refusal is sent only after the body has arrived: closing a connection with unread
+        # bytes resets it, and the caller may never see the response.
         self._refusal = self.admit()
-        limit = self.options.limits.max_body_bytes * DISCARD_FACTOR
-        # tornado has not checked the length yet; a value that is no number fails later.
+        discard_limit = self.options.limits.max_body_bytes * DISCARD_FACTOR
+        # tornado has not validated the length yet; it rejects a value that is not a number later.
         length = self.request.headers.get("Content-Length", "0")
-        if length.isdecimal() and (len(length) > 18 or int(length) > limit):
-            self.refuse(self._too_large())
+        if length.isdecimal() and (len(length) > 18 or int(length) > discard_limit):
+            self.refuse(self._body_too_large_refusal())
             return
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self.options.limits.body_timeout_s, self._body_late)
+        self._timer = loop.call_later(self.options.limits.body_timeout_s, self._refuse_late_body)
 
     def admit(self) -> Refusal | None:
-        """Return why the request is refused whatever its body is, or None."""
+        """Count the request, or return a refusal that does not depend on its body."""
         if not self.counts_as_open:
             return None
         refusal = self.options.open_requests.admit()
@@ -78,25 +78,25 @@
         return refusal
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body."""
+        """Store a chunk of the body."""
         if self._finished:
             return
-        self._received += len(chunk)
+        self._received_bytes += len(chunk)
         limit = self.options.limits.max_body_bytes
-        if self._received <= limit:
+        if self._received_bytes <= limit:
             self._chunks.append(chunk)
             return
         self._chunks.clear()
-        if self._received > limit * DISCARD_FACTOR:
-            self.refuse(self._too_large())
+        if self._received_bytes > limit * DISCARD_FACTOR:
+            self.refuse(self._body_too_large_refusal())
 
     def receive_body(self) -> bytes | None:
-        """Return the whole body, or None once a refusal is sent; every method calls this first."""
-        self._complete = True
-        self._stop_timer()
+        """Return the body, or None after sending a refusal; every HTTP method calls this first."""
+        self._is_body_complete = True
+        self._cancel_body_timer()
         refusal = self._refusal
-        if refusal is None and self._received > self.options.limits.max_body_bytes:
-            refusal = self._too_large()
+        if refusal is None and self._received_bytes > self.options.limits.max_body_bytes:
+            refusal = self._body_too_large_refusal()
         if refusal is not None:
             self.refuse(refusal)
             return None
@@ -105,7 +105,7 @@
         return body
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal."""
+        """Respond with a refusal."""
         if self._finished:
             return
         self.set_status(HTTP_STATUS[refusal.kind])
@@ -114,49 +114,51 @@
         self.send_json(refusal.as_body())
 
     def send_json(self, body: Any) -> None:
-        """Answer with a JSON body."""
-        self.set_header("Content-Type", JSON_TYPE)
+        """Respond with a JSON body."""
+        self.set_header("Content-Type", JSON_CONTENT_TYPE)
         self.finish(orjson.dumps(body, option=orjson.OPT_NON_STR_KEYS))
 
     def finish(self, chunk: Any = None) -> Any:
-        """Send the answer; the request stays open until all of it is written."""
-        self._stop_timer()
+        """Send the response; the request stays open until all of it is written."""
+        self._cancel_body_timer()
         if self.options.open_requests.leaving_balancer:
             self.set_header("Connection", "close")
         stream = self.request.connection.stream  # type: ignore[union-attr]
         written = super().finish(chunk)
         if not written.done():
             loop = asyncio.get_running_loop()
-            late = loop.call_later(self.options.limits.write_timeout_s, stream.close)
-            written.add_done_callback(lambda _: late.cancel())
-        written.add_done_callback(self._written)
+            close_timer = loop.call_later(self.options.limits.write_timeout_s, stream.close)
+            written.add_done_callback(lambda _: close_timer.cancel())
+        written.add_done_callback(self._on_response_written)
         return written
 
     def on_connection_close(self) -> None:
-        """Stop to wait for a body that can no longer arrive."""
+        """Stop waiting for the body of a closed connection."""
         super().on_connection_close()
-        if not self._complete:
-            self._stop_timer()
-            self._leave()
+        if not self._is_body_complete:
+            self._cancel_body_timer()
+            self._finish_open_request()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error that tornado found, or a fault of a handler, with a typed body."""
+        """Respond with a JSON body to an error found by tornado or an exception of a handler."""
         exc = kwargs.get("exc_info", (None, None))[1]
-        self.refuse(_refusal_of(status_code, self.request.method or "", self.request.path, exc))
+        self.refuse(
+            _refusal_for_error(status_code, self.request.method or "", self.request.path, exc)
+        )
 
     def set_default_headers(self) -> None:
-        """Leave out the name of the server."""
+        """Omit the Server header."""
         self.clear_header("Server")
 
     def check_etag_header(self) -> bool:
-        """Answer in full; the revisions of records are compared by the handlers."""
+        """Never respond with 304; the handlers compare the revisions of records themselves."""
         return False
 
     def compute_etag(self) -> str | None:
-        """Leave out the tag that tornado derives from the body."""
+        """Omit the entity tag that tornado computes from the body."""
         return None
 
-    def _body_late(self) -> None:
+    def _refuse_late_body(self) -> None:
         limit_s = self.options.limits.body_timeout_s
         self.refuse(
             Refusal(
@@ -166,37 +168,38 @@
             )
         )
 
-    def _too_large(self) -> Refusal:
+    def _body_too_large_refusal(self) -> Refusal:
         return Refusal(
             ErrorKind.BODY_TOO_LARGE,
             f"the body is larger than {self.options.limits.max_body_bytes} bytes",
             remedy="send a smaller body",
         )
 
-    def _stop_timer(self) -> None:
+    def _cancel_body_timer(self) -> None:
         timer = getattr(self, "_timer", None)
         if timer is not None:
             timer.cancel()
 
-    def _written(self, future: asyncio.Future[None]) -> None:
+    def _on_response_written(self, future: asyncio.Future[None]) -> None:
         if not future.cancelled():
-            # A caller that has gone away is no fault; reading the exception marks it as seen.
+            # A caller that has disconnected is not an error; reading the exception keeps asyncio
+            # from logging it as never retrieved.
             future.exception()
-        self._leave()
+        self._finish_open_request()
 
-    def _leave(self) -> None:
+    def _finish_open_request(self) -> None:
         if getattr(self, "_counted", False):
             self._counted = False
             self.options.open_requests.finish()
 
 
-def _refusal_of(status: int, method: str, path: str, exc: BaseException | None) -> Refusal:
-    shown = path[:100]
+def _refusal_for_error(status: int, method: str, path: str, exc: BaseException | None) -> Refusal:
+    short_path = path[:100]
     if status == http.HTTPStatus.NOT_FOUND:
         remedy = "see the API description for the paths"
-        return Refusal(ErrorKind.NOT_FOUND, f"there is nothing at {shown}", remedy=remedy)
+        return Refusal(ErrorKind.NOT_FOUND, f"the path {short_path} does not exist", remedy=remedy)
     if status == http.HTTPStatus.METHOD_NOT_ALLOWED:
-        message = f"{shown} has no method {method[:20]}"
+        message = f"the path {short_path} does not support the method {method[:20]}"
         remedy = "see the API description for the methods"
         return Refusal(ErrorKind.METHOD_NOT_ALLOWED, message, remedy=remedy)
     if isinstance(exc, HTTPError) and status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -204,14 +207,14 @@
         return Refusal(ErrorKind.BAD_REQUEST, exc.log_message or exc.reason or "", remedy=remedy)
     return Refusal(
         ErrorKind.INTERNAL,
-        "the request failed because of a fault in this instance",
+        "the request failed because of an internal error of this instance",
         Outcome.UNKNOWN,
-        "check the effect of the request before sending it again, and report the fault",
+        "check whether the request took effect before sending it again, and report the error",
     )
 
 
 class NotFoundHandler(ApiHandler):
-    """Answer paths that do not exist."""
+    """Respond to paths that do not exist."""
 
     counts_as_open = False
 
@@ -220,7 +223,7 @@
         self.options = options
 
     def get(self) -> None:
-        """Refuse any method."""
+        """Respond with 404 to any method."""
         if self.receive_body() is not None:
             self.send_error(http.HTTPStatus.NOT_FOUND)
 
--- a/baobabhoist/gateway/caller_handler.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -1,4 +1,4 @@
-"""Define what the handlers for callers need of the daemon and of their options."""
+"""Provide the base handler, the options and the shared checks of the caller API."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 MAX_REQUEST_DEADLINE_S = 600.0
 DEFAULT_REQUEST_DEADLINE_S = 30.0
 CLOCK_SKEW_S = 0.5
-# Any name is routed, so that the answer can say that it does not exist.
+# Any name matches, so that the handler can respond that the resource does not exist.
 PATH_SEGMENT = r"([^/]{1,200})"
 
 
 class Router(Protocol):
-    """Be what the handlers need of the daemon."""
+    """Route requests to the owners of their shards; the daemon implements it."""
 
     view: RecordView
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers can be served."""
+        """Return whether requests of callers can be served."""
 
     async def route(self, req: Request) -> Result:
         """Return the result of a request."""
@@ -47,10 +47,11 @@
 
 @attrs.define
 class CallerOptions:
-    """Hold the settings and parts that the API for callers uses.
+    """Hold the settings and components that the caller API uses.
 
-    `data_centre` is that of this instance; without it, generated ids have their home anywhere.
-    `records_unconfirmed_s` returns for how many seconds the records have not been confirmed.
+    `data_centre` is that of this instance; without it, requests without an idempotency key may
+    have their home shard in any data centre. `records_unconfirmed_s` returns the seconds since
+    the records were last confirmed.
     """
 
     jobs: JobService | None = None
@@ -65,62 +66,63 @@
 
 
 class CallerHandler(ApiHandler):
-    """Share what all handlers for callers need."""
+    """Provide the base of the handlers of the caller API."""
 
     def initialize(
         self, router: Router, options: CallerOptions, metrics: RequestMetrics | None
     ) -> None:
-        """Take the router, the options and the metrics."""
+        """Store the router, the options and the metrics."""
         self.router = router
         self.options: CallerOptions = options
         self.metrics = metrics
         self.team = ""
-        self.result = RESULT_ANSWERED
+        self.result_label = RESULT_ANSWERED
 
     def admit(self) -> Refusal | None:
-        """Return why the request is refused whatever its body is, or None.
+        """Count the request, or return a refusal that does not depend on its body.
 
-        Before the records are loaded every key would look rejected, which is final for callers.
+        Before the records are loaded, every key would be rejected, and callers do not retry a
+        request with a rejected key.
         """
         if self.counts_as_open and not self.router.ready and self.router.view.revision == 0:
             return check_ready(False, self.options.open_requests)
         return super().admit()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal and count it."""
-        self.result = refusal.kind.value
+        """Respond with a refusal and count it."""
+        self.result_label = refusal.kind.value
         if not self._finished and self.metrics is not None and self.counts_as_open:
-            self.metrics.count_refusal(self.team, self.result)
+            self.metrics.count_refusal(self.team, self.result_label)
         super().refuse(refusal)
 
     def on_finish(self) -> None:
-        """Measure the request."""
+        """Record the result and latency of the request."""
         if self.metrics is not None and self.counts_as_open:
-            self.metrics.observe_result(self.team, self.result, self.request.request_time())
+            self.metrics.observe_result(self.team, self.result_label, self.request.request_time())
 
 
 def queue_not_found(name: str) -> Refusal:
-    """Return the refusal for a queue that does not exist."""
+    """Return the refusal of a request to a queue that does not exist."""
     return Refusal(
         ErrorKind.NOT_FOUND,
-        f"there is no queue {name[:64]}",
+        f"the queue {name[:64]} does not exist",
         remedy="use the name of a queue that an operator has created",
     )
 
 
 def check_work_kind(name: str, queue: Queue, kind: WorkKind) -> Refusal | None:
-    """Return why a queue does not take a kind of work, or None."""
+    """Return the refusal of a kind of work that a queue does not accept, or None."""
     if kind in queue.kinds:
         return None
     return Refusal(
         ErrorKind.FORBIDDEN,
-        f"the queue {name} takes no work of the kind {kind.value}",
+        f"the queue {name} does not accept {kind.value} work",
         remedy=f"use a queue for {kind.value} work",
     )
 
 
 def check_ready(loaded: bool, open_requests: OpenRequests) -> Refusal | None:
-    """Return why callers should not be sent to this instance, or None."""
+    """Return why this instance should not receive requests of callers, or None."""
     remedy = "send callers to another instance"
     if open_requests.leaving_balancer:
         return Refusal(ErrorKind.DRAINING, "this instance is being drained", remedy=remedy)
--- a/baobabhoist/gateway/callers.py
+++ b/baobabhoist/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP."""
+"""Serve the caller API over HTTP."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
     """Run a request: POST /v1/queues/QUEUE/requests."""
 
     async def post(self, queue: str) -> None:
-        """Run one request and return its whole answer."""
+        """Run one request on a worker and return the worker's response."""
         body = self.receive_body()
         if body is None:
             return
-        req = self._parse(queue, body)
+        req = self._parse_request(queue, body)
         if isinstance(req, Refusal):
             self.refuse(req)
             return
@@ -63,7 +63,7 @@
         self.set_header("Content-Type", result.content_type)
         self.finish(result.body)
 
-    def _parse(self, name: str, body: bytes) -> Request | Refusal:
+    def _parse_request(self, name: str, body: bytes) -> Request | Refusal:
         view = self.router.view
         queue = view.queue(name)
         team = authenticate_team(
@@ -87,78 +87,80 @@
     view: RecordView,
     options: CallerOptions,
 ) -> Request | Refusal:
-    """Return the request that a caller made on a queue, or why it is refused."""
+    """Return the request that a caller sent to a queue, or a refusal."""
     now = time.time()
-    found = parse_headers(headers)
-    if isinstance(found, Refusal):
-        return found
-    deadline = found.deadline
+    parsed = parse_headers(headers)
+    if isinstance(parsed, Refusal):
+        return parsed
+    deadline = parsed.deadline
     if deadline is None:
         default_s = queue.default_deadline_s or options.default_deadline_s
         deadline = now + min(default_s, options.max_deadline_s)
     refusal = check_work_kind(name, queue, WorkKind.REQUEST)
     refusal = refusal or check_deadline(deadline, now, options.max_deadline_s)
-    if refusal is None and (found.first_sent_at or 0.0) > now + options.clock_skew_s:
-        ahead_s = (found.first_sent_at or 0.0) - now
+    if refusal is None and (parsed.first_sent_at or 0.0) > now + options.clock_skew_s:
+        ahead_s = (parsed.first_sent_at or 0.0) - now
         remedy = "send the time at which the key was first used, and check the caller's clock"
-        message = f"the time in {FIRST_SENT_HEADER} lies {ahead_s:.1f} s in the future"
+        message = f"the time in {FIRST_SENT_HEADER} is {ahead_s:.1f} s in the future"
         refusal = Refusal(ErrorKind.BAD_REQUEST, message, remedy=remedy)
-    shards = _home_shards(queue, found, view, options)
+    shards = _home_shards(queue, parsed, view, options)
     if refusal is None and not shards:
         refusal = Refusal(
             ErrorKind.SHARD_UNAVAILABLE,
-            f"the records name no shard in the home data centres of the queue {name}",
-            remedy="ask an operator to correct the queue or the shards",
+            f"no shard is configured in the home data centres of the queue {name}",
+            remedy="ask an operator to correct the records of the queue or the shards",
             retry_after_s=5.0,
         )
     if refusal is not None:
         return refusal
-    request_id = _request_id(team, found)
+    request_id = _make_request_id(team, parsed)
     task = Task(
         task_id=request_id,
         team=team,
         queue=name,
         kind=WorkKind.REQUEST,
-        resources=found.resources,
+        resources=parsed.resources,
         deadline=deadline,
         submitted_at=now,
-        idempotent=found.idempotent,
-        urgency=found.urgency,
-        expected_run_s=found.expected_run_s,
+        idempotent=parsed.idempotent,
+        urgency=parsed.urgency,
+        expected_run_s=parsed.expected_run_s,
         payload=body,
     )
-    generated = found.idempotency_key is None
-    first_sent_at = now if generated else found.first_sent_at
+    has_generated_id = parsed.idempotency_key is None
+    first_sent_at = now if has_generated_id else parsed.first_sent_at
     if first_sent_at is None:
-        # The key cannot be older: its deadline would have been refused as too far ahead.
+        # The key cannot have been sent earlier: its deadline would have been too far ahead then.
         first_sent_at = deadline - options.max_deadline_s
-    return Request(request_id, home_shard(request_id, shards), first_sent_at, task, generated)
+    return Request(
+        request_id, home_shard(request_id, shards), first_sent_at, task, has_generated_id
+    )
 
 
-def _request_id(team: str, found: RequestHeaders) -> str:
-    # The middle part keeps a caller's key from ever equalling a generated id.
-    if found.idempotency_key is None:
+def _make_request_id(team: str, headers: RequestHeaders) -> str:
+    # The middle part prevents collisions between callers' keys and generated ids.
+    if headers.idempotency_key is None:
         return f"{team}/id/{uuid.uuid4().hex}"
-    return f"{team}/key/{found.idempotency_key}"
+    return f"{team}/key/{headers.idempotency_key}"
 
 
 def _home_shards(
-    queue: Queue, found: RequestHeaders, view: RecordView, options: CallerOptions
+    queue: Queue, headers: RequestHeaders, view: RecordView, options: CallerOptions
 ) -> tuple[str, ...]:
     homes = queue.home_data_centres
-    own = options.data_centre
-    if found.idempotency_key is None and own and (not homes or own in homes):
-        return view.shards_in((own,)) or view.shards_in(homes)
+    local = options.data_centre
+    if headers.idempotency_key is None and local and (not homes or local in homes):
+        return view.shards_in((local,)) or view.shards_in(homes)
     return view.shards_in(homes)
 
 
 class ReadyHandler(CallerHandler):
-    """Tell the platform's balancer whether to send callers here: GET /readyz."""
+    """Tell the platform's load balancer whether to send callers here: GET /readyz."""
 
     counts_as_open = False
 
     def get(self) -> None:
-        """Answer 200 when ready and 503 otherwise."""
+        """Respond with 200 when ready and with 503 otherwise."""
         if self.receive_body() is None:
             return
         refusal = check_ready(self.router.ready, self.options.open_requests)
@@ -169,7 +171,7 @@
 
 
 def make_caller_app(router: Router, options: CallerOptions | None = None) -> Application:
-    """Return the HTTP application for callers."""
+    """Return the HTTP application of the caller API."""
     options = options or CallerOptions()
     metrics = RequestMetrics(options.metrics) if options.metrics is not None else None
     context: dict[str, Any] = {"router": router, "options": options, "metrics": metrics}
--- a/baobabhoist/gateway/jobs.py
+++ b/baobabhoist/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""Serve the submission and control of jobs over HTTP."""
+"""Serve the job endpoints of the caller API."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from baobabhoist.records.schema import MAX_DEADLINE_S
 
 HTTP_ACCEPTED = 202
-# A batch job or gang whose submitter and queue give no deadline is given up after a day.
+# The deadline, one day ahead, of a batch job or gang if neither it nor its queue sets one.
 DEFAULT_JOB_DEADLINE_S = 86_400.0
 
 
 class JobService(Protocol):
     """Accept jobs and report on them; a team of None stands for an operator, who sees all.
 
-    A job of another team is refused as not found. Every method answers by the deadline of
-    its own calls and returns a refusal when the platform or a peer gives no answer.
+    A job of another team is refused as not found. Each method has timeouts for its own calls
+    and returns a refusal when the platform or a peer does not respond.
     """
 
     async def submit(self, spec: JobSpec) -> Refusal | JobStatus:
-        """Accept a job durably; a repeated job id of the same team returns its status."""
+        """Store a job durably; if the team already has a job with this id, return its status."""
 
     async def status(self, job_id: str, team: str | None) -> Refusal | JobStatus:
         """Return the state of a job."""
 
     async def cancel(self, job_id: str, team: str | None) -> Refusal | JobStatus:
-        """Cancel a job and return its state after that."""
+        """Cancel a job and return its resulting state."""
 
     async def explain(self, job_id: str, team: str | None) -> Refusal | JobExplanation:
         """Explain why a job is in its state."""
@@ -46,7 +46,7 @@
 
 
 def status_body(status: JobStatus) -> dict[str, Any]:
-    """Return the state of a job as callers receive it."""
+    """Return the response body for the state of a job."""
     return {
         "job_id": status.job_id,
         "team": status.team,
@@ -59,13 +59,13 @@
     }
 
 
-def explanation_body(found: JobExplanation) -> dict[str, Any]:
-    """Return the explanation of a job as callers receive it."""
+def explanation_body(explanation: JobExplanation) -> dict[str, Any]:
+    """Return the response body for the explanation of a job."""
     return {
-        "job_id": found.job_id,
-        "state": found.state.value,
-        "reason": found.reason,
-        "waiting": found.waiting,
+        "job_id": explanation.job_id,
+        "state": explanation.state.value,
+        "reason": explanation.reason,
+        "waiting": explanation.waiting,
     }
 
 
@@ -73,14 +73,14 @@
     """Return the refusal of an instance that does not coordinate jobs."""
     return Refusal(
         ErrorKind.PLATFORM_UNAVAILABLE,
-        "this instance does not accept jobs now",
-        remedy="send the request to another instance or try again",
+        "this instance does not accept jobs at the moment",
+        remedy="send the request to another instance, or try again later",
         retry_after_s=1.0,
     )
 
 
 class JobApiHandler(CallerHandler):
-    """Share what the handlers for jobs need."""
+    """Provide the base of the job handlers."""
 
     def job_service(self) -> JobService | None:
         """Return the job service once the body has arrived, or None after a refusal."""
@@ -95,9 +95,9 @@
         return self.options.jobs
 
     def authenticate_team_or_public(self) -> str | Refusal:
-        """Return the team of the key; without a key, the public team if any queue is open.
+        """Return the team of the key; without a key, the public team if any queue is open to all.
 
-        The id of a job cannot be guessed, so whoever knows that of a public job may see it.
+        Job ids cannot be guessed, so anyone who knows the id of a public job may see the job.
         """
         view = self.router.view
         open_queues = (queue for queue in view.queues().values() if queue.open_to_all)
@@ -106,13 +106,13 @@
             view, self.request.headers, self.options.records_unconfirmed_s(), queue
         )
 
-    def send_job_status(self, found: Refusal | JobStatus, status: int = 200) -> None:
-        """Answer with the state of a job."""
-        if isinstance(found, Refusal):
-            self.refuse(found)
+    def send_job_status(self, status: Refusal | JobStatus, status_code: int = 200) -> None:
+        """Respond with the state of a job, or with a refusal."""
+        if isinstance(status, Refusal):
+            self.refuse(status)
             return
-        self.set_status(status)
-        self.send_json(status_body(found))
+        self.set_status(status_code)
+        self.send_json(status_body(status))
 
 
 class JobsHandler(JobApiHandler):
@@ -124,48 +124,49 @@
         jobs = self.job_service_or_refuse() if body is not None else None
         if body is None or jobs is None:
             return
-        spec = self._parse(body)
+        spec = self._parse_spec(body)
         if isinstance(spec, Refusal):
             self.refuse(spec)
             return
         self.send_job_status(await jobs.submit(spec), HTTP_ACCEPTED)
 
     async def get(self) -> None:
-        """List the jobs of the team; this needs a key, since it shows ids of jobs."""
+        """List the jobs of the team; a key is required, because the list reveals job ids."""
         jobs = self.job_service()
         if jobs is None:
             return
         team = authenticate_team(
             self.router.view, self.request.headers, self.options.records_unconfirmed_s()
         )
-        found = team if isinstance(team, Refusal) else await jobs.list(team)
-        if isinstance(found, Refusal):
-            self.refuse(found)
+        statuses = team if isinstance(team, Refusal) else await jobs.list(team)
+        if isinstance(statuses, Refusal):
+            self.refuse(statuses)
             return
-        self.send_json({"jobs": [status_body(status) for status in found]})
+        self.send_json({"jobs": [status_body(status) for status in statuses]})
 
-    def _parse(self, body: bytes) -> JobSpec | Refusal:
+    def _parse_spec(self, body: bytes) -> JobSpec | Refusal:
         view = self.router.view
-        job = parse_job(body)
-        queue = view.queue(job.queue) if isinstance(job, JobSubmission) else None
-        # The key is checked first: without one, problems of the body are nobody's business.
+        submission = parse_job(body)
+        queue = view.queue(submission.queue) if isinstance(submission, JobSubmission) else None
+        # The key is checked before problems of the body are reported, because only authenticated
+        # callers may see them.
         team = authenticate_team(
             view, self.request.headers, self.options.records_unconfirmed_s(), queue
         )
         if isinstance(team, Refusal):
             return team
         self.team = team
-        if isinstance(job, Refusal):
-            return job
+        if isinstance(submission, Refusal):
+            return submission
         if queue is None:
-            return queue_not_found(job.queue)
+            return queue_not_found(submission.queue)
         key = parse_idempotency_key(self.request.headers)
         if isinstance(key, Refusal):
             return key
         now = time.time()
-        default_s = queue.default_deadline_s or DEFAULT_JOB_DEADLINE_S
-        spec = job.to_spec(derive_job_id(team, key), team, now + default_s)
-        refusal = check_work_kind(job.queue, queue, job.kind)
+        default_deadline_s = queue.default_deadline_s or DEFAULT_JOB_DEADLINE_S
+        spec = submission.to_spec(derive_job_id(team, key), team, now + default_deadline_s)
+        refusal = check_work_kind(submission.queue, queue, submission.kind)
         if refusal is None and not math.isinf(spec.deadline):
             refusal = check_deadline(spec.deadline, now, MAX_DEADLINE_S)
         return refusal or spec
@@ -180,8 +181,8 @@
         if jobs is None:
             return
         team = self.authenticate_team_or_public()
-        found = team if isinstance(team, Refusal) else await jobs.status(job_id, team)
-        self.send_job_status(found)
+        status = team if isinstance(team, Refusal) else await jobs.status(job_id, team)
+        self.send_job_status(status)
 
     async def delete(self, job_id: str) -> None:
         """Cancel a job."""
@@ -189,21 +190,21 @@
         if jobs is None:
             return
         team = self.authenticate_team_or_public()
-        found = team if isinstance(team, Refusal) else await jobs.cancel(job_id, team)
-        self.send_job_status(found)
+        status = team if isinstance(team, Refusal) else await jobs.cancel(job_id, team)
+        self.send_job_status(status)
 
 
 class ExplainHandler(JobApiHandler):
     """Explain the state of a job: GET /v1/jobs/ID/explain."""
 
     async def get(self, job_id: str) -> None:
-        """Return why a job is in its state."""
+        """Return the reason for the state of a job."""
         jobs = self.job_service()
         if jobs is None:
             return
         team = self.authenticate_team_or_public()
-        found = team if isinstance(team, Refusal) else await jobs.explain(job_id, team)
-        if isinstance(found, Refusal):
-            self.refuse(found)
+        explanation = team if isinstance(team, Refusal) else await jobs.explain(job_id, team)
+        if isinstance(explanation, Refusal):
+            self.refuse(explanation)
             return
-        self.send_json(explanation_body(found))
+        self.send_json(explanation_body(explanation))
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -1,4 +1,4 @@
-"""Serve the records to operators."""
+"""Serve the record endpoints of the admin API."""
 
 from __future__ import annotations
 
@@ -26,68 +26,68 @@
 ETAG_PATTERN = re.compile(r'(W/)?"?([0-9]{1,15})"?')
 INTEGER_PATTERN = re.compile(r"[0-9]{1,15}")
 MAX_REVISION = 10**15
-# The row of a record that does not exist has this revision.
+# The expected revision of a record that must not exist yet.
 ABSENT_REVISION = 0
 HTTP_CREATED = 201
 
 
 class RecordApiHandler(AdminHandler):
-    """Share what the handlers for records need."""
+    """Provide the base of the record handlers."""
 
     def record_store(self) -> RecordStore:
-        """Return the store over the table and the view in force."""
+        """Return a record store on the table and the current view of the records."""
         return RecordStore(self.backend.table, self.backend.view, self._check_no_jobs)
 
     def parse_expected_revision(self) -> int | Refusal:
-        """Return the revision that the change is based on, 0 for a record to create."""
+        """Return the revision that the change expects, or 0 if it creates the record."""
         if self.request.headers.get("If-None-Match") == "*":
             return ABSENT_REVISION
         value = self.request.headers.get("If-Match")
         if value is None:
             return Refusal(
                 ErrorKind.PRECONDITION_MISSING,
-                "the change does not say which revision it is based on",
-                remedy="send the header If-Match with the revision that you have read, or "
+                "the change has neither the header If-Match nor If-None-Match: *",
+                remedy="send If-Match with the revision that the change is based on, or "
                 "If-None-Match: * to create the record",
             )
         match = ETAG_PATTERN.fullmatch(value)
         if match is None:
-            problem = Problem("If-Match", "the value is no revision", 'send it as "17"')
+            problem = Problem("If-Match", "the value is not a revision", 'send it as "17"')
             return refusal_of([problem], "the request")
         return int(match[2])
 
     def parse_query_integer(
         self, name: str, low: int, high: int, default: int | None
     ) -> int | Refusal:
-        """Return a query argument that is a whole number."""
+        """Return an integer query argument, its default if it is absent, or a refusal."""
         value = self.get_query_argument(name, None)
         if value is None and default is not None:
             return default
         problems: Problems = []
         parsed = int(value) if value and INTEGER_PATTERN.fullmatch(value) else value
-        found = integer(low, high)(parsed, name, problems)
-        return refusal_of(problems, "the query") if found is ABSENT else int(found)
+        checked = integer(low, high)(parsed, name, problems)
+        return refusal_of(problems, "the query") if checked is ABSENT else int(checked)
 
     def send_record(
         self,
         record: Record,
-        version: int = 0,
-        status: int = 200,
-        pending: PendingLimit | None = None,
+        schema_version: int = 0,
+        status_code: int = 200,
+        pending_limit: PendingLimit | None = None,
     ) -> None:
-        """Answer with a record, its revision as the entity tag, and its pending limit."""
-        body = as_written(record, version or None)
+        """Respond with a record, its revision as the entity tag, and its pending limit."""
+        body = as_written(record, schema_version or None)
         if isinstance(body, Refusal):
             self.refuse(body)
             return
-        self.set_status(status)
+        self.set_status(status_code)
         self.set_header("ETag", f'"{record.revision}"')
-        if pending is not None:
-            body = {**body, "pending_limit": attrs.asdict(pending)}
+        if pending_limit is not None:
+            body = {**body, "pending_limit": attrs.asdict(pending_limit)}
         self.send_json(body)
 
     def refuse_change(self, kind: str, name: str, refusal: Refusal) -> None:
-        """Answer with the refusal of a change; conflicts between operators are logged."""
+        """Respond with the refusal of a change; conflicts between operators are logged."""
         if refusal.kind is ErrorKind.CONFLICT:
             emit(log, Event.RECORD_CONFLICT, kind=kind, name=name, operator=self.operator)
         self.refuse(refusal)
@@ -95,18 +95,18 @@
     async def _check_no_jobs(self, kind: str, name: str) -> Refusal | None:
         if kind != RecordKind.QUEUE or self.options.jobs is None:
             return None
-        users = await self.options.jobs.unfinished_job_ids(name)
-        if isinstance(users, Refusal):
-            return users
-        remedy = "cancel these jobs or wait for their end"
-        return in_use(kind, name, "jobs", list(users), remedy) if users else None
+        job_ids = await self.options.jobs.unfinished_job_ids(name)
+        if isinstance(job_ids, Refusal):
+            return job_ids
+        remedy = "cancel these jobs or wait until they have ended"
+        return in_use(kind, name, "jobs", list(job_ids), remedy) if job_ids else None
 
 
 class RecordListHandler(RecordApiHandler):
     """List records: GET /v1/records and /v1/records/KIND."""
 
     def get(self, kind: str | None = None) -> None:
-        """Return the records in force on this instance."""
+        """Return the records that are in force on this instance."""
         if self.receive_body() is None:
             return
         if kind is not None and kind not in set(RecordKind):
@@ -118,20 +118,20 @@
             for each in ([kind] if kind else list(RecordKind))
             for record in view.of_kind(each)
         ]
-        found = [body for body in records if not isinstance(body, Refusal)]
-        self.send_json({"revision": view.revision, "records": found})
+        bodies = [body for body in records if not isinstance(body, Refusal)]
+        self.send_json({"revision": view.revision, "records": bodies})
 
 
 class RecordHandler(RecordApiHandler):
     """Read and change a record: /v1/records/KIND/NAME."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Return the record in the table, or the one in force while the platform is down."""
+        """Return the record in the table, or the one in force if the platform is unavailable."""
         if self.receive_body() is None:
             return
-        version = self.parse_query_integer("schema_version", 1, 1000, 0)
-        if isinstance(version, Refusal):
-            self.refuse(version)
+        schema_version = self.parse_query_integer("schema_version", 1, 1000, 0)
+        if isinstance(schema_version, Refusal):
+            self.refuse(schema_version)
             return
         record = await self.record_store().read(kind, name)
         if isinstance(record, Refusal) and record.kind is ErrorKind.PLATFORM_UNAVAILABLE:
@@ -139,15 +139,17 @@
         if isinstance(record, Refusal):
             self.refuse(record)
             return
-        self.send_record(record, version, pending=await self._pending_limit_of(record))
+        self.send_record(
+            record, schema_version, pending_limit=await self._read_pending_limit(record)
+        )
 
-    async def _pending_limit_of(self, record: Record) -> PendingLimit | None:
+    async def _read_pending_limit(self, record: Record) -> PendingLimit | None:
         if record.kind != RecordKind.TEAM or record.body is None:
             return None
         try:
             team = typed(record.kind, record.body)
         except (ValueError, TypeError, KeyError):
-            # A later release can have written it; this one cannot compare its limit.
+            # A later release may have written the record in a format unknown to this one.
             return None
         if not isinstance(team, Team):
             return None
@@ -166,8 +168,10 @@
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
             return
-        status = 200 if change.based_on else HTTP_CREATED
-        self.send_record(record, status=status, pending=await self._pending_limit_of(record))
+        status_code = 200 if change.based_on else HTTP_CREATED
+        self.send_record(
+            record, status_code=status_code, pending_limit=await self._read_pending_limit(record)
+        )
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete a record."""
@@ -185,32 +189,37 @@
         self.send_record(record)
 
     def _parse_change(self, kind: str, name: str, body: bytes) -> Change | Refusal:
-        raw = parse_json(body)
-        if isinstance(raw, Refusal):
-            return raw
-        problems = _envelope_problems(raw)
+        envelope = parse_json(body)
+        if isinstance(envelope, Refusal):
+            return envelope
+        problems = _envelope_problems(envelope)
         if problems:
             return refusal_of(problems, "the change")
         expected_revision = self.parse_expected_revision()
         if isinstance(expected_revision, Refusal):
             return expected_revision
         return Change(
-            kind, name, raw["schema_version"], raw["body"], expected_revision, self.operator
+            kind,
+            name,
+            envelope["schema_version"],
+            envelope["body"],
+            expected_revision,
+            self.operator,
         )
 
 
-def _envelope_problems(raw: Any) -> Problems:
+def _envelope_problems(envelope: Any) -> Problems:
     remedy = "give an object with the fields schema_version and body"
-    if not isinstance(raw, dict):
+    if not isinstance(envelope, dict):
         return [Problem("change", "the change is not an object", remedy)]
     missing = [
         Problem(name, "the field is missing", remedy)
         for name in ("schema_version", "body")
-        if name not in raw
+        if name not in envelope
     ]
     unknown = [
         Problem(name[:64], "the field is unknown", remedy)
-        for name in raw
+        for name in envelope
         if name not in ("schema_version", "body")
     ]
     return missing + unknown
@@ -220,18 +229,18 @@
     """Show the versions of a record: GET /v1/records/KIND/NAME/history."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Return the latest versions, the newest first."""
+        """Return the latest versions, newest first."""
         if self.receive_body() is None:
             return
         limit = self.parse_query_integer("limit", 1, MAX_HISTORY, DEFAULT_HISTORY)
         if isinstance(limit, Refusal):
             self.refuse(limit)
             return
-        found = await self.record_store().history(kind, name, limit)
-        if isinstance(found, Refusal):
-            self.refuse(found)
+        versions = await self.record_store().history(kind, name, limit)
+        if isinstance(versions, Refusal):
+            self.refuse(versions)
             return
-        bodies = [as_written(record) for record in found]
+        bodies = [as_written(record) for record in versions]
         self.send_json({"versions": [body for body in bodies if not isinstance(body, Refusal)]})
 
 
@@ -239,7 +248,7 @@
     """Compare two versions of a record: GET /v1/records/KIND/NAME/diff?from=&to=."""
 
     async def get(self, kind: str, name: str) -> None:
-        """Return the values that differ; without `to`, compare with the latest version."""
+        """Return the values that differ; `to` defaults to the latest version."""
         if self.receive_body() is None:
             return
         old = await self._read_version(
@@ -278,7 +287,7 @@
 
 
 def _bodies_to_compare(old: Record, new: Record) -> tuple[Any, Any]:
-    """Return both bodies in the newer one's schema version; canonical where that fails."""
+    """Return both bodies in the newer one's schema version, or in canonical form if that fails."""
     bodies = [as_written(record, new.schema_version) for record in (old, new)]
     if any(isinstance(body, Refusal) for body in bodies):
         return old.body, new.body
