--- a/baobabhoist/cli/client.py
+++ b/baobabhoist/cli/client.py
@@ -1,4 +1,4 @@
-"""Talk to the HTTP APIs and turn refusals into exit codes."""
+"""Send requests to the HTTP APIs and map refusals to exit codes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 CONNECT_TIMEOUT_S = 5.0
 DEFAULT_TIMEOUT_S = 30.0
-# tornado reports a missing answer under this status.
+# tornado reports a missing response with this status.
 NO_RESPONSE_STATUS = 599
 
 
 class ExitCode(enum.IntEnum):
-    """Name the exit codes of the command-line tool."""
+    """List the exit codes of the command-line tool."""
 
     OK = 0
     REFUSED = 1
@@ -35,27 +35,28 @@
 
 
 class UsageError(BaobabhoistError):
-    """Report a command, a file or a flag that cannot be used."""
+    """Report an invalid command, file or flag."""
 
 
 class UnreachableError(BaobabhoistError):
-    """Report that an instance gave no answer; `sent` tells whether it may have the request."""
+    """Report that an instance did not respond, and whether it may have received the request."""
 
-    def __init__(self, message: str, sent: bool) -> None:
+    def __init__(self, message: str, possibly_received: bool) -> None:
         super().__init__(message)
-        self.sent = sent
+        self.possibly_received = possibly_received
 
 
 class RefusedError(BaobabhoistError):
     """Carry the error body of a refusal."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
-        super().__init__(str(body.get("message", f"the answer has status {status}")))
+        super().__init__(str(body.get("message", f"the response has status {status}")))
         self.status = status
         self.body = body
 
 
-# The outcome is decisive before the kind: whoever reads the code must know of a possible run.
+# An unknown outcome takes precedence over the kind of the error, because a script must learn from
+# the exit code that the request may have run.
 EXIT_CODE_BY_ERROR_KIND: dict[str, ExitCode] = {
     "conflict": ExitCode.CONFLICT,
     "precondition_missing": ExitCode.CONFLICT,
@@ -66,7 +67,7 @@
 
 
 def exit_code_for(exc: RefusedError) -> ExitCode:
-    """Return the exit code of a refusal."""
+    """Return the exit code for a refusal."""
     if exc.body.get("outcome") == "unknown":
         return ExitCode.OUTCOME_UNKNOWN
     return EXIT_CODE_BY_ERROR_KIND.get(str(exc.body.get("kind")), ExitCode.REFUSED)
@@ -74,7 +75,7 @@
 
 @attrs.frozen
 class Response:
-    """Hold a successful answer."""
+    """Hold a successful response."""
 
     status: int
     headers: dict[str, str]
@@ -86,13 +87,13 @@
 
 
 def url_path(*parts: str) -> str:
-    """Return a path whose parts are escaped."""
+    """Return a URL path with escaped parts."""
     return "/" + "/".join(quote(part, safe="") for part in parts)
 
 
 @attrs.define
 class Client:
-    """Send requests to one API under one key; the key is never shown."""
+    """Send requests to one API with one key, which is never printed."""
 
     base_url: str
     key_header: str
@@ -107,14 +108,14 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Return the answer; raises RefusedError or UnreachableError."""
-        sent = dict(headers or {})
+        """Return the response; raises RefusedError, UnreachableError or UsageError."""
+        sent_headers = dict(headers or {})
         if self.key:
-            sent[self.key_header] = self.key
+            sent_headers[self.key_header] = self.key
         request = HTTPRequest(
             self.base_url.rstrip("/") + target,
             method=method,
-            headers=sent,
+            headers=sent_headers,
             body=body,
             allow_nonstandard_methods=True,
             connect_timeout=CONNECT_TIMEOUT_S,
@@ -122,35 +123,36 @@
             ssl_options=self.tls,
             follow_redirects=False,
         )
-        http = HTTPClient()
+        http_client = HTTPClient()
         try:
-            answer = http.fetch(request, raise_error=True)
+            response = http_client.fetch(request, raise_error=True)
         except HTTPClientError as exc:
-            raise self._failure(exc) from exc
+            raise self._map_error(exc) from exc
         except OSError as exc:
             refused = isinstance(exc, (ConnectionRefusedError, ssl.SSLCertVerificationError))
             raise UnreachableError(f"{self.base_url} does not answer: {exc}", not refused) from exc
-        # A certificate that is not trusted is both an OSError and a ValueError.
+        # The error for an untrusted certificate is an OSError as well as a ValueError, so the
+        # order of these clauses matters.
         except ValueError as exc:
-            raise UsageError(f"{self.base_url} is not a usable address: {exc}") from exc
+            raise UsageError(f"{self.base_url} is not a valid URL: {exc}") from exc
         finally:
-            http.close()
-        return Response(answer.code, dict(answer.headers.get_all()), answer.body)
+            http_client.close()
+        return Response(response.code, dict(response.headers.get_all()), response.body)
 
     def request_json(self, method: str, target: str, body: Any = None, **headers: str) -> Any:
-        """Return the JSON answer to a JSON request; header names use underscores."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        data = orjson.dumps(body) if body is not None else None
-        return self.send(method, target, data, named).json()
+        """Send a JSON request and return the JSON response; header names have underscores."""
+        header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
+        encoded_body = orjson.dumps(body) if body is not None else None
+        return self.send(method, target, encoded_body, header_fields).json()
 
-    def _failure(self, exc: HTTPClientError) -> BaobabhoistError:
+    def _map_error(self, exc: HTTPClientError) -> BaobabhoistError:
         if exc.response is None or exc.code == NO_RESPONSE_STATUS:
-            sent = "while connecting" not in str(exc)
-            return UnreachableError(f"{self.base_url} does not answer: {exc}", sent)
+            possibly_received = "while connecting" not in str(exc)
+            return UnreachableError(f"{self.base_url} does not answer: {exc}", possibly_received)
         try:
             body = orjson.loads(exc.response.body)
         except orjson.JSONDecodeError:
             body = None
         if not isinstance(body, dict):
-            body = {"kind": "unexpected", "message": f"the answer has status {exc.code}"}
+            body = {"kind": "unexpected", "message": f"the response has status {exc.code}"}
         return RefusedError(exc.code, body)
--- a/baobabhoist/cli/instances.py
+++ b/baobabhoist/cli/instances.py
@@ -1,4 +1,4 @@
-"""Watch and drain instances, and check settings."""
+"""Implement the commands that monitor and drain instances and check settings files."""
 
 from __future__ import annotations
 
@@ -12,37 +12,40 @@
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import SettingsError
 
-HEADINGS = ["INSTANCE", "DATA CENTRE", "LIVE", "DRAINING", "REVISION", "SHARDS"]
+STATUS_HEADINGS = ["INSTANCE", "DATA CENTRE", "LIVE", "DRAINING", "REVISION", "SHARDS"]
 
 
 def show_status(client: Client) -> CommandResult:
-    """Show the instance, its peers and the revision of the records in force on each."""
-    found = client.request_json("GET", "/v1/status")
-    rows = [_row({**found, "live": True}), *(_row(peer) for peer in found["peers"])]
-    notes = [format_pending_limit(each) for each in found.get("pending_limits") or ()]
-    return CommandResult(found, [*format_table(HEADINGS, rows), *notes])
+    """Show the instance and its peers, with the revision of the records in force on each."""
+    status = client.request_json("GET", "/v1/status")
+    rows = [
+        _status_row({**status, "live": True}),
+        *(_status_row(peer) for peer in status["peers"]),
+    ]
+    notes = [format_pending_limit(limit) for limit in status.get("pending_limits") or ()]
+    return CommandResult(status, [*format_table(STATUS_HEADINGS, rows), *notes])
 
 
-def _row(each: dict[str, Any]) -> list[Any]:
+def _status_row(instance: dict[str, Any]) -> list[Any]:
     return [
-        each["instance_id"],
-        each.get("data_centre"),
-        each["live"],
-        each.get("draining"),
-        each.get("records_revision"),
-        each.get("owned_shards"),
+        instance["instance_id"],
+        instance.get("data_centre"),
+        instance["live"],
+        instance.get("draining"),
+        instance.get("records_revision"),
+        instance.get("owned_shards"),
     ]
 
 
 def start_drain(client: Client) -> CommandResult:
     """Start the drain of the instance."""
-    found = client.request_json("POST", "/v1/drain")
+    drain = client.request_json("POST", "/v1/drain")
     return CommandResult(
-        found, [f"the instance drains; {found['open_requests']} requests are open"]
+        drain, [f"the instance is draining; {drain['open_requests']} requests are open"]
     )
 
 
-# The kinds of settings files; an instance on the users' platform has its own.
+# The settings classes by the kind of the file; an instance on the users' platform has its own.
 SETTINGS_KINDS: dict[str, type[Settings] | type[NodeSettings]] = {
     "daemon": Settings,
     "platform": NodeSettings,
@@ -50,9 +53,9 @@
 
 
 def check_config(file: str, kind: str) -> CommandResult:
-    """Check a settings file of a kind without starting a process."""
+    """Check a settings file of the given kind without starting an instance."""
     if kind not in SETTINGS_KINDS:
-        raise UsageError(f"give one of {', '.join(SETTINGS_KINDS)}, not {kind}")
+        raise UsageError(f"the kind must be one of {', '.join(SETTINGS_KINDS)}, not {kind}")
     try:
         loaded = load_with_warnings(file, SETTINGS_KINDS[kind])
     except SettingsError as exc:
--- a/baobabhoist/cli/jobs.py
+++ b/baobabhoist/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Submit, watch and cancel jobs, and send single requests."""
+"""Implement the commands that submit, monitor and cancel jobs and send single requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from baobabhoist.cli.output import CommandResult, format_error, format_table
 
 POLL_INTERVAL_S = 0.5
-FINAL_STATES = {
+EXIT_CODE_BY_FINAL_STATE = {
     "succeeded": ExitCode.OK,
     "failed": ExitCode.JOB_FAILED,
     "cancelled": ExitCode.JOB_FAILED,
@@ -24,135 +24,138 @@
 
 
 def load_job(file: str) -> dict[str, Any]:
-    """Return the job in a YAML or JSON file; raises UsageError."""
+    """Load a job from a YAML or JSON file; raises UsageError."""
     try:
-        found = yaml.safe_load(Path(file).read_text(encoding="utf-8"))
+        job = yaml.safe_load(Path(file).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as exc:
         raise UsageError(f"cannot read {file}: {exc}") from exc
-    if not isinstance(found, dict):
-        raise UsageError(f"{file} does not hold a job: it is no mapping")
-    return found
+    if not isinstance(job, dict):
+        raise UsageError(f"{file} does not contain a job: it is not a mapping")
+    return job
 
 
 def submit_job(client: Client, file: str, key: str = "") -> CommandResult:
-    """Submit the job in a file; the key makes it safe to repeat the command."""
+    """Submit the job in a file; the idempotency key makes it safe to repeat the command."""
     body = load_job(file)
     key = key or uuid.uuid4().hex
     try:
-        found = client.request_json("POST", url_path("v1", "jobs"), body, Idempotency_Key=key)
+        job = client.request_json("POST", url_path("v1", "jobs"), body, Idempotency_Key=key)
     except UnreachableError as exc:
-        raise _with_key(exc, key) from exc
-    return CommandResult(found, [f"job {found['job_id']} is {found['state']}"])
+        raise _add_key_hint(exc, key) from exc
+    return CommandResult(job, [f"job {job['job_id']} is {job['state']}"])
 
 
 def show_job(client: Client, job_id: str) -> CommandResult:
     """Return the state of a job."""
-    found = client.request_json("GET", url_path("v1", "jobs", job_id))
-    return CommandResult(found, format_job(found))
+    job = client.request_json("GET", url_path("v1", "jobs", job_id))
+    return CommandResult(job, format_job(job))
 
 
 def list_jobs(client: Client) -> CommandResult:
     """List the jobs of the team."""
-    found = client.request_json("GET", url_path("v1", "jobs"))
+    response = client.request_json("GET", url_path("v1", "jobs"))
     rows = [
-        [each["job_id"], each["team"], each["queue"], each["kind"], each["state"], each["counts"]]
-        for each in found["jobs"]
+        [job["job_id"], job["team"], job["queue"], job["kind"], job["state"], job["counts"]]
+        for job in response["jobs"]
     ]
     return CommandResult(
-        found, format_table(["JOB", "TEAM", "QUEUE", "KIND", "STATE", "TASKS"], rows)
+        response, format_table(["JOB", "TEAM", "QUEUE", "KIND", "STATE", "TASKS"], rows)
     )
 
 
 def cancel_job(client: Client, job_id: str) -> CommandResult:
     """Cancel a job."""
-    found = client.request_json("DELETE", url_path("v1", "jobs", job_id))
-    return CommandResult(found, [f"job {found['job_id']} is {found['state']}"])
+    job = client.request_json("DELETE", url_path("v1", "jobs", job_id))
+    return CommandResult(job, [f"job {job['job_id']} is {job['state']}"])
 
 
 def explain_job(client: Client, job_id: str) -> CommandResult:
     """Explain why a job is in its state."""
-    found = client.request_json("GET", url_path("v1", "jobs", job_id, "explain"))
-    lines = [f"job {found['job_id']} is {found['state']}: {found['reason'] or 'no reason given'}"]
-    lines += [f"  {count} tasks: {reason}" for reason, count in found["waiting"].items()]
-    return CommandResult(found, lines)
+    explanation = client.request_json("GET", url_path("v1", "jobs", job_id, "explain"))
+    lines = [
+        f"job {explanation['job_id']} is {explanation['state']}: "
+        f"{explanation['reason'] or 'no reason given'}"
+    ]
+    lines += [f"  {count} tasks: {reason}" for reason, count in explanation["waiting"].items()]
+    return CommandResult(explanation, lines)
 
 
 def wait_for_job(
     client: Client,
     job_id: str,
-    give_up_at: float | None,
+    wait_until: float | None,
     progress: Callable[[dict[str, Any]], None],
 ) -> CommandResult:
-    """Wait until a job has ended; `give_up_at` is in Unix seconds, None waits without end."""
+    """Wait until a job has ended; `wait_until` is in Unix seconds, or None to wait forever."""
     while True:
-        found = _status(client, job_id, give_up_at)
-        if found["state"] in FINAL_STATES:
-            return CommandResult(found, format_job(found), FINAL_STATES[found["state"]])
-        progress(found)
-        if give_up_at is not None and time.time() + POLL_INTERVAL_S > give_up_at:
-            return CommandResult(found, format_job(found), ExitCode.STILL_RUNNING)
+        job = _poll_status(client, job_id, wait_until)
+        if job["state"] in EXIT_CODE_BY_FINAL_STATE:
+            return CommandResult(job, format_job(job), EXIT_CODE_BY_FINAL_STATE[job["state"]])
+        progress(job)
+        if wait_until is not None and time.time() + POLL_INTERVAL_S > wait_until:
+            return CommandResult(job, format_job(job), ExitCode.STILL_RUNNING)
         time.sleep(POLL_INTERVAL_S)
 
 
-def _status(client: Client, job_id: str, give_up_at: float | None) -> dict[str, Any]:
-    """Return the state of a job; an instance may be replaced while the command waits."""
+def _poll_status(client: Client, job_id: str, wait_until: float | None) -> dict[str, Any]:
+    """Return the state of a job; retries, because an instance may be replaced meanwhile."""
     while True:
         try:
-            found: dict[str, Any] = client.request_json("GET", url_path("v1", "jobs", job_id))
-            return found
+            job: dict[str, Any] = client.request_json("GET", url_path("v1", "jobs", job_id))
+            return job
         except UnreachableError:
-            if give_up_at is None or time.time() + POLL_INTERVAL_S > give_up_at:
+            if wait_until is None or time.time() + POLL_INTERVAL_S > wait_until:
                 raise
         time.sleep(POLL_INTERVAL_S)
 
 
-def show_progress(found: dict[str, Any]) -> None:
-    """Show the state of a job on one line, if a person reads it."""
+def show_progress(job: dict[str, Any]) -> None:
+    """Show the state of a job on a progress line if standard error is a terminal."""
     if sys.stderr.isatty():
-        counts = ", ".join(f"{count} {state}" for state, count in found["counts"].items())
-        sys.stderr.write(f"{CLEAR_LINE}job {found['job_id']} is {found['state']}: {counts}")
+        counts = ", ".join(f"{count} {state}" for state, count in job["counts"].items())
+        sys.stderr.write(f"{CLEAR_LINE}job {job['job_id']} is {job['state']}: {counts}")
         sys.stderr.flush()
 
 
 def clear_progress() -> None:
-    """Remove the progress line."""
+    """Clear the progress line."""
     if sys.stderr.isatty():
         sys.stderr.write(CLEAR_LINE)
         sys.stderr.flush()
 
 
-def format_job(found: dict[str, Any]) -> list[str]:
-    """Return the state of a job for people."""
+def format_job(job: dict[str, Any]) -> list[str]:
+    """Return the lines that describe the state of a job."""
     fields = ["job_id", "team", "queue", "kind", "state", "counts", "reason"]
-    lines = format_table(["FIELD", "VALUE"], [[name, found.get(name)] for name in fields])
-    return lines + (format_error(found["refusal"]) if found.get("refusal") else [])
+    lines = format_table(["FIELD", "VALUE"], [[name, job.get(name)] for name in fields])
+    return lines + (format_error(job["refusal"]) if job.get("refusal") else [])
 
 
 def submit_request(
     client: Client, queue: str, body: bytes, headers: dict[str, str], deadline: float
 ) -> CommandResult:
-    """Send one request under a key and return its whole answer.
+    """Send one request with an idempotency key and return the worker's response.
 
-    The key lets the command be repeated after a lost answer without a second run.
+    With the key, the command can be repeated after a lost response without a second run.
     """
     headers = {"Request-Deadline": f"{deadline:.3f}", **headers}
     if "Idempotency-Key" not in headers:
-        # Without the time of a new key, the owner must assume that it is as old as its deadline
-        # allows, and answers `unknown` for ten minutes after each takeover.
+        # Without the time at which the key was first sent, the owner must assume that it is as
+        # old as its deadline allows, and returns `unknown` for ten minutes after each takeover.
         headers["Idempotency-Key"] = uuid.uuid4().hex
         headers["Idempotency-First-Sent"] = f"{time.time():.3f}"
     try:
-        reply = client.send("POST", url_path("v1", "queues", queue, "requests"), body, headers)
+        response = client.send("POST", url_path("v1", "queues", queue, "requests"), body, headers)
     except UnreachableError as exc:
-        raise _with_key(exc, headers["Idempotency-Key"]) from exc
-    data = {
-        "status": reply.status,
-        "request_id": reply.headers.get("Request-Id"),
-        "body": reply.body.decode("utf-8", "replace"),
+        raise _add_key_hint(exc, headers["Idempotency-Key"]) from exc
+    summary = {
+        "status": response.status,
+        "request_id": response.headers.get("Request-Id"),
+        "body": response.body.decode("utf-8", "replace"),
     }
-    return CommandResult(data, raw=reply.body)
+    return CommandResult(summary, raw=response.body)
 
 
-def _with_key(exc: UnreachableError, key: str) -> UnreachableError:
-    message = f"{exc}\nrepeat the command with --idempotency_key={key} to learn the outcome"
-    return UnreachableError(message, exc.sent)
+def _add_key_hint(exc: UnreachableError, key: str) -> UnreachableError:
+    message = f"{exc}\nrun the command again with --idempotency_key={key} to learn the outcome"
+    return UnreachableError(message, exc.possibly_received)
--- a/baobabhoist/cli/logs.py
+++ b/baobabhoist/cli/logs.py
@@ -1,4 +1,4 @@
-"""Merge the log lines of several processes that concern one job, in the order of time."""
+"""Merge the log lines of several processes that concern one job, in time order."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from baobabhoist.cli.client import ExitCode, UsageError
 from baobabhoist.cli.output import CommandResult
 
-# A line may begin with a time and the name of its process, as collectors write it.
+# Log collectors may prefix a line with a time and the name of its process.
 _LINE_PATTERN = re.compile(
     r"^\s*(?:(?P<at>-?\d+(?:\.\d+)?)\s+)?(?:(?P<node>[^\s{]+)\s+)?(?P<json>\{.*\})"
 )
-# Events that change what a process believes, shown while the job was in hand.
+# Events that change the state of a whole process; shown between the first and last line of a job.
 CONTEXT_EVENTS = frozenset(
     {
         "claim_won",
@@ -45,7 +45,7 @@
 
 @attrs.frozen(order=True)
 class LogLine:
-    """Hold one event: when it was logged, by which process, and its fields."""
+    """Hold one logged event: its time, its process, its message and its fields."""
 
     time: str
     node: str
@@ -54,69 +54,69 @@
     fields: dict[str, Any] = attrs.field(eq=False)
 
     def text(self) -> str:
-        """Return the line for a person."""
-        known = {k: v for k, v in self.fields.items() if f"{v}" not in self.message}
-        details = " ".join(f"{key}={value}" for key, value in known.items())
+        """Return the event as a line of text, without fields that the message contains."""
+        extra_fields = {k: v for k, v in self.fields.items() if f"{v}" not in self.message}
+        details = " ".join(f"{key}={value}" for key, value in extra_fields.items())
         return f"{self.time} {self.node} {self.name}: {self.message} {details}".rstrip()
 
 
 def merge_logs(job_id: str, paths: Sequence[str]) -> CommandResult:
-    """Show what several logs say of a job, with what its processes and workers went through."""
-    lines = sorted(_lines(paths))
-    own = [line for line in lines if _concerns(line, job_id)]
-    if not own:
-        message = f"no line of these logs names {job_id}"
+    """Show the log lines of a job, with the events of its processes and workers meanwhile."""
+    lines = sorted(_read_lines(paths))
+    job_lines = [line for line in lines if _mentions_job(line, job_id)]
+    if not job_lines:
+        message = f"no line of these logs mentions {job_id}"
         body = {"error": {"kind": "not_found", "message": message}}
         return CommandResult(body, [message], ExitCode.NOT_FOUND)
-    selected = _with_context(own, lines)
+    selected = _add_context(job_lines, lines)
     data = [attrs.asdict(line) for line in selected]
     return CommandResult({"lines": data}, [line.text() for line in selected])
 
 
-def _lines(paths: Sequence[str]) -> Iterator[LogLine]:
+def _read_lines(paths: Sequence[str]) -> Iterator[LogLine]:
     for path in paths:
         try:
             with Path(path).open(encoding="utf-8", errors="replace") as file:
-                yield from _parse(file, Path(path).stem)
+                yield from _parse_lines(file, Path(path).stem)
         except OSError as exc:
             raise UsageError(f"cannot read {path}: {exc.strerror}") from exc
 
 
-def _parse(file: Iterable[str], default_node: str) -> Iterator[LogLine]:
+def _parse_lines(file: Iterable[str], default_node: str) -> Iterator[LogLine]:
     for text in file:
-        found = _LINE_PATTERN.match(text)
-        if found is None:
+        match = _LINE_PATTERN.match(text)
+        if match is None:
             continue
         try:
-            entry = json.loads(found["json"])
+            entry = json.loads(match["json"])
         except ValueError:
             continue
         if isinstance(entry, dict) and "name" in entry:
             yield LogLine(
                 str(entry.get("time", "")),
-                found["node"] or default_node,
+                match["node"] or default_node,
                 str(entry["name"]),
                 str(entry.get("message", "")),
                 dict(entry.get("fields") or {}),
             )
 
 
-def _concerns(line: LogLine, job_id: str) -> bool:
+def _mentions_job(line: LogLine, job_id: str) -> bool:
     return any(job_id in str(value) for value in line.fields.values())
 
 
-def _with_context(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[LogLine]:
-    workers = {str(line.fields["worker"]) for line in own if "worker" in line.fields}
-    nodes = {line.node for line in own}
-    chosen = set(map(id, own))
-    first, last = own[0].time, own[-1].time
+def _add_context(job_lines: Sequence[LogLine], lines: Sequence[LogLine]) -> list[LogLine]:
+    workers = {str(line.fields["worker"]) for line in job_lines if "worker" in line.fields}
+    nodes = {line.node for line in job_lines}
+    job_line_ids = set(map(id, job_lines))
+    first_time, last_time = job_lines[0].time, job_lines[-1].time
 
-    def wanted(line: LogLine) -> bool:
-        if id(line) in chosen:
+    def is_selected(line: LogLine) -> bool:
+        if id(line) in job_line_ids:
             return True
-        if line.node not in nodes or not first <= line.time <= last:
+        if line.node not in nodes or not first_time <= line.time <= last_time:
             return False
         on_worker = line.name in WORKER_EVENTS and line.fields.get("worker") in workers
         return on_worker or line.name in CONTEXT_EVENTS
 
-    return [line for line in lines if wanted(line)]
+    return [line for line in lines if is_selected(line)]
--- a/baobabhoist/cli/output.py
+++ b/baobabhoist/cli/output.py
@@ -1,4 +1,4 @@
-"""Print results as tables for people or as JSON for programs."""
+"""Format the results of commands as tables or as JSON."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 from baobabhoist.cli.client import ExitCode
 
-# Longer lists, and lists of objects, are counted in tables; --output=json shows them in full.
+# A table shows only the length of longer lists and of lists of objects; --output=json shows all.
 MAX_LISTED_ITEMS = 8
 
 
 @attrs.frozen
 class CommandResult:
-    """Hold what a command found: data for programs, lines for people, and the exit code."""
+    """Hold the result of a command: data for JSON, lines for a terminal, and the exit code.
+
+    `raw` replaces the lines if the output is the exact bytes of a response.
+    """
 
     data: Any
     lines: Sequence[str] = ()
@@ -35,7 +38,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value as a cell of a table; control characters are escaped."""
+    """Return a value as the text of a table cell, with control characters escaped."""
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -45,17 +48,17 @@
             return "1 entry" if len(value) == 1 else f"{len(value)} entries"
         return ", ".join(format_value(item) for item in value) or "-"
     if isinstance(value, dict):
-        pairs = [f"{format_value(name)}={_nested(item)}" for name, item in value.items()]
+        pairs = [f"{format_value(name)}={_format_nested(item)}" for name, item in value.items()]
         return ", ".join(pairs) or "-"
     return "".join(char if char.isprintable() else repr(char)[1:-1] for char in str(value))
 
 
-def _nested(value: Any) -> str:
+def _format_nested(value: Any) -> str:
     return f"({format_value(value)})" if isinstance(value, dict) and value else format_value(value)
 
 
 def format_error(body: dict[str, Any]) -> list[str]:
-    """Return an error body for people."""
+    """Return the lines that describe an error body."""
     lines = [f"{format_value(body.get('kind'))}: {format_value(body.get('message'))}"]
     for problem in body.get("problems") or []:
         remedy = f"; {format_value(problem['remedy'])}" if problem.get("remedy") else ""
@@ -63,8 +66,10 @@
             f"  {format_value(problem.get('path'))}: "
             f"{format_value(problem.get('message'))}{remedy}"
         )
-    for each in body.get("written") or []:
-        lines.append(f"  {each['kind']} {each['name']} was written at revision {each['revision']}")
+    for record in body.get("written") or []:
+        lines.append(
+            f"  {record['kind']} {record['name']} was written at revision {record['revision']}"
+        )
     if body.get("remedy"):
         lines.append(f"remedy: {format_value(body['remedy'])}")
     if body.get("outcome"):
@@ -74,9 +79,9 @@
     return lines
 
 
-def write_result(result: CommandResult, form: str, write: Callable[[bytes], Any]) -> None:
+def write_result(result: CommandResult, output_format: str, write: Callable[[bytes], Any]) -> None:
     """Write a result as a table or as JSON."""
-    if form == "json":
+    if output_format == "json":
         write(orjson.dumps(result.data, option=orjson.OPT_INDENT_2) + b"\n")
     elif result.raw is not None:
         write(result.raw)
--- a/baobabhoist/cli/records.py
+++ b/baobabhoist/cli/records.py
@@ -1,4 +1,4 @@
-"""Read and change records."""
+"""Implement the commands that read and change records."""
 
 from __future__ import annotations
 
@@ -13,107 +13,114 @@
 from baobabhoist.cli.output import CommandResult, format_table, format_value
 
 RECORD_FIELDS = {"kind", "name", "schema_version", "body", "revision"}
-# `get record` shows these as well, so that its output can be edited and put back.
+# `get record --output=json` prints these fields as well; `put record` ignores them, so that the
+# output can be edited and put back.
 IGNORED_FIELDS = {"previous", "changed_by", "changed_at", "pending_limit"}
 
 
 def load_records(file: str) -> list[dict[str, Any]]:
-    """Return the records in a YAML file of one or more documents; raises UsageError."""
+    """Load the records from a YAML file of one or more documents; raises UsageError."""
     try:
         text = Path(file).read_text(encoding="utf-8")
-        documents = [found for found in yaml.safe_load_all(text) if found is not None]
+        documents = [document for document in yaml.safe_load_all(text) if document is not None]
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as exc:
         raise UsageError(f"cannot read {file}: {exc}") from exc
     problems: list[str] = []
     for index, record in enumerate(documents):
-        problems.extend(f"document {index + 1}: {text}" for text in _problems(record))
+        problems.extend(f"document {index + 1}: {text}" for text in _find_problems(record))
     if not documents:
-        problems.append("the file holds no record")
+        problems.append("the file contains no records")
     if problems:
-        raise UsageError(f"{file} cannot be used:\n" + "\n".join(problems))
+        raise UsageError(f"{file} is invalid:\n" + "\n".join(problems))
     return documents
 
 
-def _problems(record: Any) -> list[str]:
+def _find_problems(record: Any) -> list[str]:
     if not isinstance(record, dict):
         return ["a record is a mapping with kind, name, schema_version and body"]
-    found = [f"the field {name} is missing" for name in ("kind", "name") if name not in record]
-    found += [
+    problems = [f"the field {name} is missing" for name in ("kind", "name") if name not in record]
+    problems += [
         f"the field {name} is missing" for name in ("schema_version", "body") if name not in record
     ]
     unknown = sorted(str(name) for name in record.keys() - RECORD_FIELDS - IGNORED_FIELDS)
-    found += [f"the field {name} is unknown" for name in unknown]
+    problems += [f"the field {name} is unknown" for name in unknown]
     revision = record.get("revision", 0)
     if type(revision) is not int or revision < 0:
-        found.append("the field revision is not a whole number")
-    return found
+        problems.append("the field revision is not a whole number")
+    return problems
 
 
 def put_records(client: Client, file: str) -> CommandResult:
-    """Write every record in a YAML file, in its order.
+    """Write every record in a YAML file, in the order of the file.
 
-    A document with a revision is written only over that one (0: only if it does not exist). A
-    document without one is written over the revision in force at that moment.
+    A document with a revision is written only if the record still has that revision (0: only if
+    it does not exist). A document without one replaces the current revision.
     """
-    done: list[dict[str, Any]] = []
+    written: list[dict[str, Any]] = []
     for record in load_records(file):
-        named = f"{record['kind']} {record['name']}"
+        record_id = f"{record['kind']} {record['name']}"
         try:
-            done.append(_put_record(client, record))
+            written.append(_put_record(client, record))
         except RefusedError as exc:
-            message = f"{named}: {exc.body.get('message')}"
+            message = f"{record_id}: {exc.body.get('message')}"
             raise RefusedError(
-                exc.status, {**exc.body, "message": message, "written": done}
+                exc.status, {**exc.body, "message": message, "written": written}
             ) from exc
         except UnreachableError as exc:
-            written = ", ".join(f"{each['kind']} {each['name']}" for each in done) or "none"
-            raise UnreachableError(f"{named}: {exc}; written before: {written}", exc.sent) from exc
+            written_ids = ", ".join(f"{item['kind']} {item['name']}" for item in written) or "none"
+            raise UnreachableError(
+                f"{record_id}: {exc}; written before: {written_ids}", exc.possibly_received
+            ) from exc
     lines = []
-    for each in done:
-        lines.append(f"{each['kind']} {each['name']} is at revision {each['revision']}")
-        if "pending_limit" in each:
-            lines.append(format_pending_limit(each["pending_limit"]))
-    return CommandResult(done, lines)
+    for item in written:
+        lines.append(f"{item['kind']} {item['name']} is at revision {item['revision']}")
+        if "pending_limit" in item:
+            lines.append(format_pending_limit(item["pending_limit"]))
+    return CommandResult(written, lines)
 
 
 def _put_record(client: Client, record: dict[str, Any]) -> dict[str, Any]:
     kind, name = str(record["kind"]), str(record["name"])
-    based_on = record.get("revision")
-    if based_on is None:
-        based_on = _revision_in_force(client, kind, name)
+    expected_revision = record.get("revision")
+    if expected_revision is None:
+        expected_revision = _current_revision(client, kind, name)
     body = {"schema_version": record["schema_version"], "body": record["body"]}
-    answer = client.request_json(
-        "PUT", url_path("v1", "records", kind, name), _plain(body), **_precondition(based_on)
+    response = client.request_json(
+        "PUT",
+        url_path("v1", "records", kind, name),
+        _to_json_value(body),
+        **_precondition(expected_revision),
     )
-    done = {"kind": kind, "name": name, "revision": answer["revision"]}
-    pending = answer.get("pending_limit")
-    return {**done, "pending_limit": pending} if pending else done
+    written = {"kind": kind, "name": name, "revision": response["revision"]}
+    pending = response.get("pending_limit")
+    return {**written, "pending_limit": pending} if pending else written
 
 
 def format_pending_limit(pending: dict[str, Any]) -> str:
-    """Describe a lowered limit that is pending until the excess has ended."""
+    """Describe a lowered limit that is pending until enough tasks have ended."""
     return (
         f"team {pending['team']}: the limit {pending['limit']} is pending; "
-        f"{pending['in_force']} holds until the excess has ended"
+        f"{pending['in_force']} is in force until enough tasks have ended"
     )
 
 
-def _plain(value: Any) -> Any:
-    # YAML has dates and non-string keys, which the API describes better as text.
+def _to_json_value(value: Any) -> Any:
+    # YAML has dates, sets and non-string keys, which JSON lacks; as text, the API can name them
+    # in its error.
     if isinstance(value, dict):
-        return {str(name): _plain(item) for name, item in value.items()}
+        return {str(name): _to_json_value(item) for name, item in value.items()}
     if isinstance(value, list):
-        return [_plain(item) for item in value]
+        return [_to_json_value(item) for item in value]
     if isinstance(value, (datetime.date, bytes, set)):
         return str(value)
     return value
 
 
-def _precondition(based_on: int) -> dict[str, str]:
-    return {"If_Match": f'"{based_on}"'} if based_on else {"If_None_Match": "*"}
+def _precondition(expected_revision: int) -> dict[str, str]:
+    return {"If_Match": f'"{expected_revision}"'} if expected_revision else {"If_None_Match": "*"}
 
 
-def _revision_in_force(client: Client, kind: str, name: str) -> int:
+def _current_revision(client: Client, kind: str, name: str) -> int:
     try:
         return int(client.request_json("GET", url_path("v1", "records", kind, name))["revision"])
     except RefusedError as exc:
@@ -123,72 +130,80 @@
 
 
 def get_record(client: Client, kind: str, name: str) -> CommandResult:
-    """Return a record; the printed form can be edited and put back."""
-    found = client.request_json("GET", url_path("v1", "records", kind, name))
-    kept = {key: value for key, value in found.items() if key not in IGNORED_FIELDS}
+    """Return a record, printed as YAML that can be edited and put back."""
+    record = client.request_json("GET", url_path("v1", "records", kind, name))
+    kept = {key: value for key, value in record.items() if key not in IGNORED_FIELDS}
     text = yaml.safe_dump(kept, sort_keys=False, allow_unicode=True)
-    # As a comment, the line does not get in the way when the output is put back.
+    # The note is printed as a comment so that the output can be put back.
     notes = (
-        [f"# {format_pending_limit(found['pending_limit'])}"] if "pending_limit" in found else []
+        [f"# {format_pending_limit(record['pending_limit'])}"] if "pending_limit" in record else []
     )
-    return CommandResult(found, [*notes, *text.splitlines()])
+    return CommandResult(record, [*notes, *text.splitlines()])
 
 
 def list_records(client: Client, kind: str = "") -> CommandResult:
     """List the records in force on the instance."""
     target = url_path("v1", "records", kind) if kind else url_path("v1", "records")
-    found = client.request_json("GET", target)
+    response = client.request_json("GET", target)
     rows = [
-        [each["kind"], each["name"], each["schema_version"], each["revision"], each["body"]]
-        for each in found["records"]
+        [
+            record["kind"],
+            record["name"],
+            record["schema_version"],
+            record["revision"],
+            record["body"],
+        ]
+        for record in response["records"]
     ]
     return CommandResult(
-        found, format_table(["KIND", "NAME", "VERSION", "REVISION", "BODY"], rows)
+        response, format_table(["KIND", "NAME", "VERSION", "REVISION", "BODY"], rows)
     )
 
 
 def delete_record(
     client: Client, kind: str, name: str, revision: int | None = None
 ) -> CommandResult:
-    """Delete a record at a revision, or at the one in force."""
-    based_on = _revision_in_force(client, kind, name) if revision is None else revision
+    """Delete a record at the given revision, or at the current one."""
+    expected_revision = _current_revision(client, kind, name) if revision is None else revision
     target = url_path("v1", "records", kind, name)
-    found = client.request_json("DELETE", target, None, If_Match=f'"{based_on}"')
-    return CommandResult(found, [f"{kind} {name} was deleted in revision {found['revision']}"])
+    record = client.request_json("DELETE", target, None, If_Match=f'"{expected_revision}"')
+    return CommandResult(record, [f"{kind} {name} was deleted in revision {record['revision']}"])
 
 
 def show_history(client: Client, kind: str, name: str) -> CommandResult:
-    """Show the versions of a record, the newest first."""
-    found = client.request_json("GET", url_path("v1", "records", kind, name, "history"))
+    """Show the versions of a record, newest first."""
+    response = client.request_json("GET", url_path("v1", "records", kind, name, "history"))
     rows = [
         [
-            each["revision"],
-            _moment(each["changed_at"]),
-            each["changed_by"],
-            each["schema_version"],
-            "deleted" if each["body"] is None else each["body"],
+            version["revision"],
+            _format_time(version["changed_at"]),
+            version["changed_by"],
+            version["schema_version"],
+            "deleted" if version["body"] is None else version["body"],
         ]
-        for each in found["versions"]
+        for version in response["versions"]
     ]
     return CommandResult(
-        found, format_table(["REVISION", "CHANGED AT", "BY", "VERSION", "BODY"], rows)
+        response, format_table(["REVISION", "CHANGED AT", "BY", "VERSION", "BODY"], rows)
     )
 
 
 def diff_revisions(client: Client, kind: str, name: str, old: int, new: int = 0) -> CommandResult:
-    """Compare two revisions of a record, or one with the latest."""
+    """Compare two revisions of a record, or one with the latest if the new one is 0."""
     query = urlencode({"from": old, "to": new})
-    found = client.request_json("GET", f"{url_path('v1', 'records', kind, name, 'diff')}?{query}")
-    lines = [f"--- revision {found['from']}", f"+++ revision {found['to']}"]
-    for item in found["differences"]:
+    response = client.request_json(
+        "GET", f"{url_path('v1', 'records', kind, name, 'diff')}?{query}"
+    )
+    lines = [f"--- revision {response['from']}", f"+++ revision {response['to']}"]
+    for item in response["differences"]:
         if item["present"] != "new":
             lines.append(f"- {item['path']}: {format_value(item['old'])}")
         if item["present"] != "old":
             lines.append(f"+ {item['path']}: {format_value(item['new'])}")
-    return CommandResult(found, lines)
+    return CommandResult(response, lines)
 
 
-def _moment(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     if not seconds:
         return "-"
     moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "holds no record"),
+        ("", "contains no records"),
         ("- 1", "document 2: a record is a mapping"),
         ("kind: team\nnme: a", "the field name is missing\ndocument 2: the field schema"),
         ("a: [", "cannot read"),
--- a/baobabhoist/tests/test_gateway_tls.py
+++ b/baobabhoist/tests/test_gateway_tls.py
@@ -88,7 +88,7 @@
         untrusting = Client(f"https://127.0.0.1:{port}", "X-Team-Key")
         with pytest.raises(UnreachableError, match="certificate verify failed") as caught:
             await asyncio.to_thread(untrusting.send, "GET", "/")
-        assert not caught.value.sent
+        assert not caught.value.possibly_received
 
     run_with_server(tls, body)
 
