--- a/baobabhoist/tests/gateway_harness.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -1,4 +1,4 @@
-"""Serve both HTTP applications on loopback for tests."""
+"""Serve the caller and admin APIs on loopback for tests, with a fake daemon behind them."""
 
 import asyncio
 
@@ -49,7 +49,7 @@
 
 
 class FakeJobService:
-    """Keep jobs in memory; all of them are in one state."""
+    """Store jobs in memory; all jobs share one state."""
 
     def __init__(self):
         self.specs = {}
@@ -67,16 +67,16 @@
         return JobStatus(job_id, self.state, counts, "", None, spec.team, spec.queue, spec.kind)
 
     async def cancel(self, job_id, team):
-        found = await self.status(job_id, team)
-        if isinstance(found, JobStatus):
+        status = await self.status(job_id, team)
+        if isinstance(status, JobStatus):
             self.state = JobState.CANCELLED
         return await self.status(job_id, team)
 
     async def explain(self, job_id, team):
-        found = await self.status(job_id, team)
-        if isinstance(found, Refusal):
-            return found
-        return JobExplanation(job_id, found.state, "no place", {"the team is at its limit": 2})
+        status = await self.status(job_id, team)
+        if isinstance(status, Refusal):
+            return status
+        return JobExplanation(job_id, status.state, "no place", {"the team is at its limit": 2})
 
     async def list(self, team):
         specs = [spec for spec in self.specs.values() if team in (None, spec.team)]
@@ -94,7 +94,7 @@
 
 
 class FakeDaemon:
-    """Stand in for the daemon; a request is answered with its body unless `answer` is set."""
+    """Replace the daemon; each request is answered with its own body unless `answer` is set."""
 
     def __init__(self):
         self.cfg = FakeSettings()
@@ -104,9 +104,9 @@
         self.mesh = self
         self.routed = []
         self.answer = None
-        beat = Heartbeat("entry-2", "south", ("s1",), 3, draining=False)
+        heartbeat = Heartbeat("entry-2", "south", ("s1",), 3, draining=False)
         address = PeerAddress("entry-2", "south", "127.0.0.1", 1)
-        self.peers = {"entry-2": PeerState(address, heartbeat=beat, live_until=0.0)}
+        self.peers = {"entry-2": PeerState(address, heartbeat=heartbeat, live_until=0.0)}
         for revision, (kind, name, body) in enumerate(RECORDS, 1):
             version = 2 if kind == "queue" else 1
             self.view.apply(Record(kind, name, version, revision, body))
@@ -137,7 +137,7 @@
 
 
 class Gateway:
-    """Serve the applications; use it as an asynchronous context manager."""
+    """Serve both applications while used as an asynchronous context manager."""
 
     def __init__(self, **caller_options):
         self.daemon = FakeDaemon()
@@ -172,7 +172,7 @@
     async def call(self, listener, method, path, headers=None, body=None):
         if body is not None and not isinstance(body, bytes):
             body = orjson.dumps(body)
-        answer = await AsyncHTTPClient().fetch(
+        response = await AsyncHTTPClient().fetch(
             f"http://127.0.0.1:{self.ports[listener]}{path}",
             method=method,
             headers=headers,
@@ -180,13 +180,13 @@
             raise_error=False,
             allow_nonstandard_methods=True,
         )
-        return HttpReply(answer.code, dict(answer.headers.get_all()), answer.body)
+        return HttpReply(response.code, dict(response.headers.get_all()), response.body)
 
     async def post(self, path, headers=None, body=b""):
         return await self.call("callers", "POST", path, headers, body)
 
-    async def raw(self, listener, data, *, close=False):
-        """Send bytes on a new connection and return everything that comes back."""
+    async def send_raw(self, listener, data, *, close=False):
+        """Send bytes on a new connection and return all bytes received."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[listener])
         writer.write(data)
         if close:
@@ -197,7 +197,7 @@
 
 
 def with_gateway(test, **caller_options):
-    """Run an asynchronous test with a gateway."""
+    """Run an asynchronous test with a running gateway."""
 
     async def run():
         async with Gateway(**caller_options) as gateway:
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -1,4 +1,4 @@
-"""Test the command-line tool against the real APIs."""
+"""Test the command-line tool against the APIs of a running gateway."""
 
 import asyncio
 import subprocess
@@ -18,7 +18,7 @@
 from baobabhoist.testing.cluster import free_port
 from baobabhoist.tests.gateway_harness import with_gateway
 
-TEAM = {"kind": "team", "name": "fibre", "schema_version": 1, "body": {"limit": 3}}
+TEAM_RECORD = {"kind": "team", "name": "fibre", "schema_version": 1, "body": {"limit": 3}}
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
                     "caller_url": f"http://127.0.0.1:{gateway.ports['callers']}",
                 }
                 with flagsaver.flagsaver(**{**urls, **flags}):
-                    # The tool blocks, so it must not run on the loop that serves it.
+                    # The tool blocks, so it must not run on the event loop of the gateway.
                     code = await asyncio.to_thread(main.main, ["baobabhoist", *args])
                 out, err = capfd.readouterr()
                 return code, out, err
@@ -51,14 +51,14 @@
     return run
 
 
-def test_records_go_through_their_life(with_tool, tmp_path):
-    """Guard against a command that prints what a program or a person cannot use."""
+def test_records_are_written_read_compared_and_deleted(with_tool, tmp_path):
+    """Guard against output that cannot be put back or parsed."""
     path = tmp_path / "records.yaml"
 
     async def test(gateway, tool):
         gateway.daemon.view = RecordView()
         queue = {"kind": "queue", "name": "lots", "schema_version": 2, "body": {}}
-        path.write_text(yaml.safe_dump_all([TEAM, queue]), encoding="utf-8")
+        path.write_text(yaml.safe_dump_all([TEAM_RECORD, queue]), encoding="utf-8")
         code, out, _ = await tool("put", "record", str(path))
         assert (code, out) == (0, "team fibre is at revision 1\nqueue lots is at revision 2\n")
         _, out, _ = await tool("get", "record", "team", "fibre")
@@ -82,13 +82,13 @@
     with_tool(test)
 
 
-def test_a_file_that_is_refused_halfway_says_what_was_written(with_tool, tmp_path):
-    """Guard against an operator who does not know which records are in force."""
+def test_partly_refused_file_reports_the_written_records(with_tool, tmp_path):
+    """Guard against an operator who does not know which records of a file were written."""
     path = tmp_path / "records.yaml"
-    wrong = {**TEAM, "name": "other", "body": {"limit": -1, "shares": 2}}
+    invalid_record = {**TEAM_RECORD, "name": "other", "body": {"limit": -1, "shares": 2}}
 
     async def test(gateway, tool):
-        path.write_text(yaml.safe_dump_all([TEAM, wrong]), encoding="utf-8")
+        path.write_text(yaml.safe_dump_all([TEAM_RECORD, invalid_record]), encoding="utf-8")
         code, _, err = await tool("put", "record", str(path))
         assert code == ExitCode.REFUSED
         assert "team other: the team record has 2 problems" in err
@@ -111,12 +111,12 @@
         ),
     ],
 )
-def test_files_that_cannot_be_used_change_nothing(with_tool, tmp_path, text, message):
-    """Guard against a file of which the first records are written although a later is wrong."""
+def test_invalid_files_change_nothing(with_tool, tmp_path, text, message):
+    """Guard against writing the first records of a file in which a later one is malformed."""
     path = tmp_path / "records.yaml"
 
     async def test(gateway, tool):
-        path.write_text(f"{yaml.safe_dump(TEAM)}---\n{text}" if text else "")
+        path.write_text(f"{yaml.safe_dump(TEAM_RECORD)}---\n{text}" if text else "")
         code, _, err = await tool("put", "record", str(path))
         assert code == ExitCode.USAGE
         assert message in err
@@ -125,8 +125,8 @@
     with_tool(test)
 
 
-def test_jobs_and_requests_are_run(with_tool, tmp_path):
-    """Guard against a command that loses an answer, a state or an exit code."""
+def test_jobs_and_requests_are_submitted_and_controlled(with_tool, tmp_path):
+    """Guard against a command that loses a response, a state or an exit code."""
     path = tmp_path / "job.yaml"
     path.write_text("queue: entries\nkind: batch\nreplicas: 2\n", encoding="utf-8")
 
@@ -155,11 +155,11 @@
     with_tool(test)
 
 
-def test_exit_codes_tell_what_is_known_of_a_request(with_tool):
-    """Guard against a script that repeats a request which may have run."""
+def test_exit_codes_distinguish_refused_and_unknown_outcomes(with_tool):
+    """Guard against a script that repeats a request that may have run."""
 
     async def test(gateway, tool):
-        async def code_of(refusal):
+        async def exit_code_for_refusal(refusal):
             async def answer(req):
                 return refusal
 
@@ -168,10 +168,10 @@
             assert f"outcome: {refusal.outcome}" in err
             return code
 
-        full = Refusal(ErrorKind.QUEUE_FULL, "full", remedy="wait", retry_after_s=1.0)
-        assert await code_of(full) == ExitCode.REFUSED
-        unknown = Refusal(ErrorKind.OUTCOME_UNKNOWN, "gone", Outcome.UNKNOWN, "look")
-        assert await code_of(unknown) == ExitCode.OUTCOME_UNKNOWN
+        queue_full = Refusal(ErrorKind.QUEUE_FULL, "full", remedy="wait", retry_after_s=1.0)
+        assert await exit_code_for_refusal(queue_full) == ExitCode.REFUSED
+        outcome_unknown = Refusal(ErrorKind.OUTCOME_UNKNOWN, "gone", Outcome.UNKNOWN, "look")
+        assert await exit_code_for_refusal(outcome_unknown) == ExitCode.OUTCOME_UNKNOWN
         code, _, err = await tool("submit", "request", "entries", team_key="wrong-key")
         assert code == ExitCode.KEY_REJECTED
         assert "wrong-key" not in err
@@ -179,14 +179,14 @@
     with_tool(test)
 
 
-def test_instances_that_do_not_answer_have_their_own_exit_code(with_tool):
-    """Guard against an unreachable instance that looks like a refusal."""
+def test_unreachable_instances_have_their_own_exit_code(with_tool):
+    """Guard against an unreachable instance that is reported as a refusal."""
 
     async def test(gateway, tool):
-        nowhere = f"http://127.0.0.1:{free_port()}"
-        code, _, err = await tool("status", admin_url=nowhere)
+        unused_url = f"http://127.0.0.1:{free_port()}"
+        code, _, err = await tool("status", admin_url=unused_url)
         assert (code, "does not answer" in err) == (ExitCode.UNREACHABLE, True)
-        code, _, err = await tool("submit", "request", "entries", caller_url=nowhere)
+        code, _, err = await tool("submit", "request", "entries", caller_url=unused_url)
         assert (code, "--idempotency_key=" in err) == (ExitCode.UNREACHABLE, True)
         client = Client(f"http://127.0.0.1:{gateway.ports['callers']}", "X-Team-Key", "roster-key")
         assert "roster-key" not in repr(client)
@@ -194,17 +194,17 @@
     with_tool(test)
 
 
-def test_a_lost_answer_to_a_change_is_of_unknown_outcome(with_tool, tmp_path):
-    """Guard against a script that takes a change for not made after a broken connection."""
+def test_lost_response_to_a_change_has_an_unknown_outcome(with_tool, tmp_path):
+    """Guard against a script that assumes after a lost connection that a change was not made."""
     path = tmp_path / "records.yaml"
-    path.write_text(yaml.safe_dump({**TEAM, "revision": 0}), encoding="utf-8")
+    path.write_text(yaml.safe_dump({**TEAM_RECORD, "revision": 0}), encoding="utf-8")
 
     async def test(gateway, tool):
-        async def close(reader, writer):
+        async def close_without_response(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
 
-        server = await asyncio.start_server(close, "127.0.0.1", 0)
+        server = await asyncio.start_server(close_without_response, "127.0.0.1", 0)
         url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
         assert (await tool("put", "record", str(path), admin_url=url))[0] == 6
         assert (await tool("status", admin_url=url))[0] == ExitCode.UNREACHABLE
@@ -213,8 +213,8 @@
     with_tool(test)
 
 
-def test_instances_are_watched_and_drained(with_tool, tmp_path):
-    """Guard against a status without the peers, and settings that fail only at the start."""
+def test_instances_are_monitored_drained_and_their_settings_checked(with_tool, tmp_path):
+    """Guard against a status without the peers, and settings that fail only at startup."""
     path = tmp_path / "settings.yaml"
     path.write_text("instance_id: entry-1\n", encoding="utf-8")
     key = tmp_path / "operator.key"
@@ -234,18 +234,18 @@
     with_tool(test)
 
 
-def test_wrong_usage_has_its_own_exit_code():
-    """Guard against a mistyped command that looks like a refusal."""
+def test_usage_errors_have_their_own_exit_code():
+    """Guard against a mistyped command that is reported as a refusal."""
     assert main.run_command(["put", "record"]).lines == ["usage: baobabhoist put record FILE"]
     assert main.run_command([]).code == ExitCode.USAGE
     command = [sys.executable, "-m", "baobabhoist.cli.main", "--no_such_flag", "status"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == ExitCode.USAGE
-    assert "no_such_flag" in done.stderr
+    completed = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == ExitCode.USAGE
+    assert "no_such_flag" in completed.stderr
 
 
-def test_what_is_printed_cannot_control_the_terminal():
-    """Guard against control characters from a record or an answer."""
+def test_control_characters_are_escaped():
+    """Guard against control characters from a record or a response that reach the terminal."""
     assert format_value({"a": {"b": 1}, "c": [{}], "d": [1, 2]}) == "a=(b=1), c=1 entry, d=1, 2"
     assert format_value("\x1b[2Ja\nb") == "\\x1b[2Ja\\nb"
     assert format_table(["A", "B"], [["x", None], ["long", True]]) == [
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -1,4 +1,4 @@
-"""Test the API for callers: keys, headers, homes, bounds, slow senders and the drain."""
+"""Test the caller API: keys, headers, home shards, limits, slow clients and the drain."""
 
 import asyncio
 import time
@@ -11,15 +11,15 @@
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.gateway_harness import ROSTER_HEADERS, with_gateway
 
-PATH = "/v1/queues/entries/requests"
-CHECKS = "/v1/queues/checks/requests"
+REQUESTS_PATH = "/v1/queues/entries/requests"
+OPEN_QUEUE_PATH = "/v1/queues/checks/requests"
 
 
-def keyed(key="k1", ahead_s=60.0, **headers):
+def idempotent_headers(key="k1", deadline_in_s=60.0, **headers):
     return {
         **ROSTER_HEADERS,
         "Idempotency-Key": key,
-        "Request-Deadline": f"{time.time() + ahead_s:.3f}",
+        "Request-Deadline": f"{time.time() + deadline_in_s:.3f}",
         **headers,
     }
 
@@ -31,11 +31,11 @@
     assert set(reply.json) >= {"kind", "message", "outcome", "remedy", "retry_after"}
 
 
-def test_the_answer_comes_back_whole_with_the_request_id():
-    """Guard against a changed body or type of the answer."""
+def test_response_has_the_body_and_type_of_the_worker_and_the_request_id():
+    """Guard against a response whose body or content type differs from the worker's."""
 
     async def test(gateway):
-        reply = await gateway.post(PATH, ROSTER_HEADERS, b"\x00\xffwhistle")
+        reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"\x00\xffwhistle")
         assert (reply.status, reply.body) == (200, b"\x00\xffwhistle")
         assert reply.headers["Content-Type"] == "text/plain"
         assert reply.headers["Request-Id"] == gateway.daemon.routed[0].request_id
@@ -43,97 +43,105 @@
     with_gateway(test)
 
 
-def test_an_instance_without_records_does_not_reject_keys():
-    """Guard against a final `key_rejected` for a valid key while the records are loaded."""
+def test_instance_without_records_does_not_reject_keys():
+    """Guard against `key_rejected`, which callers do not retry, before the records are loaded."""
 
     async def test(gateway):
         gateway.daemon.ready = False
         gateway.daemon.view = RecordView()
-        reply = await gateway.post(PATH, ROSTER_HEADERS)
+        reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert_error(reply, 503, "platform_unavailable")
         assert gateway.daemon.routed == []
 
     with_gateway(test)
 
 
-def test_keys_decide_the_team():
-    """Guard against work accepted for another team, or for none on a queue that needs a key."""
+def test_key_determines_the_team():
+    """Guard against work accepted for another team, or without a key on a queue that needs one."""
 
     async def test(gateway):
         view = gateway.daemon.view
-        assert_error(await gateway.post(PATH), 401, "key_missing")
-        assert_error(await gateway.post(PATH, {"X-Team-Key": "bad"}), 401, "key_rejected")
-        assert_error(await gateway.post(PATH, {"X-Team-Key": "tess-key"}), 401, "key_rejected")
-        assert_error(await gateway.post(CHECKS, {"X-Team-Key": "bad"}), 401, "key_rejected")
+        assert_error(await gateway.post(REQUESTS_PATH), 401, "key_missing")
+        assert_error(await gateway.post(REQUESTS_PATH, {"X-Team-Key": "bad"}), 401, "key_rejected")
+        assert_error(
+            await gateway.post(REQUESTS_PATH, {"X-Team-Key": "tess-key"}), 401, "key_rejected"
+        )
+        assert_error(
+            await gateway.post(OPEN_QUEUE_PATH, {"X-Team-Key": "bad"}), 401, "key_rejected"
+        )
         assert_error(
             await gateway.post("/v1/queues/none/requests", ROSTER_HEADERS), 404, "not_found"
         )
         assert_error(await gateway.post("/v1/queues/none/requests"), 401, "key_missing")
-        assert (await gateway.post(CHECKS)).status == 200
-        assert (await gateway.post(CHECKS, ROSTER_HEADERS)).status == 200
+        assert (await gateway.post(OPEN_QUEUE_PATH)).status == 200
+        assert (await gateway.post(OPEN_QUEUE_PATH, ROSTER_HEADERS)).status == 200
         assert [req.task.team for req in gateway.daemon.routed] == ["public", "roster"]
         body = {**view.get("key", "roster-1").body, "withdrawn": True}
         view.apply(Record("key", "roster-1", 1, 100, body))
-        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 401, "key_rejected")
+        assert_error(await gateway.post(REQUESTS_PATH, ROSTER_HEADERS), 401, "key_rejected")
         view.apply(Record("team", "public", 1, 101, None))
-        assert_error(await gateway.post(CHECKS), 403, "forbidden")
+        assert_error(await gateway.post(OPEN_QUEUE_PATH), 403, "forbidden")
 
     with_gateway(test)
 
 
-def test_a_cut_off_instance_refuses_keys_after_their_grace():
-    """Guard against a revoked key that works for ever behind a partition."""
-    cut_off = [0.0]
+def test_partitioned_instance_rejects_keys_after_their_grace_period():
+    """Guard against a withdrawn key that works indefinitely on a partitioned instance."""
+    unconfirmed_s = [0.0]
 
     async def test(gateway):
         key = {**gateway.daemon.view.get("key", "roster-1").body, "offline_grace_s": 5.0}
         gateway.daemon.view.apply(Record("key", "roster-1", 1, 100, key))
-        assert (await gateway.post(PATH, ROSTER_HEADERS)).status == 200
-        cut_off[0] = 5.5
-        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 401, "key_rejected")
-        assert (await gateway.post(PATH, {"X-Team-Key": "other-key"})).status == 200
+        assert (await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)).status == 200
+        unconfirmed_s[0] = 5.5
+        assert_error(await gateway.post(REQUESTS_PATH, ROSTER_HEADERS), 401, "key_rejected")
+        assert (await gateway.post(REQUESTS_PATH, {"X-Team-Key": "other-key"})).status == 200
 
-    with_gateway(test, records_unconfirmed_s=lambda: cut_off[0])
+    with_gateway(test, records_unconfirmed_s=lambda: unconfirmed_s[0])
 
 
-def test_caller_keys_are_scoped_by_team_and_have_a_fixed_home():
-    """Guard against one team getting another's answer, and a key with two homes."""
+def test_idempotency_keys_are_scoped_by_team_and_have_a_fixed_home_shard():
+    """Guard against responses of another team, and against a key with two home shards."""
 
     async def test(gateway):
-        for headers in (keyed(), keyed(), keyed(**{"X-Team-Key": "other-key"})):
-            assert (await gateway.post(PATH, headers)).status == 200
+        for headers in (
+            idempotent_headers(),
+            idempotent_headers(),
+            idempotent_headers(**{"X-Team-Key": "other-key"}),
+        ):
+            assert (await gateway.post(REQUESTS_PATH, headers)).status == 200
         first, repeat, other = gateway.daemon.routed
         assert first.request_id == repeat.request_id == "roster/key/k1"
         assert first.shard == repeat.shard
         assert other.request_id == "other/key/k1"
         assert not first.first_attempt
         assert first.first_sent_at == pytest.approx(first.task.deadline - 600.0)
-        assert (await gateway.post(CHECKS, keyed())).status == 200
+        assert (await gateway.post(OPEN_QUEUE_PATH, idempotent_headers())).status == 200
         assert gateway.daemon.routed[-1].shard == "s1"
 
     with_gateway(test)
 
 
-def test_generated_ids_have_their_home_in_the_own_data_centre():
-    """Guard against requests without a key crossing data centres for no reason."""
+def test_generated_ids_have_their_home_shard_in_the_local_data_centre():
+    """Guard against requests without an idempotency key that cross data centres needlessly."""
 
     async def test(gateway):
         for _ in range(20):
-            await gateway.post(PATH, ROSTER_HEADERS)
+            await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert {req.shard for req in gateway.daemon.routed} == {"n1", "n2"}
         assert all(req.first_attempt for req in gateway.daemon.routed)
-        await gateway.post(CHECKS)
+        await gateway.post(OPEN_QUEUE_PATH)
         assert gateway.daemon.routed[-1].shard == "s1"
 
     with_gateway(test)
 
 
-def test_headers_reach_the_task():
-    """Guard against a header that is read but has no effect."""
+def test_headers_set_the_fields_of_the_task():
+    """Guard against a header that is parsed but has no effect."""
 
     async def test(gateway):
         now = time.time()
-        headers = keyed(
+        headers = idempotent_headers(
             **{
                 "X-Idempotent": "true",
                 "X-Urgency": "urgent",
@@ -145,7 +153,7 @@
                 "Idempotency-First-Sent": f"{now - 1:.3f}",
             }
         )
-        assert (await gateway.post(PATH, headers)).status == 200
+        assert (await gateway.post(REQUESTS_PATH, headers)).status == 200
         (req,) = gateway.daemon.routed
         assert (req.task.idempotent, req.task.urgency) == (True, Urgency.URGENT)
         assert (req.task.resources.cpu_milli, req.task.resources.slots) == (1500, 2)
@@ -175,11 +183,11 @@
         ("Idempotency-First-Sent", "soon"),
     ],
 )
-def test_unusable_headers_are_refused_by_name(name, value):
+def test_invalid_headers_are_refused_by_name(name, value):
     """Guard against a header that crashes the handler or is silently ignored."""
 
     async def test(gateway):
-        reply = await gateway.post(PATH, keyed(**{name: value}))
+        reply = await gateway.post(REQUESTS_PATH, idempotent_headers(**{name: value}))
         assert_error(reply, 400, "bad_request")
         assert [problem["path"] for problem in reply.json["problems"]] == [name]
         assert gateway.daemon.routed == []
@@ -187,50 +195,60 @@
     with_gateway(test)
 
 
-def test_deadlines_and_kinds_that_cannot_be_served_are_refused():
-    """Guard against work that is queued although nobody can use its answer."""
+def test_requests_that_cannot_be_served_are_refused():
+    """Guard against work that is queued although its response would be of no use."""
 
     async def test(gateway):
-        assert_error(await gateway.post(PATH, keyed(ahead_s=-1)), 408, "deadline_passed")
-        assert_error(await gateway.post(PATH, keyed(ahead_s=700)), 400, "deadline_too_far")
-        without = {**ROSTER_HEADERS, "Idempotency-Key": "k"}
-        assert_error(await gateway.post(PATH, without), 400, "bad_request")
-        future = keyed(**{"Idempotency-First-Sent": f"{time.time() + 30:.3f}"})
-        assert_error(await gateway.post(PATH, future), 400, "bad_request")
+        assert_error(
+            await gateway.post(REQUESTS_PATH, idempotent_headers(deadline_in_s=-1)),
+            408,
+            "deadline_passed",
+        )
+        assert_error(
+            await gateway.post(REQUESTS_PATH, idempotent_headers(deadline_in_s=700)),
+            400,
+            "deadline_too_far",
+        )
+        without_deadline = {**ROSTER_HEADERS, "Idempotency-Key": "k"}
+        assert_error(await gateway.post(REQUESTS_PATH, without_deadline), 400, "bad_request")
+        future = idempotent_headers(**{"Idempotency-First-Sent": f"{time.time() + 30:.3f}"})
+        assert_error(await gateway.post(REQUESTS_PATH, future), 400, "bad_request")
         reply = await gateway.post("/v1/queues/reports/requests", ROSTER_HEADERS)
         assert_error(reply, 403, "forbidden")
         for name in ("n1", "n2", "s1"):
             revision = gateway.daemon.view.revision + 1
             gateway.daemon.view.apply(Record("shard", name, 1, revision, None))
-        assert_error(await gateway.post(PATH, ROSTER_HEADERS), 503, "shard_unavailable")
+        assert_error(await gateway.post(REQUESTS_PATH, ROSTER_HEADERS), 503, "shard_unavailable")
         assert gateway.daemon.routed == []
 
     with_gateway(test)
 
 
-def test_paths_methods_and_bytes_that_make_no_sense_get_typed_errors():
-    """Guard against error pages that callers cannot read."""
+def test_unknown_paths_and_methods_and_malformed_bytes_get_json_errors():
+    """Guard against HTML error pages, which callers cannot parse."""
 
     async def test(gateway):
         for listener in ("callers", "admin"):
             for method in ("GET", "POST", "PUT", "DELETE", "PATCH"):
                 reply = await gateway.call(listener, method, "/nothing", None, b"")
                 assert_error(reply, 404, "not_found")
-            raw = await gateway.raw(listener, b"\x16\x03\x01 no HTTP\r\n\r\n")
+            raw = await gateway.send_raw(listener, b"\x16\x03\x01 no HTTP\r\n\r\n")
             assert raw.startswith(b"HTTP/1.1 400 ")
             assert b'"kind":"bad_request"' in raw
-        assert_error(await gateway.call("callers", "GET", PATH), 405, "method_not_allowed")
-        odd = await gateway.raw("callers", b"BREW /v1/jobs HTTP/1.0\r\n\r\n")
-        assert b'"kind":"method_not_allowed"' in odd
+        assert_error(
+            await gateway.call("callers", "GET", REQUESTS_PATH), 405, "method_not_allowed"
+        )
+        unknown_method = await gateway.send_raw("callers", b"BREW /v1/jobs HTTP/1.0\r\n\r\n")
+        assert b'"kind":"method_not_allowed"' in unknown_method
         assert_error(
             await gateway.post("/v1/queues/%ff/requests", ROSTER_HEADERS), 400, "bad_request"
         )
-        assert (await gateway.post(PATH, ROSTER_HEADERS, b"still served")).status == 200
+        assert (await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"still served")).status == 200
 
     with_gateway(test)
 
 
-def test_a_fault_of_the_daemon_leaves_the_outcome_open():
+def test_internal_error_leaves_the_outcome_unknown():
     """Guard against `not_run` for a request that may have run, and against leaked internals."""
 
     async def answer(req):
@@ -238,7 +256,7 @@
 
     async def test(gateway):
         gateway.daemon.answer = answer
-        reply = await gateway.post(PATH, ROSTER_HEADERS)
+        reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert_error(reply, 500, "internal", "unknown")
         assert b"secret" not in reply.body
         assert gateway.callers.open_requests.count == 0
@@ -246,20 +264,20 @@
     with_gateway(test)
 
 
-def test_a_refusal_carries_its_outcome_and_the_time_to_retry():
-    """Guard against an outcome that is lost between the owner and the caller."""
+def test_refusal_returns_its_outcome_and_retry_time_and_is_counted():
+    """Guard against an outcome that is lost between the shard owner and the caller."""
 
     async def answer(req):
         return Refusal(ErrorKind.OUTCOME_UNKNOWN, "gone", Outcome.UNKNOWN, "check it", 1.2)
 
     async def test(gateway):
         gateway.daemon.answer = answer
-        reply = await gateway.post(PATH, ROSTER_HEADERS)
+        reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert_error(reply, 504, "outcome_unknown", "unknown")
         assert (reply.headers["Retry-After"], reply.json["retry_after"]) == ("2", 1.2)
         content, _ = gateway.callers.metrics.exposition()
         assert b'kind="outcome_unknown",team="roster"' in content
-        await gateway.post(PATH, {"X-Team-Key": "bad"})
+        await gateway.post(REQUESTS_PATH, {"X-Team-Key": "bad"})
         content, _ = gateway.callers.metrics.exposition()
         assert b'requests_total{result="outcome_unknown",team="roster"} 1' in content
         assert b'requests_total{result="key_rejected",team="none"} 1' in content
@@ -268,53 +286,59 @@
     with_gateway(test)
 
 
-def test_oversize_bodies_are_refused_and_the_connection_limit_holds():
-    """Guard against memory used up by one caller, and a refusal that the caller cannot read."""
-    head = f"POST {PATH} HTTP/1.1\r\nHost: here\r\nX-Team-Key: roster-key\r\n"
+def test_oversized_bodies_are_refused_and_discarded_up_to_a_limit():
+    """Guard against one caller exhausting the memory, and a refusal that it cannot read."""
+    request_head = f"POST {REQUESTS_PATH} HTTP/1.1\r\nHost: here\r\nX-Team-Key: roster-key\r\n"
 
     async def test(gateway):
-        assert (await gateway.post(PATH, ROSTER_HEADERS, b"x" * 1000)).status == 200
-        assert_error(await gateway.post(PATH, ROSTER_HEADERS, b"x" * 1001), 413, "body_too_large")
+        assert (await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"x" * 1000)).status == 200
+        assert_error(
+            await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"x" * 1001), 413, "body_too_large"
+        )
         for length in (b"5000", b"9" * 30):
-            raw = await gateway.raw(
-                "callers", head.encode() + b"Content-Length: " + length + b"\r\n\r\n"
+            raw = await gateway.send_raw(
+                "callers", request_head.encode() + b"Content-Length: " + length + b"\r\n\r\n"
             )
             assert raw.startswith(b"HTTP/1.1 413 ")
         chunk = b"400\r\n" + b"x" * 0x400 + b"\r\n"
-        chunked = head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 5
-        assert (await gateway.raw("callers", chunked)).startswith(b"HTTP/1.1 413 ")
+        chunked = request_head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 5
+        assert (await gateway.send_raw("callers", chunked)).startswith(b"HTTP/1.1 413 ")
         assert len(gateway.daemon.routed) == 1
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(max_body_bytes=1000))
 
 
-def test_slow_senders_get_an_answer_and_disturb_no_other_caller():
-    """Guard against connections that are held open for ever, and requests counted for ever."""
-    head = f"POST {PATH} HTTP/1.1\r\nHost: here\r\nX-Team-Key: roster-key\r\n".encode()
+def test_slow_clients_time_out_without_affecting_other_callers():
+    """Guard against connections that stay open, and requests that stay counted, indefinitely."""
+    request_head = (
+        f"POST {REQUESTS_PATH} HTTP/1.1\r\nHost: here\r\nX-Team-Key: roster-key\r\n".encode()
+    )
 
     async def test(gateway):
         slow_body = asyncio.create_task(
-            gateway.raw("callers", head + b"Content-Length: 10\r\n\r\nabc")
+            gateway.send_raw("callers", request_head + b"Content-Length: 10\r\n\r\nabc")
         )
-        slow_head = asyncio.create_task(gateway.raw("callers", head))
-        gone = asyncio.create_task(
-            gateway.raw("callers", head + b"Content-Length: 10\r\n\r\nabc", close=True)
+        slow_head = asyncio.create_task(gateway.send_raw("callers", request_head))
+        disconnected = asyncio.create_task(
+            gateway.send_raw(
+                "callers", request_head + b"Content-Length: 10\r\n\r\nabc", close=True
+            )
         )
-        assert (await gateway.post(PATH, ROSTER_HEADERS, b"fast")).body == b"fast"
-        late = await slow_body
-        assert late.startswith(b"HTTP/1.1 408 ")
-        assert b'"kind":"request_timeout"' in late
+        assert (await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"fast")).body == b"fast"
+        late_response = await slow_body
+        assert late_response.startswith(b"HTTP/1.1 408 ")
+        assert b'"kind":"request_timeout"' in late_response
         assert await slow_head == b""
-        await gone
+        await disconnected
         assert [req.task.payload for req in gateway.daemon.routed] == [b"fast"]
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(body_timeout_s=1.0, idle_timeout_s=1.0))
 
 
-def test_a_drain_finishes_open_requests_and_refuses_new_ones():
-    """Guard against a planned stop that cuts a request or never ends."""
+def test_drain_finishes_open_requests_and_refuses_new_ones():
+    """Guard against a graceful shutdown that aborts a request or never ends."""
 
     async def test(gateway):
         open_requests = gateway.callers.open_requests
@@ -326,14 +350,14 @@
             return Answer(req.request_id, 200, b"done" * 100_000)
 
         gateway.daemon.answer = answer
-        running = asyncio.create_task(gateway.post(PATH, ROSTER_HEADERS))
+        running = asyncio.create_task(gateway.post(REQUESTS_PATH, ROSTER_HEADERS))
         await arrived.wait()
         assert (await gateway.call("callers", "GET", "/readyz")).status == 200
         open_requests.leave_balancer()
         assert_error(await gateway.call("callers", "GET", "/readyz"), 503, "draining")
         drained = asyncio.create_task(open_requests.wait_drained())
         open_requests.begin_drain()
-        refused = await gateway.post(PATH, ROSTER_HEADERS)
+        refused = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert_error(refused, 503, "draining")
         assert refused.headers["Connection"] == "close"
         assert (open_requests.count, drained.done()) == (1, False)
@@ -345,8 +369,8 @@
     with_gateway(test)
 
 
-def test_a_caller_that_goes_away_does_not_end_its_request_early():
-    """Guard against a drain that ends while work for a lost caller still runs."""
+def test_request_of_a_disconnected_caller_stays_open_until_it_has_ended():
+    """Guard against a drain that ends while the request of a disconnected caller still runs."""
 
     async def test(gateway):
         arrived, finish = asyncio.Event(), asyncio.Event()
@@ -358,12 +382,12 @@
 
         gateway.daemon.answer = answer
         _, writer = await asyncio.open_connection("127.0.0.1", gateway.ports["callers"])
-        head = f"POST {PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
-        writer.write(head.encode() + b"Content-Length: 0\r\n\r\n")
+        request_head = f"POST {REQUESTS_PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
+        writer.write(request_head.encode() + b"Content-Length: 0\r\n\r\n")
         await arrived.wait()
         writer.transport.abort()
         gateway.callers.open_requests.begin_drain()
-        assert (await gateway.post(PATH, ROSTER_HEADERS)).json["kind"] == "draining"
+        assert (await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)).json["kind"] == "draining"
         assert gateway.callers.open_requests.count == 1
         finish.set()
         await gateway.callers.open_requests.wait_drained()
@@ -371,7 +395,7 @@
     with_gateway(test)
 
 
-def test_a_caller_that_does_not_read_its_answer_cannot_hold_up_a_drain():
+def test_caller_that_does_not_read_its_response_cannot_block_a_drain():
     """Guard against an instance that never stops because one caller has stalled."""
 
     async def answer(req):
@@ -380,8 +404,8 @@
     async def test(gateway):
         gateway.daemon.answer = answer
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.ports["callers"])
-        head = f"POST {PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
-        writer.write(head.encode() + b"Content-Length: 0\r\n\r\n")
+        request_head = f"POST {REQUESTS_PATH} HTTP/1.1\r\nX-Team-Key: roster-key\r\nHost: h\r\n"
+        writer.write(request_head.encode() + b"Content-Length: 0\r\n\r\n")
         await reader.readexactly(8)
         gateway.callers.open_requests.begin_drain()
         assert gateway.callers.open_requests.count == 1
--- a/baobabhoist/tests/test_gateway_guides.py
+++ b/baobabhoist/tests/test_gateway_guides.py
@@ -1,4 +1,4 @@
-"""Hold the examples and tables of the guides against the program."""
+"""Check the examples and tables of the guides against the code."""
 
 import re
 from pathlib import Path
@@ -16,18 +16,18 @@
 from baobabhoist.records.view import Record, RecordView
 
 DOCS = Path(__file__).parents[2] / "docs"
-CALLERS = (DOCS / "callers-guide.md").read_text(encoding="utf-8")
-OPERATORS = (DOCS / "operators-guide.md").read_text(encoding="utf-8")
+CALLERS_GUIDE = (DOCS / "callers-guide.md").read_text(encoding="utf-8")
+OPERATORS_GUIDE = (DOCS / "operators-guide.md").read_text(encoding="utf-8")
 
 
-def blocks(text):
-    """Return the indented blocks of a page."""
-    found = re.findall(r"(?:^(?: {4}.*)?\n)+", text, re.MULTILINE)
-    lines = [re.sub(r"^ {4}", "", block, flags=re.MULTILINE).strip("\n") for block in found]
+def code_blocks(text):
+    """Return the indented code blocks of a page."""
+    blocks = re.findall(r"(?:^(?: {4}.*)?\n)+", text, re.MULTILINE)
+    lines = [re.sub(r"^ {4}", "", block, flags=re.MULTILINE).strip("\n") for block in blocks]
     return [block for block in lines if block]
 
 
-def commands(text):
+def command_words(text):
     for line in text.splitlines():
         words = line.split()
         if line.startswith("    ") and "baobabhoist" in words[:1]:
@@ -35,9 +35,9 @@
             yield [word for word in line.split()[1:] if not word.startswith("--")]
 
 
-def test_the_records_of_the_operators_guide_are_accepted():
-    """Guard against an operator copying an example that is refused."""
-    (block,) = [block for block in blocks(OPERATORS) if block.startswith("kind:")]
+def test_records_of_the_operators_guide_are_accepted():
+    """Guard against an example in the guide that the API refuses."""
+    (block,) = [block for block in code_blocks(OPERATORS_GUIDE) if block.startswith("kind:")]
     text, _, _ = block.partition("\nbaobabhoist")
     view = RecordView()
     for revision, record in enumerate(yaml.safe_load_all(text), 1):
@@ -48,30 +48,32 @@
     assert {kind for kind, _ in view.records} == set(RecordKind)
 
 
-def test_the_jobs_of_the_callers_guide_are_accepted():
-    """Guard against a submitter copying an example that is refused."""
+def test_jobs_of_the_callers_guide_are_accepted():
+    """Guard against an example in the guide that the API refuses."""
     jobs = re.findall(
-        r'^\{\s*"queue".*?^\}$|^\{"queue".*\}$', "\n".join(blocks(CALLERS)), re.M | re.S
+        r'^\{\s*"queue".*?^\}$|^\{"queue".*\}$', "\n".join(code_blocks(CALLERS_GUIDE)), re.M | re.S
     )
     assert len(jobs) == 2
     assert all(isinstance(parse_job(job.encode()), JobSubmission) for job in jobs)
 
 
-@pytest.mark.parametrize("words", [*commands(CALLERS), *commands(OPERATORS)], ids=" ".join)
-def test_the_commands_of_the_guides_exist(words):
-    """Guard against a documented command that is a usage error."""
+@pytest.mark.parametrize(
+    "words", [*command_words(CALLERS_GUIDE), *command_words(OPERATORS_GUIDE)], ids=" ".join
+)
+def test_commands_of_the_guides_exist(words):
+    """Guard against a documented command that the tool rejects as a usage error."""
     find_command(words)
 
 
-def test_the_tables_of_the_callers_guide_are_complete():
-    """Guard against a kind of error, an exit code or a header that callers cannot look up."""
+def test_tables_and_limits_of_the_callers_guide_match_the_code():
+    """Guard against an undocumented kind of error or exit code, and against wrong limits."""
     statuses = {}
-    for status, kinds in re.findall(r"^\| (\d{3}) \| (.*) \|$", CALLERS, re.MULTILINE):
+    for status, kinds in re.findall(r"^\| (\d{3}) \| (.*) \|$", CALLERS_GUIDE, re.MULTILINE):
         statuses.update({kind: int(status) for kind in re.findall(r"`([a-z_]+)`", kinds)})
     assert statuses == {kind.value: HTTP_STATUS[kind] for kind in ErrorKind}
-    codes = re.findall(r"^\| (\d) \| ", CALLERS, re.MULTILINE)
+    codes = re.findall(r"^\| (\d) \| ", CALLERS_GUIDE, re.MULTILINE)
     assert [int(code) for code in codes] == [code.value for code in ExitCode]
     limits = HttpLimits()
-    assert f"within {limits.idle_timeout_s:g} s is closed" in CALLERS
-    assert f"arrive within {limits.body_timeout_s:g} s" in CALLERS
-    assert f"be read within {limits.write_timeout_s:g} s" in CALLERS
+    assert f"within {limits.idle_timeout_s:g} s is closed" in CALLERS_GUIDE
+    assert f"arrive within {limits.body_timeout_s:g} s" in CALLERS_GUIDE
+    assert f"be read within {limits.write_timeout_s:g} s" in CALLERS_GUIDE
--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -1,4 +1,4 @@
-"""Hold the description of the APIs against the handlers, and feed both malformed input."""
+"""Check the OpenAPI description against the handlers, and send malformed input to both APIs."""
 
 import asyncio
 import json
@@ -24,13 +24,13 @@
 from baobabhoist.tests.test_records_schema import JSON
 
 METHODS = ("get", "put", "post", "delete", "patch", "head", "options")
-DESCRIPTION = yaml.safe_load(
+OPENAPI = yaml.safe_load(
     (Path(baobabhoist.gateway.__file__).parent / "openapi.yaml").read_text(encoding="utf-8")
 )
-SCHEMA = DESCRIPTION["components"]["schemas"]
+OPENAPI_SCHEMAS = OPENAPI["components"]["schemas"]
 
 
-def handled(gateway):
+def handled_endpoints(gateway):
     for listener, app in gateway.apps.items():
         for rule in app.wildcard_router.rules:
             pattern = rule.matcher.regex.pattern.removesuffix("$")
@@ -40,36 +40,36 @@
                     yield listener, method, path
 
 
-def described():
-    for path, item in DESCRIPTION["paths"].items():
+def described_endpoints():
+    for path, item in OPENAPI["paths"].items():
         for method in METHODS:
             for listener in item.get(method, {}).get("x-listeners", []):
                 yield listener, method, re.sub(r"{[a-z]+}", "{}", path)
 
 
 def test_every_path_and_method_is_described_and_handled():
-    """Guard against a description that promises more or less than the handlers do."""
-    assert sorted(described()) == sorted(handled(Gateway()))
+    """Guard against endpoints that are described but not handled, and the reverse."""
+    assert sorted(described_endpoints()) == sorted(handled_endpoints(Gateway()))
 
 
 def test_every_operation_describes_its_errors():
-    """Guard against an operation whose callers do not know the error body."""
-    for item in DESCRIPTION["paths"].values():
+    """Guard against an operation without a description of its error body."""
+    for item in OPENAPI["paths"].values():
         for method in METHODS:
             if method in item:
                 errors = item[method]["responses"]["default"]
                 assert errors == {"$ref": "#/components/responses/Error"}
 
 
-def test_the_error_schema_matches_the_errors():
-    """Guard against a kind or a field of errors that the description does not know."""
-    error = SCHEMA["Error"]
+def test_error_schema_matches_the_errors():
+    """Guard against a kind or a field of errors that the description lacks."""
+    error = OPENAPI_SCHEMAS["Error"]
     assert error["properties"]["kind"]["enum"] == [kind.value for kind in ErrorKind]
     assert error["properties"]["outcome"]["enum"] == [outcome.value for outcome in Outcome]
     assert list(Refusal(ErrorKind.CONFLICT, "m").as_body()) == error["required"]
-    full = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).as_body()
-    assert list(full) == list(error["properties"])
-    assert list(full["problems"][0]) == error["properties"]["problems"]["items"]["required"]
+    error_body = Refusal(ErrorKind.CONFLICT, "m", problems=(Problem("p", "m"),)).as_body()
+    assert list(error_body) == list(error["properties"])
+    assert list(error_body["problems"][0]) == error["properties"]["problems"]["items"]["required"]
 
 
 def assert_same_fields(check, schema):
@@ -80,29 +80,33 @@
 
 
 def test_bodies_have_the_described_fields():
-    """Guard against a described field that is refused, and the reverse."""
+    """Guard against a described field that is refused, and an accepted one not described."""
     for kind, versions in SCHEMAS.items():
         for number, version in versions.items():
-            assert_same_fields(version.check, SCHEMA[f"{kind.value.capitalize()}V{number}"])
-    assert_same_fields(bodies.JOB_SCHEMA, SCHEMA["Job"])
-    assert SCHEMA["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
+            assert_same_fields(
+                version.check, OPENAPI_SCHEMAS[f"{kind.value.capitalize()}V{number}"]
+            )
+    assert_same_fields(bodies.JOB_SCHEMA, OPENAPI_SCHEMAS["Job"])
+    assert OPENAPI_SCHEMAS["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
     assert set(status_body(JobStatus("j", JobState.QUEUED))) == set(
-        SCHEMA["JobStatus"]["required"]
+        OPENAPI_SCHEMAS["JobStatus"]["required"]
     )
     record = as_written(Record("team", "a", 1, 1, {"limit": 1}))
-    assert list(record) == SCHEMA["Record"]["required"]
+    assert list(record) == OPENAPI_SCHEMAS["Record"]["required"]
 
 
-def assert_typed(reply):
+def assert_json_error_if_failed(reply):
     assert reply.status != 500, reply.body
     if reply.status >= 400:
-        assert set(reply.json) >= set(SCHEMA["Error"]["required"]), reply.body
-        assert reply.json["kind"] in SCHEMA["Error"]["properties"]["kind"]["enum"]
+        assert set(reply.json) >= set(OPENAPI_SCHEMAS["Error"]["required"]), reply.body
+        assert reply.json["kind"] in OPENAPI_SCHEMAS["Error"]["properties"]["kind"]["enum"]
         assert reply.json["outcome"] == "not_run"
 
 
-PARTS = st.sampled_from(["team", "queue", "key", "entries", "roster", "job-1", "%00", "%ff", ".."])
-NAMES = PARTS | st.text("azAZ09-_~.", min_size=1, max_size=8)
+PATH_PARTS = st.sampled_from(
+    ["team", "queue", "key", "entries", "roster", "job-1", "%00", "%ff", ".."]
+)
+NAMES = PATH_PARTS | st.text("azAZ09-_~.", min_size=1, max_size=8)
 HEADER_NAMES = st.sampled_from(
     [
         "Idempotency-Key",
@@ -136,27 +140,28 @@
         ]
     )
 )
-ADDRESSES = st.sampled_from(
+ENDPOINTS = st.sampled_from(
     [
         (listener, method, path)
-        for path, item in DESCRIPTION["paths"].items()
+        for path, item in OPENAPI["paths"].items()
         for method in METHODS
         for listener in item.get(method, {}).get("x-listeners", [])
         if path != "/v1/drain"
     ]
 )
 CALLS = st.lists(
-    st.tuples(ADDRESSES, NAMES, st.dictionaries(HEADER_NAMES, HEADER_VALUES, max_size=3), BODIES),
+    st.tuples(ENDPOINTS, NAMES, st.dictionaries(HEADER_NAMES, HEADER_VALUES, max_size=3), BODIES),
     min_size=5,
     max_size=15,
 )
 
 
-# Shrinking starts two servers for each attempt and took over a minute; the calls are few as it is.
+# Shrinking is disabled: each attempt starts two servers, so that it took over a minute, and the
+# lists of calls are short anyway.
 @settings(derandomize=True, deadline=None, max_examples=60, phases=[Phase.generate])
 @given(CALLS)
-def test_malformed_input_gets_typed_errors_only(calls):
-    """Guard against input that reaches a fault, or that disturbs the requests after it."""
+def test_malformed_input_gets_only_json_errors(calls):
+    """Guard against input that causes an internal error or affects later requests."""
 
     async def run():
         async with Gateway() as gateway:
@@ -167,9 +172,11 @@
                 reply = await gateway.call(
                     listener, method.upper(), target, {**headers, **key}, sent
                 )
-                assert_typed(reply)
-            fine = await gateway.post("/v1/queues/entries/requests", ROSTER_HEADERS, b"fine")
-            assert (fine.status, fine.body) == (200, b"fine")
+                assert_json_error_if_failed(reply)
+            valid_reply = await gateway.post(
+                "/v1/queues/entries/requests", ROSTER_HEADERS, b"fine"
+            )
+            assert (valid_reply.status, valid_reply.body) == (200, b"fine")
             assert gateway.callers.open_requests.count == 0
 
     asyncio.run(run())
--- a/baobabhoist/tests/test_gateway_tls.py
+++ b/baobabhoist/tests/test_gateway_tls.py
@@ -29,8 +29,8 @@
     return context
 
 
-async def ask(reader, writer):
-    """Return the status line; an empty one if the server closed the connection."""
+async def fetch_status_line(reader, writer):
+    """Send a request and return the status line of the response."""
     writer.write(REQUEST)
     head = await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(len("hello"))
@@ -41,7 +41,7 @@
     return await asyncio.open_connection("127.0.0.1", port, ssl=context)
 
 
-def subject_of(writer):
+def peer_common_name(writer):
     return dict(pair[0] for pair in writer.get_extra_info("peercert")["subject"])["commonName"]
 
 
@@ -67,34 +67,38 @@
     asyncio.run(run())
 
 
-def test_a_replaced_certificate_serves_new_connections_and_keeps_old_ones(files):
-    """Guard against a reload that cuts a connection, has no effect or looks like wrong usage."""
+def test_replaced_certificate_serves_new_connections_and_keeps_old_ones(files):
+    """Guard against a reload that drops connections or has no effect.
+
+    A client that does not trust the certificate must report an unreachable instance, not a usage
+    error.
+    """
     authority, certificate, key, ca = files
     tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key)))
     context = client_context(ca)
 
     async def body(port):
         old = await connect(port, context)
-        assert subject_of(old[1]) == "first"
+        assert peer_common_name(old[1]) == "first"
         authority.issue("second", certificate, key)
         assert tls.reload_if_changed()
         assert not tls.reload_if_changed()
         new = await connect(port, context)
-        assert subject_of(new[1]) == "second"
-        assert await ask(*old) == await ask(*new) == "HTTP/1.1 200 OK"
+        assert peer_common_name(new[1]) == "second"
+        assert await fetch_status_line(*old) == await fetch_status_line(*new) == "HTTP/1.1 200 OK"
         for _, writer in (old, new):
             writer.close()
 
-        untrusting = Client(f"https://127.0.0.1:{port}", "X-Team-Key")
+        untrusting_client = Client(f"https://127.0.0.1:{port}", "X-Team-Key")
         with pytest.raises(UnreachableError, match="certificate verify failed") as caught:
-            await asyncio.to_thread(untrusting.send, "GET", "/")
+            await asyncio.to_thread(untrusting_client.send, "GET", "/")
         assert not caught.value.possibly_received
 
     run_with_server(tls, body)
 
 
-def test_a_half_replaced_certificate_leaves_the_old_one_in_use(files, tmp_path):
-    """Guard against a listener that stops because only one of two files was replaced."""
+def test_mismatched_certificate_and_key_leave_the_old_ones_in_use(files, tmp_path):
+    """Guard against a listener that fails because only one of two files was replaced."""
     authority, certificate, key, ca = files
     tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key)))
     new_key = tmp_path / "new.key"
@@ -103,12 +107,12 @@
 
     async def body(port):
         _, writer = await connect(port, client_context(ca))
-        assert subject_of(writer) == "first"
+        assert peer_common_name(writer) == "first"
         writer.close()
         new_key.rename(key)
         assert tls.reload_if_changed()
         _, writer = await connect(port, client_context(ca))
-        assert subject_of(writer) == "second"
+        assert peer_common_name(writer) == "second"
         writer.close()
 
     run_with_server(tls, body)
@@ -116,38 +120,38 @@
 
 @pytest.mark.parametrize("version", [ssl.TLSVersion.TLSv1_2, ssl.TLSVersion.TLSv1_3])
 def test_client_certificates_are_checked_against_the_newest_authorities(files, tmp_path, version):
-    """Guard against clients without a certificate, or with one of a withdrawn authority."""
+    """Guard against access without a certificate or with one of a removed authority."""
     _, certificate, key, ca = files
     old, new = Authority("old clients"), Authority("new clients")
     clients = tmp_path / "clients.pem"
     old.write(clients)
-    old_id = old.issue("old", tmp_path / "old.pem", tmp_path / "old.key")
-    new_id = new.issue("new", tmp_path / "new.pem", tmp_path / "new.key")
+    old_identity = old.issue("old", tmp_path / "old.pem", tmp_path / "old.key")
+    new_identity = new.issue("new", tmp_path / "new.pem", tmp_path / "new.key")
     tls = ReloadingTlsContext.load(TlsFiles(str(certificate), str(key), str(clients)))
 
-    async def accepted(port, identity):
+    async def is_accepted(port, identity):
         try:
             reader, writer = await connect(port, client_context(ca, identity, version))
-            status = await ask(reader, writer)
+            status = await fetch_status_line(reader, writer)
         except (ssl.SSLError, ConnectionError, asyncio.IncompleteReadError):
             return False
         writer.close()
         return status == "HTTP/1.1 200 OK"
 
     async def body(port):
-        assert not await accepted(port, None)
-        assert await accepted(port, old_id)
-        assert not await accepted(port, new_id)
+        assert not await is_accepted(port, None)
+        assert await is_accepted(port, old_identity)
+        assert not await is_accepted(port, new_identity)
         new.write(clients)
         assert tls.reload_if_changed()
-        assert await accepted(port, new_id)
-        assert not await accepted(port, old_id)
+        assert await is_accepted(port, new_identity)
+        assert not await is_accepted(port, old_identity)
 
     run_with_server(tls, body)
 
 
-def test_unusable_files_are_named(files, tmp_path):
-    """Guard against an operator searching for the file that is wrong."""
+def test_errors_name_the_unusable_file(files, tmp_path):
+    """Guard against an error that does not tell the operator which file is wrong."""
     _, certificate, key, _ = files
     bad = tmp_path / "bad.pem"
     bad.write_text("no certificate")
