--- a/baobabhoist/cli/jobs.py
+++ b/baobabhoist/cli/jobs.py
@@ -83,28 +83,28 @@
 def wait_for_job(
     client: Client,
     job_id: str,
-    wait_until: float | None,
+    wait_deadline: float | None,
     progress: Callable[[dict[str, Any]], None],
 ) -> CommandResult:
-    """Wait until a job has ended; `wait_until` is in Unix seconds, or None to wait forever."""
+    """Wait until a job has ended; `wait_deadline` is in Unix seconds, or None to wait forever."""
     while True:
-        job = _poll_status(client, job_id, wait_until)
+        job = _poll_status(client, job_id, wait_deadline)
         if job["state"] in EXIT_CODE_BY_FINAL_STATE:
             return CommandResult(job, format_job(job), EXIT_CODE_BY_FINAL_STATE[job["state"]])
         progress(job)
-        if wait_until is not None and time.time() + POLL_INTERVAL_S > wait_until:
+        if wait_deadline is not None and time.time() + POLL_INTERVAL_S > wait_deadline:
             return CommandResult(job, format_job(job), ExitCode.STILL_RUNNING)
         time.sleep(POLL_INTERVAL_S)
 
 
-def _poll_status(client: Client, job_id: str, wait_until: float | None) -> dict[str, Any]:
+def _poll_status(client: Client, job_id: str, wait_deadline: float | None) -> dict[str, Any]:
     """Return the state of a job; retries, because an instance may be replaced meanwhile."""
     while True:
         try:
             job: dict[str, Any] = client.request_json("GET", url_path("v1", "jobs", job_id))
             return job
         except UnreachableError:
-            if wait_until is None or time.time() + POLL_INTERVAL_S > wait_until:
+            if wait_deadline is None or time.time() + POLL_INTERVAL_S > wait_deadline:
                 raise
         time.sleep(POLL_INTERVAL_S)
 
--- a/baobabhoist/cli/main.py
+++ b/baobabhoist/cli/main.py
@@ -93,10 +93,10 @@
 
 
 def _wait_for_job(args: Sequence[str]) -> CommandResult:
-    wait_until = None if FLAGS.wait_s is None else time.time() + FLAGS.wait_s
+    wait_deadline = None if FLAGS.wait_s is None else time.time() + FLAGS.wait_s
     try:
         return jobs.wait_for_job(
-            options.make_job_client(), args[0], wait_until, jobs.show_progress
+            options.make_job_client(), args[0], wait_deadline, jobs.show_progress
         )
     finally:
         jobs.clear_progress()
--- a/baobabhoist/cli/options.py
+++ b/baobabhoist/cli/options.py
@@ -29,7 +29,7 @@
 flags.DEFINE_float("deadline_s", 30.0, "Deadline of a request in seconds from now.", 0.1)
 flags.DEFINE_bool("idempotent", False, "Whether a request may run again if its response is lost.")
 flags.DEFINE_enum("urgency", "normal", ["normal", "urgent"], "Urgency of a request.")
-flags.DEFINE_integer("cpu_milli", 0, "Millicores of CPU that a request needs.", 0)
+flags.DEFINE_integer("cpu_milli", 0, "CPU in millicores that a request needs.", 0)
 flags.DEFINE_integer("memory_mb", 0, "Memory in MB that a request needs.", 0)
 flags.DEFINE_integer("accelerators", 0, "Number of accelerators that a request needs.", 0)
 flags.DEFINE_float(
--- a/baobabhoist/gateway/admin.py
+++ b/baobabhoist/gateway/admin.py
@@ -40,7 +40,7 @@
         """Return the state of this instance and the last reports of its peers."""
         if self.receive_body() is None:
             return
-        pending = await read_pending_limits(self.backend.table, self.backend.view.teams())
+        pending_limits = await read_pending_limits(self.backend.table, self.backend.view.teams())
         own_report = _CONVERTER.unstructure(self.backend.heartbeat())
         now = self.now()
         peers = [
@@ -56,7 +56,9 @@
                 "open_requests": open_requests.count,
                 "records_unconfirmed_s": self.options.records_unconfirmed_s(),
                 "pending_limits": (
-                    [attrs.asdict(each) for each in pending] if pending is not None else None
+                    [attrs.asdict(limit) for limit in pending_limits]
+                    if pending_limits is not None
+                    else None
                 ),
                 "peers": peers,
             }
--- a/baobabhoist/gateway/auth.py
+++ b/baobabhoist/gateway/auth.py
@@ -27,13 +27,13 @@
     A key is checked even on a queue open to all: a caller with a rejected key must not run
     work for the public team in the belief that it runs for its own.
     """
-    presented = headers.get(TEAM_KEY_HEADER)
-    if presented is None and queue is not None and queue.open_to_all:
+    presented_key = headers.get(TEAM_KEY_HEADER)
+    if presented_key is None and queue is not None and queue.open_to_all:
         return _public_team(view)
-    if presented is None:
+    if presented_key is None:
         remedy = f"send the header {TEAM_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no team key was sent", remedy=remedy)
-    key = accept(view.key_of(presented), records_unconfirmed_s, TEAM_KEY_HEADER)
+    key = accept(view.key_of(presented_key), records_unconfirmed_s, TEAM_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.team:
@@ -60,20 +60,20 @@
     The key is read from the operator header or from `Authorization: Bearer`, which metrics
     collectors support.
     """
-    presented = headers.get(OPERATOR_KEY_HEADER)
+    presented_key = headers.get(OPERATOR_KEY_HEADER)
     bearer = headers.get("Authorization", "")
-    if presented is None and bearer.startswith(BEARER_PREFIX):
-        presented = bearer.removeprefix(BEARER_PREFIX)
-    if presented is None:
+    if presented_key is None and bearer.startswith(BEARER_PREFIX):
+        presented_key = bearer.removeprefix(BEARER_PREFIX)
+    if presented_key is None:
         remedy = f"send the header {OPERATOR_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no operator key was sent", remedy=remedy)
-    if is_digest_of(digest(presented), settings_digest):
+    if is_digest_of(digest(presented_key), settings_digest):
         return SETTINGS_OPERATOR
-    key = accept(view.key_of(presented), records_unconfirmed_s, OPERATOR_KEY_HEADER)
+    key = accept(view.key_of(presented_key), records_unconfirmed_s, OPERATOR_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.operator:
         remedy = "send an operator key"
         return Refusal(ErrorKind.KEY_REJECTED, "this is a team key", remedy=remedy)
-    names = [name for name, other in view.keys().items() if other is key]
-    return names[0] if names else "operator"
+    matching_names = [name for name, candidate in view.keys().items() if candidate is key]
+    return matching_names[0] if matching_names else "operator"
--- a/baobabhoist/gateway/caller_handler.py
+++ b/baobabhoist/gateway/caller_handler.py
@@ -121,12 +121,12 @@
     )
 
 
-def check_ready(loaded: bool, open_requests: OpenRequests) -> Refusal | None:
+def check_ready(records_loaded: bool, open_requests: OpenRequests) -> Refusal | None:
     """Return why this instance should not receive requests of callers, or None."""
     remedy = "send callers to another instance"
     if open_requests.leaving_balancer:
         return Refusal(ErrorKind.DRAINING, "this instance is being drained", remedy=remedy)
-    if not loaded:
+    if not records_loaded:
         return Refusal(
             ErrorKind.PLATFORM_UNAVAILABLE,
             "this instance has not loaded the records yet",
--- a/baobabhoist/gateway/callers.py
+++ b/baobabhoist/gateway/callers.py
@@ -94,8 +94,8 @@
         return parsed
     deadline = parsed.deadline
     if deadline is None:
-        default_s = queue.default_deadline_s or options.default_deadline_s
-        deadline = now + min(default_s, options.max_deadline_s)
+        default_deadline_s = queue.default_deadline_s or options.default_deadline_s
+        deadline = now + min(default_deadline_s, options.max_deadline_s)
     refusal = check_work_kind(name, queue, WorkKind.REQUEST)
     refusal = refusal or check_deadline(deadline, now, options.max_deadline_s)
     if refusal is None and (parsed.first_sent_at or 0.0) > now + options.clock_skew_s:
--- a/baobabhoist/gateway/drain.py
+++ b/baobabhoist/gateway/drain.py
@@ -22,7 +22,7 @@
     count: int = 0
     leaving_balancer: bool = False
     draining: bool = False
-    _no_open_requests: asyncio.Event = attrs.Factory(asyncio.Event)
+    _drained: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def admit(self) -> Refusal | None:
         """Count a new request, or return the refusal during a drain."""
@@ -52,8 +52,8 @@
 
     async def wait_drained(self) -> None:
         """Wait until the drain has begun and no request is open."""
-        await self._no_open_requests.wait()
+        await self._drained.wait()
 
     def _notify_if_drained(self) -> None:
         if self.draining and self.count == 0:
-            self._no_open_requests.set()
+            self._drained.set()
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -115,8 +115,8 @@
         view = self.backend.view
         records = [
             as_written(record)
-            for each in ([kind] if kind else list(RecordKind))
-            for record in view.of_kind(each)
+            for record_kind in ([kind] if kind else list(RecordKind))
+            for record in view.of_kind(record_kind)
         ]
         bodies = [body for body in records if not isinstance(body, Refusal)]
         self.send_json({"revision": view.revision, "records": bodies})
@@ -192,7 +192,7 @@
         envelope = parse_json(body)
         if isinstance(envelope, Refusal):
             return envelope
-        problems = _envelope_problems(envelope)
+        problems = _find_envelope_problems(envelope)
         if problems:
             return refusal_of(problems, "the change")
         expected_revision = self.parse_expected_revision()
@@ -208,7 +208,7 @@
         )
 
 
-def _envelope_problems(envelope: Any) -> Problems:
+def _find_envelope_problems(envelope: Any) -> Problems:
     remedy = "give an object with the fields schema_version and body"
     if not isinstance(envelope, dict):
         return [Problem("change", "the change is not an object", remedy)]
@@ -263,7 +263,7 @@
         if isinstance(new, Refusal):
             self.refuse(new)
             return
-        before, after = _bodies_to_compare(old, new)
+        before, after = _convert_for_comparison(old, new)
         self.send_json(
             {
                 "from": old.revision,
@@ -286,7 +286,7 @@
         return latest if isinstance(latest, Refusal) else latest[0]
 
 
-def _bodies_to_compare(old: Record, new: Record) -> tuple[Any, Any]:
+def _convert_for_comparison(old: Record, new: Record) -> tuple[Any, Any]:
     """Return both bodies in the newer one's schema version, or in canonical form if that fails."""
     bodies = [as_written(record, new.schema_version) for record in (old, new)]
     if any(isinstance(body, Refusal) for body in bodies):
--- a/baobabhoist/tests/gateway_harness.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -102,7 +102,7 @@
         self.view = RecordView()
         self.ready = True
         self.mesh = self
-        self.routed = []
+        self.routed_requests = []
         self.answer = None
         heartbeat = Heartbeat("entry-2", "south", ("s1",), 3, draining=False)
         address = PeerAddress("entry-2", "south", "127.0.0.1", 1)
@@ -115,7 +115,7 @@
         return Heartbeat("entry-1", "north", ("n1",), self.view.revision, draining=False)
 
     async def route(self, req):
-        self.routed.append(req)
+        self.routed_requests.append(req)
         if self.answer is not None:
             return await self.answer(req)
         return Answer(req.request_id, 200, req.task.payload, "text/plain")
--- a/baobabhoist/tests/test_cli_main.py
+++ b/baobabhoist/tests/test_cli_main.py
@@ -52,7 +52,7 @@
 
 
 def test_records_are_written_read_compared_and_deleted(with_tool, tmp_path):
-    """Guard against output that cannot be put back or parsed."""
+    """Guard against records that cannot be put back as printed, and JSON that cannot be parsed."""
     path = tmp_path / "records.yaml"
 
     async def test(gateway, tool):
@@ -150,7 +150,7 @@
         path.write_bytes(b"lot 7\n")
         code, out, _ = await tool("submit", "request", "entries", str(path), urgency="urgent")
         assert (code, out) == (0, "lot 7\n")
-        assert gateway.daemon.routed[0].task.urgency == "urgent"
+        assert gateway.daemon.routed_requests[0].task.urgency == "urgent"
 
     with_tool(test)
 
--- a/baobabhoist/tests/test_gateway_callers.py
+++ b/baobabhoist/tests/test_gateway_callers.py
@@ -38,7 +38,7 @@
         reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS, b"\x00\xffwhistle")
         assert (reply.status, reply.body) == (200, b"\x00\xffwhistle")
         assert reply.headers["Content-Type"] == "text/plain"
-        assert reply.headers["Request-Id"] == gateway.daemon.routed[0].request_id
+        assert reply.headers["Request-Id"] == gateway.daemon.routed_requests[0].request_id
 
     with_gateway(test)
 
@@ -51,7 +51,7 @@
         gateway.daemon.view = RecordView()
         reply = await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
         assert_error(reply, 503, "platform_unavailable")
-        assert gateway.daemon.routed == []
+        assert gateway.daemon.routed_requests == []
 
     with_gateway(test)
 
@@ -75,7 +75,7 @@
         assert_error(await gateway.post("/v1/queues/none/requests"), 401, "key_missing")
         assert (await gateway.post(OPEN_QUEUE_PATH)).status == 200
         assert (await gateway.post(OPEN_QUEUE_PATH, ROSTER_HEADERS)).status == 200
-        assert [req.task.team for req in gateway.daemon.routed] == ["public", "roster"]
+        assert [req.task.team for req in gateway.daemon.routed_requests] == ["public", "roster"]
         body = {**view.get("key", "roster-1").body, "withdrawn": True}
         view.apply(Record("key", "roster-1", 1, 100, body))
         assert_error(await gateway.post(REQUESTS_PATH, ROSTER_HEADERS), 401, "key_rejected")
@@ -110,14 +110,14 @@
             idempotent_headers(**{"X-Team-Key": "other-key"}),
         ):
             assert (await gateway.post(REQUESTS_PATH, headers)).status == 200
-        first, repeat, other = gateway.daemon.routed
+        first, repeat, other = gateway.daemon.routed_requests
         assert first.request_id == repeat.request_id == "roster/key/k1"
         assert first.shard == repeat.shard
         assert other.request_id == "other/key/k1"
         assert not first.first_attempt
         assert first.first_sent_at == pytest.approx(first.task.deadline - 600.0)
         assert (await gateway.post(OPEN_QUEUE_PATH, idempotent_headers())).status == 200
-        assert gateway.daemon.routed[-1].shard == "s1"
+        assert gateway.daemon.routed_requests[-1].shard == "s1"
 
     with_gateway(test)
 
@@ -128,10 +128,10 @@
     async def test(gateway):
         for _ in range(20):
             await gateway.post(REQUESTS_PATH, ROSTER_HEADERS)
-        assert {req.shard for req in gateway.daemon.routed} == {"n1", "n2"}
-        assert all(req.first_attempt for req in gateway.daemon.routed)
+        assert {req.shard for req in gateway.daemon.routed_requests} == {"n1", "n2"}
+        assert all(req.first_attempt for req in gateway.daemon.routed_requests)
         await gateway.post(OPEN_QUEUE_PATH)
-        assert gateway.daemon.routed[-1].shard == "s1"
+        assert gateway.daemon.routed_requests[-1].shard == "s1"
 
     with_gateway(test)
 
@@ -154,7 +154,7 @@
             }
         )
         assert (await gateway.post(REQUESTS_PATH, headers)).status == 200
-        (req,) = gateway.daemon.routed
+        (req,) = gateway.daemon.routed_requests
         assert (req.task.idempotent, req.task.urgency) == (True, Urgency.URGENT)
         assert (req.task.resources.cpu_milli, req.task.resources.slots) == (1500, 2)
         assert req.task.expected_run_s == 2.5
@@ -190,7 +190,7 @@
         reply = await gateway.post(REQUESTS_PATH, idempotent_headers(**{name: value}))
         assert_error(reply, 400, "bad_request")
         assert [problem["path"] for problem in reply.json["problems"]] == [name]
-        assert gateway.daemon.routed == []
+        assert gateway.daemon.routed_requests == []
 
     with_gateway(test)
 
@@ -219,7 +219,7 @@
             revision = gateway.daemon.view.revision + 1
             gateway.daemon.view.apply(Record("shard", name, 1, revision, None))
         assert_error(await gateway.post(REQUESTS_PATH, ROSTER_HEADERS), 503, "shard_unavailable")
-        assert gateway.daemon.routed == []
+        assert gateway.daemon.routed_requests == []
 
     with_gateway(test)
 
@@ -303,7 +303,7 @@
         chunk = b"400\r\n" + b"x" * 0x400 + b"\r\n"
         chunked = request_head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 5
         assert (await gateway.send_raw("callers", chunked)).startswith(b"HTTP/1.1 413 ")
-        assert len(gateway.daemon.routed) == 1
+        assert len(gateway.daemon.routed_requests) == 1
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(max_body_bytes=1000))
@@ -331,7 +331,7 @@
         assert b'"kind":"request_timeout"' in late_response
         assert await slow_head == b""
         await disconnected
-        assert [req.task.payload for req in gateway.daemon.routed] == [b"fast"]
+        assert [req.task.payload for req in gateway.daemon.routed_requests] == [b"fast"]
         assert gateway.callers.open_requests.count == 0
 
     with_gateway(test, limits=HttpLimits(body_timeout_s=1.0, idle_timeout_s=1.0))
--- a/baobabhoist/tests/test_gateway_jobs.py
+++ b/baobabhoist/tests/test_gateway_jobs.py
@@ -170,12 +170,15 @@
         job = (await gateway.post("/v1/jobs", ROSTER_HEADERS, batch_job())).json["job_id"]
         assert gateway.jobs.specs[job].deadline >= now + 86_400.0
         await gateway.post(path, ROSTER_HEADERS)
-        assert now + 20.0 <= gateway.daemon.routed[0].task.deadline < now + 86_400.0
+        assert now + 20.0 <= gateway.daemon.routed_requests[0].task.deadline < now + 86_400.0
         queue = Record("queue", "entries", 2, 100, {"default_deadline_s": 400.0})
         gateway.daemon.view.apply(queue)
         await gateway.post(path, ROSTER_HEADERS)
         job = (await gateway.post("/v1/jobs", ROSTER_HEADERS, batch_job())).json["job_id"]
-        deadlines = [gateway.daemon.routed[1].task.deadline, gateway.jobs.specs[job].deadline]
+        deadlines = [
+            gateway.daemon.routed_requests[1].task.deadline,
+            gateway.jobs.specs[job].deadline,
+        ]
         assert all(now + 400.0 <= deadline < now + 86_400.0 for deadline in deadlines)
 
     with_gateway(test, default_deadline_s=20.0)
