--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -1,4 +1,4 @@
-"""Decide which shards this instance claims, and run an owner for each."""
+"""Decide which shards this instance claims, and run an owner for each of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import WebSocketException
 
-from baobabhoist.daemon.shard import ShardOwner
+from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
@@ -26,27 +26,27 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.25
-# Peers that run already are heard within this time after a start or a pause.
-LISTEN_S = 1.0
-PAUSE_S = 1.0
-# Each lower rank waits this much longer for the instances ahead of it to claim.
-RANK_DELAY_S = 0.75
-# When a network partition ends, the workers of the other data centre can be reached before its
-# instances are heard: a peer's new link and first heartbeat take up to about 1.5 s.
-REMOTE_DELAY_S = 1.5
-REACH_TIMEOUT_S = 0.5
-REACH_SAMPLE = 3
-HAND_OVER_CALL_S = 2.0
-# A better-placed instance must have been there this long before a shard moves to it.
-REBALANCE_AFTER_S = 20.0
+CLAIM_CHECK_INTERVAL_S = 0.25
+# Heartbeats of all running peers arrive within this time after a start or a pause.
+DISCOVERY_PERIOD_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
+# Each lower rank waits this much longer, so that higher-ranked instances claim first.
+CLAIM_DELAY_PER_RANK_S = 0.75
+# When a network partition ends, the workers of the other data centre are reachable before the
+# heartbeats of its instances arrive: a peer's new link and first heartbeat take up to about 1.5 s.
+REMOTE_CLAIM_DELAY_S = 1.5
+REACHABILITY_TIMEOUT_S = 0.5
+REACHABILITY_SAMPLE_SIZE = 3
+HAND_OVER_TIMEOUT_S = 2.0
+# A higher-ranked instance must have been live this long before a shard moves to it.
+REBALANCE_DELAY_S = 20.0
 
-BUSY_STATES = (ClaimState.PARTIAL, ClaimState.OWNED, ClaimState.HANDING_OVER)
+ACTIVE_STATES = (ClaimState.PARTIAL, ClaimState.OWNED, ClaimState.HANDING_OVER)
 
 
 @attrs.frozen
-class Place:
-    """Say where an instance runs and how large its VM is."""
+class LocalInstance:
+    """Describe this instance, its data centre and the relative size of its VM."""
 
     instance_id: str
     data_centre: str
@@ -54,7 +54,7 @@
 
 
 class Peers(Protocol):
-    """Know and call the other instances."""
+    """Look up and call the other instances."""
 
     def beats(self) -> list[Heartbeat]:
         """Return the last heartbeat of each live peer."""
@@ -67,7 +67,7 @@
 
 
 class Shards(Protocol):
-    """Know the shards of the records."""
+    """Look up shards in the records."""
 
     def names(self) -> list[str]:
         """Return the names of all shards."""
@@ -82,14 +82,14 @@
 MakeOwner = Callable[[ShardClaim, list[WorkerSpec], HandOver | None], ShardOwner]
 
 
-async def reachable(workers: list[WorkerSpec]) -> bool:
-    """Tell whether one of a few workers answers on a new connection."""
-    for spec in random.sample(workers, min(REACH_SAMPLE, len(workers))):
+async def is_any_reachable(workers: list[WorkerSpec]) -> bool:
+    """Return whether one of a random sample of workers accepts a new connection."""
+    for spec in random.sample(workers, min(REACHABILITY_SAMPLE_SIZE, len(workers))):
         try:
-            # Some middleboxes accept a connection that they cannot deliver; only the worker
-            # completes the handshake.
+            # Some middleboxes accept TCP connections for an unreachable host. Only the worker
+            # itself completes the WebSocket handshake.
             async with (
-                asyncio.timeout(REACH_TIMEOUT_S),
+                asyncio.timeout(REACHABILITY_TIMEOUT_S),
                 connect(f"ws://{spec.host}:{spec.port}", **WEBSOCKET_OPTIONS),
             ):
                 return True
@@ -98,66 +98,66 @@
     return False
 
 
-class Owners:
-    """Hold the owner of each shard that this instance has or claims."""
+class OwnershipManager:
+    """Run an owner for each shard that this instance owns or claims."""
 
     def __init__(
         self,
-        place: Place,
+        local: LocalInstance,
         shards: Shards,
         peers: Peers,
         make_owner: MakeOwner,
         *,
         times: ClaimTiming | None = None,
         clock: Callable[[], float] = time.time,
-        reach: Callable[[list[WorkerSpec]], Any] = reachable,
+        is_reachable: Callable[[list[WorkerSpec]], Any] = is_any_reachable,
     ) -> None:
         self.owners: dict[str, ShardOwner] = {}
         self.draining = False
-        self._place = place
+        self._local = local
         self._shards = shards
         self._peers = peers
         self._make_owner = make_owner
         self._times = times or ClaimTiming()
         self._clock = clock
-        self._reach = reach
-        # Two processes that present equal tokens would both be obeyed, so each start of an
-        # instance claims under a name of its own.
-        self._claimant = f"{place.instance_id}~{uuid.uuid4().hex[:8]}"
+        self._is_reachable = is_reachable
+        # Workers would obey two processes that present equal tokens. Each process of an instance
+        # therefore claims under a unique name.
+        self._claimant_id = f"{local.instance_id}~{uuid.uuid4().hex[:8]}"
         self._claims: dict[str, ShardClaim] = {}
-        self._running: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._unowned_since: dict[str, float] = {}
-        self._better_since: dict[str, tuple[str, float]] = {}
-        self._moving: str | None = None
-        self._listen_until = 0.0
+        self._preferred_since: dict[str, tuple[str, float]] = {}
+        self._moving_shard: str | None = None
+        self._discovery_until = 0.0
         self._last_tick = 0.0
 
     async def run(self) -> None:
-        """Claim what should be claimed until cancelled."""
+        """Claim and rebalance shards until cancelled."""
         self._last_tick = self._clock()
-        self._listen_until = self._last_tick + LISTEN_S
+        self._discovery_until = self._last_tick + DISCOVERY_PERIOD_S
         try:
             while True:
                 await self.tick()
-                await asyncio.sleep(INTERVAL_S)
+                await asyncio.sleep(CLAIM_CHECK_INTERVAL_S)
         finally:
-            for task in self._running:
+            for task in self._tasks:
                 task.cancel()
 
     async def tick(self) -> None:
-        """Compare what is owned with what should be."""
+        """Claim shards that this instance should own, and move those that it should not."""
         now = self._clock()
-        if now - self._last_tick > INTERVAL_S + PAUSE_S:
-            # This process was paused: what it knows of its peers is as old as the pause.
-            self._listen_until = now + LISTEN_S
+        if now - self._last_tick > CLAIM_CHECK_INTERVAL_S + PAUSE_THRESHOLD_S:
+            # This process was paused, and its knowledge of its peers is as old as the pause.
+            self._discovery_until = now + DISCOVERY_PERIOD_S
             self._unowned_since.clear()
         self._last_tick = now
-        if self.draining or now < self._listen_until:
+        if self.draining or now < self._discovery_until:
             return
         for shard in self._shards.names():
             if shard in self.owners:
                 self._unowned_since.pop(shard, None)
-                self._consider_moving(shard, now)
+                self._rebalance(shard, now)
             elif await self._should_claim(shard, now):
                 self.claim(shard)
 
@@ -166,30 +166,30 @@
         workers = self._shards.workers_of(shard)
         names = tuple(spec.name for spec in workers)
         claim = self._claims.get(shard)
-        if claim is None or claim.state in BUSY_STATES:
+        if claim is None or claim.state in ACTIVE_STATES:
             seen = claim.highest_token_seen if claim is not None else None
-            claim = ShardClaim(shard, self._claimant, names, times=self._times)
+            claim = ShardClaim(shard, self._claimant_id, names, times=self._times)
             claim.highest_token_seen = seen or claim.highest_token_seen
             self._claims[shard] = claim
         claim.workers = names
         owner = self._make_owner(claim, workers, inherited)
         self.owners[shard] = owner
-        task = asyncio.create_task(self._drive(shard, owner))
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
-
-    def take(self, message: HandOver) -> HandOverTaken:
-        """Take a shard that another instance hands over."""
-        refused = self.draining or message.shard not in self._shards.names()
-        if not refused and message.shard not in self.owners:
+        task = asyncio.create_task(self._run_owner(shard, owner))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def accept_hand_over(self, message: HandOver) -> HandOverTaken:
+        """Claim a shard that another instance hands over, unless this one drains or has it."""
+        is_refused = self.draining or message.shard not in self._shards.names()
+        if not is_refused and message.shard not in self.owners:
             self.claim(message.shard, message)
             return HandOverTaken(message.shard, True)
         return HandOverTaken(message.shard, False)
 
     async def send_hand_over(self, successor: str, message: HandOver) -> bool | None:
-        """Send a shard's queue; tell whether it was taken, None when that is not known."""
+        """Send a shard's queue; return whether it was accepted, or None if that is unknown."""
         try:
-            reply = await self._peers.call(successor, message, HAND_OVER_CALL_S)
+            reply = await self._peers.call(successor, message, HAND_OVER_TIMEOUT_S)
         except NotSentError:
             return False
         except (LinkClosedError, TimeoutError):
@@ -197,50 +197,52 @@
         return isinstance(reply, HandOverTaken) and reply.taken
 
     async def hand_over_all(self) -> None:
-        """Give every shard to the next instance; a shard without a successor is kept."""
+        """Hand every shard over to its next instance; keep shards without a successor."""
         self.draining = True
         for shard, owner in list(self.owners.items()):
-            successor = self.best(shard, others_only=True)
+            successor = self.preferred_instance(shard, others_only=True)
             if successor is not None:
                 await self._hand_over(owner, successor)
 
-    async def finished(self) -> None:
+    async def wait_finished(self) -> None:
         """Wait until no owner is left."""
-        while self._running:
-            await asyncio.wait(set(self._running))
+        while self._tasks:
+            await asyncio.wait(set(self._tasks))
 
     async def release_idle(self) -> None:
-        """Give up the shards that no successor took, once nothing is open in them."""
+        """Release the remaining shards that have no pending requests."""
         for owner in list(self.owners.values()):
-            if not owner.open_requests():
-                await owner.fencing.release()
+            if not owner.pending_count():
+                await owner.claim_driver.release()
 
-    def best(self, shard: str, others_only: bool = False) -> str | None:
+    def preferred_instance(self, shard: str, others_only: bool = False) -> str | None:
         """Return the live instance that should own a shard."""
-        ranked = self._ranked(shard, others_only)
+        ranked = self._rank_candidates(shard, others_only)
         return ranked[0] if ranked else None
 
     async def _hand_over(self, owner: ShardOwner, successor: str) -> None:
-        if await owner.fencing.hand_over(successor):
+        if await owner.claim_driver.hand_over(successor):
             emit(log, Event.HAND_OVER_FINISHED, shard=owner.shard, instance_id=successor)
         else:
-            log.warning("instance %s did not take shard %s", successor, owner.shard)
+            log.warning(
+                "instance %s did not accept the hand-over of shard %s", successor, owner.shard
+            )
 
-    async def _drive(self, shard: str, owner: ShardOwner) -> None:
-        running = asyncio.create_task(owner.run())
-        ended = asyncio.create_task(owner.fencing.ended.wait())
+    async def _run_owner(self, shard: str, owner: ShardOwner) -> None:
+        run_task = asyncio.create_task(owner.run())
+        ended_task = asyncio.create_task(owner.claim_driver.ended.wait())
         try:
-            await asyncio.wait((running, ended), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((run_task, ended_task), return_when=asyncio.FIRST_COMPLETED)
             if self.owners.get(shard) is owner:
                 del self.owners[shard]
-            # The owner still passes on the answers of calls that were open when it ended.
-            await running
+            # The owner still delivers the answers of calls that were in flight when it ended.
+            await run_task
         except Exception as exc:
             log.exception("the owner of shard %s failed", shard)
             emit(log, Event.TASK_CRASHED, detail=repr(exc))
         finally:
-            running.cancel()
-            ended.cancel()
+            run_task.cancel()
+            ended_task.cancel()
             if self.owners.get(shard) is owner:
                 del self.owners[shard]
 
@@ -252,46 +254,48 @@
         since = self._unowned_since.setdefault(shard, now)
         if claim is not None and now < claim.retry_at:
             return False
-        local = self._shards.data_centre_of(shard) == self._place.data_centre
-        position = self._ranked(shard).index(self._place.instance_id)
-        if not local and not await self._reach(self._shards.workers_of(shard)):
-            # A data centre that is cut off from this one serves its shards itself.
+        is_local = self._shards.data_centre_of(shard) == self._local.data_centre
+        position = self._rank_candidates(shard).index(self._local.instance_id)
+        if not is_local and not await self._is_reachable(self._shards.workers_of(shard)):
+            # A data centre that is partitioned from this one serves its shards itself.
             self._unowned_since[shard] = self._clock()
             return False
-        return now - since >= position * RANK_DELAY_S + (0.0 if local else REMOTE_DELAY_S)
+        return now - since >= position * CLAIM_DELAY_PER_RANK_S + (
+            0.0 if is_local else REMOTE_CLAIM_DELAY_S
+        )
 
-    def _ranked(self, shard: str, others_only: bool = False) -> list[str]:
+    def _rank_candidates(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
-            OwnerCandidate(beat.instance_id, beat.data_centre, beat.weight)
-            for beat in self._peers.beats()
-            if not beat.draining
+            OwnerCandidate(heartbeat.instance_id, heartbeat.data_centre, heartbeat.weight)
+            for heartbeat in self._peers.beats()
+            if not heartbeat.draining
         ]
         if not others_only:
-            place = self._place
-            candidates.append(OwnerCandidate(place.instance_id, place.data_centre, place.weight))
+            local = self._local
+            candidates.append(OwnerCandidate(local.instance_id, local.data_centre, local.weight))
         return rank_owners(shard, self._shards.data_centre_of(shard), candidates)
 
-    def _consider_moving(self, shard: str, now: float) -> None:
-        """Hand a shard to an instance that has been better placed for a while, one at a time."""
-        better = self.best(shard)
-        if better is None or better == self._place.instance_id:
-            self._better_since.pop(shard, None)
+    def _rebalance(self, shard: str, now: float) -> None:
+        """Move a shard to an instance that has ranked higher for a while, one shard at a time."""
+        preferred = self.preferred_instance(shard)
+        if preferred is None or preferred == self._local.instance_id:
+            self._preferred_since.pop(shard, None)
             return
-        known, since = self._better_since.setdefault(shard, (better, now))
-        if known != better:
-            self._better_since[shard] = (better, now)
+        last_preferred, since = self._preferred_since.setdefault(shard, (preferred, now))
+        if last_preferred != preferred:
+            self._preferred_since[shard] = (preferred, now)
             return
         owner = self.owners[shard]
-        settled = owner.claim.state is ClaimState.OWNED
-        if settled and now - since > REBALANCE_AFTER_S and self._moving is None:
-            self._moving = shard
-            del self._better_since[shard]
-            task = asyncio.create_task(self._move(owner, better))
-            self._running.add(task)
-            task.add_done_callback(self._running.discard)
-
-    async def _move(self, owner: ShardOwner, successor: str) -> None:
+        is_owned = owner.claim.state is ClaimState.OWNED
+        if is_owned and now - since > REBALANCE_DELAY_S and self._moving_shard is None:
+            self._moving_shard = shard
+            del self._preferred_since[shard]
+            task = asyncio.create_task(self._move_shard(owner, preferred))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+
+    async def _move_shard(self, owner: ShardOwner, successor: str) -> None:
         try:
             await self._hand_over(owner, successor)
         finally:
-            self._moving = None
+            self._moving_shard = None
--- a/baobabhoist/tests/test_daemon_sync.py
+++ b/baobabhoist/tests/test_daemon_record_sync.py
@@ -1,27 +1,27 @@
-"""Test how records reach an instance when the platform or its peers fail."""
+"""Test how an instance gets its records when the platform or its peers fail."""
 
 import asyncio
 
 import pytest
 
-from baobabhoist.daemon.sync import RecordSync, encode
+from baobabhoist.daemon.record_sync import RecordSync, encode_record
 from baobabhoist.errors import LinkClosedError, PlatformError
 from baobabhoist.peer.messages import RecordEntries
 from baobabhoist.records.changes import change
 from baobabhoist.records.view import Record, RecordView
-from baobabhoist.tests.tables import MemoryTable
+from baobabhoist.tests.memory_table import MemoryTable
 
 
 class Network:
-    """Connect syncs by name; names in `cut` cannot be called."""
+    """Connect the synchronisation of several instances; those in `unreachable` fail calls."""
 
     def __init__(self):
         self.syncs = {}
-        self.cut = set()
+        self.unreachable = set()
         self.pushed = []
 
     async def call(self, instance_id, message, deadline_s):
-        if instance_id in self.cut:
+        if instance_id in self.unreachable:
             raise LinkClosedError("cut")
         return await self.syncs[instance_id].receive(message)
 
@@ -53,7 +53,7 @@
 
 
 def test_an_instance_loads_records_and_not_the_history_of_the_log():
-    """Guard against a start that takes longer with every change ever made."""
+    """Guard against a startup time that grows with the history of changes."""
 
     async def scenario():
         table = await two_teams()
@@ -80,20 +80,20 @@
         with pytest.raises(PlatformError):
             await late.pull()
         assert not late.loaded.is_set()
-        await late.heard("first", 3, 0.0)
+        await late.on_peer_revision("first", 3, 0.0)
         assert late.loaded.is_set()
         assert limits(late) == {"a": 3, "b": 2}
         # Later entries are relayed one by one.
         await put(first._table, "b", 5)
         await first.pull()
-        await late.heard("first", 4, 0.0)
+        await late.on_peer_revision("first", 4, 0.0)
         assert limits(late) == {"a": 3, "b": 5}
 
     asyncio.run(scenario())
 
 
 def test_a_deleted_record_does_not_return_with_a_snapshot():
-    """Guard against a revoked key that a peer still has, or that a snapshot leaves in force."""
+    """Guard against a revoked key that a snapshot of a peer restores or leaves in force."""
 
     async def scenario():
         network = Network()
@@ -101,19 +101,19 @@
         peer = network.add("peer", table)
         await peer.pull()
         late = network.add("late", table)
-        await late.receive(peer._reply(0))
+        await late.receive(peer._build_pull_reply(0))
         current, head = await table.read("record/team/a"), await table.read("log_head")
         await table.commit(change("team", "a", 1, None, current, head))
         await peer.pull()
         peer._recent.clear()
-        await late.heard("peer", 4, 0.0)
+        await late.on_peer_revision("peer", 4, 0.0)
         assert limits(late) == {"b": 2}
 
     asyncio.run(scenario())
 
 
-def test_an_entry_behind_a_gap_waits_for_the_missing_one():
-    """Guard against a record that is never applied because a later one came first."""
+def test_an_entry_after_a_gap_is_not_applied_before_the_missing_one():
+    """Guard against a record that is never applied because a later one arrived first."""
 
     async def scenario():
         sync = Network().add("x", MemoryTable())
@@ -121,17 +121,17 @@
         def entry(revision):
             return Record("team", f"t{revision}", 1, revision, {"limit": 1, "share": 1.0})
 
-        await sync.receive(RecordEntries("p", (encode(entry(1)), encode(entry(3)))))
+        await sync.receive(RecordEntries("p", (encode_record(entry(1)), encode_record(entry(3)))))
         assert sync._view.revision == 1
-        await sync.receive(RecordEntries("p", (encode(entry(2)), encode(entry(3)))))
-        await sync.receive(RecordEntries("p", (encode(entry(1)),)))
+        await sync.receive(RecordEntries("p", (encode_record(entry(2)), encode_record(entry(3)))))
+        await sync.receive(RecordEntries("p", (encode_record(entry(1)),)))
         return sync._view.revision
 
     assert asyncio.run(scenario()) == 3
 
 
 def test_applied_changes_are_pushed_inside_the_data_centre():
-    """Guard against peers that learn of a change only at their own next poll."""
+    """Guard against peers that receive a change only with their own next poll."""
 
     async def scenario():
         network = Network()
@@ -147,8 +147,8 @@
     asyncio.run(scenario())
 
 
-def test_a_cut_off_instance_knows_for_how_long():
-    """Guard against keys with an offline grace that a cut-off data centre accepts for ever."""
+def test_an_instance_reports_for_how_long_it_is_cut_off():
+    """Guard against a cut-off data centre that accepts keys beyond their offline grace period."""
 
     async def scenario():
         now = [100.0]
@@ -157,7 +157,7 @@
         now[0] = 150.0
         assert sync.cut_off_s() == 50.0
         # A peer that reached the platform 10 s ago and knows no later record confirms them.
-        await sync.heard("peer", 0, 10.0)
+        await sync.on_peer_revision("peer", 0, 10.0)
         assert sync.cut_off_s() == 10.0
 
     asyncio.run(scenario())
