--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -26,13 +26,13 @@
 from baobabhoist.daemon.shutdown import Drain
 from baobabhoist.daemon.telemetry import GaugeUpdater, MetricsObserver
 from baobabhoist.errors import MessageNotSentError
-from baobabhoist.gateway.admin import admin_app
-from baobabhoist.gateway.callers import caller_app
-from baobabhoist.gateway.context import CallerOptions
+from baobabhoist.gateway.admin import make_admin_app
+from baobabhoist.gateway.admin_handler import AdminOptions
+from baobabhoist.gateway.caller_handler import CallerOptions
+from baobabhoist.gateway.callers import make_caller_app
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.operators import AdminOptions
-from baobabhoist.gateway.server import HttpLimits, http_server
-from baobabhoist.gateway.tls import ReloadingTls, TlsFiles
+from baobabhoist.gateway.server import HttpLimits, make_http_server
+from baobabhoist.gateway.tls import ReloadingTlsContext, TlsFiles
 from baobabhoist.jobs.messages import JOB_MESSAGES
 from baobabhoist.model import Request, WorkerSpec
 from baobabhoist.observability.events import Event, emit
@@ -89,8 +89,8 @@
         return self._view.workers_in_shard(shard)
 
 
-def _listener_tls(cfg: TlsSettings | None) -> ReloadingTls | None:
-    return ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca)) if cfg else None
+def _listener_tls(cfg: TlsSettings | None) -> ReloadingTlsContext | None:
+    return ReloadingTlsContext.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca)) if cfg else None
 
 
 class Daemon:
@@ -142,8 +142,8 @@
         self.sync.is_poller = self._is_poller
         self._tasks: set[asyncio.Task[None]] = set()
         self._listener_tls = (_listener_tls(cfg.caller_tls), _listener_tls(cfg.admin_tls))
-        self._caller_server = http_server(
-            caller_app(
+        self._caller_server = make_http_server(
+            make_caller_app(
                 self,
                 CallerOptions(
                     jobs=self.jobs,
@@ -153,21 +153,21 @@
                     max_deadline_s=cfg.max_deadline_s,
                     default_deadline_s=cfg.default_deadline_s,
                     clock_skew_s=cfg.clock_skew_s,
-                    cut_off_s=self.sync.cut_off_s,
+                    records_unconfirmed_s=self.sync.cut_off_s,
                     metrics=self.metrics,
                 ),
             ),
             HttpLimits(max_body_bytes=cfg.max_body_bytes),
             self._listener_tls[0].context if self._listener_tls[0] is not None else None,
         )
-        self._admin_server = http_server(
-            admin_app(
+        self._admin_server = make_http_server(
+            make_admin_app(
                 self,
                 AdminOptions(
                     jobs=self.jobs,
                     open_requests=self.open_requests,
                     drain=self.drain.start,
-                    cut_off_s=self.sync.cut_off_s,
+                    records_unconfirmed_s=self.sync.cut_off_s,
                     metrics=self.metrics,
                 ),
             ),
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -298,7 +298,7 @@
             return _platform_unavailable(exc)
         return tuple(statuses[job_id] for job_id in job_ids if job_id in statuses)
 
-    async def unfinished(self, queue: str) -> Refusal | tuple[str, ...]:
+    async def unfinished_job_ids(self, queue: str) -> Refusal | tuple[str, ...]:
         """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
         job_ids = []
         try:
--- a/baobabhoist/gateway/operators.py
+++ b/baobabhoist/gateway/admin_handler.py
@@ -1,4 +1,4 @@
-"""Define what the handlers for operators need of the daemon and of their options."""
+"""Provide the base handlers, the options and the daemon interface of the admin API."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import attrs
 
 from baobabhoist.errors import Refusal
-from baobabhoist.gateway.auth import operator_of
+from baobabhoist.gateway.auth import authenticate_operator
+from baobabhoist.gateway.base_handler import ApiHandler
 from baobabhoist.gateway.drain import OpenRequests
-from baobabhoist.gateway.handler import TypedHandler
 from baobabhoist.gateway.server import HttpLimits
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.observability.metrics import Metrics
@@ -28,22 +28,22 @@
 
 
 class AdminSettings(Protocol):
-    """Be what the handlers need of the settings."""
+    """Provide the settings that the handlers need."""
 
     @property
     def operator_key_digest(self) -> str:
         """Return the SHA-256 digest of the operator key in the settings."""
 
 
-class PeerReport(Protocol):
-    """Be what the handlers need of a peer's state; `live_until` is in Unix seconds."""
+class PeerStatus(Protocol):
+    """Provide the state of a peer that the handlers need; `live_until` is in Unix seconds."""
 
     heartbeat: Any
     live_until: float
 
 
-class PeerReports(Protocol):
-    """Be what the handlers need of the mesh."""
+class PeerStatuses(Protocol):
+    """Provide the states of the peers that the handlers need; the mesh implements it."""
 
     @property
     def peers(self) -> Mapping[str, Any]:
@@ -51,7 +51,7 @@
 
 
 class AdminBackend(Protocol):
-    """Be what the handlers need of the daemon."""
+    """Provide the parts of the daemon that the handlers need."""
 
     @property
     def table(self) -> Table:
@@ -66,45 +66,46 @@
         """Return the settings."""
 
     @property
-    def mesh(self) -> PeerReports:
-        """Return the links to the other instances."""
+    def mesh(self) -> PeerStatuses:
+        """Return the states of the other instances."""
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers can be served."""
+        """Return whether requests of callers can be served."""
 
     def heartbeat(self) -> Any:
-        """Return what this instance reports to its peers."""
+        """Return the state that this instance reports to its peers."""
 
 
-def _connected() -> float:
+def _always_confirmed() -> float:
     return 0.0
 
 
 @attrs.define
 class AdminOptions:
-    """Hold the parts that the API for operators uses.
+    """Hold the components that the admin API uses.
 
-    `open_requests` is the count that the application for callers keeps. `drain` starts the drain
-    of the whole instance and returns at once; without it, only the gateway drains.
+    `open_requests` is the counter of the caller API. `drain` starts the drain of the whole
+    instance and returns at once; without it, only the gateway drains. `records_unconfirmed_s`
+    returns the seconds since the records were last confirmed.
     """
 
     jobs: JobService | None = None
     limits: HttpLimits = attrs.Factory(lambda: HttpLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES))
     open_requests: OpenRequests = attrs.Factory(OpenRequests)
     drain: Callable[[], Awaitable[None]] | None = None
-    cut_off_s: Callable[[], float] = _connected
+    records_unconfirmed_s: Callable[[], float] = _always_confirmed
     metrics: Metrics | None = None
 
 
-class OpenAdminHandler(TypedHandler):
-    """Share what the handlers need that serve without a key."""
+class UnauthenticatedAdminHandler(ApiHandler):
+    """Provide the base of the handlers that require no key."""
 
-    # Operators must be able to watch an instance while it drains.
-    counted = False
+    # Operators must be able to monitor an instance while it drains.
+    counts_as_open = False
 
     def initialize(self, backend: AdminBackend, options: AdminOptions) -> None:
-        """Take the daemon and the options."""
+        """Store the daemon and the options."""
         self.backend = backend
         self.options: AdminOptions = options
         self.operator = ""
@@ -114,19 +115,19 @@
         return time.time()
 
 
-class AdminHandler(OpenAdminHandler):
-    """Share what all handlers for operators need."""
+class AdminHandler(UnauthenticatedAdminHandler):
+    """Provide the base of the handlers that require an operator key."""
 
     def admit(self) -> Refusal | None:
-        """Refuse callers without a valid operator key."""
-        found = operator_of(
+        """Return the refusal of a request without a valid operator key, or None."""
+        operator = authenticate_operator(
             self.backend.view,
             self.backend.cfg.operator_key_digest,
             self.request.headers,
-            self.options.cut_off_s(),
+            self.options.records_unconfirmed_s(),
         )
-        if isinstance(found, Refusal):
+        if isinstance(operator, Refusal):
             emit(log, Event.OPERATOR_REFUSED, address=self.request.remote_ip)
-            return found
-        self.operator = found
+            return operator
+        self.operator = operator
         return None
--- a/baobabhoist/gateway/auth.py
+++ b/baobabhoist/gateway/auth.py
@@ -1,4 +1,4 @@
-"""Decide for which team, or as which operator, a request is made."""
+"""Authenticate teams and operators by the keys in request headers."""
 
 from __future__ import annotations
 
@@ -9,28 +9,31 @@
 from baobabhoist.records.kinds import PUBLIC_TEAM, Queue
 from baobabhoist.records.view import RecordView
 
-KEY_HEADER = "X-Team-Key"
+TEAM_KEY_HEADER = "X-Team-Key"
 OPERATOR_KEY_HEADER = "X-Operator-Key"
-BEARER = "Bearer "
-# Changes made with the key from the settings are logged under this name.
+BEARER_PREFIX = "Bearer "
+# The author of changes that were made with the operator key from the settings.
 SETTINGS_OPERATOR = "settings"
 
 
-def team_of(
-    view: RecordView, headers: HTTPHeaders, cut_off_s: float, queue: Queue | None = None
+def authenticate_team(
+    view: RecordView,
+    headers: HTTPHeaders,
+    records_unconfirmed_s: float,
+    queue: Queue | None = None,
 ) -> str | Refusal:
     """Return the team of the presented key, or the public team on a queue open to all.
 
-    A key that is presented is always checked, so that a caller never runs for another team
-    than it believes.
+    A key is checked even on a queue open to all: a caller with a rejected key must not run
+    work for the public team in the belief that it runs for its own.
     """
-    presented = headers.get(KEY_HEADER)
-    if presented is None and queue is not None and queue.open_to_all:
+    presented_key = headers.get(TEAM_KEY_HEADER)
+    if presented_key is None and queue is not None and queue.open_to_all:
         return _public_team(view)
-    if presented is None:
-        remedy = f"send the header {KEY_HEADER}"
+    if presented_key is None:
+        remedy = f"send the header {TEAM_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no team key was sent", remedy=remedy)
-    key = check_key(view.find_key(presented), cut_off_s, KEY_HEADER)
+    key = check_key(view.find_key(presented_key), records_unconfirmed_s, TEAM_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.team:
@@ -44,33 +47,33 @@
         return PUBLIC_TEAM
     return Refusal(
         ErrorKind.FORBIDDEN,
-        f"the queue is open to all, but there is no team {PUBLIC_TEAM} to run for",
+        f"the queue accepts requests without a key, but their team {PUBLIC_TEAM} does not exist",
         remedy=f"send a team key, or ask an operator to create the team {PUBLIC_TEAM}",
     )
 
 
-def operator_of(
-    view: RecordView, settings_digest: str, headers: HTTPHeaders, cut_off_s: float
+def authenticate_operator(
+    view: RecordView, settings_digest: str, headers: HTTPHeaders, records_unconfirmed_s: float
 ) -> str | Refusal:
-    """Return the name under which an operator's changes are logged.
+    """Return the name that is stored as the author of an operator's changes.
 
-    The key is taken from the operators' header or from `Authorization: Bearer`, which
-    collectors of metrics can send.
+    The key is read from the operator header or from `Authorization: Bearer`, which metrics
+    collectors support.
     """
-    presented = headers.get(OPERATOR_KEY_HEADER)
+    presented_key = headers.get(OPERATOR_KEY_HEADER)
     bearer = headers.get("Authorization", "")
-    if presented is None and bearer.startswith(BEARER):
-        presented = bearer.removeprefix(BEARER)
-    if presented is None:
+    if presented_key is None and bearer.startswith(BEARER_PREFIX):
+        presented_key = bearer.removeprefix(BEARER_PREFIX)
+    if presented_key is None:
         remedy = f"send the header {OPERATOR_KEY_HEADER}"
         return Refusal(ErrorKind.KEY_MISSING, "no operator key was sent", remedy=remedy)
-    if digests_equal(key_digest(presented), settings_digest):
+    if digests_equal(key_digest(presented_key), settings_digest):
         return SETTINGS_OPERATOR
-    key = check_key(view.find_key(presented), cut_off_s, OPERATOR_KEY_HEADER)
+    key = check_key(view.find_key(presented_key), records_unconfirmed_s, OPERATOR_KEY_HEADER)
     if isinstance(key, Refusal):
         return key
     if not key.operator:
         remedy = "send an operator key"
         return Refusal(ErrorKind.KEY_REJECTED, "this is a team key", remedy=remedy)
-    names = [name for name, other in view.keys().items() if other is key]
-    return names[0] if names else "operator"
+    matching_names = [name for name, candidate in view.keys().items() if candidate is key]
+    return matching_names[0] if matching_names else "operator"
