--- a/baobabhoist/tests/test_gateway_openapi.py
+++ b/baobabhoist/tests/test_gateway_openapi.py
@@ -84,7 +84,7 @@
     for kind, versions in SCHEMAS.items():
         for number, version in versions.items():
             assert_same_fields(
-                version.check, OPENAPI_SCHEMAS[f"{kind.value.capitalize()}V{number}"]
+                version.validator, OPENAPI_SCHEMAS[f"{kind.value.capitalize()}V{number}"]
             )
     assert_same_fields(bodies.JOB_SCHEMA, OPENAPI_SCHEMAS["Job"])
     assert OPENAPI_SCHEMAS["RecordKind"]["enum"] == [kind.value for kind in RecordKind]
