--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from baobabhoist.benchmarks.cell_loads import (
+from baobabhoist.benchmarks.cell_workload import (
     LOADS,
     SERVICE,
     WORKER,
@@ -24,7 +24,7 @@
     Stream,
     make_stream,
 )
-from baobabhoist.benchmarks.figures import quantile
+from baobabhoist.benchmarks.stats import quantile
 from baobabhoist.cell.jobs import LATE_LIMIT_FACTOR, StepState
 from baobabhoist.cell.model import (
     Command,
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -11,9 +11,9 @@
 import attrs
 
 from baobabhoist.benchmarks.baselines import Baseline
-from baobabhoist.benchmarks.figures import quantile
 from baobabhoist.benchmarks.replay import Policy, Replay
-from baobabhoist.benchmarks.stream import PROFILES, Stream, make_stream
+from baobabhoist.benchmarks.stats import quantile
+from baobabhoist.benchmarks.workload import PROFILES, Stream, make_stream
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Task, Urgency, WorkerSpec, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
--- a/baobabhoist/benchmarks/main.py
+++ b/baobabhoist/benchmarks/main.py
@@ -10,9 +10,9 @@
 import orjson
 from absl import app, flags
 
-from baobabhoist.benchmarks import cell_replay, control, decisions, progress, relay
-from baobabhoist.benchmarks.cell_loads import LOADS
-from baobabhoist.benchmarks.stream import PROFILES
+from baobabhoist.benchmarks import cell_replay, control_overhead, decisions, progress_writes, relay
+from baobabhoist.benchmarks.cell_workload import LOADS
+from baobabhoist.benchmarks.workload import PROFILES
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("seed", 1, "Seed of the stream of work.")
@@ -58,11 +58,13 @@
 
 
 def _progress() -> dict[str, Any]:
-    return asyncio.run(progress.run(FLAGS.measure_s))
+    return asyncio.run(progress_writes.run(FLAGS.measure_s))
 
 
 def _control() -> dict[str, Any]:
-    return control.run([int(size) for size in FLAGS.fleets], FLAGS.control_rate, FLAGS.measure_s)
+    return control_overhead.run(
+        [int(size) for size in FLAGS.fleets], FLAGS.control_rate, FLAGS.measure_s
+    )
 
 
 def _relay() -> dict[str, Any]:
@@ -71,9 +73,9 @@
 
 MEASUREMENTS = {
     "cell": Measurement(_cell, cell_replay.table),
-    "control": Measurement(_control, control.table),
+    "control": Measurement(_control, control_overhead.table),
     "decisions": Measurement(_decisions, decisions.table),
-    "progress": Measurement(_progress, progress.table),
+    "progress": Measurement(_progress, progress_writes.table),
     "relay": Measurement(_relay, relay.table),
 }
 
--- a/baobabhoist/benchmarks/replay.py
+++ b/baobabhoist/benchmarks/replay.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-from baobabhoist.benchmarks.figures import water_fill
-from baobabhoist.benchmarks.stream import Arrival, Stream, Work
+from baobabhoist.benchmarks.stats import water_fill
+from baobabhoist.benchmarks.workload import Arrival, Stream, Work
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Outcome, Resources, Task, Urgency, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -15,7 +15,7 @@
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import SettingsError
 from baobabhoist.observability.events import EVENT_ATTRIBUTE, Event, configure_logging, emit
-from baobabhoist.observability.stream import DroppingHandler, RateFilter
+from baobabhoist.observability.log_handlers import DroppingHandler, RateFilter
 from baobabhoist.platform.advice import PlatformAdviser
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.platform.front import Servers
--- a/baobabhoist/tests/test_benchmarks.py
+++ b/baobabhoist/tests/test_benchmarks.py
@@ -1,8 +1,8 @@
 """Check that the measurements compare like with like."""
 
 from baobabhoist.benchmarks import decisions
-from baobabhoist.benchmarks.figures import quantile, water_fill
-from baobabhoist.benchmarks.stream import PROFILES, make_stream
+from baobabhoist.benchmarks.stats import quantile, water_fill
+from baobabhoist.benchmarks.workload import PROFILES, make_stream
 
 
 def test_same_seed_gives_the_same_stream_and_another_seed_another():
--- a/baobabhoist/tests/test_benchmarks_cell.py
+++ b/baobabhoist/tests/test_benchmarks_cell_replay.py
@@ -5,7 +5,7 @@
 import pytest
 
 from baobabhoist.benchmarks import cell_replay
-from baobabhoist.benchmarks.cell_loads import LOADS, make_stream
+from baobabhoist.benchmarks.cell_workload import LOADS, make_stream
 
 WORKERS, SECONDS, SEED = 6, 2.0, 3
 
--- a/baobabhoist/tests/test_observability_stream.py
+++ b/baobabhoist/tests/test_observability_log_handlers.py
@@ -3,7 +3,7 @@
 import logging
 import os
 
-from baobabhoist.observability.stream import DroppingHandler, RateFilter
+from baobabhoist.observability.log_handlers import DroppingHandler, RateFilter
 
 
 def test_a_full_pipe_drops_lines_and_counts_them():
