--- a/baobabhoist/benchmarks/control_overhead.py
+++ b/baobabhoist/benchmarks/control_overhead.py
@@ -17,7 +17,7 @@
 
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.messages import CODEC as PEER_CODEC
-from baobabhoist.peer.messages import Heard, Heartbeat, ShardDigest
+from baobabhoist.peer.messages import Heartbeat, LastContact, ShardDigest
 from baobabhoist.records.view import Record, RecordView, digest
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
@@ -173,7 +173,7 @@
     teams = [f"team-{number}" for number in range(TEAMS)]
     counts = dict.fromkeys(teams, 7)
     digest_ = ShardDigest("rack-17", Token(1234, 0, "entry-17~abcdef"), counts, counts, 100, 50)
-    heard = tuple(Heard(f"entry-{number}", 0.25) for number in range(PEERS))
+    heard = tuple(LastContact(f"entry-{number}", 0.25) for number in range(PEERS))
     beat = Heartbeat(
         "entry-17", "north", ("rack-17",), 1_000_000, False, (digest_,), heard, 1.0, 0.0
     )
--- a/baobabhoist/control/messages.py
+++ b/baobabhoist/control/messages.py
@@ -5,7 +5,7 @@
 import attrs
 
 from baobabhoist.peer.codec import Codec
-from baobabhoist.peer.streams import STREAM_TYPES
+from baobabhoist.peer.streams import STREAM_MESSAGES
 
 
 @attrs.frozen
@@ -177,7 +177,7 @@
 # The position of a type is its tag on the wire: append new types, never reorder.
 CODEC = Codec(
     (
-        *STREAM_TYPES,
+        *STREAM_MESSAGES,
         Greeting,
         Welcome,
         JobNotice,
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -11,7 +11,7 @@
     INF,
     TEAM_LABELS_MAX,
     WAITING_BUCKETS_S,
-    LabelBound,
+    LabelLimiter,
 )
 
 CALL_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, INF)
@@ -25,9 +25,9 @@
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self._teams = LabelBound(TEAM_LABELS_MAX)
-        self._queues = LabelBound(CLASS_LABELS_MAX)
-        self._reasons = LabelBound(REASON_LABELS_MAX)
+        self._teams = LabelLimiter(TEAM_LABELS_MAX)
+        self._queues = LabelLimiter(CLASS_LABELS_MAX)
+        self._reasons = LabelLimiter(REASON_LABELS_MAX)
         self._calls = self._histogram(
             "call_seconds", "Time to answer a caller, by team, queue and status.", CALL_BUCKETS_S
         )
@@ -58,16 +58,22 @@
 
     def observe_call(self, team: str, queue: str, status: int, seconds: float) -> None:
         """Record an answered call."""
-        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "queue": self._queues.of(queue)}
+        labels = {
+            "team": self._teams.label_for(team or NO_TEAM_LABEL),
+            "queue": self._queues.label_for(queue),
+        }
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
     def count_refusal(self, reason: str) -> None:
         """Count a refused call by reason; the log event for it is `call_refused`."""
-        self._refusals.inc({"reason": self._reasons.of(reason)})
+        self._refusals.inc({"reason": self._reasons.label_for(reason)})
 
     def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
         """Record how long a task waited for its start."""
-        labels = {"team": self._teams.of(team or NO_TEAM_LABEL), "class": self._queues.of(queue)}
+        labels = {
+            "team": self._teams.label_for(team or NO_TEAM_LABEL),
+            "class": self._queues.label_for(queue),
+        }
         self._waiting.observe(labels, waited_s)
 
     def observe_decision(self, seconds: float) -> None:
@@ -96,7 +102,7 @@
         self._owns.set({}, int(owns))
         self._lease_margin.set({}, lease_margin_s)
         for queue, tasks in queued.items():
-            self._queued.set({"class": self._queues.of(queue)}, tasks)
+            self._queued.set({"class": self._queues.label_for(queue)}, tasks)
 
     def set_dropped_log_lines(self, count: int) -> None:
         """Set the number of dropped log lines."""
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -45,9 +45,9 @@
     Ack,
     HandOver,
     Heartbeat,
-    PlacesWanted,
+    PlaceTransferRequest,
     RecordEntries,
-    RecordPull,
+    RecordEntriesRequest,
     RecordSnapshot,
     RelayRequest,
     ShardDigest,
@@ -66,7 +66,7 @@
 USAGE_INTERVAL_S = 0.5
 # Members of this kind that name a port are instances, also when no settings list them.
 ENTRY_KIND = "entry"
-RECORD_MESSAGES = (RecordPull, RecordEntries, RecordSnapshot)
+RECORD_MESSAGES = (RecordEntriesRequest, RecordEntries, RecordSnapshot)
 
 
 class ShardRecords:
@@ -217,7 +217,7 @@
             self.view.revision,
             draining=self.drain.started.is_set(),
             shards=tuple(self._own_digests),
-            heard=self.mesh.heard(),
+            heard=self.mesh.last_contacts(),
             weight=self.cfg.vm_weight,
             cut_off_s=self.sync.cut_off_s(),
         )
@@ -250,7 +250,7 @@
 
     def peer_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards of live peers."""
-        return self.mesh.digests()
+        return self.mesh.shard_digests()
 
     async def call_owner(self, shard: str, message: Any, timeout_s: float) -> Any:
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
@@ -268,7 +268,7 @@
             return await self.sync.receive(message)
         if isinstance(message, HandOver):
             return self.owners.take(message)
-        if isinstance(message, PlacesWanted):
+        if isinstance(message, PlaceTransferRequest):
             return await self.escrow.give(message)
         if isinstance(message, JOB_MESSAGES):
             return await self.jobs.handle(message)
@@ -283,7 +283,7 @@
             owner.set_leaving(members.leaving() | self.view.drained_workers(owner.shard))
             await owner.fencing.members_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
-            self.mesh.forget(name)
+            self.mesh.remove_peer(name)
         listed = [
             PeerAddress(member.name, member.data_centre, member.host, member.port)
             for member in members.members.values()
@@ -291,13 +291,13 @@
         ]
         back = [self._addresses[name] for name in self._addresses if name not in gone]
         own = self.cfg.instance_id
-        self.mesh.consider(peer for peer in (*back, *listed) if peer.instance_id != own)
+        self.mesh.add_peers(peer for peer in (*back, *listed) if peer.instance_id != own)
 
     def _is_poller(self) -> bool:
         """Tell whether this instance polls the change log for its data centre."""
         here = [
             beat.instance_id
-            for beat in self.mesh.beats()
+            for beat in self.mesh.live_heartbeats()
             if beat.data_centre == self.cfg.data_centre and not beat.draining
         ]
         return all(self.cfg.instance_id < other for other in here)
@@ -329,7 +329,7 @@
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            digests = [*self.mesh.digests(), *map(digest_of, self.busy_owners())]
+            digests = [*self.mesh.shard_digests(), *map(digest_of, self.busy_owners())]
             for owner in self.busy_owners():
                 elsewhere, part = use_elsewhere(slots, owner.shard, digests)
                 owner.scheduler.set_fleet_usage(elsewhere, part)
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -96,7 +96,7 @@
 class Calls(Protocol):
     """Send calls to workers."""
 
-    async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, worker: str, message: Any, timeout_s: float) -> Any:
         """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
 
 
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -17,7 +17,7 @@
 from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
+from baobabhoist.peer.messages import PlaceTransferReply, PlaceTransferRequest, ShardDigest
 from baobabhoist.quota import escrow
 from baobabhoist.quota.escrow import EscrowRow, PlaceMove
 from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
@@ -127,7 +127,7 @@
         # Only a row read after the table confirmed the epoch holds a shard's full escrow: the
         # transactions of an earlier owner fail from then on.
         self._wake.clear()
-        wishes: list[PlacesWanted] = []
+        wishes: list[PlaceTransferRequest] = []
         async with self._lock:
             accounts = [self._account(owner) for owner in self._usable()]
             if not accounts:
@@ -153,13 +153,13 @@
                 owner.dispatch(self._clock())
         self._wake.set()
 
-    async def give(self, wanted: PlacesWanted) -> PlacesGiven:
+    async def give(self, wanted: PlaceTransferRequest) -> PlaceTransferReply:
         """Transfer free places to another shard and return how many."""
         async with self._lock:
             return await self._give(wanted)
 
-    async def _give(self, wanted: PlacesWanted) -> PlacesGiven:
-        nothing = PlacesGiven(wanted.team, 0)
+    async def _give(self, wanted: PlaceTransferRequest) -> PlaceTransferReply:
+        nothing = PlaceTransferReply(wanted.team, 0)
         owners = {owner.shard: owner for owner in self._usable()}
         owner = owners.get(wanted.from_shard)
         if owner is None or owner.quota.takeover_cap is not None:
@@ -182,7 +182,7 @@
                 source=wanted.from_shard,
                 target=wanted.to_shard,
             )
-        return PlacesGiven(wanted.team, places if given else 0)
+        return PlaceTransferReply(wanted.team, places if given else 0)
 
     def _usable(self) -> list[ShardOwner]:
         return [owner for owner in self._instance.busy_owners() if owner.claim.can_use_full_escrow]
@@ -323,7 +323,7 @@
 
     # Transfers.
 
-    async def _demand(self, account: Account) -> list[PlacesWanted]:
+    async def _demand(self, account: Account) -> list[PlaceTransferRequest]:
         """Take places from the pool, and return what to ask other shards for."""
         owner = account.owner
         if owner.quota.takeover_cap is not None:
@@ -338,7 +338,9 @@
             if step.source == POOL:
                 await self._take_from_pool(account, step)
             else:
-                wishes.append(PlacesWanted(step.team, step.places, step.source, step.target))
+                wishes.append(
+                    PlaceTransferRequest(step.team, step.places, step.source, step.target)
+                )
         return wishes
 
     async def _take_from_pool(self, account: Account, step: Transfer) -> None:
@@ -349,7 +351,7 @@
         if not isinstance(moved, Refusal):
             await self._commit(account, step.team, known.revision, moved)
 
-    async def _ask(self, wish: PlacesWanted) -> None:
+    async def _ask(self, wish: PlaceTransferRequest) -> None:
         if any(owner.shard == wish.from_shard for owner in self._usable()):
             await self.give(wish)
             return
--- a/baobabhoist/daemon/fencing.py
+++ b/baobabhoist/daemon/fencing.py
@@ -186,7 +186,7 @@
         return self._confirming
 
     async def _ask_workers(self) -> None:
-        workers = [name for name in self.claim.fenced_workers if self._pool.connected(name)]
+        workers = [name for name in self.claim.fenced_workers if self._pool.is_connected(name)]
         chosen = workers[:CONFIRM_SAMPLE]
         await asyncio.gather(*(self._renew_worker(worker) for worker in chosen))
 
@@ -355,14 +355,14 @@
         except LinkClosedError:
             return None
         except TimeoutError:
-            self._pool.replace(worker)
+            self._pool.reconnect(worker)
             return None
 
     async def _renew(self) -> None:
         while True:
             await asyncio.sleep(RENEW_INTERVAL_S)
             for worker in list(self.claim.fenced_workers):
-                if self._pool.connected(worker):
+                if self._pool.is_connected(worker):
                     self._spawn(self._renew_worker(worker))
 
     async def _renew_worker(self, worker: str) -> None:
@@ -387,7 +387,7 @@
         self._silent[worker] = self._silent.get(worker, 0) + 1
         if self._silent[worker] >= SILENT_RENEWALS:
             del self._silent[worker]
-            self._pool.replace(worker)
+            self._pool.reconnect(worker)
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coro)
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -16,7 +16,7 @@
     RequestKeyState,
 )
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.peer.messages import HandOver, KeyResult
+from baobabhoist.peer.messages import HandOver, RequestKeyResult
 
 # About 3 MB of ids. A peer takes them well within the time that a hand-over may last.
 SETTLED_MAX = 50_000
@@ -47,7 +47,7 @@
     queued = {key.request_id for key in keys.export_queued()}
     requests = tuple(entry.req for name, entry in open_requests.items() if name in queued)
     results = tuple(
-        KeyResult(name, entry.expires_at, None, entry.result)
+        RequestKeyResult(name, entry.expires_at, None, entry.result)
         for name, entry in keys.entries.items()
         if isinstance(entry.result, Refusal) and entry.state is not RequestKeyState.ANSWERED
     )
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -22,7 +22,7 @@
 from baobabhoist.ownership.events import ClaimState, ClaimTiming
 from baobabhoist.ownership.rendezvous import OwnerCandidate, rank_owners
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS
-from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
+from baobabhoist.peer.messages import HandOver, HandOverReply, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -56,13 +56,13 @@
 class Peers(Protocol):
     """Know and call the other instances."""
 
-    def beats(self) -> list[Heartbeat]:
+    def live_heartbeats(self) -> list[Heartbeat]:
         """Return the last heartbeat of each live peer."""
 
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
 
 
@@ -178,13 +178,13 @@
         self._running.add(task)
         task.add_done_callback(self._running.discard)
 
-    def take(self, message: HandOver) -> HandOverTaken:
+    def take(self, message: HandOver) -> HandOverReply:
         """Take a shard that another instance hands over."""
         refused = self.draining or message.shard not in self._shards.names()
         if not refused and message.shard not in self.owners:
             self.claim(message.shard, message)
-            return HandOverTaken(message.shard, True)
-        return HandOverTaken(message.shard, False)
+            return HandOverReply(message.shard, True)
+        return HandOverReply(message.shard, False)
 
     async def send_hand_over(self, successor: str, message: HandOver) -> bool | None:
         """Send a shard's queue; tell whether it was taken, None when that is not known."""
@@ -194,7 +194,7 @@
             return False
         except (LinkClosedError, TimeoutError):
             return None
-        return isinstance(reply, HandOverTaken) and reply.taken
+        return isinstance(reply, HandOverReply) and reply.taken
 
     async def hand_over_all(self) -> None:
         """Give every shard to the next instance; a shard without a successor is kept."""
@@ -263,7 +263,7 @@
     def _ranked(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
             OwnerCandidate(beat.instance_id, beat.data_centre, beat.weight)
-            for beat in self._peers.beats()
+            for beat in self._peers.live_heartbeats()
             if not beat.draining
         ]
         if not others_only:
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -49,10 +49,10 @@
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
 
-    def digests(self) -> list[ShardDigest]:
+    def shard_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards that live peers own."""
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
 
 
@@ -116,7 +116,7 @@
         home = self._home_of(req.shard)
         rooms = [
             (digest, _room(digest, req.task))
-            for digest in (*self._peers.digests(), *own)
+            for digest in (*self._peers.shard_digests(), *own)
             if digest.shard != req.shard
         ]
         rooms = [(digest, room) for digest, room in rooms if room > 0]
--- a/baobabhoist/daemon/shard.py
+++ b/baobabhoist/daemon/shard.py
@@ -52,7 +52,7 @@
 from baobabhoist.store.table import Table
 from baobabhoist.upstream.link import WorkerLink
 from baobabhoist.upstream.messages import LeasesRenewed, TokenRefused
-from baobabhoist.upstream.pool import OnChange, WorkerConnection, WorkerPool
+from baobabhoist.upstream.pool import OnConnectionChange, WorkerConnection, WorkerPool
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
         forward: Forward = lambda _: None,
         send_hand_over: SendHandOver = send_nowhere,
         inherited: HandOver | None = None,
-        make_link: Callable[[WorkerSpec, OnChange], WorkerConnection] = WorkerLink,
+        make_link: Callable[[WorkerSpec, OnConnectionChange], WorkerConnection] = WorkerLink,
         clock: Callable[[], float] = time.time,
         observer: Observer | None = None,
     ) -> None:
@@ -222,7 +222,7 @@
     def start(self, placement: Placement, now: float) -> None:
         """Send a placed task to its worker."""
         task, worker = placement.task, placement.worker
-        if not (self.claim.can_dispatch_to(worker) and self.pool.connected(worker)):
+        if not (self.claim.can_dispatch_to(worker) and self.pool.is_connected(worker)):
             self.take_back(task.task_id, now)
             self._worker_down(worker)
             self._enqueue_again(task, now)
@@ -336,7 +336,7 @@
         for worker in self.claim.workers:
             usable = (
                 self.claim.can_dispatch_to(worker)
-                and self.pool.connected(worker)
+                and self.pool.is_connected(worker)
                 and worker not in self.leaving
             )
             if usable and worker not in self._up:
--- a/baobabhoist/daemon/sync.py
+++ b/baobabhoist/daemon/sync.py
@@ -14,7 +14,7 @@
 
 from baobabhoist.errors import LinkClosedError, PlatformError
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.peer.messages import RecordEntries, RecordPull, RecordSnapshot
+from baobabhoist.peer.messages import RecordEntries, RecordEntriesRequest, RecordSnapshot
 from baobabhoist.records.changes import (
     LOG_HEAD,
     LOG_PREFIX,
@@ -39,7 +39,7 @@
 class Peers(Protocol):
     """Send to the other instances."""
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
 
     async def broadcast(self, message: Any, data_centre: str | None = None) -> None:
@@ -145,7 +145,7 @@
         self._pulling = True
         try:
             reply = await self.peers.call(
-                instance_id, RecordPull(self._view.revision), PEER_CALL_S
+                instance_id, RecordEntriesRequest(self._view.revision), PEER_CALL_S
             )
             await self.receive(reply)
         except (LinkClosedError, TimeoutError):
@@ -156,7 +156,7 @@
     async def receive(self, message: Any) -> RecordEntries | RecordSnapshot | None:
         """Take a message about records and return the reply to a pull."""
         match message:
-            case RecordPull(after):
+            case RecordEntriesRequest(after):
                 return self._reply(after)
             case RecordEntries(_, entries):
                 applied = self._apply([decode(entry) for entry in entries])
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -10,7 +10,7 @@
 from baobabhoist.daemon.shard import ShardOwner
 from baobabhoist.model import Task
 from baobabhoist.observability.metrics import Metrics
-from baobabhoist.peer.link import TRAFFIC
+from baobabhoist.peer.link import LINK_TRAFFIC
 from baobabhoist.scheduling.capacity import CapacityIndex
 
 GAUGE_INTERVAL_S = 2.0
@@ -24,15 +24,15 @@
 
     def started(self, task: Task, now: float) -> None:
         """Observe how long a task waited; its time of submission is another VM's clock."""
-        self._metrics.waited(task.team, task.kind.value, max(0.0, now - task.submitted_at))
+        self._metrics.observe_wait(task.team, task.kind.value, max(0.0, now - task.submitted_at))
 
     def ended(self, task: Task, seconds: float) -> None:
         """Observe how long a task was with its worker."""
-        self._metrics.served(task.team, task.kind.value, seconds)
+        self._metrics.observe_service(task.team, task.kind.value, seconds)
 
     def decided(self, task: Task, seconds: float) -> None:
         """Observe the processor time of one placement."""
-        self._metrics.decided(task.team, task.kind.value, seconds)
+        self._metrics.observe_decision(task.team, task.kind.value, seconds)
 
 
 class Fleet(Protocol):
@@ -62,10 +62,10 @@
         owners = list(self._fleet.busy_owners())
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
-        self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
+        self._metrics.set_link_traffic(LINK_TRAFFIC.sent_bytes, LINK_TRAFFIC.received_bytes)
         for number, count in invariants.breach_counts.items():
             for _ in range(count - self._breaches_seen.get(number, 0)):
-                self._metrics.invariant_breached(str(number))
+                self._metrics.count_invariant_breach(str(number))
             self._breaches_seen[number] = count
         for owner in owners:
             self._read_shard(owner)
@@ -74,9 +74,9 @@
         fairness = owner.scheduler.fairness
         teams = set(owner.quota.escrow) | set(owner.quota.used)
         for team in teams:
-            self._metrics.set_share(team, owner.shard, fairness.dominant_share(team))
-            self._metrics.set_escrow(team, owner.shard, owner.quota.allowed(team))
-        self._metrics.set_packing(owner.shard, packing(owner.scheduler.index))
+            self._metrics.set_share_ratio(team, owner.shard, fairness.dominant_share(team))
+            self._metrics.set_escrow_places(team, owner.shard, owner.quota.allowed(team))
+        self._metrics.set_packing_ratio(owner.shard, packing(owner.scheduler.index))
 
 
 def packing(index: CapacityIndex) -> float:
--- a/baobabhoist/gateway/metrics.py
+++ b/baobabhoist/gateway/metrics.py
@@ -4,7 +4,7 @@
 
 from aioprometheus import Counter, Gauge, Histogram
 
-from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelBound, Metrics
+from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelLimiter, Metrics
 
 INF = float("inf")
 # The target is 5 ms added at p99, and urgent work starts within 1.5 s.
@@ -18,7 +18,7 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._teams = LabelBound(TEAM_LABELS_MAX)
+        self._teams = LabelLimiter(TEAM_LABELS_MAX)
         registry = metrics.registry
         self._answers = Histogram(
             "baobabhoist_answer_seconds",
@@ -34,13 +34,13 @@
 
     def finished(self, team: str, result: str, seconds: float) -> None:
         """Observe an answer or a refusal; requests without an accepted key have no team."""
-        label = self._teams.of(team) if team else NO_TEAM
+        label = self._teams.label_for(team) if team else NO_TEAM
         self._answers.observe({"team": label}, seconds)
         self._requests.inc({"team": label, "result": result})
 
     def refused(self, team: str, kind: str) -> None:
         """Count a refusal among those of the instance."""
-        self._metrics.refused(team or NO_TEAM, kind)
+        self._metrics.count_refusal(team or NO_TEAM, kind)
 
 
 def open_requests_gauge(metrics: Metrics) -> Gauge:
--- a/baobabhoist/observability/events.py
+++ b/baobabhoist/observability/events.py
@@ -111,7 +111,7 @@
         self.template = template
 
 
-class _Known(dict[str, Any]):
+class _FieldsWithPlaceholders(dict[str, Any]):
     """Fill a field that the caller left out, so that a log call never raises."""
 
     def __missing__(self, key: str) -> str:
@@ -120,7 +120,7 @@
 
 def render_message(event: Event, fields: Mapping[str, Any]) -> str:
     """Return the message of an event with its fields filled in."""
-    return event.template.format_map(_Known(fields))
+    return event.template.format_map(_FieldsWithPlaceholders(fields))
 
 
 def emit(log: logging.Logger, event: Event, /, **fields: Any) -> None:
@@ -171,7 +171,7 @@
 
 
 def configure_logging(
-    form: str,
+    output_format: str,
     level: str,
     stream: TextIO | None = None,
     handler: logging.Handler | None = None,
@@ -181,7 +181,7 @@
     A `handler` of one's own takes the place of the stream.
     """
     handler = handler or logging.StreamHandler(stream or sys.stderr)
-    handler.setFormatter(JsonFormatter() if form == "json" else TextFormatter())
+    handler.setFormatter(JsonFormatter() if output_format == "json" else TextFormatter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
--- a/baobabhoist/observability/log_handlers.py
+++ b/baobabhoist/observability/log_handlers.py
@@ -7,15 +7,15 @@
 from typing import TextIO
 
 # Lines of one event beyond this many a second are left out and counted.
-EVENT_LINES_PER_S = 400
+MAX_EVENT_LINES_PER_S = 400
 
 
-class DroppingHandler(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Write each record as one line with one system call."""
 
     def __init__(self, stream: TextIO) -> None:
         super().__init__()
-        self.dropped = 0
+        self.dropped_lines = 0
         self._fd = stream.fileno()
         os.set_blocking(self._fd, False)
 
@@ -28,17 +28,17 @@
             return
         try:
             if os.write(self._fd, line) < len(line):
-                self.dropped += 1
+                self.dropped_lines += 1
         except (BlockingIOError, BrokenPipeError):
-            self.dropped += 1
+            self.dropped_lines += 1
 
 
-class RateFilter(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Bound the lines of each event a second and say how many were left out."""
 
-    def __init__(self, attribute: str, per_second: int = EVENT_LINES_PER_S) -> None:
+    def __init__(self, attribute: str, per_second: int = MAX_EVENT_LINES_PER_S) -> None:
         super().__init__()
-        self.left_out = 0
+        self.suppressed_lines = 0
         self._attribute = attribute
         self._per_second = per_second
         self._second = 0
@@ -54,5 +54,5 @@
         count = self._counts[event] = self._counts.get(event, 0) + 1
         if count <= self._per_second or record.levelno >= logging.WARNING:
             return True
-        self.left_out += 1
+        self.suppressed_lines += 1
         return False
--- a/baobabhoist/observability/metrics.py
+++ b/baobabhoist/observability/metrics.py
@@ -23,19 +23,19 @@
 
 
 @attrs.define
-class LabelBound:
+class LabelLimiter:
     """Map label values beyond a bound to `other`, so that metrics stay small."""
 
-    limit: int
-    known: set[str] = attrs.Factory(set)
+    max_values: int
+    values: set[str] = attrs.Factory(set)
 
-    def of(self, value: str) -> str:
+    def label_for(self, value: str) -> str:
         """Return the label under which a value is counted."""
-        if value in self.known:
+        if value in self.values:
             return value
-        if len(self.known) >= self.limit:
+        if len(self.values) >= self.max_values:
             return OVERFLOW_LABEL
-        self.known.add(value)
+        self.values.add(value)
         return value
 
 
@@ -44,10 +44,10 @@
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self._teams = LabelBound(TEAM_LABELS_MAX)
-        self._classes = LabelBound(CLASS_LABELS_MAX)
-        self._shards = LabelBound(SHARD_LABELS_MAX)
-        self._invariants = LabelBound(INVARIANT_LABELS_MAX)
+        self._teams = LabelLimiter(TEAM_LABELS_MAX)
+        self._classes = LabelLimiter(CLASS_LABELS_MAX)
+        self._shards = LabelLimiter(SHARD_LABELS_MAX)
+        self._invariants = LabelLimiter(INVARIANT_LABELS_MAX)
         self._waiting = self._histogram(
             "waiting_seconds", "Time from submission to start.", WAITING_BUCKETS_S
         )
@@ -72,27 +72,27 @@
         )
         self._refusals = self._counter("refusals_total", "Work refused, by team and kind.")
 
-    def waited(self, team: str, kind: str, seconds: float) -> None:
+    def observe_wait(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task waited for its start."""
         self._waiting.observe(self._team_and_class(team, kind), seconds)
 
-    def served(self, team: str, kind: str, seconds: float) -> None:
+    def observe_service(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task ran."""
         self._service.observe(self._team_and_class(team, kind), seconds)
 
-    def decided(self, team: str, kind: str, seconds: float) -> None:
+    def observe_decision(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a placement decision took."""
         self._decision.observe(self._team_and_class(team, kind), seconds)
 
-    def set_packing(self, shard: str, ratio: float) -> None:
+    def set_packing_ratio(self, shard: str, ratio: float) -> None:
         """Report the bound fraction of a shard, from 0 to 1."""
-        self._packing.set({"shard": self._shards.of(shard)}, ratio)
+        self._packing.set({"shard": self._shards.label_for(shard)}, ratio)
 
-    def set_share(self, team: str, shard: str, ratio: float) -> None:
+    def set_share_ratio(self, team: str, shard: str, ratio: float) -> None:
         """Report a team's dominant share of a shard, from 0 to 1."""
         self._share.set(self._team_and_shard(team, shard), ratio)
 
-    def set_escrow(self, team: str, shard: str, places: int) -> None:
+    def set_escrow_places(self, team: str, shard: str, places: int) -> None:
         """Report the places that a shard holds for a team."""
         self._escrow.set(self._team_and_shard(team, shard), places)
 
@@ -109,13 +109,13 @@
         self._traffic.set({"direction": "sent"}, sent_bytes)
         self._traffic.set({"direction": "received"}, received_bytes)
 
-    def invariant_breached(self, invariant: str) -> None:
+    def count_invariant_breach(self, invariant: str) -> None:
         """Count a step refused by an invariant."""
-        self._breaches.inc({"invariant": self._invariants.of(invariant)})
+        self._breaches.inc({"invariant": self._invariants.label_for(invariant)})
 
-    def refused(self, team: str, kind: str) -> None:
+    def count_refusal(self, team: str, kind: str) -> None:
         """Count a refusal of a team's work."""
-        self._refusals.inc({"team": self._teams.of(team), "kind": kind})
+        self._refusals.inc({"team": self._teams.label_for(team), "kind": kind})
 
     def exposition(self, accept: list[str] | None = None) -> tuple[bytes, dict[str, str]]:
         """Return the metrics and the HTTP headers, in a form that `accept` allows."""
@@ -123,10 +123,10 @@
         return content, dict(headers)
 
     def _team_and_class(self, team: str, kind: str) -> dict[str, str]:
-        return {"team": self._teams.of(team), "class": self._classes.of(kind)}
+        return {"team": self._teams.label_for(team), "class": self._classes.label_for(kind)}
 
     def _team_and_shard(self, team: str, shard: str) -> dict[str, str]:
-        return {"team": self._teams.of(team), "shard": self._shards.of(shard)}
+        return {"team": self._teams.label_for(team), "shard": self._shards.label_for(shard)}
 
     def _histogram(self, name: str, text: str, buckets: tuple[float, ...]) -> Any:
         return Histogram(f"baobabhoist_{name}", text, registry=self.registry, buckets=buckets)
--- a/baobabhoist/peer/codec.py
+++ b/baobabhoist/peer/codec.py
@@ -12,14 +12,14 @@
 from baobabhoist.errors import CodecError
 
 PROTOCOL_VERSION = 1
-ENVELOPE_LENGTH = 4
+ENVELOPE_FIELD_COUNT = 4
 
 
 @attrs.frozen
 class Envelope:
     """Carry a message with its correlation id; id 0 means that no reply is expected."""
 
-    correlation: int
+    correlation_id: int
     message: Any
 
 
@@ -55,18 +55,20 @@
 class Codec:
     """Encode and decode the message types of one protocol."""
 
-    types: tuple[type, ...]
-    tags: dict[type, int] = attrs.field(init=False)
+    message_types: tuple[type, ...]
+    type_numbers: dict[type, int] = attrs.field(init=False)
     converter: cattrs.Converter = attrs.Factory(_converter)
 
     def __attrs_post_init__(self) -> None:
-        """Derive the type numbers; a position in `types` is part of the protocol."""
-        self.tags = {kind: tag for tag, kind in enumerate(self.types)}
+        """Derive the type numbers; a position in `message_types` is part of the protocol."""
+        self.type_numbers = {kind: tag for tag, kind in enumerate(self.message_types)}
 
-    def encode(self, message: Any, correlation: int = 0) -> bytes:
+    def encode(self, message: Any, correlation_id: int = 0) -> bytes:
         """Return the message as CBOR."""
         fields = self.converter.unstructure(message)
-        return cbor2.dumps([PROTOCOL_VERSION, self.tags[type(message)], correlation, fields])
+        return cbor2.dumps(
+            [PROTOCOL_VERSION, self.type_numbers[type(message)], correlation_id, fields]
+        )
 
     def decode(self, data: bytes) -> Envelope:
         """Return the envelope in the data, or raise CodecError naming what is wrong."""
@@ -74,17 +76,19 @@
             parts = cbor2.loads(data)
         except Exception as exc:
             raise CodecError(f"not a CBOR message: {exc}") from exc
-        if not isinstance(parts, list) or len(parts) != ENVELOPE_LENGTH:
-            raise CodecError("a message is a CBOR array of version, type, correlation, fields")
-        version, tag, correlation, fields = parts
+        if not isinstance(parts, list) or len(parts) != ENVELOPE_FIELD_COUNT:
+            raise CodecError(
+                "a message is a CBOR array of version, type, correlation id and fields"
+            )
+        version, tag, correlation_id, fields = parts
         if version != PROTOCOL_VERSION:
             raise CodecError(f"protocol version {version!r} is not {PROTOCOL_VERSION}")
-        if type(tag) is not int or not 0 <= tag < len(self.types):
+        if type(tag) is not int or not 0 <= tag < len(self.message_types):
             raise CodecError(f"unknown message type {tag!r}")
-        if type(correlation) is not int:
+        if type(correlation_id) is not int:
             raise CodecError("the correlation id is not a whole number")
         try:
-            message: Any = self.converter.structure(fields, self.types[tag])
+            message: Any = self.converter.structure(fields, self.message_types[tag])
         except Exception as exc:
-            raise CodecError(f"bad fields in {self.types[tag].__name__}: {exc}") from exc
-        return Envelope(correlation, message)
+            raise CodecError(f"bad fields in {self.message_types[tag].__name__}: {exc}") from exc
+        return Envelope(correlation_id, message)
--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -18,10 +18,10 @@
 from baobabhoist.peer.streams import (
     CHUNK_BYTES,
     MAX_MESSAGE_BYTES,
-    Assembly,
     BodyChunk,
     SendWindow,
     StreamAborted,
+    StreamAssembler,
     WindowUpdate,
 )
 
@@ -32,7 +32,7 @@
 CLOSE_TIMEOUT_S = 0.5
 # A frame holds one chunk at most; the rest is room for the fields around it.
 MAX_FRAME_BYTES = 4 * CHUNK_BYTES
-READ_AHEAD_FRAMES = 256
+MAX_QUEUED_FRAMES = 256
 
 # Settings of the websockets library for every connection between processes. Its keepalive
 # closes a connection that has gone silent, so that the link is replaced by a new one.
@@ -41,7 +41,7 @@
     "ping_timeout": PING_TIMEOUT_S,
     "close_timeout": CLOSE_TIMEOUT_S,
     "max_size": MAX_FRAME_BYTES,
-    "max_queue": READ_AHEAD_FRAMES,
+    "max_queue": MAX_QUEUED_FRAMES,
     "compression": None,
 }
 
@@ -49,14 +49,14 @@
 
 
 @attrs.define
-class Traffic:
+class LinkTraffic:
     """Count the bytes of messages on all links of this process."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
 
 
-TRAFFIC = Traffic()
+LINK_TRAFFIC = LinkTraffic()
 
 
 class Link:
@@ -70,7 +70,7 @@
         self._ids = itertools.count(1)
         self._streams = itertools.count(1)
         self._windows: dict[int, SendWindow] = {}
-        self._assembly = Assembly()
+        self._assembly = StreamAssembler()
         self._tasks: set[asyncio.Task[None]] = set()
         self.closed = False
 
@@ -78,7 +78,7 @@
         """Read until the connection ends, then fail the outstanding calls."""
         try:
             async for data in self._conn:
-                TRAFFIC.received_bytes += len(data)
+                LINK_TRAFFIC.received_bytes += len(data)
                 self._receive(data if isinstance(data, bytes) else data.encode())
         except ConnectionClosed:
             pass
@@ -86,38 +86,38 @@
             self.closed = True
             self._fail_pending()
 
-    async def call(self, message: Any, deadline_s: float) -> Any:
-        """Send a message and return its reply; `deadline_s` is the time left, in seconds.
+    async def call(self, message: Any, timeout_s: float) -> Any:
+        """Send a message and return its reply; `timeout_s` is the time left, in seconds.
 
         Raises NotSentError when nothing was sent, LinkClosedError when the connection ends and
         TimeoutError at the deadline.
         """
         if self.closed:
             raise NotSentError("the connection is closed")
-        correlation = next(self._ids)
+        correlation_id = next(self._ids)
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._pending[correlation] = fut
-        data = self._codec.encode(message, correlation)
+        self._pending[correlation_id] = fut
+        data = self._codec.encode(message, correlation_id)
         if len(data) > CHUNK_BYTES:
-            return await self._call_large(data, correlation, fut, deadline_s)
+            return await self._call_large(data, correlation_id, fut, timeout_s)
         # A timer on the future costs less than a timeout around the two awaits.
-        timer = asyncio.get_running_loop().call_later(max(0.0, deadline_s), _expire, fut)
+        timer = asyncio.get_running_loop().call_later(max(0.0, timeout_s), _expire, fut)
         try:
             await self._send_frame(data)
             return await fut
         finally:
             timer.cancel()
-            self._pending.pop(correlation, None)
+            self._pending.pop(correlation_id, None)
 
     async def _call_large(
-        self, data: bytes, correlation: int, fut: asyncio.Future[Any], deadline_s: float
+        self, data: bytes, correlation_id: int, fut: asyncio.Future[Any], timeout_s: float
     ) -> Any:
         try:
-            async with asyncio.timeout(deadline_s):
+            async with asyncio.timeout(timeout_s):
                 await self._send(data)
                 return await fut
         finally:
-            self._pending.pop(correlation, None)
+            self._pending.pop(correlation_id, None)
 
     async def notify(self, message: Any) -> None:
         """Send a message that has no reply."""
@@ -142,7 +142,7 @@
             await self._send_frame(data)
 
     async def _send_frame(self, data: bytes) -> None:
-        TRAFFIC.sent_bytes += len(data)
+        LINK_TRAFFIC.sent_bytes += len(data)
         try:
             await self._conn.send(data)
         except ConnectionClosed as exc:
@@ -164,9 +164,9 @@
         finally:
             del self._windows[stream]
 
-    async def _send_quietly(self, message: Any, correlation: int = 0) -> None:
+    async def _send_quietly(self, message: Any, correlation_id: int = 0) -> None:
         try:
-            await self._send(self._codec.encode(message, correlation))
+            await self._send(self._codec.encode(message, correlation_id))
         except LinkClosedError:
             log.info("the connection closed before %s was sent", type(message).__name__)
 
@@ -180,12 +180,12 @@
         if handle is not None:
             handle(self, envelope.message)
         # Replies carry the negated id of the call, so both ends can number their own calls.
-        elif envelope.correlation < 0:
-            fut = self._pending.get(-envelope.correlation)
+        elif envelope.correlation_id < 0:
+            fut = self._pending.get(-envelope.correlation_id)
             if fut is not None and not fut.done():
                 fut.set_result(envelope.message)
         else:
-            self._spawn(self._handle(envelope.correlation, envelope.message))
+            self._spawn(self._handle(envelope.correlation_id, envelope.message))
 
     def _on_chunk(self, chunk: BodyChunk) -> None:
         taken = self._assembly.add(chunk)
@@ -197,11 +197,11 @@
     def _on_window(self, update: WindowUpdate) -> None:
         window = self._windows.get(update.stream)
         if window is not None:
-            window.confirm(update.taken)
+            window.acknowledge(update.taken)
 
     def _on_aborted(self, aborted: StreamAborted) -> None:
         if aborted.by_sender:
-            self._assembly.drop(aborted.stream)
+            self._assembly.discard(aborted.stream)
             return
         window = self._windows.get(aborted.stream)
         if window is not None:
@@ -218,10 +218,10 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _handle(self, correlation: int, message: Any) -> None:
+    async def _handle(self, correlation_id: int, message: Any) -> None:
         reply = await self._handler(message)
-        if correlation and reply is not None:
-            await self._send_quietly(reply, -correlation)
+        if correlation_id and reply is not None:
+            await self._send_quietly(reply, -correlation_id)
 
     def _fail_pending(self) -> None:
         for window in self._windows.values():
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -18,19 +18,19 @@
 from baobabhoist.errors import LinkClosedError, NotSentError
 from baobabhoist.ownership.tokens import NO_TOKEN, Token
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
-from baobabhoist.peer.messages import CODEC, Ack, Heard, Heartbeat, ShardDigest
+from baobabhoist.peer.messages import CODEC, Ack, Heartbeat, LastContact, ShardDigest
 
 log = logging.getLogger(__name__)
 
 HEARTBEAT_INTERVAL_S = 0.3
-PEER_LIVE_S = 2.0
+PEER_TIMEOUT_S = 2.0
 RECONNECT_DELAY_S = 0.2
 # A peer that returns is connected again within half of the time after which it counts as dead.
-RECONNECT_DELAY_MAX_S = 1.0
+MAX_RECONNECT_DELAY_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
-# Shorter than PEER_LIVE_S, so that a silent connection is replaced before the instance
+# Shorter than PEER_TIMEOUT_S, so that a silent connection is replaced before the instance
 # behind it counts as dead.
-ACK_DEADLINE_S = 1.0
+ACK_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
@@ -48,14 +48,14 @@
     """Hold what is known of a peer; `live_until` is in Unix seconds."""
 
     address: PeerAddress
-    link: Link | None = None
-    inbound: Link | None = None
+    outbound_link: Link | None = None
+    inbound_link: Link | None = None
     heartbeat: Heartbeat | None = None
     live_until: float = 0.0
 
-    def usable_link(self) -> Link | None:
+    def find_open_link(self) -> Link | None:
         """Return the open connection to the peer, either end having opened it."""
-        for link in (self.link, self.inbound):
+        for link in (self.outbound_link, self.inbound_link):
             if link is not None and not link.closed:
                 return link
         return None
@@ -106,56 +106,56 @@
                 for task in (*self._keepers.values(), *self._beats):
                     task.cancel()
 
-    def consider(self, addresses: Iterable[PeerAddress]) -> None:
+    def add_peers(self, addresses: Iterable[PeerAddress]) -> None:
         """Add peers that the membership list names and the settings do not."""
         for address in addresses:
             self.peers.setdefault(address.instance_id, PeerState(address))
 
-    def forget(self, instance_id: str) -> None:
+    def remove_peer(self, instance_id: str) -> None:
         """Stop contacting a peer that the membership list has long reported as gone."""
         self.peers.pop(instance_id, None)
         keeper = self._keepers.pop(instance_id, None)
         if keeper is not None:
             keeper.cancel()
 
-    def live(self) -> list[PeerState]:
+    def live_peers(self) -> list[PeerState]:
         """Return the peers that this or another live instance heard within the deadline."""
         now = self._clock()
         return [peer for peer in self.peers.values() if peer.live_until > now]
 
-    def heard(self) -> tuple[Heard, ...]:
+    def last_contacts(self) -> tuple[LastContact, ...]:
         """Return how long ago each live peer was heard, for this instance's heartbeat."""
         now = self._clock()
         return tuple(
-            Heard(peer.address.instance_id, PEER_LIVE_S - (peer.live_until - now))
-            for peer in self.live()
+            LastContact(peer.address.instance_id, PEER_TIMEOUT_S - (peer.live_until - now))
+            for peer in self.live_peers()
         )
 
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that reports to own a shard under the highest token."""
         best: tuple[Token, str] | None = None
-        for peer in self.live():
+        for peer in self.live_peers():
             beat = peer.heartbeat
             if beat is not None and shard in beat.owned_shards:
                 found = (_token_of(beat, shard), peer.address.instance_id)
                 best = max(best, found) if best is not None else found
         return best[1] if best is not None else None
 
-    def beats(self) -> list[Heartbeat]:
+    def live_heartbeats(self) -> list[Heartbeat]:
         """Return the last heartbeat of each live peer."""
-        return [peer.heartbeat for peer in self.live() if peer.heartbeat is not None]
+        return [peer.heartbeat for peer in self.live_peers() if peer.heartbeat is not None]
 
-    def digests(self) -> list[ShardDigest]:
+    def shard_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards that live peers own."""
-        return [digest for beat in self.beats() for digest in beat.shards]
+        return [digest for beat in self.live_heartbeats() for digest in beat.shards]
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
         peer = self.peers.get(instance_id)
-        link = peer.usable_link() if peer is not None else None
+        link = peer.find_open_link() if peer is not None else None
         if link is None:
             raise NotSentError(f"instance {instance_id} is not connected")
-        return await link.call(message, deadline_s)
+        return await link.call(message, timeout_s)
 
     async def broadcast(self, message: Any, data_centre: str | None = None) -> None:
         """Send a message to every connected peer, or to those of one data centre."""
@@ -167,11 +167,11 @@
         await asyncio.gather(*(self._notify(peer, message) for peer in chosen))
 
     async def _notify(self, peer: PeerState, message: Any) -> None:
-        link = peer.usable_link()
+        link = peer.find_open_link()
         if link is None:
             return
         try:
-            async with asyncio.timeout(ACK_DEADLINE_S):
+            async with asyncio.timeout(ACK_TIMEOUT_S):
                 await link.notify(message)
         except (LinkClosedError, TimeoutError):
             log.info("instance %s did not take a message", peer.address.instance_id)
@@ -196,15 +196,15 @@
                     conn = await self._connect(peer.address)
             except (OSError, TimeoutError, InvalidHandshake, ConnectionClosed):
                 await asyncio.sleep(delay_s * random.uniform(0.5, 1.0))
-                delay_s = min(2 * delay_s, RECONNECT_DELAY_MAX_S)
+                delay_s = min(2 * delay_s, MAX_RECONNECT_DELAY_S)
                 continue
             delay_s = RECONNECT_DELAY_S
             link = Link(conn, CODEC, self._receive)
-            peer.link = link
+            peer.outbound_link = link
             try:
                 await link.run()
             finally:
-                peer.link = None
+                peer.outbound_link = None
                 link.abort()
             # A connection that is cut as soon as it is made must not be made without a pause.
             await asyncio.sleep(RECONNECT_DELAY_S * random.uniform(0.5, 1.0))
@@ -221,7 +221,7 @@
         for peer in self.peers.values():
             # Both connections of a pair carry heartbeats, so one silent connection does not
             # make its instance look dead.
-            for link in (peer.link, peer.inbound):
+            for link in (peer.outbound_link, peer.inbound_link):
                 if link is not None and not link.closed:
                     beat = asyncio.create_task(self._send_beat(peer, link, heartbeat))
                     self._beats.add(beat)
@@ -229,7 +229,7 @@
 
     async def _send_beat(self, peer: PeerState, link: Link, heartbeat: Heartbeat) -> None:
         try:
-            await link.call(heartbeat, ACK_DEADLINE_S)
+            await link.call(heartbeat, ACK_TIMEOUT_S)
         except TimeoutError:
             if not link.closed:
                 log.warning("the silent link to %s is replaced", peer.address.instance_id)
@@ -243,18 +243,18 @@
         peer = self.peers.get(message.instance_id)
         if peer is not None:
             if inbound is not None:
-                peer.inbound = inbound
+                peer.inbound_link = inbound
             self._note(peer, message)
         return Ack()
 
     def _note(self, peer: PeerState, beat: Heartbeat) -> None:
         now = self._clock()
         peer.heartbeat = beat
-        peer.live_until = now + PEER_LIVE_S
+        peer.live_until = now + PEER_TIMEOUT_S
         for heard in beat.heard:
             other = self.peers.get(heard.instance_id)
             if other is not None:
-                until = now + PEER_LIVE_S - max(0.0, heard.age_s)
+                until = now + PEER_TIMEOUT_S - max(0.0, heard.age_s)
                 other.live_until = max(other.live_until, until)
         self._on_heartbeat(beat)
 
--- a/baobabhoist/peer/messages.py
+++ b/baobabhoist/peer/messages.py
@@ -9,7 +9,7 @@
 from baobabhoist.model import Answer, Request
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.codec import Codec
-from baobabhoist.peer.streams import STREAM_TYPES
+from baobabhoist.peer.streams import STREAM_MESSAGES
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Heard:
+class LastContact:
     """Tell how long ago an instance was heard, in seconds."""
 
     instance_id: str
@@ -58,7 +58,7 @@
     records_revision: int
     draining: bool
     shards: tuple[ShardDigest, ...] = ()
-    heard: tuple[Heard, ...] = ()
+    heard: tuple[LastContact, ...] = ()
     weight: float = 1.0
     cut_off_s: float = 0.0
 
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen
-class RecordPull:
+class RecordEntriesRequest:
     """Ask for the entries of the change log behind a revision."""
 
     after: int
@@ -115,7 +115,7 @@
 
 
 @attrs.frozen
-class KeyResult:
+class RequestKeyResult:
     """Carry what an owner knows of a request key; exactly one of both results is set."""
 
     request_id: str
@@ -137,13 +137,13 @@
     token: Token
     sender: str
     requests: tuple[Request, ...]
-    results: tuple[KeyResult, ...]
+    results: tuple[RequestKeyResult, ...]
     settled: dict[str, float] = attrs.Factory(dict)
     known_since: float | None = None
 
 
 @attrs.frozen
-class HandOverTaken:
+class HandOverReply:
     """Confirm that the receiver claims the shard and keeps what was handed over."""
 
     shard: str
@@ -151,7 +151,7 @@
 
 
 @attrs.frozen
-class PlacesWanted:
+class PlaceTransferRequest:
     """Ask the owner of a shard to transfer places of a team to another shard."""
 
     team: str
@@ -161,7 +161,7 @@
 
 
 @attrs.frozen
-class PlacesGiven:
+class PlaceTransferReply:
     """Report how many places were transferred; zero when there were none to give."""
 
     team: str
@@ -177,13 +177,13 @@
         RelayRefusal,
         Ack,
         RecordEntries,
-        RecordPull,
+        RecordEntriesRequest,
         RecordSnapshot,
         HandOver,
-        HandOverTaken,
-        PlacesWanted,
-        PlacesGiven,
-        *STREAM_TYPES,
+        HandOverReply,
+        PlaceTransferRequest,
+        PlaceTransferReply,
+        *STREAM_MESSAGES,
         *JOB_MESSAGES,
     )
 )
--- a/baobabhoist/peer/streams.py
+++ b/baobabhoist/peer/streams.py
@@ -13,7 +13,7 @@
 # Unconfirmed bytes of one stream: covers a round trip of 4 ms at 1 Gbit/s.
 WINDOW_BYTES = 1 << 19
 MAX_MESSAGE_BYTES = 1 << 28
-MAX_ASSEMBLY_BYTES = 1 << 29
+MAX_BUFFERED_BYTES = 1 << 29
 
 
 @attrs.frozen
@@ -42,7 +42,7 @@
     by_sender: bool
 
 
-STREAM_TYPES = (BodyChunk, WindowUpdate, StreamAborted)
+STREAM_MESSAGES = (BodyChunk, WindowUpdate, StreamAborted)
 
 
 class SendWindow:
@@ -63,7 +63,7 @@
             raise LinkClosedError("the receiver gave the message up")
         self._sent += size
 
-    def confirm(self, taken: int) -> None:
+    def acknowledge(self, taken: int) -> None:
         """Note the bytes that the receiver has taken; a late confirmation has no effect."""
         self._taken = max(self._taken, min(taken, self._sent))
         self._open.set()
@@ -75,31 +75,31 @@
 
 
 @attrs.define
-class Assembly:
+class StreamAssembler:
     """Collect the streams that arrive on one connection."""
 
     streams: dict[int, bytearray] = attrs.Factory(dict)
-    held_bytes: int = 0
+    buffered_bytes: int = 0
 
     def add(self, chunk: BodyChunk) -> bytes | WindowUpdate | StreamAborted:
         """Take a chunk; return the whole message, a confirmation or the end of the stream."""
         buffer = self.streams.setdefault(chunk.stream, bytearray())
         size = len(chunk.data)
         too_large = len(buffer) + size > MAX_MESSAGE_BYTES
-        too_much = self.held_bytes + size > MAX_ASSEMBLY_BYTES
+        too_much = self.buffered_bytes + size > MAX_BUFFERED_BYTES
         if chunk.offset != len(buffer) or too_large or too_much:
-            self.drop(chunk.stream)
+            self.discard(chunk.stream)
             return StreamAborted(chunk.stream, by_sender=False)
         buffer += chunk.data
-        self.held_bytes += size
+        self.buffered_bytes += size
         if not chunk.last:
             return WindowUpdate(chunk.stream, len(buffer))
         whole = bytes(buffer)
-        self.drop(chunk.stream)
+        self.discard(chunk.stream)
         return whole
 
-    def drop(self, stream: int) -> None:
+    def discard(self, stream: int) -> None:
         """Forget an unfinished stream."""
         buffer = self.streams.pop(stream, None)
         if buffer is not None:
-            self.held_bytes -= len(buffer)
+            self.buffered_bytes -= len(buffer)
--- a/baobabhoist/peer/tls.py
+++ b/baobabhoist/peer/tls.py
@@ -15,7 +15,7 @@
     def __init__(self, cfg: TlsSettings) -> None:
         self._cfg = cfg
         self._listener = ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca))
-        self.client = client_context(cfg)
+        self.client = make_client_context(cfg)
 
     @property
     def server(self) -> ssl.SSLContext:
@@ -26,11 +26,11 @@
         """Load changed files; new connections use them. Tell whether they did change."""
         if not self._listener.reload_if_changed():
             return False
-        self.client = client_context(self._cfg)
+        self.client = make_client_context(self._cfg)
         return True
 
 
-def client_context(cfg: TlsSettings) -> ssl.SSLContext:
+def make_client_context(cfg: TlsSettings) -> ssl.SSLContext:
     """Return the context for connections to peers; raises SettingsError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -15,7 +15,7 @@
 from baobabhoist.control.settings import NodeSettings
 from baobabhoist.errors import SettingsError
 from baobabhoist.observability.events import EVENT_ATTRIBUTE, Event, configure_logging, emit
-from baobabhoist.observability.log_handlers import DroppingHandler, RateFilter
+from baobabhoist.observability.log_handlers import NonBlockingHandler, RateLimitFilter
 from baobabhoist.platform.advice import PlatformAdviser
 from baobabhoist.platform.decode import PlatformDecoder
 from baobabhoist.platform.front import Servers
@@ -92,8 +92,8 @@
     except SettingsError as exc:
         print(exc, file=sys.stderr)
         return EXIT_BAD_SETTINGS
-    handler = DroppingHandler(sys.stdout)
-    limit = RateFilter(EVENT_ATTRIBUTE)
+    handler = NonBlockingHandler(sys.stdout)
+    limit = RateLimitFilter(EVENT_ATTRIBUTE)
     handler.addFilter(limit)
     configure_logging("json", cfg.log_level, handler=handler)
     for name in QUIET_LOGGERS:
@@ -101,7 +101,7 @@
     emit(log, Event.DAEMON_STARTED, instance_id=cfg.instance_id, data_centre=cfg.data_centre)
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
-    asyncio.run(serve(cfg, lambda: handler.dropped + limit.left_out))
+    asyncio.run(serve(cfg, lambda: handler.dropped_lines + limit.suppressed_lines))
     return 0
 
 
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -19,7 +19,7 @@
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.link import Link
 from baobabhoist.testing.worker_log import EventLog
-from baobabhoist.upstream.link import WORKER_OPTIONS
+from baobabhoist.upstream.link import WORKER_WEBSOCKET_OPTIONS
 from baobabhoist.upstream.messages import (
     CODEC,
     CheckpointTask,
@@ -334,7 +334,7 @@
     async def handle(conn: ServerConnection) -> None:
         await Link(conn, CODEC, worker.handle).run()
 
-    async with serve(handle, "127.0.0.1", port, **WORKER_OPTIONS):
+    async with serve(handle, "127.0.0.1", port, **WORKER_WEBSOCKET_OPTIONS):
         while True:
             worker.check_leases(time.time())
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
--- a/baobabhoist/tests/shards.py
+++ b/baobabhoist/tests/shards.py
@@ -41,7 +41,7 @@
         self._broken = asyncio.Event()
 
     @property
-    def connected(self):
+    def is_connected(self):
         return self.up and self._open
 
     async def run(self):
@@ -54,8 +54,8 @@
                 await self._on_change(self.spec.name, False)
             await asyncio.sleep(0.005)
 
-    async def call(self, message, deadline_s):
-        if not self.connected:
+    async def call(self, message, timeout_s):
+        if not self.is_connected:
             raise NotSentError("not connected")
         self.calls.append(message)
         worker = self._workers[self.spec.name]
@@ -67,7 +67,7 @@
             raise LinkClosedError("broken")
         breaking = asyncio.ensure_future(broken.wait())
         done, _ = await asyncio.wait(
-            (running, breaking), timeout=deadline_s, return_when=asyncio.FIRST_COMPLETED
+            (running, breaking), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
         breaking.cancel()
         if running in done:
@@ -82,7 +82,7 @@
         self._broken.set()
         self._broken = asyncio.Event()
 
-    def replace(self):
+    def reconnect(self):
         self._broken.set()
         self._broken = asyncio.Event()
 
--- a/baobabhoist/tests/test_control_advice.py
+++ b/baobabhoist/tests/test_control_advice.py
@@ -22,7 +22,7 @@
         self.reply = reply or AdviceReply(True, {"w": "t"}, 2500)
         self.costs = []
 
-    async def call(self, query, deadline_s):
+    async def call(self, query, timeout_s):
         self.costs.append(query.cost_ms)
         if isinstance(self.reply, Exception):
             raise self.reply
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -47,7 +47,7 @@
         self.silent = False
         self.calls = 0
 
-    async def call(self, message, deadline_s):
+    async def call(self, message, timeout_s):
         self.calls += 1
         if self.silent:
             raise TimeoutError
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -8,7 +8,7 @@
 from baobabhoist.daemon.escrow import Escrow
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
-from baobabhoist.peer.messages import PlacesWanted
+from baobabhoist.peer.messages import PlaceTransferRequest
 from baobabhoist.quota.escrow import decode_row
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.shards import Rack, quicken, request, until
@@ -162,7 +162,7 @@
         raise PlatformError("the answer was lost")
 
     table.commit = lossy
-    given = await pair.nodes[1].escrow.give(PlacesWanted("team", 1, "r2", "r1"))
+    given = await pair.nodes[1].escrow.give(PlaceTransferRequest("team", 1, "r2", "r1"))
     assert given.places == 0
 
 
@@ -185,7 +185,7 @@
 async def test_a_donor_that_lost_its_shard_gives_nothing(pair):
     """Guard against a paused owner that gives away places which its successor uses."""
     await pair.racks[1].owned("successor")
-    given = await pair.nodes[1].escrow.give(PlacesWanted("team", 1, "r2", "r1"))
+    given = await pair.nodes[1].escrow.give(PlaceTransferRequest("team", 1, "r2", "r1"))
     assert given.places == 0
     assert pair.row().places == {"r1": 2, "r2": 2}
 
--- a/baobabhoist/tests/test_daemon_owners.py
+++ b/baobabhoist/tests/test_daemon_owners.py
@@ -12,7 +12,7 @@
 from baobabhoist.model import Resources, WorkerSpec
 from baobabhoist.ownership.events import ClaimState
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
+from baobabhoist.peer.messages import HandOver, HandOverReply, Heartbeat
 
 SPEC = WorkerSpec("w1", "127.0.0.1", 1, "r", Resources(1000, 1000, 0, 4))
 
@@ -21,15 +21,15 @@
     def __init__(self, *names, data_centre="north"):
         self.live = {name: Heartbeat(name, data_centre, (), 0, draining=False) for name in names}
         self.owner = None
-        self.reply = HandOverTaken("s1", True)
+        self.reply = HandOverReply("s1", True)
 
-    def beats(self):
+    def live_heartbeats(self):
         return list(self.live.values())
 
     def owner_of(self, shard):
         return self.owner
 
-    async def call(self, instance_id, message, deadline_s):
+    async def call(self, instance_id, message, timeout_s):
         if isinstance(self.reply, Exception):
             raise self.reply
         return self.reply
@@ -192,7 +192,7 @@
         await setting.owners.hand_over_all()
         await setting.pass_time(5)
         message = HandOver("s1", Token(1, 0, "x"), "x", (), (), ())
-        assert setting.owners.take(message) == HandOverTaken("s1", False)
+        assert setting.owners.take(message) == HandOverReply("s1", False)
         assert not setting.claimed
 
     run(body)
@@ -218,8 +218,8 @@
 @pytest.mark.parametrize(
     ("reply", "taken"),
     [
-        (HandOverTaken("s1", True), True),
-        (HandOverTaken("s1", False), False),
+        (HandOverReply("s1", True), True),
+        (HandOverReply("s1", False), False),
         (NotSentError("no link"), False),
         (LinkClosedError("cut"), None),
         (TimeoutError(), None),
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -37,7 +37,7 @@
 
     heard = False
 
-    def beats(self):
+    def live_heartbeats(self):
         return []
 
     def owner_of(self, shard):
@@ -85,7 +85,7 @@
     async def body():
         owners = Owners(Place("n1", "south"), Shards(), peers, None, clock=lambda: now[0])
         owners.claim = lambda shard: claimed.append(now[0])
-        peers.beats = lambda: [SimpleNamespace(**BETTER)]
+        peers.live_heartbeats = lambda: [SimpleNamespace(**BETTER)]
         owners._unowned_since["s"] = 1.0
         owners._last_tick = now[0]
         owners.owners["s"] = SimpleNamespace(claim=SimpleNamespace(state=None))
--- a/baobabhoist/tests/test_daemon_routing.py
+++ b/baobabhoist/tests/test_daemon_routing.py
@@ -26,10 +26,10 @@
     def owner_of(self, shard):
         return "peer" if self.script else None
 
-    def digests(self):
+    def shard_digests(self):
         return self._digests
 
-    async def call(self, instance_id, message, deadline_s):
+    async def call(self, instance_id, message, timeout_s):
         self.relayed.append(message)
         step = self.script.pop(0)
         if isinstance(step, Exception):
--- a/baobabhoist/tests/test_daemon_shard.py
+++ b/baobabhoist/tests/test_daemon_shard.py
@@ -247,7 +247,7 @@
     rack.workers["w3"] = Worker("w3", CAPACITY)
     spec = attrs.evolve(rack.specs[0], name="w3")
     await owner.set_workers([spec])
-    await until(lambda: owner.claim.can_dispatch_to("w3") and links["w3"].connected)
+    await until(lambda: owner.claim.can_dispatch_to("w3") and links["w3"].is_connected)
     await owner.submit(request("new"))
     assert isinstance(links["w3"].calls[0], FenceWorker)
     assert len(links["w3"].sent(RunTask)) == 1
--- a/baobabhoist/tests/test_daemon_sync.py
+++ b/baobabhoist/tests/test_daemon_sync.py
@@ -20,7 +20,7 @@
         self.cut = set()
         self.pushed = []
 
-    async def call(self, instance_id, message, deadline_s):
+    async def call(self, instance_id, message, timeout_s):
         if instance_id in self.cut:
             raise LinkClosedError("cut")
         return await self.syncs[instance_id].receive(message)
--- a/baobabhoist/tests/test_observability_metrics.py
+++ b/baobabhoist/tests/test_observability_metrics.py
@@ -1,13 +1,13 @@
 """Test the metrics and the bound on their labels."""
 
-from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelBound, Metrics
+from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelLimiter, Metrics
 
 
 def test_labels_beyond_the_bound_are_counted_as_other():
     """Guard against memory that grows with every name a caller sends."""
     metrics = Metrics()
     for number in range(TEAM_LABELS_MAX + 50):
-        metrics.refused(f"team-{number}", "queue_full")
+        metrics.count_refusal(f"team-{number}", "queue_full")
     text = metrics.exposition()[0].decode()
     lines = [line for line in text.splitlines() if line.startswith("baobabhoist_refusals_total{")]
     assert len(lines) == TEAM_LABELS_MAX + 1
@@ -16,17 +16,17 @@
 
 def test_a_known_label_stays_known_when_the_bound_is_full():
     """Guard against a team's series moving to `other` halfway."""
-    bound = LabelBound(1)
-    assert [bound.of(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
+    bound = LabelLimiter(1)
+    assert [bound.label_for(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
 
 
 def test_each_histogram_has_team_and_class_and_no_two_registries_mix():
     """Guard against series without the labels, and against a registry shared by instances."""
     first, second = Metrics(), Metrics()
-    first.waited("roster", "batch", 0.2)
-    first.served("roster", "batch", 3.0)
-    first.decided("roster", "batch", 0.0003)
-    first.invariant_breached("capacity")
+    first.observe_wait("roster", "batch", 0.2)
+    first.observe_service("roster", "batch", 3.0)
+    first.observe_decision("roster", "batch", 0.0003)
+    first.count_invariant_breach("capacity")
     text = first.exposition()[0].decode()
     for name in ("waiting", "service", "decision"):
         assert f'baobabhoist_{name}_seconds_count{{class="batch",team="roster"}} 1' in text
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -18,8 +18,8 @@
 from baobabhoist.peer.messages import (
     CODEC,
     Ack,
-    Heard,
     Heartbeat,
+    LastContact,
     RelayAnswer,
     RelayRequest,
     ShardDigest,
@@ -143,7 +143,7 @@
         await found._receive(beat("b", ["s"]))
         now[0] += 1.9
         assert found.owner_of("s") == "b"
-        await found._receive(beat("a", heard=[Heard("b", 0.5)]))
+        await found._receive(beat("a", heard=[LastContact("b", 0.5)]))
         now[0] += 1.4
         assert found.owner_of("s") == "b"
         now[0] += 0.2
@@ -188,7 +188,7 @@
 
 def test_a_silent_connection_is_replaced(monkeypatch):
     """Guard against a middlebox that forgets a connection, which then stays open for ever."""
-    monkeypatch.setattr(mesh, "ACK_DEADLINE_S", 0.3)
+    monkeypatch.setattr(mesh, "ACK_TIMEOUT_S", 0.3)
     monkeypatch.setattr(mesh, "HEARTBEAT_INTERVAL_S", 0.05)
 
     async def scenario():
@@ -198,12 +198,12 @@
         meshes = pair(ports, [relays[1].port, relays[0].port])
         (first, _), (second, _) = meshes
         async with running(*meshes):
-            await until(lambda: first.peers["b"].link and second.peers["a"].link)
-            old = first.peers["b"].link
+            await until(lambda: first.peers["b"].outbound_link and second.peers["a"].outbound_link)
+            old = first.peers["b"].outbound_link
             for relay in relays:
                 await relay.command("silent", 0.0, None)
                 await relay.command("pass", 0.0, None)
-            await until(lambda: old.closed and first.peers["b"].link not in (None, old))
+            await until(lambda: old.closed and first.peers["b"].outbound_link not in (None, old))
             reply = await first.call("b", RelayRequest(request("r", b"again")), 5.0)
             assert reply.answer.body == b"again"
         for relay, server in zip(relays, servers, strict=True):
@@ -231,10 +231,10 @@
         (first, _), _ = meshes
         async with running(*meshes):
             await asyncio.sleep(0.5)
-            assert not first.live()
+            assert not first.live_peers()
             identity("b", trusted)
             assert bad.reload_if_changed()
-            await until(lambda: first.live())
+            await until(lambda: first.live_peers())
 
     asyncio.run(scenario())
 
--- a/baobabhoist/tests/test_peer_streams.py
+++ b/baobabhoist/tests/test_peer_streams.py
@@ -9,10 +9,10 @@
 from baobabhoist.peer.streams import (
     CHUNK_BYTES,
     WINDOW_BYTES,
-    Assembly,
     BodyChunk,
     SendWindow,
     StreamAborted,
+    StreamAssembler,
     WindowUpdate,
 )
 
@@ -27,7 +27,7 @@
         waiting = asyncio.ensure_future(window.reserve(CHUNK_BYTES))
         await asyncio.sleep(0)
         assert not waiting.done()
-        window.confirm(CHUNK_BYTES)
+        window.acknowledge(CHUNK_BYTES)
         await waiting
 
     asyncio.run(scenario())
@@ -50,20 +50,20 @@
 
 def test_interleaved_streams_are_put_together_whole():
     """Guard against bytes of one message in another."""
-    found = Assembly()
+    found = StreamAssembler()
     assert found.add(BodyChunk(1, 0, False, b"ab")) == WindowUpdate(1, 2)
     assert found.add(BodyChunk(2, 0, False, b"xy")) == WindowUpdate(2, 2)
     assert found.add(BodyChunk(1, 2, True, b"c")) == b"abc"
     assert found.add(BodyChunk(2, 2, True, b"z")) == b"xyz"
-    assert (found.streams, found.held_bytes) == ({}, 0)
+    assert (found.streams, found.buffered_bytes) == ({}, 0)
 
 
 def test_a_gap_or_an_excess_ends_the_stream(monkeypatch):
     """Guard against a message with a hole, and against memory that a sender can exhaust."""
     monkeypatch.setattr(streams, "MAX_MESSAGE_BYTES", 4)
-    found = Assembly()
+    found = StreamAssembler()
     found.add(BodyChunk(1, 0, False, b"ab"))
     aborted = StreamAborted(1, by_sender=False)
     assert found.add(BodyChunk(1, 3, False, b"d")) == aborted
     assert found.add(BodyChunk(1, 0, False, b"abcde")) == aborted
-    assert found.held_bytes == 0
+    assert found.buffered_bytes == 0
--- a/baobabhoist/upstream/link.py
+++ b/baobabhoist/upstream/link.py
@@ -23,7 +23,7 @@
 # The renewal of leases, once a second, already finds a silent worker; the keepalive only has to
 # end connections on which nothing is renewed. More frequent pings cost a fifth of a core for 400
 # workers.
-WORKER_OPTIONS: dict[str, Any] = WEBSOCKET_OPTIONS | {"ping_interval": 5.0}
+WORKER_WEBSOCKET_OPTIONS: dict[str, Any] = WEBSOCKET_OPTIONS | {"ping_interval": 5.0}
 
 
 async def _ignore(message: Any) -> None:
@@ -41,7 +41,7 @@
         self._link: Link | None = None
 
     @property
-    def connected(self) -> bool:
+    def is_connected(self) -> bool:
         """Tell whether a call can be sent now."""
         return self._link is not None and not self._link.closed
 
@@ -51,7 +51,7 @@
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    conn = await connect(uri, **WORKER_OPTIONS)
+                    conn = await connect(uri, **WORKER_WEBSOCKET_OPTIONS)
             except (OSError, TimeoutError, InvalidHandshake, ConnectionClosed):
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
@@ -59,15 +59,15 @@
             # A connection that is cut as soon as it is made must not be made without a pause.
             await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def call(self, message: Any, deadline_s: float) -> Any:
+    async def call(self, message: Any, timeout_s: float) -> Any:
         """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
         if self._link is None:
             raise NotSentError(f"worker {self.spec.name} is not connected")
-        return await self._link.call(message, deadline_s)
+        return await self._link.call(message, timeout_s)
 
-    def replace(self) -> None:
+    def reconnect(self) -> None:
         """Drop a connection that has gone silent, so that a new one is made."""
-        if self.connected and self._link is not None:
+        if self.is_connected and self._link is not None:
             emit(log, Event.LINK_REPLACED, name=self.spec.name)
             self._link.abort()
 
--- a/baobabhoist/upstream/messages.py
+++ b/baobabhoist/upstream/messages.py
@@ -7,7 +7,7 @@
 from baobabhoist.model import EndedTask, RunningTask, Task
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.codec import Codec
-from baobabhoist.peer.streams import STREAM_TYPES
+from baobabhoist.peer.streams import STREAM_MESSAGES
 
 
 @attrs.frozen
@@ -151,6 +151,6 @@
         CheckpointTask,
         ThrottleTask,
         ReadInventory,
-        *STREAM_TYPES,
+        *STREAM_MESSAGES,
     )
 )
--- a/baobabhoist/upstream/pool.py
+++ b/baobabhoist/upstream/pool.py
@@ -10,23 +10,23 @@
 from baobabhoist.model import WorkerSpec
 from baobabhoist.upstream.link import WorkerLink
 
-OnChange = Callable[[str, bool], Awaitable[None]]
+OnConnectionChange = Callable[[str, bool], Awaitable[None]]
 
 
 class WorkerConnection(Protocol):
     """Be a connection to one worker that replaces itself when it fails."""
 
     @property
-    def connected(self) -> bool:
+    def is_connected(self) -> bool:
         """Tell whether a call can be sent now."""
 
     async def run(self) -> None:
         """Keep the connection until cancelled."""
 
-    async def call(self, message: Any, deadline_s: float) -> Any:
+    async def call(self, message: Any, timeout_s: float) -> Any:
         """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
 
-    def replace(self) -> None:
+    def reconnect(self) -> None:
         """Drop a connection that has gone silent, so that a new one is made."""
 
 
@@ -36,8 +36,8 @@
     def __init__(
         self,
         workers: Iterable[WorkerSpec],
-        on_change: OnChange,
-        make_link: Callable[[WorkerSpec, OnChange], WorkerConnection] = WorkerLink,
+        on_change: OnConnectionChange,
+        make_link: Callable[[WorkerSpec, OnConnectionChange], WorkerConnection] = WorkerLink,
     ) -> None:
         self._on_change = on_change
         self._make_link = make_link
@@ -52,7 +52,7 @@
         for spec in workers:
             known = self._specs.get(spec.name)
             if known is None or (known.host, known.port) != (spec.host, spec.port):
-                self.drop(spec.name)
+                self.remove_worker(spec.name)
                 self._links[spec.name] = self._make_link(spec, self._on_change)
             self._specs[spec.name] = spec
         if self._running:
@@ -69,9 +69,9 @@
         """End all links."""
         self._running = False
         for name in list(self._links):
-            self.drop(name)
+            self.remove_worker(name)
 
-    def drop(self, worker: str) -> None:
+    def remove_worker(self, worker: str) -> None:
         """End the link to one worker."""
         self._links.pop(worker, None)
         self._specs.pop(worker, None)
@@ -79,20 +79,20 @@
         if keeper is not None:
             keeper.cancel()
 
-    def connected(self, worker: str) -> bool:
+    def is_connected(self, worker: str) -> bool:
         """Tell whether a call to this worker can be sent now."""
         link = self._links.get(worker)
-        return link is not None and link.connected
+        return link is not None and link.is_connected
 
-    async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, worker: str, message: Any, timeout_s: float) -> Any:
         """Send a call to a worker; raises NotSentError, LinkClosedError or TimeoutError."""
         link = self._links.get(worker)
         if link is None:
             raise NotSentError(f"worker {worker} has no link")
-        return await link.call(message, deadline_s)
+        return await link.call(message, timeout_s)
 
-    def replace(self, worker: str) -> None:
+    def reconnect(self, worker: str) -> None:
         """Replace a link that has gone silent."""
         link = self._links.get(worker)
         if link is not None:
-            link.replace()
+            link.reconnect()
