--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -16,13 +16,13 @@
 import attrs
 
 from baobabhoist.benchmarks.cell_workload import (
-    LOADS,
+    SCENARIOS,
     SERVICE,
-    WORKER,
-    WORKERS_A_RACK,
+    WORKER_CAPACITY,
+    WORKERS_PER_RACK,
     Arrival,
-    Stream,
-    make_stream,
+    CellWorkload,
+    generate_workload,
 )
 from baobabhoist.benchmarks.stats import quantile
 from baobabhoist.cell.jobs import LATE_LIMIT_FACTOR, StepState
@@ -44,20 +44,20 @@
 from baobabhoist.testing.cell_worker import StandInWorker, end_gang
 
 LEASE_MS = 5_000.0
-TICK_MS = 100.0
-RENEW_MS = 1_000.0
+TICK_INTERVAL_MS = 100.0
+LEASE_RENEWAL_INTERVAL_MS = 1_000.0
 # From the decision to the start on the worker: the store's answer and the call.
-START_MS = 12.0
-STOP_MS = 200.0
-REPORT_MS = 3.0
+START_LATENCY_MS = 12.0
+STOP_LATENCY_MS = 200.0
+REPORT_LATENCY_MS = 3.0
 # Events of this time are decided together, as under the owner's pause between rounds.
-DECISION_GAP_MS = 4.0
+DECISION_DELAY_MS = 4.0
 # Instances that ask the adviser beside each other.
-ADVISERS = 9
-APPROVED_OF_100 = 60
-VALID_MS = 2_500.0
-LATE_WORTH = 0.2
-DRAIN_S = 20.0
+MAX_ADVICE_REQUESTS = 9
+ADVICE_APPROVAL_PERCENT = 60
+TICKET_VALIDITY_MS = 2_500.0
+LATE_VALUE_FRACTION = 0.2
+DRAIN_PERIOD_S = 20.0
 
 
 class FirstFit(TaskPlacer):
@@ -88,198 +88,210 @@
 class CellReplay:
     """Hold the state of one run; times are in ms."""
 
-    stream: Stream
+    workload: CellWorkload
     policy: type[TaskPlacer]
     cell: CellScheduler = attrs.field(init=False)
     workers: dict[str, StandInWorker] = attrs.field(init=False)
     arrivals: dict[str, Arrival] = attrs.field(init=False)
     now: float = 0.0
-    call_s: list[float] = attrs.Factory(list)
+    decision_times_s: list[float] = attrs.Factory(list)
     # When runs on workers began and will end.
-    spans: dict[TaskKey, tuple[float, float]] = attrs.Factory(dict)
+    run_intervals: dict[TaskKey, tuple[float, float]] = attrs.Factory(dict)
     _events: list[tuple[float, int, Callable[[], None]]] = attrs.Factory(list)
-    _numbers: itertools.count[int] = attrs.Factory(itertools.count)
-    _kicked: bool = False
+    _event_numbers: itertools.count[int] = attrs.Factory(itertools.count)
+    _decision_pending: bool = False
 
     def __attrs_post_init__(self) -> None:
         """Make the cell and its workers."""
-        self.cell = CellScheduler(self.stream.rules, Takeover(0, 0), LEASE_MS)
-        self.cell.placer = self.policy(self.cell.state, max_advice_requests=ADVISERS)
-        self.workers = {name: StandInWorker(name, WORKER) for name in self.stream.workers}
-        self.arrivals = {arrival.job.job_id: arrival for arrival in self.stream.arrivals}
+        self.cell = CellScheduler(self.workload.rules, Takeover(0, 0), LEASE_MS)
+        self.cell.placer = self.policy(self.cell.state, max_advice_requests=MAX_ADVICE_REQUESTS)
+        self.workers = {
+            name: StandInWorker(name, WORKER_CAPACITY) for name in self.workload.workers
+        }
+        self.arrivals = {arrival.job.job_id: arrival for arrival in self.workload.arrivals}
         for number, name in enumerate(self.workers):
-            rack = f"r{number // WORKERS_A_RACK}"
-            info = WorkerInfo(name, SERVICE, "", "z", WORKER, ("a", rack), started_unix_ms=1)
+            rack = f"r{number // WORKERS_PER_RACK}"
+            info = WorkerInfo(
+                name, SERVICE, "", "z", WORKER_CAPACITY, ("a", rack), started_unix_ms=1
+            )
             self.cell.update_worker(info, 0.0)
 
     def run(self, seconds: float) -> None:
         """Play the stream and let what it left drain."""
-        for arrival in self.stream.arrivals:
-            self._at(arrival.at_ms, functools.partial(self._arrive, arrival))
+        for arrival in self.workload.arrivals:
+            self._schedule_event(arrival.at_ms, functools.partial(self._arrive, arrival))
         for name in self.workers:
-            self._at(0.0, functools.partial(self._renew, name, again=True))
-        self._at(0.0, self._tick)
-        until = (seconds + DRAIN_S) * 1000
-        while self._events and self._events[0][0] <= until:
+            self._schedule_event(0.0, functools.partial(self._renew_lease, name, repeat=True))
+        self._schedule_event(0.0, self._tick)
+        end_ms = (seconds + DRAIN_PERIOD_S) * 1000
+        while self._events and self._events[0][0] <= end_ms:
             self.now, _, event = heapq.heappop(self._events)
             event()
 
-    def _at(self, when_ms: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (max(when_ms, self.now), next(self._numbers), event))
+    def _schedule_event(self, when_ms: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (max(when_ms, self.now), next(self._event_numbers), event))
 
-    def _kick(self) -> None:
-        if not self._kicked:
-            self._kicked = True
-            self._at(self.now + DECISION_GAP_MS, self._decide)
+    def _schedule_decision(self) -> None:
+        if not self._decision_pending:
+            self._decision_pending = True
+            self._schedule_event(self.now + DECISION_DELAY_MS, self._make_decision)
 
-    def _decide(self) -> None:
-        self._kicked = False
-        began_s = time.perf_counter()
+    def _make_decision(self) -> None:
+        self._decision_pending = False
+        started_s = time.perf_counter()
         commands = self.cell.schedule(self.now, True)
-        self.call_s.append(time.perf_counter() - began_s)
+        self.decision_times_s.append(time.perf_counter() - started_s)
         for command in commands:
-            _ORDERS[type(command)](self, command)
+            _COMMAND_HANDLERS[type(command)](self, command)
 
     def _tick(self) -> None:
         self.cell.tick(self.now, self.now)
-        self._kick()
-        self._at(self.now + TICK_MS, self._tick)
+        self._schedule_decision()
+        self._schedule_event(self.now + TICK_INTERVAL_MS, self._tick)
 
     # Callers and advice.
 
     def _arrive(self, arrival: Arrival) -> None:
         self.cell.add_job(arrival.job, self.now, self.now, self.now)
         if arrival.cancel_ms is not None:
-            self._at(arrival.cancel_ms, lambda: self._cancel(arrival.job.job_id))
-        self._kick()
+            self._schedule_event(arrival.cancel_ms, lambda: self._cancel(arrival.job.job_id))
+        self._schedule_decision()
 
     def _cancel(self, job_id: str) -> None:
         self.cell.cancel_job(job_id, self.now)
-        self._kick()
+        self._schedule_decision()
 
-    def _ask(self, question: RequestAdvice) -> None:
+    def _request_advice(self, request: RequestAdvice) -> None:
         def answer() -> None:
-            key = question.step
+            key = request.step
             tickets = {
                 name: "ticket"
-                for name in question.workers
-                if zlib.crc32(f"{key}{name}".encode()) % 100 < APPROVED_OF_100
+                for name in request.workers
+                if zlib.crc32(f"{key}{name}".encode()) % 100 < ADVICE_APPROVAL_PERCENT
             }
-            valid = self.now + VALID_MS
-            self.cell.handle_advice(key, question.workers, tickets, valid)
-            self._kick()
+            valid_until_ms = self.now + TICKET_VALIDITY_MS
+            self.cell.handle_advice(key, request.workers, tickets, valid_until_ms)
+            self._schedule_decision()
 
-        self._at(self.now + question.cost_ms, answer)
+        self._schedule_event(self.now + request.cost_ms, answer)
 
     # Workers.
 
-    def _start(self, order: StartTask) -> None:
-        def start() -> None:
-            worker = self._worker(order.worker_id)
-            if not self.cell.should_send_start(order):
+    def _start_task(self, command: StartTask) -> None:
+        def start_task() -> None:
+            worker = self._worker_at_now(command.worker_id)
+            if not self.cell.should_send_start(command):
                 return
-            outcome = worker.start(1, order, self._deadline(order.worker_id) or 0)
-            self.cell.handle_start_result(order, outcome, self.now)
+            outcome = worker.start(1, command, self._extend_lease(command.worker_id) or 0)
+            self.cell.handle_start_result(command, outcome, self.now)
             if outcome is CommandOutcome.OK:
-                ends_ms = self.now + self._run_ms(order)
-                self.spans[order.task] = (self.now, ends_ms)
-                self._at(ends_ms, lambda: self._end(order))
+                ends_ms = self.now + self._run_ms(command)
+                self.run_intervals[command.task] = (self.now, ends_ms)
+                self._schedule_event(ends_ms, lambda: self._end_run(command))
 
-        self._at(self.now + START_MS, start)
+        self._schedule_event(self.now + START_LATENCY_MS, start_task)
 
-    def _run_ms(self, order: StartTask) -> float:
-        arrival = self.arrivals[order.task.job_id]
-        declared = arrival.job.spec.steps[order.task.step].expected_ms
-        slowness = self.stream.slowness(order.worker_id, self.now)
-        if arrival.job.spec.steps[order.task.step].gang:
+    def _run_ms(self, command: StartTask) -> float:
+        arrival = self.arrivals[command.task.job_id]
+        declared = arrival.job.spec.steps[command.task.step].expected_ms
+        slowness = self.workload.slowness_factor(command.worker_id, self.now)
+        if arrival.job.spec.steps[command.task.step].gang:
             # A gang works as fast as its slowest member.
-            slowness = max(self._gang_slowness(order.task, order.run), slowness)
-        return declared * arrival.actual * slowness
+            slowness = max(self._gang_slowness(command.task, command.run), slowness)
+        return declared * arrival.duration_factor * slowness
 
     def _gang_slowness(self, task: TaskKey, number: int) -> float:
         step = self.cell.state.jobs[task.job_id].find_step(task)
         members = step.tasks if step is not None else []
-        used = [m.run.worker_id for m in members if m.run is not None and m.run.number == number]
-        return max((self.stream.slowness(name, self.now) for name in used), default=1.0)
-
-    def _end(self, order: StartTask) -> None:
-        worker = self._worker(order.worker_id)
-        run = worker.runs.get(order.task)
-        if run is None or run.number != order.run:
+        worker_ids = [
+            m.run.worker_id for m in members if m.run is not None and m.run.number == number
+        ]
+        return max(
+            (self.workload.slowness_factor(name, self.now) for name in worker_ids), default=1.0
+        )
+
+    def _end_run(self, command: StartTask) -> None:
+        worker = self._worker_at_now(command.worker_id)
+        run = worker.runs.get(command.task)
+        if run is None or run.number != command.run:
             return
-        arrival = self.arrivals[order.task.job_id]
-        fails = self.stream.fails(order.worker_id, self.now)
-        fails = fails or order.run <= arrival.failures
-        worker.end(order.task, RunOutcome.FAILED if fails else RunOutcome.DONE)
-        if fails and arrival.job.spec.steps[order.task.step].gang:
-            for name in end_gang(self.workers, order.task, order.run, RunOutcome.BROKEN):
-                self._report_soon(name)
-        self._report_soon(order.worker_id)
-
-    def _stop(self, order: StopTask) -> None:
-        def stop() -> None:
-            worker = self._worker(order.worker_id)
-            self.cell.handle_stop_result(order, worker.stop(1, order), self.now)
-            self._report_soon(order.worker_id)
-
-        self._at(self.now + STOP_MS, stop)
-
-    def _worker(self, name: str) -> StandInWorker:
+        arrival = self.arrivals[command.task.job_id]
+        failed = self.workload.worker_fails(command.worker_id, self.now)
+        failed = failed or command.run <= arrival.failing_runs
+        worker.end(command.task, RunOutcome.FAILED if failed else RunOutcome.DONE)
+        if failed and arrival.job.spec.steps[command.task.step].gang:
+            for name in end_gang(self.workers, command.task, command.run, RunOutcome.BROKEN):
+                self._schedule_report(name)
+        self._schedule_report(command.worker_id)
+
+    def _stop_task(self, command: StopTask) -> None:
+        def stop_task() -> None:
+            worker = self._worker_at_now(command.worker_id)
+            self.cell.handle_stop_result(command, worker.stop(1, command), self.now)
+            self._schedule_report(command.worker_id)
+
+        self._schedule_event(self.now + STOP_LATENCY_MS, stop_task)
+
+    def _worker_at_now(self, name: str) -> StandInWorker:
         worker = self.workers[name]
         worker.now = self.now
         return worker
 
-    def _deadline(self, name: str) -> int | None:
+    def _extend_lease(self, name: str) -> int | None:
         return self.cell.state.workers[name].lease.extend_deadline(self.now, LEASE_MS)
 
-    def _report_soon(self, name: str) -> None:
-        self._at(self.now + REPORT_MS, lambda: self._renew(name))
+    def _schedule_report(self, name: str) -> None:
+        self._schedule_event(self.now + REPORT_LATENCY_MS, lambda: self._renew_lease(name))
 
-    def _renew(self, name: str, again: bool = False) -> None:
-        worker, state = self._worker(name), self.cell.state.workers[name]
+    def _renew_lease(self, name: str, repeat: bool = False) -> None:
+        worker, state = self._worker_at_now(name), self.cell.state.workers[name]
         state.last_acked_end = state.last_seen_end
         for key, held in worker.runs.items():
-            began, ends = self.spans[key]
-            held.percent = 100.0 * (self.now - began) / max(1.0, ends - began)
-        report = worker.renew(1, state.last_acked_end, self._deadline(name))
+            began_ms, ends_ms = self.run_intervals[key]
+            held.percent = 100.0 * (self.now - began_ms) / max(1.0, ends_ms - began_ms)
+        report = worker.renew(1, state.last_acked_end, self._extend_lease(name))
         if not isinstance(report, CommandOutcome):
-            self.cell.handle_report(name, report, self.now - REPORT_MS, self.now)
-        self._kick()
-        if again:
-            self._at(self.now + RENEW_MS, lambda: self._renew(name, again=True))
+            self.cell.handle_report(name, report, self.now - REPORT_LATENCY_MS, self.now)
+        self._schedule_decision()
+        if repeat:
+            self._schedule_event(
+                self.now + LEASE_RENEWAL_INTERVAL_MS, lambda: self._renew_lease(name, repeat=True)
+            )
 
     # Figures.
 
-    def worth(self) -> dict[str, float]:
+    def earned_value(self) -> dict[str, float]:
         """Return the part of the worth that was earned, of each queue and of all."""
-        owed: dict[str, float] = defaultdict(float)
+        offered: dict[str, float] = defaultdict(float)
         earned: dict[str, float] = defaultdict(float)
         for job_id, arrival in self.arrivals.items():
             job = self.cell.state.jobs[job_id]
             if arrival.cancel_ms is not None:
                 continue
-            for name in (arrival.kind.queue.name, "all"):
-                owed[name] += arrival.kind.worth
-                earned[name] += arrival.kind.worth * self._part(arrival, job.phase, job.ended_ms)
-        return {name: earned[name] / owed[name] for name in sorted(owed)}
-
-    def _part(self, arrival: Arrival, phase: JobPhase, ended_ms: float) -> float:
-        hopeless = arrival.failures >= arrival.kind.queue.max_attempts
-        wanted = JobPhase.FAILED if hopeless else JobPhase.COMPLETED
-        if phase is not wanted:
+            for name in (arrival.profile.queue.name, "all"):
+                offered[name] += arrival.profile.value
+                earned[name] += arrival.profile.value * self._earned_fraction(
+                    arrival, job.phase, job.ended_ms
+                )
+        return {name: earned[name] / offered[name] for name in sorted(offered)}
+
+    def _earned_fraction(self, arrival: Arrival, phase: JobPhase, ended_ms: float) -> float:
+        always_fails = arrival.failing_runs >= arrival.profile.queue.max_attempts
+        expected_phase = JobPhase.FAILED if always_fails else JobPhase.COMPLETED
+        if phase is not expected_phase:
             return 0.0
         job = self.cell.state.jobs[arrival.job.job_id]
-        patience = job.objective_ms - job.accepted_local_ms
-        took = ended_ms - job.accepted_local_ms
-        if took <= patience:
+        allowed_ms = job.objective_ms - job.accepted_local_ms
+        elapsed_ms = ended_ms - job.accepted_local_ms
+        if elapsed_ms <= allowed_ms:
             return 1.0
-        return LATE_WORTH if took <= LATE_LIMIT_FACTOR * patience else 0.0
+        return LATE_VALUE_FRACTION if elapsed_ms <= LATE_LIMIT_FACTOR * allowed_ms else 0.0
 
 
-_ORDERS: dict[type[Command], Callable[[CellReplay, Any], None]] = {
-    StartTask: CellReplay._start,
-    StopTask: CellReplay._stop,
-    RequestAdvice: CellReplay._ask,
+_COMMAND_HANDLERS: dict[type[Command], Callable[[CellReplay, Any], None]] = {
+    StartTask: CellReplay._start_task,
+    StopTask: CellReplay._stop_task,
+    RequestAdvice: CellReplay._request_advice,
 }
 
 
@@ -287,31 +299,33 @@
     """Return the figures of each policy on the same loads; no name means all loads."""
     # The logs of simulated runs would cost more than the decisions.
     logging.getLogger("baobabhoist").setLevel(logging.CRITICAL)
-    names = [load] if load else list(LOADS)
+    names = [load] if load else list(SCENARIOS)
     chosen = POLICIES if baselines else {"baobabhoist": TaskPlacer}
     report: dict[str, Any] = {"workers": workers, "seed": seed, "loads": {}}
     for name in names:
-        stream = make_stream(LOADS[name], workers, seconds, seed)
-        report["loads"][name] = {p: _measure(stream, kind, seconds) for p, kind in chosen.items()}
+        workload = generate_workload(SCENARIOS[name], workers, seconds, seed)
+        report["loads"][name] = {
+            p: _measure(workload, kind, seconds) for p, kind in chosen.items()
+        }
     return report
 
 
-def _measure(stream: Stream, policy: type[TaskPlacer], seconds: float) -> dict[str, Any]:
-    replay = CellReplay(stream, policy)
+def _measure(workload: CellWorkload, policy: type[TaskPlacer], seconds: float) -> dict[str, Any]:
+    replay = CellReplay(workload, policy)
     gc.collect()
     gc.freeze()
     replay.run(seconds)
     gc.unfreeze()
     return {
-        "worth": replay.worth(),
-        "decision_ms_p50": 1e3 * quantile(replay.call_s, 0.5),
-        "decision_ms_p99": 1e3 * quantile(replay.call_s, 0.99),
-        "decisions": len(replay.call_s),
-        "cores": sum(replay.call_s) / (seconds + DRAIN_S),
+        "worth": replay.earned_value(),
+        "decision_ms_p50": 1e3 * quantile(replay.decision_times_s, 0.5),
+        "decision_ms_p99": 1e3 * quantile(replay.decision_times_s, 0.99),
+        "decisions": len(replay.decision_times_s),
+        "cores": sum(replay.decision_times_s) / (seconds + DRAIN_PERIOD_S),
     }
 
 
-def table(report: dict[str, Any]) -> str:
+def format_table(report: dict[str, Any]) -> str:
     """Return the report as a plain table."""
     lines = [f"{report['workers']} workers, seed {report['seed']}; part of the worth earned"]
     form = "{:18}{:14}{:>8}{:>8}{:>8}{:>8}{:>10}{:>10}{:>8}"
--- a/baobabhoist/benchmarks/control_overhead.py
+++ b/baobabhoist/benchmarks/control_overhead.py
@@ -22,34 +22,34 @@
 from baobabhoist.testing.cluster import OPERATOR_KEY, Cluster, fetch, wait_for_port
 
 TEAM_KEY = "team-key-of-the-control-bench"
-OWNED_TIMEOUT_S = 60.0
-SETTLE_S = 3.0
-BUSY_CONNECTIONS = 64
-TEAMS = 110
-RACK_SIZE = 100
-DESIGN_SHARDS = 100
-PEERS = 99
-HEARTBEATS = 300
+OWNERSHIP_TIMEOUT_S = 60.0
+SETTLE_TIME_S = 3.0
+LOAD_CONNECTIONS = 64
+TEAM_COUNT = 110
+WORKERS_PER_SHARD = 100
+DESIGN_SHARD_COUNT = 100
+PEER_COUNT = 99
+HEARTBEAT_REPETITIONS = 300
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @attrs.frozen
 class Sample:
     """Hold what a process has used so far."""
 
-    at: float
+    time_s: float
     cpu_s: float
     memory_kb: int
     sent_bytes: int
     received_bytes: int
 
 
-def sample(pid: int, admin_port: int) -> Sample:
+def read_sample(pid: int, admin_port: int) -> Sample:
     """Read the use of a daemon's process and the traffic on its links."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+    cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
     headers = {"X-Operator-Key": OPERATOR_KEY}
     _, text = fetch(f"http://127.0.0.1:{admin_port}/metrics", headers)
     traffic = {"sent": 0, "received": 0}
@@ -60,9 +60,9 @@
     return Sample(time.time(), cpu_s, pages * PAGE_KB, traffic["sent"], traffic["received"])
 
 
-def usage(before: Sample, after: Sample) -> dict[str, float]:
+def usage_rates(before: Sample, after: Sample) -> dict[str, float]:
     """Return the use between two samples, per second."""
-    seconds = after.at - before.at
+    seconds = after.time_s - before.time_s
     return {
         "core_percent": round(100 * (after.cpu_s - before.cpu_s) / seconds, 2),
         "memory_mb": round(after.memory_kb / 1024, 1),
@@ -71,10 +71,13 @@
     }
 
 
-def _records(ports: dict[str, int]) -> list[dict[str, Any]]:
+def _fleet_records(ports: dict[str, int]) -> list[dict[str, Any]]:
     names = list(ports)
-    shards = [names[start : start + RACK_SIZE] for start in range(0, len(names), RACK_SIZE)]
-    found: list[dict[str, Any]] = []
+    shards = [
+        names[start : start + WORKERS_PER_SHARD]
+        for start in range(0, len(names), WORKERS_PER_SHARD)
+    ]
+    records: list[dict[str, Any]] = []
     for number, members in enumerate(shards):
         workers = [
             {
@@ -88,20 +91,20 @@
             for name in members
         ]
         body: dict[str, Any] = {"data_centre": "north", "workers": workers}
-        found.append({"kind": "shard", "name": f"rack-{number}", "body": body})
-    for number in range(TEAMS):
+        records.append({"kind": "shard", "name": f"rack-{number}", "body": body})
+    for number in range(TEAM_COUNT):
         limit = {"limit": 8 * len(names)}
-        found.append({"kind": "team", "name": f"team-{number}", "body": limit})
+        records.append({"kind": "team", "name": f"team-{number}", "body": limit})
     key = {"team": "team-0", "digest": digest(TEAM_KEY)}
-    found.append({"kind": "key", "name": "team-0-key", "body": key})
-    found.append({"kind": "queue", "name": "entries", "body": {}})
-    return [{"schema_version": 1, **record} for record in found]
+    records.append({"kind": "key", "name": "team-0-key", "body": key})
+    records.append({"kind": "queue", "name": "entries", "body": {}})
+    return [{"schema_version": 1, **record} for record in records]
 
 
-async def _load(port: int, rate: float, seconds: float) -> dict[str, float]:
+async def _run_load(port: int, rate: float, seconds: float) -> dict[str, float]:
     """Send requests at a steady rate and count the answers."""
     http = AsyncHTTPClient(force_instance=True, defaults={"request_timeout": 20.0})
-    http.configure(None, max_clients=BUSY_CONNECTIONS)
+    http.configure(None, max_clients=LOAD_CONNECTIONS)
     url = f"http://127.0.0.1:{port}/v1/queues/entries/requests"
     headers = {"X-Team-Key": TEAM_KEY}
     counts = {"answered": 0, "failed": 0}
@@ -125,7 +128,7 @@
     return {"rate": round(counts["answered"] / elapsed, 1), "failed": counts["failed"]}
 
 
-def measure(workers: int, rate: float, seconds: float) -> dict[str, Any]:
+def measure_fleet(workers: int, rate: float, seconds: float) -> dict[str, Any]:
     """Measure one daemon that owns all shards of a fleet, idle and under load."""
     with tempfile.TemporaryDirectory() as folder, Cluster(Path(folder)) as cluster:
         cluster.start_platform()
@@ -136,92 +139,108 @@
         cfg = cluster.instances["entry-1"]
         wait_for_port(cfg["admin_port"])
         path = Path(folder) / "records.yaml"
-        path.write_text(yaml.safe_dump_all(_records(ports)), encoding="utf-8")
+        path.write_text(yaml.safe_dump_all(_fleet_records(ports)), encoding="utf-8")
         cluster.command_line("put", "record", str(path), instance="entry-1")
-        _wait_until_owned(cfg["admin_port"], (workers + RACK_SIZE - 1) // RACK_SIZE)
-        time.sleep(SETTLE_S)
+        _wait_for_ownership(
+            cfg["admin_port"], (workers + WORKERS_PER_SHARD - 1) // WORKERS_PER_SHARD
+        )
+        time.sleep(SETTLE_TIME_S)
         pid = cluster.processes["entry-1"].pid
-        before = sample(pid, cfg["admin_port"])
+        before = read_sample(pid, cfg["admin_port"])
         time.sleep(seconds)
-        idle = sample(pid, cfg["admin_port"])
-        load = asyncio.run(_load(cfg["caller_port"], rate, seconds))
-        busy = sample(pid, cfg["admin_port"])
+        idle = read_sample(pid, cfg["admin_port"])
+        load = asyncio.run(_run_load(cfg["caller_port"], rate, seconds))
+        busy = read_sample(pid, cfg["admin_port"])
     return {
         "workers": workers,
-        "idle": usage(before, idle),
-        "busy": usage(idle, busy),
+        "idle": usage_rates(before, idle),
+        "busy": usage_rates(idle, busy),
         "load": load,
     }
 
 
-def _wait_until_owned(port: int, shards: int) -> None:
-    give_up_at = time.monotonic() + OWNED_TIMEOUT_S
+def _wait_for_ownership(port: int, shards: int) -> None:
+    deadline_s = time.monotonic() + OWNERSHIP_TIMEOUT_S
     headers = {"X-Operator-Key": OPERATOR_KEY}
-    while time.monotonic() < give_up_at:
+    while time.monotonic() < deadline_s:
         _, text = fetch(f"http://127.0.0.1:{port}/metrics", headers)
         if f"baobabhoist_owned_shards {shards}" in text.decode():
             return
         time.sleep(0.5)
-    raise RuntimeError(f"the daemon does not own {shards} shards after {OWNED_TIMEOUT_S:g} s")
+    raise RuntimeError(f"the daemon does not own {shards} shards after {OWNERSHIP_TIMEOUT_S:g} s")
 
 
-def heartbeat_cost() -> dict[str, float]:
+def measure_heartbeat() -> dict[str, float]:
     """Return the size of a heartbeat and the processor time to send and to receive it.
 
     The sender owns one shard, every team has work there, and it hears its design-size peers.
     """
-    teams = [f"team-{number}" for number in range(TEAMS)]
+    teams = [f"team-{number}" for number in range(TEAM_COUNT)]
     counts = dict.fromkeys(teams, 7)
-    digest_ = ShardDigest("rack-17", Token(1234, 0, "entry-17~abcdef"), counts, counts, 100, 50)
-    heard = tuple(LastContact(f"entry-{number}", 0.25) for number in range(PEERS))
-    beat = Heartbeat(
-        "entry-17", "north", ("rack-17",), 1_000_000, False, (digest_,), heard, 1.0, 0.0
+    shard_digest = ShardDigest(
+        "rack-17", Token(1234, 0, "entry-17~abcdef"), counts, counts, 100, 50
+    )
+    last_contacts = tuple(LastContact(f"entry-{number}", 0.25) for number in range(PEER_COUNT))
+    heartbeat = Heartbeat(
+        "entry-17",
+        "north",
+        ("rack-17",),
+        1_000_000,
+        False,
+        (shard_digest,),
+        last_contacts,
+        1.0,
+        0.0,
     )
-    data = PEER_CODEC.encode(beat)
+    data = PEER_CODEC.encode(heartbeat)
     return {
         "bytes": len(data),
-        "encode_us": _time_us(lambda: PEER_CODEC.encode(beat)),
-        "decode_us": _time_us(lambda: PEER_CODEC.decode(data)),
+        "encode_us": _cpu_time_us(lambda: PEER_CODEC.encode(heartbeat)),
+        "decode_us": _cpu_time_us(lambda: PEER_CODEC.decode(data)),
     }
 
 
-def _time_us(step: Callable[[], object]) -> float:
+def _cpu_time_us(operation: Callable[[], object]) -> float:
     started = time.process_time()
-    for _ in range(HEARTBEATS):
-        step()
-    return round(1e6 * (time.process_time() - started) / HEARTBEATS, 1)
+    for _ in range(HEARTBEAT_REPETITIONS):
+        operation()
+    return round(1e6 * (time.process_time() - started) / HEARTBEAT_REPETITIONS, 1)
 
 
-def records_cost(shards: int, rack_size: int) -> dict[str, float]:
+def measure_records(shards: int, workers_per_shard: int) -> dict[str, float]:
     """Return the memory of all records in force at a fleet's size, in MB."""
-    ports = {f"worker-{number}": 7000 for number in range(shards * rack_size)}
+    ports = {f"worker-{number}": 7000 for number in range(shards * workers_per_shard)}
     tracemalloc.start()
     view = RecordView()
-    for revision, record in enumerate(_records(ports), start=1):
+    for revision, record in enumerate(_fleet_records(ports), start=1):
         view.apply(Record(revision=revision, **record))
-    held, _ = tracemalloc.get_traced_memory()
+    held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return {"workers": shards * rack_size, "memory_mb": round(held / 1e6, 2)}
+    return {"workers": shards * workers_per_shard, "memory_mb": round(held_bytes / 1e6, 2)}
 
 
 def run(sizes: list[int], rate: float, seconds: float) -> dict[str, Any]:
     """Measure fleets of several sizes, and the slopes between the smallest and largest."""
-    found = [measure(size, rate, seconds) for size in sizes]
-    first, last = found[0], found[-1]
-    added = last["workers"] - first["workers"]
+    fleets = [measure_fleet(size, rate, seconds) for size in sizes]
+    first, last = fleets[0], fleets[-1]
+    added_workers = last["workers"] - first["workers"]
     slopes = {
-        name: round((last["idle"][name] - first["idle"][name]) / added, 5) if added else 0.0
+        name: (
+            round((last["idle"][name] - first["idle"][name]) / added_workers, 5)
+            if added_workers
+            else 0.0
+        )
         for name in first["idle"]
     }
     return {
-        "fleets": found,
+        "fleets": fleets,
         "per_worker_idle": slopes,
-        "heartbeat": heartbeat_cost(),
-        "records": records_cost(DESIGN_SHARDS, RACK_SIZE),
+        "heartbeat": measure_heartbeat(),
+        "records": measure_records(DESIGN_SHARD_COUNT, WORKERS_PER_SHARD),
     }
 
 
-def table(report: dict[str, Any]) -> str:
+def format_table(report: dict[str, Any]) -> str:
     """Return the report as a plain table."""
     lines = [
         f"{'workers':>8} {'phase':>6} {'core %':>7} {'MB':>7} {'sent KB/s':>10} {'recv KB/s':>10}"
@@ -240,10 +259,11 @@
         f"per worker, idle: {slopes['core_percent']} % of a core, {slopes['memory_mb']} MB, "
         f"{slopes['sent_kb_s']} KB/s sent, {slopes['received_kb_s']} KB/s received"
     )
-    beat, records = report["heartbeat"], report["records"]
+    heartbeat, records = report["heartbeat"], report["records"]
     lines.append(
-        f"heartbeat with one shard, {TEAMS} teams and {PEERS} peers: {beat['bytes']} bytes, "
-        f"{beat['encode_us']} us to encode, {beat['decode_us']} us to decode"
+        f"heartbeat with one shard, {TEAM_COUNT} teams and {PEER_COUNT} peers: "
+        f"{heartbeat['bytes']} bytes, "
+        f"{heartbeat['encode_us']} us to encode, {heartbeat['decode_us']} us to decode"
     )
     lines.append(f"records of {records['workers']} workers: {records['memory_mb']} MB")
     return "\n".join(lines)
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -10,21 +10,21 @@
 
 import attrs
 
-from baobabhoist.benchmarks.baselines import Baseline
+from baobabhoist.benchmarks.baselines import BaselinePolicy
 from baobabhoist.benchmarks.replay import Policy, Replay
 from baobabhoist.benchmarks.stats import quantile
-from baobabhoist.benchmarks.workload import PROFILES, Stream, make_stream
+from baobabhoist.benchmarks.workload import PROFILES, Workload, generate_workload
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Task, Urgency, WorkerSpec, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.scheduling.policy import QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.scheduler import PlaceQuota, Scheduler
 
-QUEUE_LIMIT = 10_000
+MAX_QUEUED_TASKS = 10_000
 
 
 @attrs.frozen
-class ConfirmedPlaces:
+class ConfirmedReleaseQuota:
     """Give places back as confirmed, as an owner does whose worker reports the end itself."""
 
     ledger: QuotaLedger
@@ -38,24 +38,26 @@
         self.ledger.release(task_id, confirmed=True)
 
 
-def _ours(stream: Stream, places: PlaceQuota) -> Policy:
-    scheduler = Scheduler.for_workers(stream.workers, places)
-    policy = QueuePolicy(objective=stream.profile.objective)
-    queues = {f"{team}-{kind.value}": policy for team in stream.weights for kind in WorkKind}
+def _make_scheduler(workload: Workload, quota: PlaceQuota) -> Policy:
+    scheduler = Scheduler.for_workers(workload.workers, quota)
+    policy = QueuePolicy(objective=workload.profile.objective)
+    queues = {f"{team}-{kind.value}": policy for team in workload.weights for kind in WorkKind}
     teams = {
-        team: TeamPolicy(weight=weight, max_queued=QUEUE_LIMIT)
-        for team, weight in stream.weights.items()
+        team: TeamPolicy(weight=weight, max_queued=MAX_QUEUED_TASKS)
+        for team, weight in workload.weights.items()
     }
     scheduler.set_policies(queues, teams)
-    for spec in stream.workers:
+    for spec in workload.workers:
         scheduler.worker_up(spec.name)
     return scheduler
 
 
-POLICIES: dict[str, Callable[[Stream, PlaceQuota], Policy]] = {
-    "baobabhoist": _ours,
-    "arrival order, first fit": lambda s, q: Baseline.over(s.workers, q, best_fit=False),
-    "best fit, no shares": lambda s, q: Baseline.over(s.workers, q, best_fit=True),
+POLICIES: dict[str, Callable[[Workload, PlaceQuota], Policy]] = {
+    "baobabhoist": _make_scheduler,
+    "arrival order, first fit": lambda s, q: BaselinePolicy.for_workers(
+        s.workers, q, best_fit=False
+    ),
+    "best fit, no shares": lambda s, q: BaselinePolicy.for_workers(s.workers, q, best_fit=True),
 }
 
 
@@ -74,17 +76,19 @@
         profile = attrs.evolve(profile, workers=workers, request_rate=rate)
     if duration_s:
         profile = attrs.evolve(profile, duration_s=duration_s)
-    stream = make_stream(profile, seed)
+    workload = generate_workload(profile, seed)
     report: dict[str, Any] = {"profile": profile_name, "seed": seed, "workers": profile.workers}
-    chosen = POLICIES if baselines else {"baobabhoist": _ours}
-    report["policies"] = {name: _measure(stream, make) for name, make in chosen.items()}
-    report["bytes"] = _memory(stream.workers, stream.arrivals[0].works[0].task)
+    chosen = POLICIES if baselines else {"baobabhoist": _make_scheduler}
+    report["policies"] = {name: _measure_policy(workload, make) for name, make in chosen.items()}
+    report["bytes"] = _measure_memory(workload.workers, workload.arrivals[0].items[0].task)
     return report
 
 
-def _measure(stream: Stream, make: Callable[[Stream, PlaceQuota], Policy]) -> dict[str, Any]:
-    ledger = QuotaLedger("bench", escrow=dict(stream.limits))
-    replay = Replay(stream, make(stream, ConfirmedPlaces(ledger)), ledger)
+def _measure_policy(
+    workload: Workload, make: Callable[[Workload, PlaceQuota], Policy]
+) -> dict[str, Any]:
+    ledger = QuotaLedger("bench", escrow=dict(workload.limits))
+    replay = Replay(workload, make(workload, ConfirmedReleaseQuota(ledger)), ledger)
     gc.collect()
     gc.freeze()
     replay.run()
@@ -95,26 +99,26 @@
         groups[f"team {task.team}"].append(wait)
         if task.urgency is Urgency.URGENT:
             groups["urgent"].append(wait)
-        if task_id not in replay.lost and task_id not in replay.waiting:
+        if task_id not in replay.abandoned and task_id not in replay.queued:
             groups[f"kind {task.kind.value}, served"].append(wait)
-        if task_id in replay.with_quota:
+        if task_id in replay.urgent_with_quota:
             groups["urgent with quota"].append(wait)
     return {
         "wait_s": {
             name: {"p50": quantile(waits, 0.5), "p99": quantile(waits, 0.99), "n": len(waits)}
             for name, waits in sorted(groups.items())
         },
-        "packing": _mean(replay.packing),
-        "full_s": len(replay.packing),
-        "deviation_pp": _mean(replay.deviation),
-        "refusals": dict(replay.refused),
-        "preemptions": replay.preempted,
+        "packing": _mean(replay.packing_samples),
+        "full_s": len(replay.packing_samples),
+        "deviation_pp": _mean(replay.deviation_samples),
+        "refusals": dict(replay.refusals),
+        "preemptions": replay.preemptions,
         "placements": replay.placements,
         "decision_ms": {
-            "p50": 1e3 * quantile(replay.call_s, 0.5),
-            "p99": 1e3 * quantile(replay.call_s, 0.99),
+            "p50": 1e3 * quantile(replay.decision_times_s, 0.5),
+            "p99": 1e3 * quantile(replay.decision_times_s, 0.99),
         },
-        "placements_per_s": replay.placements / replay.busy_s,
+        "placements_per_s": replay.placements / replay.policy_time_s,
     }
 
 
@@ -122,7 +126,7 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def _memory(workers: list[WorkerSpec], task: Task) -> dict[str, float]:
+def _measure_memory(workers: list[WorkerSpec], task: Task) -> dict[str, float]:
     """Return what the scheduler allocates per worker, per batch job and per queued task."""
     count = 2000
     task = attrs.evolve(task, kind=WorkKind.BATCH)
@@ -152,7 +156,7 @@
     return {"worker": per_worker, "job of one task": per_job, "task": per_task}
 
 
-def table(report: dict[str, Any]) -> str:
+def format_table(report: dict[str, Any]) -> str:
     """Return the report as a plain table."""
     policies = report["policies"]
     rows: list[tuple[str, list[str]]] = []
--- a/baobabhoist/benchmarks/progress_writes.py
+++ b/baobabhoist/benchmarks/progress_writes.py
@@ -16,12 +16,12 @@
 from baobabhoist.testing.cluster import free_port
 
 BATCH_SIZES = (1, 10, 100, 1000)
-CONCURRENT_WRITES = 8
+CONCURRENT_WRITERS = 8
 START_TIMEOUT_S = 10.0
 
 
 @contextmanager
-def _platform() -> Iterator[str]:
+def _run_platform() -> Iterator[str]:
     """Launch the platform stand-in as a process and give its address."""
     port = free_port()
     command = [sys.executable, "-m", "baobabhoist.testing.platform", f"--port={port}"]
@@ -37,31 +37,35 @@
 
 async def run(measure_s: float) -> dict[str, Any]:
     """Return writes and rows a second for each batch size."""
-    with _platform() as url:
+    with _run_platform() as url:
         table = PlatformTable(url)
-        await _wait_for(table)
-        return {str(size): await _measure(table, size, measure_s) for size in BATCH_SIZES}
+        await _wait_until_ready(table)
+        return {
+            str(size): await _measure_batch_size(table, size, measure_s) for size in BATCH_SIZES
+        }
 
 
-async def _wait_for(table: PlatformTable) -> None:
-    deadline = time.monotonic() + START_TIMEOUT_S
+async def _wait_until_ready(table: PlatformTable) -> None:
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             await table.read("shard/none")
             return
         except PlatformError:
-            if time.monotonic() > deadline:
+            if time.monotonic() > deadline_s:
                 raise
             await asyncio.sleep(0.05)
 
 
-async def _measure(table: PlatformTable, size: int, measure_s: float) -> dict[str, float]:
+async def _measure_batch_size(
+    table: PlatformTable, size: int, measure_s: float
+) -> dict[str, float]:
     latencies: list[float] = []
-    begin = time.monotonic()
+    started_s = time.monotonic()
 
     async def write(writer: int) -> None:
         number = 0
-        while time.monotonic() - begin < measure_s:
+        while time.monotonic() - started_s < measure_s:
             rows = {
                 f"progress/job{size}-{writer}-{(number * size + n) % 5000}/shard": {
                     "done": number,
@@ -70,21 +74,21 @@
                 }
                 for n in range(size)
             }
-            sent = time.monotonic()
+            sent_at_s = time.monotonic()
             await table.commit(Transaction({}, rows))
-            latencies.append(time.monotonic() - sent)
+            latencies.append(time.monotonic() - sent_at_s)
             number += 1
 
-    await asyncio.gather(*(write(writer) for writer in range(CONCURRENT_WRITES)))
-    spent = time.monotonic() - begin
+    await asyncio.gather(*(write(writer) for writer in range(CONCURRENT_WRITERS)))
+    elapsed_s = time.monotonic() - started_s
     return {
-        "writes_per_s": len(latencies) / spent,
-        "rows_per_s": len(latencies) * size / spent,
+        "writes_per_s": len(latencies) / elapsed_s,
+        "rows_per_s": len(latencies) * size / elapsed_s,
         "p99_ms": 1e3 * sorted(latencies)[int(0.99 * len(latencies))],
     }
 
 
-def table(report: dict[str, Any]) -> str:
+def format_table(report: dict[str, Any]) -> str:
     """Return the report as a plain table."""
     lines = [f"{'rows per write':>14}{'writes/s':>12}{'rows/s':>12}{'p99 ms':>10}"]
     for size, row in report.items():
--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -35,11 +35,11 @@
 WORKERS = 8
 SLOTS = 64
 READY_TIMEOUT_S = 30.0
-GENERATORS = 2
+GENERATOR_PROCESSES = 2
 PERCENT = 100
 # The stated target of one daemon process; latency is measured at half of it.
-TARGET_PER_S = 1000.0
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+TARGET_REQUESTS_PER_S = 1000.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @attrs.frozen
@@ -61,34 +61,34 @@
     return sorted_values[index]
 
 
-async def drive(
+async def drive_load(
     send: Callable[[int], Awaitable[bool]], connections: int, rate: float, seconds: float
 ) -> dict[str, Any]:
     """Send from several connections; latencies count from the time a request was due."""
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     latencies: list[float] = []
     failures = 0
-    next_due = began
+    next_due_s = started_s
 
-    async def work(number: int) -> None:
-        nonlocal failures, next_due
+    async def run_connection(number: int) -> None:
+        nonlocal failures, next_due_s
         while True:
-            due = time.perf_counter()
+            due_s = time.perf_counter()
             if rate:
-                due, next_due = next_due, next_due + 1.0 / rate
-                await asyncio.sleep(due - time.perf_counter())
-            if due - began >= seconds:
+                due_s, next_due_s = next_due_s, next_due_s + 1.0 / rate
+                await asyncio.sleep(due_s - time.perf_counter())
+            if due_s - started_s >= seconds:
                 return
             if not await send(number):
                 failures += 1
-            latencies.append(time.perf_counter() - due)
+            latencies.append(time.perf_counter() - due_s)
 
-    await asyncio.gather(*(work(number) for number in range(connections)))
-    elapsed = time.perf_counter() - began
-    return {"latencies": latencies, "failures": failures, "rate": len(latencies) / elapsed}
+    await asyncio.gather(*(run_connection(number) for number in range(connections)))
+    elapsed_s = time.perf_counter() - started_s
+    return {"latencies": latencies, "failures": failures, "rate": len(latencies) / elapsed_s}
 
 
-async def generate(load: Load) -> dict[str, Any]:
+async def generate_http_load(load: Load) -> dict[str, Any]:
     """Send requests over HTTP."""
     host, _, rest = load.url.partition("/")
     name, _, port = host.partition(":")
@@ -108,13 +108,13 @@
         return answer.startswith(b"HTTP/1.1 200")
 
     try:
-        return await drive(send, load.connections, load.rate, load.seconds)
+        return await drive_load(send, load.connections, load.rate, load.seconds)
     finally:
         for _, writer in conns:
             writer.close()
 
 
-async def call_directly(port: int, load: Load) -> dict[str, Any]:
+async def generate_direct_load(port: int, load: Load) -> dict[str, Any]:
     """Run tasks on a worker without any daemon."""
 
     async def ignore(message: Any) -> None:
@@ -140,24 +140,26 @@
         reply = await links[number].call(RunTask(token, task, now + 30), 30.0)
         return bool(getattr(reply, "succeeded", False))
 
-    found = await drive(send, load.connections, load.rate, load.seconds)
+    found = await drive_load(send, load.connections, load.rate, load.seconds)
     for link, reader in zip(links, readers, strict=True):
         await link.close()
         await reader
     return found
 
 
-def generators(load: Load) -> dict[str, Any]:
+def run_generators(load: Load) -> dict[str, Any]:
     """Run the load in several processes, so that the load generator is not the limit."""
     part = attrs.evolve(
-        load, connections=load.connections // GENERATORS, rate=load.rate / GENERATORS
+        load,
+        connections=load.connections // GENERATOR_PROCESSES,
+        rate=load.rate / GENERATOR_PROCESSES,
     )
-    command = [sys.executable, "-m", __name__ if __name__ != "__main__" else MODULE]
+    command = [sys.executable, "-m", __name__ if __name__ != "__main__" else MODULE_NAME]
     running = [
         subprocess.Popen(
             [*command, json.dumps(attrs.asdict(part))], stdout=subprocess.PIPE, text=True
         )
-        for _ in range(GENERATORS)
+        for _ in range(GENERATOR_PROCESSES)
     ]
     found = [json.loads(process.communicate()[0]) for process in running]
     return {
@@ -167,10 +169,10 @@
     }
 
 
-MODULE = "baobabhoist.benchmarks.relay"
+MODULE_NAME = "baobabhoist.benchmarks.relay"
 
 
-def records(ports: dict[str, int]) -> list[dict[str, Any]]:
+def shard_records(ports: dict[str, int]) -> list[dict[str, Any]]:
     """Return the records of one shard and one team that is never limited."""
     worker = {"host": "127.0.0.1", "cpu_milli": 64000, "memory_mb": 65536, "slots": SLOTS}
     workers = [{"name": name, "port": port, **worker} for name, port in ports.items()]
@@ -186,10 +188,10 @@
     ]
 
 
-def owner_of(cluster: Cluster) -> str:
+def wait_for_owner(cluster: Cluster) -> str:
     """Wait until an instance owns the shard, and return it."""
-    give_up_at = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < give_up_at:
+    deadline_s = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         for name, cfg in cluster.instances.items():
             url = f"http://127.0.0.1:{cfg['admin_port']}/v1/status"
             _, body = fetch(url, {"X-Operator-Key": OPERATOR_KEY})
@@ -199,10 +201,10 @@
     raise RuntimeError("no instance owns the shard")
 
 
-def cpu_s(pid: int) -> float:
+def read_cpu_s(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def measure(seconds: float, connections: int, body_bytes: int, rate: float) -> dict[str, Any]:
@@ -214,59 +216,61 @@
         for half in ("a", "b"):
             names = [f"{half}-{number}" for number in range(WORKERS // 2)]
             ports |= cluster.start_workers(f"workers-{half}", names, slots, "--cpu_milli=64000")
-        direct = cluster.start_worker("direct", slots, "--cpu_milli=64000")
+        direct_port = cluster.start_worker("direct", slots, "--cpu_milli=64000")
         cluster.plan_instances({"north": ["entry-1", "entry-2"]})
         for name in cluster.instances:
             cluster.start_instance(name)
         for cfg in cluster.instances.values():
             wait_for_port(cfg["admin_port"])
         path = Path(folder) / "records.yaml"
-        path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
+        path.write_text(yaml.safe_dump_all(shard_records(ports)), encoding="utf-8")
         cluster.command_line("put", "record", str(path), instance="entry-1")
-        owner = owner_of(cluster)
+        owner = wait_for_owner(cluster)
         (entry,) = set(cluster.instances) - {owner}
         pids = {"entry": cluster.processes[entry].pid, "owner": cluster.processes[owner].pid}
         url = f"127.0.0.1:{cluster.instances[entry]['caller_port']}/v1/queues/bench/requests"
         load = Load(url, connections, 0.0, seconds, body_bytes)
         time.sleep(1.0)
-        generators(attrs.evolve(load, seconds=1.0))
-        before = {role: cpu_s(pid) for role, pid in pids.items()}
-        full = generators(load)
+        run_generators(attrs.evolve(load, seconds=1.0))
+        before = {role: read_cpu_s(pid) for role, pid in pids.items()}
+        closed_loop = run_generators(load)
         used = {
             f"{role}_cpu_us_per_request": 1e6
-            * (cpu_s(pid) - before[role])
-            / len(full["latencies"])
+            * (read_cpu_s(pid) - before[role])
+            / len(closed_loop["latencies"])
             for role, pid in pids.items()
         }
         half_load = attrs.evolve(load, rate=rate)
-        relayed = generators(half_load)
-        straight = asyncio.run(call_directly(direct, half_load))
-    return report(full, relayed, straight) | {name: round(us) for name, us in used.items()}
+        relayed = run_generators(half_load)
+        direct_load = asyncio.run(generate_direct_load(direct_port, half_load))
+    return build_report(closed_loop, relayed, direct_load) | {
+        name: round(us) for name, us in used.items()
+    }
 
 
-def report(
-    full: dict[str, Any], relayed: dict[str, Any], straight: dict[str, Any]
+def build_report(
+    closed_loop: dict[str, Any], relayed: dict[str, Any], direct_load: dict[str, Any]
 ) -> dict[str, Any]:
     """Return the figures; latencies in milliseconds."""
     found: dict[str, Any] = {
-        "sustained_per_s": round(full["rate"], 1),
-        "failures": full["failures"] + relayed["failures"] + straight["failures"],
+        "sustained_per_s": round(closed_loop["rate"], 1),
+        "failures": closed_loop["failures"] + relayed["failures"] + direct_load["failures"],
         "rate_of_latencies_per_s": round(relayed["rate"], 1),
     }
-    direct = sorted(straight["latencies"])
+    direct_latencies = sorted(direct_load["latencies"])
     for percent in (50, 99):
-        through = percentile(relayed["latencies"], percent) * 1000
-        alone = percentile(direct, percent) * 1000
-        found[f"relayed_p{percent}_ms"] = round(through, 2)
-        found[f"direct_p{percent}_ms"] = round(alone, 2)
-        found[f"added_p{percent}_ms"] = round(through - alone, 2)
+        relayed_ms = percentile(relayed["latencies"], percent) * 1000
+        direct_ms = percentile(direct_latencies, percent) * 1000
+        found[f"relayed_p{percent}_ms"] = round(relayed_ms, 2)
+        found[f"direct_p{percent}_ms"] = round(direct_ms, 2)
+        found[f"added_p{percent}_ms"] = round(relayed_ms - direct_ms, 2)
     return found
 
 
-def table(found: dict[str, Any]) -> str:
+def format_table(found: dict[str, Any]) -> str:
     """Return the report as a plain table."""
     return "\n".join(f"{name:26} {value}" for name, value in found.items())
 
 
 if __name__ == "__main__":
-    print(orjson.dumps(asyncio.run(generate(Load(**json.loads(sys.argv[1]))))).decode())
+    print(orjson.dumps(asyncio.run(generate_http_load(Load(**json.loads(sys.argv[1]))))).decode())
--- a/baobabhoist/benchmarks/stats.py
+++ b/baobabhoist/benchmarks/stats.py
@@ -6,24 +6,24 @@
 
 
 def water_fill(
-    wanted: dict[str, float], weights: dict[str, float], amount: float
+    demand: dict[str, float], weights: dict[str, float], capacity: float
 ) -> dict[str, float]:
     """Divide an amount by weight, giving no team more than it wants."""
-    given = dict.fromkeys(weights, 0.0)
-    open_teams = {team for team in weights if wanted.get(team, 0.0) > 0.0}
-    while open_teams and amount > 1e-9:
-        per_weight = amount / sum(weights[team] for team in sorted(open_teams))
-        sated = {t for t in open_teams if wanted[t] <= per_weight * weights[t]}
-        for team in sorted(sated or open_teams):
-            given[team] = wanted[team] if sated else per_weight * weights[team]
-            amount -= given[team]
-        if not sated:
+    allocation = dict.fromkeys(weights, 0.0)
+    unsatisfied = {team for team in weights if demand.get(team, 0.0) > 0.0}
+    while unsatisfied and capacity > 1e-9:
+        per_weight = capacity / sum(weights[team] for team in sorted(unsatisfied))
+        satisfied = {t for t in unsatisfied if demand[t] <= per_weight * weights[t]}
+        for team in sorted(satisfied or unsatisfied):
+            allocation[team] = demand[team] if satisfied else per_weight * weights[team]
+            capacity -= allocation[team]
+        if not satisfied:
             break
-        open_teams -= sated
-    return given
+        unsatisfied -= satisfied
+    return allocation
 
 
-def quantile(values: Iterable[float], part: float) -> float:
+def quantile(values: Iterable[float], fraction: float) -> float:
     """Return a quantile, or 0 without values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
--- a/baobabhoist/tests/test_benchmarks.py
+++ b/baobabhoist/tests/test_benchmarks.py
@@ -2,14 +2,14 @@
 
 from baobabhoist.benchmarks import decisions
 from baobabhoist.benchmarks.stats import quantile, water_fill
-from baobabhoist.benchmarks.workload import PROFILES, make_stream
+from baobabhoist.benchmarks.workload import PROFILES, generate_workload
 
 
 def test_same_seed_gives_the_same_stream_and_another_seed_another():
     profile = PROFILES["whistlemark"]
-    one, two = make_stream(profile, 1), make_stream(profile, 1)
-    assert one.arrivals == two.arrivals and one.truths == two.truths
-    assert make_stream(profile, 2).arrivals != one.arrivals
+    one, two = generate_workload(profile, 1), generate_workload(profile, 1)
+    assert one.arrivals == two.arrivals and one.worker_behaviours == two.worker_behaviours
+    assert generate_workload(profile, 2).arrivals != one.arrivals
 
 
 def test_water_fill_gives_no_team_more_than_it_wants():
@@ -33,4 +33,4 @@
     ]
     assert len(set(counts)) == 1 and counts[0] > 0
     assert len({frozenset(figures) for figures in policies}) == 1
-    assert "packing" in decisions.table(report)
+    assert "packing" in decisions.format_table(report)
--- a/baobabhoist/tests/test_benchmarks_cell_replay.py
+++ b/baobabhoist/tests/test_benchmarks_cell_replay.py
@@ -5,17 +5,17 @@
 import pytest
 
 from baobabhoist.benchmarks import cell_replay
-from baobabhoist.benchmarks.cell_workload import LOADS, make_stream
+from baobabhoist.benchmarks.cell_workload import SCENARIOS, generate_workload
 
 WORKERS, SECONDS, SEED = 6, 2.0, 3
 
 
-@pytest.mark.parametrize("name", LOADS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_stream_depends_on_the_seed_alone(name: str) -> None:
     """Guard against comparisons of policies on unlike streams."""
-    first = make_stream(LOADS[name], WORKERS, SECONDS, SEED)
-    assert first == make_stream(LOADS[name], WORKERS, SECONDS, SEED)
-    assert first != make_stream(LOADS[name], WORKERS, SECONDS, SEED + 1)
+    first = generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED)
+    assert first == generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED)
+    assert first != generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED + 1)
 
 
 def test_replay_repeats_and_prints_every_policy() -> None:
@@ -27,5 +27,5 @@
     ]
     assert worths[0] == worths[1]
     assert all(0.0 <= part <= 1.0 for found in worths[0].values() for part in found.values())
-    text = cell_replay.table(reports[0])
+    text = cell_replay.format_table(reports[0])
     assert all(policy in text for policy in cell_replay.POLICIES)
