--- a/baobabhoist/observability/log_handlers.py
+++ b/baobabhoist/observability/log_handlers.py
@@ -1,4 +1,4 @@
-"""Write log lines to a pipe without ever blocking: a full pipe drops lines and counts them."""
+"""Handle log records without blocking on a full pipe and without flooding the log."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import os
 from typing import TextIO
 
-# Lines of one event beyond this many a second are left out and counted.
+# Further lines of the same event within one second are suppressed and counted.
 MAX_EVENT_LINES_PER_S = 400
 
 
 class NonBlockingHandler(logging.Handler):
-    """Write each record as one line with one system call."""
+    """Write each record with one non-blocking system call; drop lines that a full pipe refuses."""
 
     def __init__(self, stream: TextIO) -> None:
         super().__init__()
@@ -20,7 +20,7 @@
         os.set_blocking(self._fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or count it as dropped."""
+        """Write a record, or count it as dropped if the pipe is full or closed."""
         try:
             line = self.format(record).encode() + b"\n"
         except Exception:
@@ -34,25 +34,25 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Bound the lines of each event a second and say how many were left out."""
+    """Limit the lines per second of each event and count the suppressed ones."""
 
-    def __init__(self, attribute: str, per_second: int = MAX_EVENT_LINES_PER_S) -> None:
+    def __init__(self, attribute: str, max_per_second: int = MAX_EVENT_LINES_PER_S) -> None:
         super().__init__()
         self.suppressed_lines = 0
         self._attribute = attribute
-        self._per_second = per_second
-        self._second = 0
+        self._max_per_second = max_per_second
+        self._current_second = 0
         self._counts: dict[object, int] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a record is written; warnings and errors always are."""
+        """Return whether a record is to be written; warnings and errors always are."""
         second = int(record.created)
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._counts.clear()
         event = getattr(record, self._attribute, record.name)
         count = self._counts[event] = self._counts.get(event, 0) + 1
-        if count <= self._per_second or record.levelno >= logging.WARNING:
+        if count <= self._max_per_second or record.levelno >= logging.WARNING:
             return True
         self.suppressed_lines += 1
         return False
--- a/baobabhoist/observability/metrics.py
+++ b/baobabhoist/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Define the metrics of one instance and bound the number of their labels."""
+"""Define the metrics of one instance and limit the number of their label values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from aioprometheus.renderer import render
 
 OVERFLOW_LABEL = "other"
-# The design target is 110 teams; a larger number of labels points to a caller's mistake.
+# The design target is 110 teams; more labels indicate that a caller sends wrong names.
 TEAM_LABELS_MAX = 200
 CLASS_LABELS_MAX = 16
 SHARD_LABELS_MAX = 512
@@ -18,19 +18,19 @@
 INF = float("inf")
 WAITING_BUCKETS_S = (0.001, 0.005, 0.02, 0.1, 0.5, 1.5, 5.0, 30.0, 120.0, 600.0, INF)
 SERVICE_BUCKETS_S = (0.001, 0.005, 0.02, 0.1, 0.5, 2.0, 10.0, 60.0, 600.0, 3600.0, INF)
-# The target for a decision is 2 ms at p99.
+# The target for a placement decision is 2 ms at p99.
 DECISION_BUCKETS_S = (0.00005, 0.0001, 0.0002, 0.0005, 0.001, 0.002, 0.005, 0.02, 0.1, INF)
 
 
 @attrs.define
 class LabelLimiter:
-    """Map label values beyond a bound to `other`, so that metrics stay small."""
+    """Map new label values to `other` once `max_values` are known, to limit cardinality."""
 
     max_values: int
     values: set[str] = attrs.Factory(set)
 
     def label_for(self, value: str) -> str:
-        """Return the label under which a value is counted."""
+        """Return the value itself, or `other` if it is new and the limit is reached."""
         if value in self.values:
             return value
         if len(self.values) >= self.max_values:
@@ -40,7 +40,7 @@
 
 
 class Metrics:
-    """Own the registry of one instance; all times are in seconds."""
+    """Record the metrics of one instance; all durations are in seconds."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -85,40 +85,40 @@
         self._decision.observe(self._team_and_class(team, kind), seconds)
 
     def set_packing_ratio(self, shard: str, ratio: float) -> None:
-        """Report the bound fraction of a shard, from 0 to 1."""
+        """Set the allocated fraction of a shard's most used resource, from 0 to 1."""
         self._packing.set({"shard": self._shards.label_for(shard)}, ratio)
 
     def set_share_ratio(self, team: str, shard: str, ratio: float) -> None:
-        """Report a team's dominant share of a shard, from 0 to 1."""
+        """Set a team's dominant share of a shard, from 0 to 1."""
         self._share.set(self._team_and_shard(team, shard), ratio)
 
     def set_escrow_places(self, team: str, shard: str, places: int) -> None:
-        """Report the places that a shard holds for a team."""
+        """Set the number of places that a shard holds for a team."""
         self._escrow.set(self._team_and_shard(team, shard), places)
 
     def set_owned_shards(self, count: int) -> None:
-        """Report how many shards this instance owns."""
+        """Set the number of shards that this instance owns."""
         self._owned.set({}, count)
 
     def set_records_revision(self, revision: int) -> None:
-        """Report the revision of the records in force."""
+        """Set the revision of the records in force."""
         self._revision.set({}, revision)
 
     def set_link_traffic(self, sent_bytes: int, received_bytes: int) -> None:
-        """Report the bytes of messages since the start of the process."""
+        """Set the bytes of messages sent and received since the start of the process."""
         self._traffic.set({"direction": "sent"}, sent_bytes)
         self._traffic.set({"direction": "received"}, received_bytes)
 
     def count_invariant_breach(self, invariant: str) -> None:
-        """Count a step refused by an invariant."""
+        """Count a step that was refused because it would violate an invariant."""
         self._breaches.inc({"invariant": self._invariants.label_for(invariant)})
 
     def count_refusal(self, team: str, kind: str) -> None:
-        """Count a refusal of a team's work."""
+        """Count a refusal by team and kind."""
         self._refusals.inc({"team": self._teams.label_for(team), "kind": kind})
 
     def exposition(self, accept: list[str] | None = None) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics and the HTTP headers, in a form that `accept` allows."""
+        """Return the metrics and the HTTP headers for a format in `accept`, by default text."""
         content, headers = render(self.registry, accept or ["text/plain"])
         return content, dict(headers)
 
@@ -128,11 +128,11 @@
     def _team_and_shard(self, team: str, shard: str) -> dict[str, str]:
         return {"team": self._teams.label_for(team), "shard": self._shards.label_for(shard)}
 
-    def _histogram(self, name: str, text: str, buckets: tuple[float, ...]) -> Any:
-        return Histogram(f"baobabhoist_{name}", text, registry=self.registry, buckets=buckets)
+    def _histogram(self, name: str, help_text: str, buckets: tuple[float, ...]) -> Any:
+        return Histogram(f"baobabhoist_{name}", help_text, registry=self.registry, buckets=buckets)
 
-    def _gauge(self, name: str, text: str) -> Any:
-        return Gauge(f"baobabhoist_{name}", text, registry=self.registry)
+    def _gauge(self, name: str, help_text: str) -> Any:
+        return Gauge(f"baobabhoist_{name}", help_text, registry=self.registry)
 
-    def _counter(self, name: str, text: str) -> Any:
-        return Counter(f"baobabhoist_{name}", text, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> Any:
+        return Counter(f"baobabhoist_{name}", help_text, registry=self.registry)
--- a/baobabhoist/tests/test_observability_events.py
+++ b/baobabhoist/tests/test_observability_events.py
@@ -1,4 +1,4 @@
-"""Test the event catalogue and the two forms of log lines."""
+"""Test the event catalogue and the text and JSON formats of log lines."""
 
 import io
 import json
@@ -12,13 +12,13 @@
 @pytest.fixture
 def root_logger():
     root = logging.getLogger()
-    kept = root.handlers[:], root.level
+    saved = root.handlers[:], root.level
     yield root
-    root.handlers[:], root.level = kept
+    root.handlers[:], root.level = saved
 
 
-def test_the_events_page_lists_exactly_the_catalogue(pytestconfig):
-    """Guard against an event that operators cannot look up, or a stale or reused number."""
+def test_events_page_lists_exactly_the_catalogue(pytestconfig):
+    """Guard against undocumented events, outdated documentation and reused numbers."""
     page = (pytestconfig.rootpath / "docs" / "events.md").read_text(encoding="utf-8")
     rows = [line for line in page.splitlines() if line.startswith("| ") and line[2].isdigit()]
     expected = [
@@ -31,7 +31,7 @@
 
 
 def test_every_event_of_the_catalogue_is_emitted(pytestconfig):
-    """Guard against operators waiting for an event that the program never logs."""
+    """Guard against documented events that the program never logs."""
     package = pytestconfig.rootpath / "baobabhoist"
     modules = [path for path in package.rglob("*.py") if "tests" not in path.parts]
     source = "".join(path.read_text(encoding="utf-8") for path in modules)
@@ -39,7 +39,7 @@
 
 
 def test_json_lines_carry_number_and_fields(root_logger):
-    """Guard against lines that log collectors cannot parse or filter by number."""
+    """Guard against JSON lines that log collectors cannot parse or filter by event number."""
     stream = io.StringIO()
     configure_logging("json", "info", stream)
     emit(
@@ -53,11 +53,11 @@
     entry = json.loads(stream.getvalue())
     assert (entry["event"], entry["name"], entry["level"]) == (2001, "shard_state", "info")
     assert entry["fields"]["shard"] == "r1"
-    assert entry["message"] == "shard r1 is owned under (1, 2)"
+    assert entry["message"] == "shard r1 is owned under token (1, 2)"
 
 
-def test_text_lines_are_one_line_and_never_raise(root_logger):
-    """Guard against forged log lines, and against a crash on a forgotten field."""
+def test_text_format_escapes_line_breaks_and_tolerates_missing_fields(root_logger):
+    """Guard against forged log lines and against an exception for a missing field."""
     stream = io.StringIO()
     configure_logging("text", "info", stream)
     emit(logging.getLogger("a.b"), Event.RECORD_APPLIED, kind="x\n2026 ERROR forged", name="y")
@@ -67,7 +67,7 @@
 
 
 def test_events_below_the_level_are_not_written(root_logger):
-    """Guard against a log level that is ignored."""
+    """Guard against an ignored log level."""
     stream = io.StringIO()
     configure_logging("text", "error", stream)
     emit(logging.getLogger("a.b"), Event.DAEMON_READY)
--- a/baobabhoist/tests/test_observability_metrics.py
+++ b/baobabhoist/tests/test_observability_metrics.py
@@ -1,10 +1,10 @@
-"""Test the metrics and the bound on their labels."""
+"""Test the metrics and the limit on their label values."""
 
 from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelLimiter, Metrics
 
 
-def test_labels_beyond_the_bound_are_counted_as_other():
-    """Guard against memory that grows with every name a caller sends."""
+def test_labels_beyond_the_limit_are_counted_as_other():
+    """Guard against memory that grows with every name that a caller sends."""
     metrics = Metrics()
     for number in range(TEAM_LABELS_MAX + 50):
         metrics.count_refusal(f"team-{number}", "queue_full")
@@ -14,14 +14,14 @@
     assert 'baobabhoist_refusals_total{kind="queue_full",team="other"} 50' in lines
 
 
-def test_a_known_label_stays_known_when_the_bound_is_full():
-    """Guard against a team's series moving to `other` halfway."""
-    bound = LabelLimiter(1)
-    assert [bound.label_for(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
+def test_known_label_is_kept_when_the_limit_is_reached():
+    """Guard against an existing time series that continues under `other`."""
+    limiter = LabelLimiter(1)
+    assert [limiter.label_for(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
 
 
-def test_each_histogram_has_team_and_class_and_no_two_registries_mix():
-    """Guard against series without the labels, and against a registry shared by instances."""
+def test_histograms_have_team_and_class_labels_and_registries_are_separate():
+    """Guard against time series without labels and a registry shared by two instances."""
     first, second = Metrics(), Metrics()
     first.observe_wait("roster", "batch", 0.2)
     first.observe_service("roster", "batch", 3.0)
