--- a/baobabhoist/peer/__init__.py
+++ b/baobabhoist/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Speak the inner protocol between instances."""
+"""Implement the protocol between instances."""
--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -1,4 +1,4 @@
-"""Own one WebSocket connection and correlate the calls on it."""
+"""Make calls and send messages over one WebSocket connection."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 PING_INTERVAL_S = 0.5
 PING_TIMEOUT_S = 1.5
 CLOSE_TIMEOUT_S = 0.5
-# A frame holds one chunk at most; the rest is room for the fields around it.
+# A frame holds at most one chunk; the remainder leaves room for the encoding around it.
 MAX_FRAME_BYTES = 4 * CHUNK_BYTES
 MAX_QUEUED_FRAMES = 256
 
-# Settings of the websockets library for every connection between processes. Its keepalive
-# closes a connection that has gone silent, so that the link is replaced by a new one.
+# Options of the websockets library for all connections between processes. Its keepalive closes an
+# unresponsive connection, after which a new link is opened.
 WEBSOCKET_OPTIONS: dict[str, Any] = {
     "ping_interval": PING_INTERVAL_S,
     "ping_timeout": PING_TIMEOUT_S,
@@ -45,12 +45,12 @@
     "compression": None,
 }
 
-Handler = Callable[[Any], Awaitable[Any | None]]
+MessageHandler = Callable[[Any], Awaitable[Any | None]]
 
 
 @attrs.define
 class LinkTraffic:
-    """Count the bytes of messages on all links of this process."""
+    """Count the bytes of the messages on all links of this process."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -60,22 +60,22 @@
 
 
 class Link:
-    """Send calls, match replies to them and pass what arrives to a handler."""
+    """Send messages, match replies to calls and pass received messages to a handler."""
 
-    def __init__(self, conn: Connection, codec: Codec, handler: Handler) -> None:
+    def __init__(self, conn: Connection, codec: Codec, handler: MessageHandler) -> None:
         self._conn = conn
         self._codec = codec
         self._handler = handler
-        self._pending: dict[int, asyncio.Future[Any]] = {}
-        self._ids = itertools.count(1)
-        self._streams = itertools.count(1)
-        self._windows: dict[int, SendWindow] = {}
-        self._assembly = StreamAssembler()
+        self._pending_calls: dict[int, asyncio.Future[Any]] = {}
+        self._next_correlation_id = itertools.count(1)
+        self._next_stream_id = itertools.count(1)
+        self._send_windows: dict[int, SendWindow] = {}
+        self._assembler = StreamAssembler()
         self._tasks: set[asyncio.Task[None]] = set()
         self.closed = False
 
     async def run(self) -> None:
-        """Read until the connection ends, then fail the outstanding calls."""
+        """Receive messages until the connection ends, then fail the pending calls."""
         try:
             async for data in self._conn:
                 LINK_TRAFFIC.received_bytes += len(data)
@@ -84,32 +84,32 @@
             pass
         finally:
             self.closed = True
-            self._fail_pending()
+            self._fail_pending_calls()
 
     async def call(self, message: Any, timeout_s: float) -> Any:
-        """Send a message and return its reply; `timeout_s` is the time left, in seconds.
+        """Send a message and return its reply.
 
-        Raises NotSentError when nothing was sent, LinkClosedError when the connection ends and
-        TimeoutError at the deadline.
+        Raises NotSentError if nothing was sent, LinkClosedError if the connection ends before the
+        reply and TimeoutError after `timeout_s`.
         """
         if self.closed:
-            raise NotSentError("the connection is closed")
-        correlation_id = next(self._ids)
+            raise NotSentError("the connection is closed; the message was not sent")
+        correlation_id = next(self._next_correlation_id)
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._pending[correlation_id] = fut
+        self._pending_calls[correlation_id] = fut
         data = self._codec.encode(message, correlation_id)
         if len(data) > CHUNK_BYTES:
-            return await self._call_large(data, correlation_id, fut, timeout_s)
-        # A timer on the future costs less than a timeout around the two awaits.
-        timer = asyncio.get_running_loop().call_later(max(0.0, timeout_s), _expire, fut)
+            return await self._call_chunked(data, correlation_id, fut, timeout_s)
+        # A timer on the future is cheaper than asyncio.timeout around the two awaits.
+        timer = asyncio.get_running_loop().call_later(max(0.0, timeout_s), _time_out, fut)
         try:
             await self._send_frame(data)
             return await fut
         finally:
             timer.cancel()
-            self._pending.pop(correlation_id, None)
+            self._pending_calls.pop(correlation_id, None)
 
-    async def _call_large(
+    async def _call_chunked(
         self, data: bytes, correlation_id: int, fut: asyncio.Future[Any], timeout_s: float
     ) -> Any:
         try:
@@ -117,25 +117,25 @@
                 await self._send(data)
                 return await fut
         finally:
-            self._pending.pop(correlation_id, None)
+            self._pending_calls.pop(correlation_id, None)
 
     async def notify(self, message: Any) -> None:
-        """Send a message that has no reply."""
+        """Send a message without expecting a reply."""
         await self._send(self._codec.encode(message))
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close the connection with a closing handshake."""
         await self._conn.close()
 
     def abort(self) -> None:
-        """End the connection at once, without a closing handshake that a silent peer delays."""
+        """Close the connection without a closing handshake, which an unresponsive peer delays."""
         self.closed = True
-        self._fail_pending()
+        self._fail_pending_calls()
         self._conn.transport.abort()
 
     async def _send(self, data: bytes) -> None:
         if len(data) > MAX_MESSAGE_BYTES:
-            raise MessageTooLargeError(f"a message of {len(data)} bytes is too large to send")
+            raise MessageTooLargeError(f"a message of {len(data)} bytes exceeds the size limit")
         if len(data) > CHUNK_BYTES:
             await self._send_chunks(data)
         else:
@@ -149,26 +149,26 @@
             raise LinkClosedError("the connection is closed") from exc
 
     async def _send_chunks(self, data: bytes) -> None:
-        stream = next(self._streams)
-        window = self._windows[stream] = SendWindow()
+        stream = next(self._next_stream_id)
+        window = self._send_windows[stream] = SendWindow()
         try:
             for offset in range(0, len(data), CHUNK_BYTES):
-                piece = data[offset : offset + CHUNK_BYTES]
-                await window.reserve(len(piece))
-                last = offset + len(piece) == len(data)
-                chunk = BodyChunk(stream, offset, last, piece)
+                part = data[offset : offset + CHUNK_BYTES]
+                await window.reserve(len(part))
+                last = offset + len(part) == len(data)
+                chunk = BodyChunk(stream, offset, last, part)
                 await self._send_frame(self._codec.encode(chunk))
         except asyncio.CancelledError:
-            self._spawn(self._send_quietly(StreamAborted(stream, by_sender=True)))
+            self._spawn(self._send_if_open(StreamAborted(stream, by_sender=True)))
             raise
         finally:
-            del self._windows[stream]
+            del self._send_windows[stream]
 
-    async def _send_quietly(self, message: Any, correlation_id: int = 0) -> None:
+    async def _send_if_open(self, message: Any, correlation_id: int = 0) -> None:
         try:
             await self._send(self._codec.encode(message, correlation_id))
         except LinkClosedError:
-            log.info("the connection closed before %s was sent", type(message).__name__)
+            log.info("connection closed before %s was sent", type(message).__name__)
 
     def _receive(self, data: bytes) -> None:
         try:
@@ -176,41 +176,42 @@
         except CodecError as exc:
             emit(log, Event.MESSAGE_DISCARDED, detail=exc)
             return
-        handle = self._STREAM_HANDLERS.get(type(envelope.message))
-        if handle is not None:
-            handle(self, envelope.message)
-        # Replies carry the negated id of the call, so both ends can number their own calls.
+        stream_handler = self._STREAM_HANDLERS.get(type(envelope.message))
+        if stream_handler is not None:
+            stream_handler(self, envelope.message)
+        # A reply carries the negated correlation id of its call, so both ends can number their own
+        # calls.
         elif envelope.correlation_id < 0:
-            fut = self._pending.get(-envelope.correlation_id)
+            fut = self._pending_calls.get(-envelope.correlation_id)
             if fut is not None and not fut.done():
                 fut.set_result(envelope.message)
         else:
             self._spawn(self._handle(envelope.correlation_id, envelope.message))
 
     def _on_chunk(self, chunk: BodyChunk) -> None:
-        taken = self._assembly.add(chunk)
-        if isinstance(taken, bytes):
-            self._receive(taken)
+        result = self._assembler.add(chunk)
+        if isinstance(result, bytes):
+            self._receive(result)
         else:
-            self._spawn(self._send_quietly(taken))
+            self._spawn(self._send_if_open(result))
 
-    def _on_window(self, update: WindowUpdate) -> None:
-        window = self._windows.get(update.stream)
+    def _on_window_update(self, update: WindowUpdate) -> None:
+        window = self._send_windows.get(update.stream)
         if window is not None:
             window.acknowledge(update.taken)
 
-    def _on_aborted(self, aborted: StreamAborted) -> None:
+    def _on_stream_aborted(self, aborted: StreamAborted) -> None:
         if aborted.by_sender:
-            self._assembly.discard(aborted.stream)
+            self._assembler.discard(aborted.stream)
             return
-        window = self._windows.get(aborted.stream)
+        window = self._send_windows.get(aborted.stream)
         if window is not None:
             window.abort()
 
     _STREAM_HANDLERS: dict[type, Callable[[Any, Any], None]] = {
         BodyChunk: _on_chunk,
-        WindowUpdate: _on_window,
-        StreamAborted: _on_aborted,
+        WindowUpdate: _on_window_update,
+        StreamAborted: _on_stream_aborted,
     }
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -221,19 +222,20 @@
     async def _handle(self, correlation_id: int, message: Any) -> None:
         reply = await self._handler(message)
         if correlation_id and reply is not None:
-            await self._send_quietly(reply, -correlation_id)
+            await self._send_if_open(reply, -correlation_id)
 
-    def _fail_pending(self) -> None:
-        for window in self._windows.values():
+    def _fail_pending_calls(self) -> None:
+        for window in self._send_windows.values():
             window.abort()
-        for fut in self._pending.values():
+        for fut in self._pending_calls.values():
             if not fut.done():
-                fut.set_exception(LinkClosedError("the connection ended before the reply"))
-                # Whoever waited may have been cancelled, and then nobody reads this.
+                fut.set_exception(LinkClosedError("the connection closed before the reply"))
+                # If the caller was cancelled, nothing else retrieves the exception, which asyncio
+                # would then log.
                 fut.exception()
-        self._pending.clear()
+        self._pending_calls.clear()
 
 
-def _expire(fut: asyncio.Future[Any]) -> None:
+def _time_out(fut: asyncio.Future[Any]) -> None:
     if not fut.done():
-        fut.set_exception(TimeoutError("no reply before the deadline"))
+        fut.set_exception(TimeoutError("no reply within the timeout"))
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -1,4 +1,4 @@
-"""Keep links to the other instances and know which shards they own."""
+"""Maintain links to the other instances and track their heartbeats."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 HEARTBEAT_INTERVAL_S = 0.3
 PEER_TIMEOUT_S = 2.0
 RECONNECT_DELAY_S = 0.2
-# A peer that returns is connected again within half of the time after which it counts as dead.
+# Half of PEER_TIMEOUT_S, so that a link to a restarted peer is open again within that time.
 MAX_RECONNECT_DELAY_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
-# Shorter than PEER_TIMEOUT_S, so that a silent connection is replaced before the instance
-# behind it counts as dead.
+# Shorter than PEER_TIMEOUT_S, so that an unresponsive connection is replaced before its peer
+# counts as dead.
 ACK_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class PeerAddress:
-    """Name another instance and where its peer port is."""
+    """Hold the name of another instance and the address of its peer port."""
 
     instance_id: str
     data_centre: str
@@ -45,7 +45,7 @@
 
 @attrs.define
 class PeerState:
-    """Hold what is known of a peer; `live_until` is in Unix seconds."""
+    """Hold the links to a peer and its last heartbeat; `live_until` is in Unix seconds."""
 
     address: PeerAddress
     outbound_link: Link | None = None
@@ -54,7 +54,7 @@
     live_until: float = 0.0
 
     def find_open_link(self) -> Link | None:
-        """Return the open connection to the peer, either end having opened it."""
+        """Return an open link to the peer, preferring the one that this instance opened."""
         for link in (self.outbound_link, self.inbound_link):
             if link is not None and not link.closed:
                 return link
@@ -62,22 +62,22 @@
 
 
 class TlsContexts(Protocol):
-    """Hold the TLS contexts of both roles that an instance has among its peers."""
+    """Provide the TLS contexts for incoming and outgoing connections between instances."""
 
     @property
     def server(self) -> ssl.SSLContext:
-        """Return the context of the peer port."""
+        """Return the context for incoming connections on the peer port."""
 
     client: ssl.SSLContext
 
 
 class Mesh:
-    """Own the links to the other instances."""
+    """Maintain the links to the other instances and exchange heartbeats on them."""
 
     def __init__(
         self,
         peers: list[PeerAddress],
-        describe: Callable[[], Heartbeat],
+        make_heartbeat: Callable[[], Heartbeat],
         on_message: Callable[[Any], Awaitable[Any | None]],
         *,
         on_heartbeat: Callable[[Heartbeat], None] = lambda _: None,
@@ -85,41 +85,43 @@
         clock: Callable[[], float] = time.time,
     ) -> None:
         self.peers = {address.instance_id: PeerState(address) for address in peers}
-        self._describe = describe
+        self._make_heartbeat = make_heartbeat
         self._on_message = on_message
         self._on_heartbeat = on_heartbeat
         self._tls = tls
         self._clock = clock
-        self._keepers: dict[str, asyncio.Task[None]] = {}
-        self._beats: set[asyncio.Task[None]] = set()
+        self._link_tasks: dict[str, asyncio.Task[None]] = {}
+        self._heartbeat_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, host: str, port: int) -> None:
-        """Serve the peer port and keep a link to every peer."""
-        context = self._tls.server if self._tls is not None else None
-        async with serve(self._serve, host, port, ssl=context, **WEBSOCKET_OPTIONS):
+        """Serve the peer port, maintain links to all peers and send heartbeats until cancelled."""
+        server_context = self._tls.server if self._tls is not None else None
+        async with serve(
+            self._serve_connection, host, port, ssl=server_context, **WEBSOCKET_OPTIONS
+        ):
             try:
                 while True:
-                    self._start_keepers()
-                    self._beat()
+                    self._start_link_tasks()
+                    self._send_heartbeats()
                     await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             finally:
-                for task in (*self._keepers.values(), *self._beats):
+                for task in (*self._link_tasks.values(), *self._heartbeat_tasks):
                     task.cancel()
 
     def add_peers(self, addresses: Iterable[PeerAddress]) -> None:
-        """Add peers that the membership list names and the settings do not."""
+        """Add peers from the membership list that are not known yet."""
         for address in addresses:
             self.peers.setdefault(address.instance_id, PeerState(address))
 
     def remove_peer(self, instance_id: str) -> None:
-        """Stop contacting a peer that the membership list has long reported as gone."""
+        """Remove a peer that has left, and stop connecting to it."""
         self.peers.pop(instance_id, None)
-        keeper = self._keepers.pop(instance_id, None)
-        if keeper is not None:
-            keeper.cancel()
+        link_task = self._link_tasks.pop(instance_id, None)
+        if link_task is not None:
+            link_task.cancel()
 
     def live_peers(self) -> list[PeerState]:
-        """Return the peers that this or another live instance heard within the deadline."""
+        """Return the peers that this or another live instance heard within the timeout."""
         now = self._clock()
         return [peer for peer in self.peers.values() if peer.live_until > now]
 
@@ -132,13 +134,13 @@
         )
 
     def owner_of(self, shard: str) -> str | None:
-        """Return the live instance that reports to own a shard under the highest token."""
+        """Return the live peer that reports owning a shard under the highest token."""
         best: tuple[Token, str] | None = None
         for peer in self.live_peers():
-            beat = peer.heartbeat
-            if beat is not None and shard in beat.owned_shards:
-                found = (_token_of(beat, shard), peer.address.instance_id)
-                best = max(best, found) if best is not None else found
+            heartbeat = peer.heartbeat
+            if heartbeat is not None and shard in heartbeat.owned_shards:
+                candidate = (_token_of(heartbeat, shard), peer.address.instance_id)
+                best = max(best, candidate) if best is not None else candidate
         return best[1] if best is not None else None
 
     def live_heartbeats(self) -> list[Heartbeat]:
@@ -147,10 +149,10 @@
 
     def shard_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards that live peers own."""
-        return [digest for beat in self.live_heartbeats() for digest in beat.shards]
+        return [digest for heartbeat in self.live_heartbeats() for digest in heartbeat.shards]
 
     async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
-        """Call a peer; raises LinkClosedError or TimeoutError."""
+        """Call a peer; raises NotSentError, LinkClosedError or TimeoutError."""
         peer = self.peers.get(instance_id)
         link = peer.find_open_link() if peer is not None else None
         if link is None:
@@ -159,12 +161,12 @@
 
     async def broadcast(self, message: Any, data_centre: str | None = None) -> None:
         """Send a message to every connected peer, or to those of one data centre."""
-        chosen = [
+        recipients = [
             peer
             for peer in self.peers.values()
             if data_centre is None or peer.address.data_centre == data_centre
         ]
-        await asyncio.gather(*(self._notify(peer, message) for peer in chosen))
+        await asyncio.gather(*(self._notify(peer, message) for peer in recipients))
 
     async def _notify(self, peer: PeerState, message: Any) -> None:
         link = peer.find_open_link()
@@ -174,21 +176,21 @@
             async with asyncio.timeout(ACK_TIMEOUT_S):
                 await link.notify(message)
         except (LinkClosedError, TimeoutError):
-            log.info("instance %s did not take a message", peer.address.instance_id)
+            log.info("cannot deliver a message to instance %s", peer.address.instance_id)
 
-    async def _serve(self, conn: ServerConnection) -> None:
-        async def receive(message: Any) -> Any | None:
-            return await self._receive(message, link)
+    async def _serve_connection(self, conn: ServerConnection) -> None:
+        async def handle(message: Any) -> Any | None:
+            return await self._handle_message(message, link)
 
-        link = Link(conn, CODEC, receive)
+        link = Link(conn, CODEC, handle)
         await link.run()
 
-    def _start_keepers(self) -> None:
+    def _start_link_tasks(self) -> None:
         for name, peer in self.peers.items():
-            if name not in self._keepers:
-                self._keepers[name] = asyncio.create_task(self._keep_link(peer))
+            if name not in self._link_tasks:
+                self._link_tasks[name] = asyncio.create_task(self._maintain_link(peer))
 
-    async def _keep_link(self, peer: PeerState) -> None:
+    async def _maintain_link(self, peer: PeerState) -> None:
         delay_s = RECONNECT_DELAY_S
         while True:
             try:
@@ -199,14 +201,14 @@
                 delay_s = min(2 * delay_s, MAX_RECONNECT_DELAY_S)
                 continue
             delay_s = RECONNECT_DELAY_S
-            link = Link(conn, CODEC, self._receive)
+            link = Link(conn, CODEC, self._handle_message)
             peer.outbound_link = link
             try:
                 await link.run()
             finally:
                 peer.outbound_link = None
                 link.abort()
-            # A connection that is cut as soon as it is made must not be made without a pause.
+            # Pause, in case the peer closes each connection right after it was established.
             await asyncio.sleep(RECONNECT_DELAY_S * random.uniform(0.5, 1.0))
 
     async def _connect(self, address: PeerAddress) -> Any:
@@ -216,51 +218,53 @@
             f"wss://{address.host}:{address.port}", ssl=self._tls.client, **WEBSOCKET_OPTIONS
         )
 
-    def _beat(self) -> None:
-        heartbeat = self._describe()
+    def _send_heartbeats(self) -> None:
+        heartbeat = self._make_heartbeat()
         for peer in self.peers.values():
-            # Both connections of a pair carry heartbeats, so one silent connection does not
-            # make its instance look dead.
+            # Heartbeats are sent on both connections of a pair, so that one unresponsive
+            # connection does not make its peer appear dead.
             for link in (peer.outbound_link, peer.inbound_link):
                 if link is not None and not link.closed:
-                    beat = asyncio.create_task(self._send_beat(peer, link, heartbeat))
-                    self._beats.add(beat)
-                    beat.add_done_callback(self._beats.discard)
+                    task = asyncio.create_task(self._send_heartbeat(peer, link, heartbeat))
+                    self._heartbeat_tasks.add(task)
+                    task.add_done_callback(self._heartbeat_tasks.discard)
 
-    async def _send_beat(self, peer: PeerState, link: Link, heartbeat: Heartbeat) -> None:
+    async def _send_heartbeat(self, peer: PeerState, link: Link, heartbeat: Heartbeat) -> None:
         try:
             await link.call(heartbeat, ACK_TIMEOUT_S)
         except TimeoutError:
             if not link.closed:
-                log.warning("the silent link to %s is replaced", peer.address.instance_id)
+                log.warning(
+                    "replacing the unresponsive link to instance %s", peer.address.instance_id
+                )
                 link.abort()
         except LinkClosedError:
             return
 
-    async def _receive(self, message: Any, inbound: Link | None = None) -> Any | None:
+    async def _handle_message(self, message: Any, inbound: Link | None = None) -> Any | None:
         if not isinstance(message, Heartbeat):
             return await self._on_message(message)
         peer = self.peers.get(message.instance_id)
         if peer is not None:
             if inbound is not None:
                 peer.inbound_link = inbound
-            self._note(peer, message)
+            self._record_heartbeat(peer, message)
         return Ack()
 
-    def _note(self, peer: PeerState, beat: Heartbeat) -> None:
+    def _record_heartbeat(self, peer: PeerState, heartbeat: Heartbeat) -> None:
         now = self._clock()
-        peer.heartbeat = beat
+        peer.heartbeat = heartbeat
         peer.live_until = now + PEER_TIMEOUT_S
-        for heard in beat.heard:
-            other = self.peers.get(heard.instance_id)
+        for contact in heartbeat.heard:
+            other = self.peers.get(contact.instance_id)
             if other is not None:
-                until = now + PEER_TIMEOUT_S - max(0.0, heard.age_s)
-                other.live_until = max(other.live_until, until)
-        self._on_heartbeat(beat)
+                live_until = now + PEER_TIMEOUT_S - max(0.0, contact.age_s)
+                other.live_until = max(other.live_until, live_until)
+        self._on_heartbeat(heartbeat)
 
 
-def _token_of(beat: Heartbeat, shard: str) -> Token:
-    for digest in beat.shards:
+def _token_of(heartbeat: Heartbeat, shard: str) -> Token:
+    for digest in heartbeat.shards:
         if digest.shard == shard:
             return digest.token
     return NO_TOKEN
--- a/baobabhoist/peer/messages.py
+++ b/baobabhoist/peer/messages.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Hello:
-    """Introduce an instance on a new connection; `host` and `port` are its peer address."""
+    """Introduce an instance on a new connection; `host` and `port` are those of its peer port."""
 
     instance_id: str
     data_centre: str
@@ -24,10 +24,11 @@
 
 @attrs.frozen
 class ShardDigest:
-    """Summarise one shard: its owner's token, use and spare places by team, free slots.
+    """Summarise one shard: its owner's token, used and spare places by team, and free slots.
 
-    `queued` and `unmet` count the tasks that wait for places or workers. `class_spare` holds how
-    many tasks may start of each team and kind with a class limit.
+    `queued` and `unmet` count the tasks that wait for places or workers, in total and by team.
+    `class_spare` holds how many more tasks may start of each team and kind with a class
+    limit.
     """
 
     shard: str
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class LastContact:
-    """Tell how long ago an instance was heard, in seconds."""
+    """Report how many seconds ago the last heartbeat of an instance was received."""
 
     instance_id: str
     age_s: float
@@ -50,7 +51,11 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Report that an instance lives, what it owns and which records it applies."""
+    """Report that an instance is alive, which shards it owns and which records it applies.
+
+    `heard` relays when this instance last received heartbeats of others, `weight` determines its
+    share of the shards, and `cut_off_s` is the time since the platform last confirmed its records.
+    """
 
     instance_id: str
     data_centre: str
@@ -65,7 +70,7 @@
 
 @attrs.frozen
 class RelayRequest:
-    """Pass a request to the owner of a shard; a forwarded one is not forwarded again."""
+    """Relay a request to the owner of a shard; a forwarded one must not be forwarded again."""
 
     request: Request
     forwarded: bool = False
@@ -88,7 +93,7 @@
 
 @attrs.frozen
 class Ack:
-    """Confirm a message that has no other reply."""
+    """Acknowledge a message that has no other reply."""
 
 
 @attrs.frozen
@@ -101,7 +106,7 @@
 
 @attrs.frozen
 class RecordEntriesRequest:
-    """Ask for the entries of the change log behind a revision."""
+    """Request the entries of the change log after a revision."""
 
     after: int
 
@@ -116,7 +121,7 @@
 
 @attrs.frozen
 class RequestKeyResult:
-    """Carry what an owner knows of a request key; exactly one of both results is set."""
+    """Carry the stored result of a request key: either its answer or its refusal."""
 
     request_id: str
     forget_at: float
@@ -126,11 +131,11 @@
 
 @attrs.frozen
 class HandOver:
-    """Hand a shard to its next owner: the queue and the results of its request keys.
+    """Hand over a shard to its next owner with its queue and the results of its request keys.
 
-    `settled` holds the ids of all other keys with the times until which they are kept. With
-    these, the sender knew every key that was first sent after `known_since`, in Unix seconds;
-    it is None when the keys are too many to send.
+    `settled` holds the ids of all other keys and the times until which they are kept. Together
+    these are all keys that were first sent after `known_since`, in Unix seconds, which is None if
+    there are too many keys to send.
     """
 
     shard: str
@@ -144,7 +149,7 @@
 
 @attrs.frozen
 class HandOverReply:
-    """Confirm that the receiver claims the shard and keeps what was handed over."""
+    """Reply whether the receiver claims the shard and keeps what was handed over."""
 
     shard: str
     taken: bool
@@ -152,7 +157,7 @@
 
 @attrs.frozen
 class PlaceTransferRequest:
-    """Ask the owner of a shard to transfer places of a team to another shard."""
+    """Request that the owner of a shard transfers places of a team to another shard."""
 
     team: str
     places: int
@@ -162,7 +167,7 @@
 
 @attrs.frozen
 class PlaceTransferReply:
-    """Report how many places were transferred; zero when there were none to give."""
+    """Report how many places were transferred; zero if none were spare."""
 
     team: str
     places: int
--- a/baobabhoist/peer/streams.py
+++ b/baobabhoist/peer/streams.py
@@ -1,4 +1,4 @@
-"""Split large messages into chunks under flow control and put them together again."""
+"""Transfer large messages as streams of chunks with flow control, and reassemble them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from baobabhoist.errors import LinkClosedError
 
-# A chunk takes about 0.5 ms on a 1 Gbit/s link, so a heartbeat waits no longer than that.
+# A chunk takes about 0.5 ms on a 1 Gbit/s link, which is the longest that it delays a heartbeat.
 CHUNK_BYTES = 1 << 16
-# Unconfirmed bytes of one stream: covers a round trip of 4 ms at 1 Gbit/s.
+# Limit on the unacknowledged bytes of a stream: the bandwidth-delay product of 4 ms at 1 Gbit/s.
 WINDOW_BYTES = 1 << 19
 MAX_MESSAGE_BYTES = 1 << 28
 MAX_BUFFERED_BYTES = 1 << 29
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class BodyChunk:
-    """Carry a piece of a large encoded message; `offset` is that of its first byte."""
+    """Carry a part of a large encoded message; `offset` is the position of its first byte."""
 
     stream: int
     offset: int
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class WindowUpdate:
-    """Confirm the bytes of a stream that were taken so far."""
+    """Acknowledge the bytes of a stream that were received so far."""
 
     stream: int
     taken: int
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StreamAborted:
-    """Give a stream up; `by_sender` tells which end numbered it."""
+    """Abort a stream; `by_sender` tells whether the end that numbered it aborts it."""
 
     stream: int
     by_sender: bool
@@ -46,60 +46,64 @@
 
 
 class SendWindow:
-    """Make a sender wait while too many bytes of its stream are unconfirmed."""
+    """Block a sender while too many bytes of its stream are unacknowledged."""
 
     def __init__(self) -> None:
-        self._sent = 0
-        self._taken = 0
-        self._open = asyncio.Event()
+        self._sent_bytes = 0
+        self._acknowledged_bytes = 0
+        self._state_changed = asyncio.Event()
         self._aborted = False
 
     async def reserve(self, size: int) -> None:
         """Wait until `size` more bytes may be sent; raises LinkClosedError after an abort."""
-        while self._sent + size - self._taken > WINDOW_BYTES and not self._aborted:
-            self._open.clear()
-            await self._open.wait()
+        while (
+            self._sent_bytes + size - self._acknowledged_bytes > WINDOW_BYTES and not self._aborted
+        ):
+            self._state_changed.clear()
+            await self._state_changed.wait()
         if self._aborted:
-            raise LinkClosedError("the receiver gave the message up")
-        self._sent += size
+            raise LinkClosedError("the receiver aborted the message")
+        self._sent_bytes += size
 
-    def acknowledge(self, taken: int) -> None:
-        """Note the bytes that the receiver has taken; a late confirmation has no effect."""
-        self._taken = max(self._taken, min(taken, self._sent))
-        self._open.set()
+    def acknowledge(self, received_bytes: int) -> None:
+        """Record how many bytes the receiver has received; an outdated count has no effect."""
+        self._acknowledged_bytes = max(
+            self._acknowledged_bytes, min(received_bytes, self._sent_bytes)
+        )
+        self._state_changed.set()
 
     def abort(self) -> None:
-        """Make the sender give the stream up."""
+        """Make pending and later reservations fail."""
         self._aborted = True
-        self._open.set()
+        self._state_changed.set()
 
 
 @attrs.define
 class StreamAssembler:
-    """Collect the streams that arrive on one connection."""
+    """Reassemble the messages whose chunks arrive on one connection."""
 
-    streams: dict[int, bytearray] = attrs.Factory(dict)
+    buffers: dict[int, bytearray] = attrs.Factory(dict)
     buffered_bytes: int = 0
 
     def add(self, chunk: BodyChunk) -> bytes | WindowUpdate | StreamAborted:
-        """Take a chunk; return the whole message, a confirmation or the end of the stream."""
-        buffer = self.streams.setdefault(chunk.stream, bytearray())
+        """Append a chunk; return the complete message, or the reply to send to the sender."""
+        buffer = self.buffers.setdefault(chunk.stream, bytearray())
         size = len(chunk.data)
-        too_large = len(buffer) + size > MAX_MESSAGE_BYTES
-        too_much = self.buffered_bytes + size > MAX_BUFFERED_BYTES
-        if chunk.offset != len(buffer) or too_large or too_much:
+        exceeds_message_limit = len(buffer) + size > MAX_MESSAGE_BYTES
+        exceeds_buffer_limit = self.buffered_bytes + size > MAX_BUFFERED_BYTES
+        if chunk.offset != len(buffer) or exceeds_message_limit or exceeds_buffer_limit:
             self.discard(chunk.stream)
             return StreamAborted(chunk.stream, by_sender=False)
         buffer += chunk.data
         self.buffered_bytes += size
         if not chunk.last:
             return WindowUpdate(chunk.stream, len(buffer))
-        whole = bytes(buffer)
+        message = bytes(buffer)
         self.discard(chunk.stream)
-        return whole
+        return message
 
     def discard(self, stream: int) -> None:
-        """Forget an unfinished stream."""
-        buffer = self.streams.pop(stream, None)
+        """Discard the buffer of a stream, if there is one."""
+        buffer = self.buffers.pop(stream, None)
         if buffer is not None:
             self.buffered_bytes -= len(buffer)
--- a/baobabhoist/peer/tls.py
+++ b/baobabhoist/peer/tls.py
@@ -1,4 +1,4 @@
-"""Hold the TLS contexts between instances and load their files again."""
+"""Provide the TLS contexts for links between instances and reload their files."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 
 class PeerTls:
-    """Hold the contexts of an instance; both ends of a link must present a certificate."""
+    """Hold the TLS contexts of an instance; both ends of a link must present a certificate."""
 
     def __init__(self, cfg: TlsSettings) -> None:
         self._cfg = cfg
-        self._listener = ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca))
+        self._server_tls = ReloadingTls.load(TlsFiles(cfg.certificate, cfg.key, cfg.ca))
         self.client = make_client_context(cfg)
 
     @property
     def server(self) -> ssl.SSLContext:
-        """Return the context of the peer port."""
-        return self._listener.context
+        """Return the context for incoming connections on the peer port."""
+        return self._server_tls.context
 
     def reload_if_changed(self) -> bool:
-        """Load changed files; new connections use them. Tell whether they did change."""
-        if not self._listener.reload_if_changed():
+        """Reload changed files for new connections; return whether any file changed."""
+        if not self._server_tls.reload_if_changed():
             return False
         self.client = make_client_context(self._cfg)
         return True
 
 
 def make_client_context(cfg: TlsSettings) -> ssl.SSLContext:
-    """Return the context for connections to peers; raises SettingsError."""
+    """Return the context for outgoing connections to peers; raises SettingsError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    # Instances are addressed by IP address and replaced at any time, so a peer is authenticated
-    # by its authority and not by a host name.
+    # Instances are addressed by IP address and may be replaced at any time, so a peer is
+    # authenticated by its certificate authority and not by its host name.
     context.check_hostname = False
     try:
         context.load_cert_chain(cfg.certificate, cfg.key)
         context.load_verify_locations(cfg.ca)
     except (OSError, ssl.SSLError) as exc:
         raise SettingsError(
-            f"cannot use {cfg.certificate}, {cfg.key} and {cfg.ca}: {exc}; "
-            "give PEM files of a certificate chain, its key and the authorities"
+            f"cannot load {cfg.certificate}, {cfg.key} and {cfg.ca}: {exc}; "
+            "provide PEM files of a certificate chain, its key and the trusted authorities"
         ) from exc
     return context
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -32,8 +32,8 @@
 
 
 @contextlib.asynccontextmanager
-async def linked(handler):
-    """Connect a link to a server whose links use a handler."""
+async def connected_link(handler):
+    """Connect a link to a server; both ends use the handler."""
 
     async def accept(conn):
         await Link(conn, CODEC, handler).run()
@@ -54,36 +54,38 @@
     return Ack()
 
 
-def test_large_bodies_arrive_whole_and_out_of_order():
-    """Guard against mixed bodies, and against small calls that wait for large ones."""
+def test_large_bodies_arrive_complete_and_do_not_delay_small_ones():
+    """Guard against mixed-up bodies and against small calls that wait for large ones."""
 
     async def scenario():
-        async with linked(echo) as link:
+        async with connected_link(echo) as link:
             sizes = [5_000_000, 10, 700_000, 65_536, 65_537]
             bodies = [bytes([number]) * size for number, size in enumerate(sizes)]
             calls = [
                 link.call(RelayRequest(request(f"r{number}", body)), 20.0)
                 for number, body in enumerate(bodies)
             ]
-            order = []
+            completed = []
 
-            async def note(number, call):
+            async def record_completion(number, call):
                 reply = await call
-                order.append(number)
+                completed.append(number)
                 return reply.answer.body
 
-            found = await asyncio.gather(*(note(n, call) for n, call in enumerate(calls)))
-            assert found == bodies
-            assert order.index(1) < order.index(0)
+            received = await asyncio.gather(
+                *(record_completion(n, call) for n, call in enumerate(calls))
+            )
+            assert received == bodies
+            assert completed.index(1) < completed.index(0)
 
     asyncio.run(scenario())
 
 
-def test_a_cancelled_transfer_leaves_the_link_usable():
-    """Guard against a sender that goes away in the middle and blocks those behind it."""
+def test_link_stays_usable_after_a_cancelled_transfer():
+    """Guard against a transfer that is cancelled halfway and blocks later messages."""
 
     async def scenario():
-        async with linked(echo) as link:
+        async with connected_link(echo) as link:
             large = RelayRequest(request("large", b"x" * 50_000_000))
             with pytest.raises(TimeoutError):
                 await link.call(large, 0.05)
@@ -93,11 +95,11 @@
     asyncio.run(scenario())
 
 
-def test_a_closed_link_says_that_nothing_was_sent():
-    """Guard against `unknown` for a call that certainly did not leave this instance."""
+def test_call_on_a_closed_link_reports_that_nothing_was_sent():
+    """Guard against an outcome of `unknown` for a call that was certainly not sent."""
 
     async def scenario():
-        async with linked(echo) as link:
+        async with connected_link(echo) as link:
             link.abort()
             with pytest.raises(NotSentError):
                 await link.call(Ack(), 1.0)
@@ -105,45 +107,45 @@
     asyncio.run(scenario())
 
 
-def test_calls_that_are_open_when_a_connection_ends_fail_at_once():
-    """Guard against callers that wait until their deadline for a dead connection."""
+def test_pending_calls_fail_as_soon_as_the_connection_ends():
+    """Guard against callers that wait on a dead connection until their timeout."""
 
     async def scenario():
         async def never(message):
             await asyncio.Event().wait()
 
-        async with linked(never) as link:
-            call = asyncio.ensure_future(link.call(Ack(), 60.0))
+        async with connected_link(never) as link:
+            pending = asyncio.ensure_future(link.call(Ack(), 60.0))
             await asyncio.sleep(0.05)
             link.abort()
             with pytest.raises(LinkClosedError):
-                await call
+                await pending
 
     asyncio.run(scenario())
 
 
-def beat(name, owned=(), heard=(), epoch=1):
+def make_heartbeat(name, owned=(), heard=(), epoch=1):
     token = Token(epoch, 0, name)
     digests = tuple(ShardDigest(shard, token, {}, {}, 0, 0) for shard in owned)
     return Heartbeat(name, "north", tuple(owned), 0, False, digests, tuple(heard))
 
 
-def quiet_mesh(*names):
+def mesh_with_clock(*names):
     now = [1000.0]
     peers = [PeerAddress(name, "north", "127.0.0.1", 1) for name in names]
-    found = Mesh(peers, lambda: beat("me"), echo, clock=lambda: now[0])
+    found = Mesh(peers, lambda: make_heartbeat("me"), echo, clock=lambda: now[0])
     return found, now
 
 
-def test_an_instance_is_dead_two_seconds_after_anyone_heard_it():
-    """Guard against a takeover from an instance that only this one cannot hear."""
+def test_instance_is_dead_two_seconds_after_its_last_heartbeat_to_anyone():
+    """Guard against a takeover from an instance that is unreachable from this one only."""
 
     async def scenario():
-        found, now = quiet_mesh("a", "b")
-        await found._receive(beat("b", ["s"]))
+        found, now = mesh_with_clock("a", "b")
+        await found._handle_message(make_heartbeat("b", ["s"]))
         now[0] += 1.9
         assert found.owner_of("s") == "b"
-        await found._receive(beat("a", heard=[LastContact("b", 0.5)]))
+        await found._handle_message(make_heartbeat("a", heard=[LastContact("b", 0.5)]))
         now[0] += 1.4
         assert found.owner_of("s") == "b"
         now[0] += 0.2
@@ -152,14 +154,14 @@
     asyncio.run(scenario())
 
 
-def test_of_two_instances_that_report_a_shard_the_higher_token_counts():
-    """Guard against requests sent to a paused owner that does not know of its successor."""
+def test_highest_token_decides_which_instance_owns_a_shard():
+    """Guard against requests to a paused former owner that still reports its shard."""
 
     async def scenario():
-        found, _ = quiet_mesh("a", "b")
-        await found._receive(beat("b", ["s"], epoch=1))
-        await found._receive(beat("a", ["s"], epoch=2))
-        await found._receive(beat("b", ["s"], epoch=1))
+        found, _ = mesh_with_clock("a", "b")
+        await found._handle_message(make_heartbeat("b", ["s"], epoch=1))
+        await found._handle_message(make_heartbeat("a", ["s"], epoch=2))
+        await found._handle_message(make_heartbeat("b", ["s"], epoch=1))
         assert found.owner_of("s") == "a"
 
     asyncio.run(scenario())
@@ -167,7 +169,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*meshes):
-    """Run meshes, given with their ports."""
+    """Run meshes, each given with its port."""
     tasks = [asyncio.ensure_future(found.run("127.0.0.1", port)) for found, port in meshes]
     yield
     for task in tasks:
@@ -175,19 +177,19 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def pair(ports, reach, tls=(None, None)):
-    """Return two meshes; `reach` are the ports at which each finds the other."""
+def mesh_pair(ports, peer_ports, tls=(None, None)):
+    """Return two meshes; `peer_ports` are the ports on which each connects to the other."""
     names = ("a", "b")
-    found = []
+    meshes = []
     for me, other in ((0, 1), (1, 0)):
-        address = PeerAddress(names[other], "north", "127.0.0.1", reach[me])
-        describe = lambda me=me: beat(names[me])  # noqa: E731
-        found.append(Mesh([address], describe, echo, tls=tls[me]))
-    return [(one, port) for one, port in zip(found, ports, strict=True)]
+        address = PeerAddress(names[other], "north", "127.0.0.1", peer_ports[me])
+        heartbeat = lambda me=me: make_heartbeat(names[me])  # noqa: E731
+        meshes.append(Mesh([address], heartbeat, echo, tls=tls[me]))
+    return [(found, port) for found, port in zip(meshes, ports, strict=True)]
 
 
-def test_a_silent_connection_is_replaced(monkeypatch):
-    """Guard against a middlebox that forgets a connection, which then stays open for ever."""
+def test_unresponsive_connection_is_replaced(monkeypatch):
+    """Guard against a connection that a middlebox dropped silently and that stays open forever."""
     monkeypatch.setattr(mesh, "ACK_TIMEOUT_S", 0.3)
     monkeypatch.setattr(mesh, "HEARTBEAT_INTERVAL_S", 0.05)
 
@@ -195,7 +197,7 @@
         ports = [free_port(), free_port()]
         relays = [Relay(f"r{port}", free_port(), port) for port in ports]
         servers = [await relay.start() for relay in relays]
-        meshes = pair(ports, [relays[1].port, relays[0].port])
+        meshes = mesh_pair(ports, [relays[1].port, relays[0].port])
         (first, _), (second, _) = meshes
         async with running(*meshes):
             await until(lambda: first.peers["b"].outbound_link and second.peers["a"].outbound_link)
@@ -214,9 +216,9 @@
     asyncio.run(scenario())
 
 
-def test_peers_without_a_certificate_of_the_authority_are_refused(tmp_path):
-    """Guard against a stranger that joins the mesh, and a reload without effect."""
-    trusted, stranger = Authority("peers"), Authority("strangers")
+def test_peer_needs_a_certificate_of_the_trusted_authority(tmp_path):
+    """Guard against an untrusted peer in the mesh and a certificate reload without effect."""
+    trusted, untrusted = Authority("peers"), Authority("untrusted")
     ca = trusted.write(tmp_path / "ca.pem")
 
     def identity(name, authority):
@@ -226,8 +228,8 @@
 
     async def scenario():
         ports = [free_port(), free_port()]
-        good, bad = PeerTls(identity("a", trusted)), PeerTls(identity("b", stranger))
-        meshes = pair(ports, [ports[1], ports[0]], (good, bad))
+        good, bad = PeerTls(identity("a", trusted)), PeerTls(identity("b", untrusted))
+        meshes = mesh_pair(ports, [ports[1], ports[0]], (good, bad))
         (first, _), _ = meshes
         async with running(*meshes):
             await asyncio.sleep(0.5)
@@ -239,9 +241,9 @@
     asyncio.run(scenario())
 
 
-def test_messages_with_missing_fields_of_a_later_release_are_read():
-    """Guard against instances that cannot talk to each other during an upgrade."""
-    old = attrs.evolve(beat("a"), shards=(), heard=())
+def test_messages_of_older_and_newer_releases_are_decoded():
+    """Guard against instances that cannot exchange messages during a rolling upgrade."""
+    old = attrs.evolve(make_heartbeat("a"), shards=(), heard=())
     fields = CODEC.converter.unstructure(old)
     del fields["cut_off_s"], fields["weight"]
     assert CODEC.converter.structure(fields | {"later": 1}, Heartbeat) == old
--- a/baobabhoist/tests/test_peer_streams.py
+++ b/baobabhoist/tests/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Test the flow control of large messages without sockets."""
+"""Test the flow control and reassembly of large messages without sockets."""
 
 import asyncio
 
@@ -17,53 +17,53 @@
 )
 
 
-def test_a_sender_waits_until_the_receiver_has_taken_its_bytes():
-    """Guard against a large body that fills the socket and holds heartbeats back."""
+def test_sender_waits_until_its_bytes_are_acknowledged():
+    """Guard against a large body that fills the socket buffer and delays heartbeats."""
 
     async def scenario():
         window = SendWindow()
         for _ in range(WINDOW_BYTES // CHUNK_BYTES):
             await window.reserve(CHUNK_BYTES)
-        waiting = asyncio.ensure_future(window.reserve(CHUNK_BYTES))
+        reservation = asyncio.ensure_future(window.reserve(CHUNK_BYTES))
         await asyncio.sleep(0)
-        assert not waiting.done()
+        assert not reservation.done()
         window.acknowledge(CHUNK_BYTES)
-        await waiting
+        await reservation
 
     asyncio.run(scenario())
 
 
-def test_an_aborted_sender_does_not_wait_for_ever():
-    """Guard against a call that hangs because its receiver gave the message up."""
+def test_abort_wakes_a_reservation_sender():
+    """Guard against a call that hangs after the receiver aborted its message."""
 
     async def scenario():
         window = SendWindow()
         await window.reserve(WINDOW_BYTES)
-        waiting = asyncio.ensure_future(window.reserve(1))
+        reservation = asyncio.ensure_future(window.reserve(1))
         await asyncio.sleep(0)
         window.abort()
         with pytest.raises(LinkClosedError):
-            await waiting
+            await reservation
 
     asyncio.run(scenario())
 
 
-def test_interleaved_streams_are_put_together_whole():
-    """Guard against bytes of one message in another."""
-    found = StreamAssembler()
-    assert found.add(BodyChunk(1, 0, False, b"ab")) == WindowUpdate(1, 2)
-    assert found.add(BodyChunk(2, 0, False, b"xy")) == WindowUpdate(2, 2)
-    assert found.add(BodyChunk(1, 2, True, b"c")) == b"abc"
-    assert found.add(BodyChunk(2, 2, True, b"z")) == b"xyz"
-    assert (found.streams, found.buffered_bytes) == ({}, 0)
+def test_interleaved_streams_are_reassembled():
+    """Guard against chunks of one message that end up in another."""
+    assembler = StreamAssembler()
+    assert assembler.add(BodyChunk(1, 0, False, b"ab")) == WindowUpdate(1, 2)
+    assert assembler.add(BodyChunk(2, 0, False, b"xy")) == WindowUpdate(2, 2)
+    assert assembler.add(BodyChunk(1, 2, True, b"c")) == b"abc"
+    assert assembler.add(BodyChunk(2, 2, True, b"z")) == b"xyz"
+    assert (assembler.buffers, assembler.buffered_bytes) == ({}, 0)
 
 
-def test_a_gap_or_an_excess_ends_the_stream(monkeypatch):
-    """Guard against a message with a hole, and against memory that a sender can exhaust."""
+def test_gap_or_excess_size_aborts_the_stream(monkeypatch):
+    """Guard against an incomplete message and against a sender that exhausts the memory."""
     monkeypatch.setattr(streams, "MAX_MESSAGE_BYTES", 4)
-    found = StreamAssembler()
-    found.add(BodyChunk(1, 0, False, b"ab"))
+    assembler = StreamAssembler()
+    assembler.add(BodyChunk(1, 0, False, b"ab"))
     aborted = StreamAborted(1, by_sender=False)
-    assert found.add(BodyChunk(1, 3, False, b"d")) == aborted
-    assert found.add(BodyChunk(1, 0, False, b"abcde")) == aborted
-    assert found.buffered_bytes == 0
+    assert assembler.add(BodyChunk(1, 3, False, b"d")) == aborted
+    assert assembler.add(BodyChunk(1, 0, False, b"abcde")) == aborted
+    assert assembler.buffered_bytes == 0
