--- a/baobabhoist/upstream/__init__.py
+++ b/baobabhoist/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the links to workers."""
+"""Maintain the links to workers."""
--- a/baobabhoist/upstream/link.py
+++ b/baobabhoist/upstream/link.py
@@ -1,4 +1,4 @@
-"""Keep a connection to one worker and replace it when it fails."""
+"""Maintain the connection to one worker and reconnect when it fails."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 RECONNECT_DELAY_S = 0.2
 CONNECT_TIMEOUT_S = 1.0
-# The renewal of leases, once a second, already finds a silent worker; the keepalive only has to
-# end connections on which nothing is renewed. More frequent pings cost a fifth of a core for 400
-# workers.
+# The lease renewals, one per second, already detect an unresponsive worker, so the keepalive only
+# has to close connections on which no lease is renewed. More frequent pings cost a
+# fifth of a core with 400 workers.
 WORKER_WEBSOCKET_OPTIONS: dict[str, Any] = WEBSOCKET_OPTIONS | {"ping_interval": 5.0}
 
 
-async def _ignore(message: Any) -> None:
-    log.warning("unexpected message from a worker: %s", type(message).__name__)
+async def _ignore_message(message: Any) -> None:
+    log.warning("ignored an unexpected %s message from a worker", type(message).__name__)
 
 
 class WorkerLink:
-    """Own the connection to one worker."""
+    """Maintain the connection to one worker."""
 
     def __init__(
         self, spec: WorkerSpec, on_change: Callable[[str, bool], Awaitable[None]]
@@ -42,11 +42,11 @@
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether a call can be sent now."""
+        """Return whether a call can be sent now."""
         return self._link is not None and not self._link.closed
 
     async def run(self) -> None:
-        """Connect, report the connection, and connect again when it ends."""
+        """Connect and reconnect until cancelled, and report each change of the connection."""
         uri = f"ws://{self.spec.host}:{self.spec.port}"
         while True:
             try:
@@ -55,23 +55,23 @@
             except (OSError, TimeoutError, InvalidHandshake, ConnectionClosed):
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            await self._serve(Link(conn, CODEC, _ignore))
-            # A connection that is cut as soon as it is made must not be made without a pause.
+            await self._serve_link(Link(conn, CODEC, _ignore_message))
+            # Pause, in case the worker closes each connection right after it was established.
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def call(self, message: Any, timeout_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call the worker; raises NotSentError, LinkClosedError or TimeoutError."""
         if self._link is None:
             raise NotSentError(f"worker {self.spec.name} is not connected")
         return await self._link.call(message, timeout_s)
 
     def reconnect(self) -> None:
-        """Drop a connection that has gone silent, so that a new one is made."""
+        """Abort an unresponsive connection, so that a new one is opened."""
         if self.is_connected and self._link is not None:
             emit(log, Event.LINK_REPLACED, name=self.spec.name)
             self._link.abort()
 
-    async def _serve(self, link: Link) -> None:
+    async def _serve_link(self, link: Link) -> None:
         self._link = link
         reader = asyncio.create_task(link.run())
         try:
--- a/baobabhoist/upstream/messages.py
+++ b/baobabhoist/upstream/messages.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class FenceWorker:
-    """Present a fencing token to a worker."""
+    """Fence a worker: it refuses calls under a lower token from now on."""
 
     shard: str
     token: Token
@@ -20,10 +20,10 @@
 
 @attrs.frozen
 class WorkerFencedReply:
-    """Confirm the token and report the tasks that run or ended recently.
+    """Confirm a token and report the running and recently ended tasks.
 
-    A worker may report a large inventory in pages; `next_page` names the next one. `previous`
-    is the token that the worker held before this one.
+    A worker may report a large inventory in pages; `next_page` identifies the next page.
+    `previous` is the token that the worker held before this one.
     """
 
     running: tuple[RunningTask, ...]
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class ReadInventory:
-    """Ask for the next page of a worker's inventory."""
+    """Request the next page of a worker's inventory."""
 
     token: Token
     page: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class TokenRefused:
-    """Refuse a call because a higher token was presented."""
+    """Refuse a call because the worker has accepted a higher token."""
 
     highest: Token
 
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class TaskEnded:
-    """Report the end of a task with its whole answer and the token that the worker holds."""
+    """Report the end of a task with its complete answer and the token that the worker holds."""
 
     task_id: str
     succeeded: bool
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class TaskRefused:
-    """Report that the worker did not start the task, and never will under this id."""
+    """Report that the worker did not start the task and will not start it under this id."""
 
     task_id: str
     reason: str
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class LeasesRenewed:
-    """Confirm renewed leases and report use."""
+    """Confirm renewed leases; report the running tasks and the processor use."""
 
     running: tuple[str, ...]
     cpu_milli_used: int
@@ -92,7 +92,7 @@
 
 @attrs.frozen
 class QueryOutcome:
-    """Ask what became of a task."""
+    """Request the outcome of a task."""
 
     token: Token
     task_id: str
@@ -102,7 +102,7 @@
 class OutcomeReport:
     """Report a task as `running`, `ended` or `never`.
 
-    After `never` the worker refuses a start under this id, also one that is still on its way.
+    After `never`, the worker refuses to start a task with this id, even if a start is in flight.
     """
 
     task_id: str
@@ -120,7 +120,7 @@
 
 @attrs.frozen
 class CheckpointTask:
-    """Save a running task's progress, then stop it."""
+    """Checkpoint a running task, then stop it."""
 
     token: Token
     task_id: str
@@ -128,7 +128,7 @@
 
 @attrs.frozen
 class ThrottleTask:
-    """Limit the processor use of a running task to a percentage."""
+    """Throttle the processor use of a running task to a percentage."""
 
     token: Token
     task_id: str
--- a/baobabhoist/upstream/pool.py
+++ b/baobabhoist/upstream/pool.py
@@ -1,4 +1,4 @@
-"""Hold the links to the workers of one shard."""
+"""Manage the links to the workers of one shard."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class WorkerConnection(Protocol):
-    """Be a connection to one worker that replaces itself when it fails."""
+    """Define a connection to one worker that reconnects when it fails."""
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether a call can be sent now."""
+        """Return whether a call can be sent now."""
 
     async def run(self) -> None:
-        """Keep the connection until cancelled."""
+        """Maintain the connection until cancelled."""
 
     async def call(self, message: Any, timeout_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call the worker; raises NotSentError, LinkClosedError or TimeoutError."""
 
     def reconnect(self) -> None:
-        """Drop a connection that has gone silent, so that a new one is made."""
+        """Abort an unresponsive connection, so that a new one is opened."""
 
 
 class WorkerPool:
-    """Own one connection per worker; workers come and go while the shard is owned."""
+    """Manage one link per worker; workers may be added and removed while the links run."""
 
     def __init__(
         self,
@@ -43,56 +43,56 @@
         self._make_link = make_link
         self._links: dict[str, WorkerConnection] = {}
         self._specs: dict[str, WorkerSpec] = {}
-        self._keepers: dict[str, asyncio.Task[None]] = {}
-        self._running = False
+        self._link_tasks: dict[str, asyncio.Task[None]] = {}
+        self._is_running = False
         self.set_workers(workers)
 
     def set_workers(self, workers: Iterable[WorkerSpec]) -> None:
-        """Connect to new workers; a changed address makes a new link."""
+        """Add new workers, and replace the links of workers whose address changed."""
         for spec in workers:
-            known = self._specs.get(spec.name)
-            if known is None or (known.host, known.port) != (spec.host, spec.port):
+            current = self._specs.get(spec.name)
+            if current is None or (current.host, current.port) != (spec.host, spec.port):
                 self.remove_worker(spec.name)
                 self._links[spec.name] = self._make_link(spec, self._on_change)
             self._specs[spec.name] = spec
-        if self._running:
+        if self._is_running:
             self.start()
 
     def start(self) -> None:
-        """Start the links that are not kept yet."""
-        self._running = True
+        """Run the links that are not running yet."""
+        self._is_running = True
         for name, link in self._links.items():
-            if name not in self._keepers:
-                self._keepers[name] = asyncio.create_task(link.run())
+            if name not in self._link_tasks:
+                self._link_tasks[name] = asyncio.create_task(link.run())
 
     def stop(self) -> None:
-        """End all links."""
-        self._running = False
+        """Stop and remove all links."""
+        self._is_running = False
         for name in list(self._links):
             self.remove_worker(name)
 
     def remove_worker(self, worker: str) -> None:
-        """End the link to one worker."""
+        """Stop and remove the link to one worker."""
         self._links.pop(worker, None)
         self._specs.pop(worker, None)
-        keeper = self._keepers.pop(worker, None)
-        if keeper is not None:
-            keeper.cancel()
+        link_task = self._link_tasks.pop(worker, None)
+        if link_task is not None:
+            link_task.cancel()
 
     def is_connected(self, worker: str) -> bool:
-        """Tell whether a call to this worker can be sent now."""
+        """Return whether a call to this worker can be sent now."""
         link = self._links.get(worker)
         return link is not None and link.is_connected
 
     async def call(self, worker: str, message: Any, timeout_s: float) -> Any:
-        """Send a call to a worker; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call a worker; raises NotSentError, LinkClosedError or TimeoutError."""
         link = self._links.get(worker)
         if link is None:
-            raise NotSentError(f"worker {worker} has no link")
+            raise NotSentError(f"worker {worker} is not in the pool")
         return await link.call(message, timeout_s)
 
     def reconnect(self, worker: str) -> None:
-        """Replace a link that has gone silent."""
+        """Abort the unresponsive connection to a worker, so that a new one is opened."""
         link = self._links.get(worker)
         if link is not None:
             link.reconnect()
