--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -1,4 +1,4 @@
-"""Replay a load against a cell in simulated time, and measure what it decides and how fast."""
+"""Replay a workload on a cell in simulated time; measure the value and time of its decisions."""
 
 from __future__ import annotations
 
@@ -46,13 +46,14 @@
 LEASE_MS = 5_000.0
 TICK_INTERVAL_MS = 100.0
 LEASE_RENEWAL_INTERVAL_MS = 1_000.0
-# From the decision to the start on the worker: the store's answer and the call.
+# Time from the decision to the start on the worker: a write to the store and a call.
 START_LATENCY_MS = 12.0
 STOP_LATENCY_MS = 200.0
 REPORT_LATENCY_MS = 3.0
-# Events of this time are decided together, as under the owner's pause between rounds.
+# Events within this time are handled by one decision, like those during the pause of an owner
+# between two rounds.
 DECISION_DELAY_MS = 4.0
-# Instances that ask the adviser beside each other.
+# Instances that request advice concurrently.
 MAX_ADVICE_REQUESTS = 9
 ADVICE_APPROVAL_PERCENT = 60
 TICKET_VALIDITY_MS = 2_500.0
@@ -61,7 +62,7 @@
 
 
 class FirstFit(TaskPlacer):
-    """Take steps in the order of their arrival and the first workers with room."""
+    """Place steps in order of arrival on the first workers with room."""
 
     def _rank(self, step: StepState, now: float) -> Rank:
         return Rank(Timeliness.ON_TIME, 0, step.job.accepted_local_ms, step.job.accepted_local_ms)
@@ -71,7 +72,7 @@
 
 
 class BestFit(FirstFit):
-    """Take steps in the order of their arrival and the fullest workers with room."""
+    """Place steps in order of arrival on the fullest workers with room."""
 
     def _placement_cost(self, worker: WorkerState, step: StepState, tolerated: float) -> float:
         return float(worker.free_cpu)
@@ -86,7 +87,7 @@
 
 @attrs.define(eq=False)
 class CellReplay:
-    """Hold the state of one run; times are in ms."""
+    """Simulate a cell under a workload; all times are in ms of simulated time."""
 
     workload: CellWorkload
     policy: type[TaskPlacer]
@@ -95,14 +96,14 @@
     arrivals: dict[str, Arrival] = attrs.field(init=False)
     now: float = 0.0
     decision_times_s: list[float] = attrs.Factory(list)
-    # When runs on workers began and will end.
+    # Start and planned end of the run of each task.
     run_intervals: dict[TaskKey, tuple[float, float]] = attrs.Factory(dict)
     _events: list[tuple[float, int, Callable[[], None]]] = attrs.Factory(list)
     _event_numbers: itertools.count[int] = attrs.Factory(itertools.count)
     _decision_pending: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Make the cell and its workers."""
+        """Create the cell and its simulated workers."""
         self.cell = CellScheduler(self.workload.rules, Takeover(0, 0), LEASE_MS)
         self.cell.placer = self.policy(self.cell.state, max_advice_requests=MAX_ADVICE_REQUESTS)
         self.workers = {
@@ -117,9 +118,9 @@
             self.cell.update_worker(info, 0.0)
 
     def run(self, seconds: float) -> None:
-        """Play the stream and let what it left drain."""
+        """Replay the arrivals of the workload, then drain the remaining jobs."""
         for arrival in self.workload.arrivals:
-            self._schedule_event(arrival.at_ms, functools.partial(self._arrive, arrival))
+            self._schedule_event(arrival.at_ms, functools.partial(self._add_job, arrival))
         for name in self.workers:
             self._schedule_event(0.0, functools.partial(self._renew_lease, name, repeat=True))
         self._schedule_event(0.0, self._tick)
@@ -128,8 +129,8 @@
             self.now, _, event = heapq.heappop(self._events)
             event()
 
-    def _schedule_event(self, when_ms: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (max(when_ms, self.now), next(self._event_numbers), event))
+    def _schedule_event(self, at_ms: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (max(at_ms, self.now), next(self._event_numbers), event))
 
     def _schedule_decision(self) -> None:
         if not self._decision_pending:
@@ -149,15 +150,15 @@
         self._schedule_decision()
         self._schedule_event(self.now + TICK_INTERVAL_MS, self._tick)
 
-    # Callers and advice.
+    # Arrivals, cancellations and advice.
 
-    def _arrive(self, arrival: Arrival) -> None:
+    def _add_job(self, arrival: Arrival) -> None:
         self.cell.add_job(arrival.job, self.now, self.now, self.now)
         if arrival.cancel_ms is not None:
-            self._schedule_event(arrival.cancel_ms, lambda: self._cancel(arrival.job.job_id))
+            self._schedule_event(arrival.cancel_ms, lambda: self._cancel_job(arrival.job.job_id))
         self._schedule_decision()
 
-    def _cancel(self, job_id: str) -> None:
+    def _cancel_job(self, job_id: str) -> None:
         self.cell.cancel_job(job_id, self.now)
         self._schedule_decision()
 
@@ -196,7 +197,7 @@
         declared = arrival.job.spec.steps[command.task.step].expected_ms
         slowness = self.workload.slowness_factor(command.worker_id, self.now)
         if arrival.job.spec.steps[command.task.step].gang:
-            # A gang works as fast as its slowest member.
+            # A gang runs as fast as its slowest member.
             slowness = max(self._gang_slowness(command.task, command.run), slowness)
         return declared * arrival.duration_factor * slowness
 
@@ -232,36 +233,40 @@
 
         self._schedule_event(self.now + STOP_LATENCY_MS, stop_task)
 
-    def _worker_at_now(self, name: str) -> StandInWorker:
-        worker = self.workers[name]
+    def _worker_at_now(self, worker_id: str) -> StandInWorker:
+        worker = self.workers[worker_id]
         worker.now = self.now
         return worker
 
-    def _extend_lease(self, name: str) -> int | None:
-        return self.cell.state.workers[name].lease.extend_deadline(self.now, LEASE_MS)
+    def _extend_lease(self, worker_id: str) -> int | None:
+        return self.cell.state.workers[worker_id].lease.extend_deadline(self.now, LEASE_MS)
 
-    def _schedule_report(self, name: str) -> None:
-        self._schedule_event(self.now + REPORT_LATENCY_MS, lambda: self._renew_lease(name))
+    def _schedule_report(self, worker_id: str) -> None:
+        self._schedule_event(self.now + REPORT_LATENCY_MS, lambda: self._renew_lease(worker_id))
 
-    def _renew_lease(self, name: str, repeat: bool = False) -> None:
-        worker, state = self._worker_at_now(name), self.cell.state.workers[name]
+    def _renew_lease(self, worker_id: str, repeat: bool = False) -> None:
+        worker, state = self._worker_at_now(worker_id), self.cell.state.workers[worker_id]
         state.last_acked_end = state.last_seen_end
-        for key, held in worker.runs.items():
+        for key, run in worker.runs.items():
             began_ms, ends_ms = self.run_intervals[key]
-            held.percent = 100.0 * (self.now - began_ms) / max(1.0, ends_ms - began_ms)
-        report = worker.renew(1, state.last_acked_end, self._extend_lease(name))
+            run.percent = 100.0 * (self.now - began_ms) / max(1.0, ends_ms - began_ms)
+        report = worker.renew(1, state.last_acked_end, self._extend_lease(worker_id))
         if not isinstance(report, CommandOutcome):
-            self.cell.handle_report(name, report, self.now - REPORT_LATENCY_MS, self.now)
+            self.cell.handle_report(worker_id, report, self.now - REPORT_LATENCY_MS, self.now)
         self._schedule_decision()
         if repeat:
             self._schedule_event(
-                self.now + LEASE_RENEWAL_INTERVAL_MS, lambda: self._renew_lease(name, repeat=True)
+                self.now + LEASE_RENEWAL_INTERVAL_MS,
+                lambda: self._renew_lease(worker_id, repeat=True),
             )
 
-    # Figures.
+    # Results.
 
     def earned_value(self) -> dict[str, float]:
-        """Return the part of the worth that was earned, of each queue and of all."""
+        """Return the earned fraction of the value of all jobs, per queue and in total.
+
+        Cancelled jobs do not count.
+        """
         offered: dict[str, float] = defaultdict(float)
         earned: dict[str, float] = defaultdict(float)
         for job_id, arrival in self.arrivals.items():
@@ -296,21 +301,24 @@
 
 
 def run(load: str, workers: int, seconds: float, seed: int, baselines: bool) -> dict[str, Any]:
-    """Return the figures of each policy on the same loads; no name means all loads."""
-    # The logs of simulated runs would cost more than the decisions.
+    """Return the results of each policy; an empty `load` means all load scenarios."""
+    # Logging the simulated runs would take longer than the decisions.
     logging.getLogger("baobabhoist").setLevel(logging.CRITICAL)
     names = [load] if load else list(SCENARIOS)
-    chosen = POLICIES if baselines else {"baobabhoist": TaskPlacer}
+    policies = POLICIES if baselines else {"baobabhoist": TaskPlacer}
     report: dict[str, Any] = {"workers": workers, "seed": seed, "loads": {}}
     for name in names:
         workload = generate_workload(SCENARIOS[name], workers, seconds, seed)
         report["loads"][name] = {
-            p: _measure(workload, kind, seconds) for p, kind in chosen.items()
+            policy_name: _measure_policy(workload, policy, seconds)
+            for policy_name, policy in policies.items()
         }
     return report
 
 
-def _measure(workload: CellWorkload, policy: type[TaskPlacer], seconds: float) -> dict[str, Any]:
+def _measure_policy(
+    workload: CellWorkload, policy: type[TaskPlacer], seconds: float
+) -> dict[str, Any]:
     replay = CellReplay(workload, policy)
     gc.collect()
     gc.freeze()
@@ -326,15 +334,17 @@
 
 
 def format_table(report: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
+    """Format the report as a plain-text table."""
     lines = [f"{report['workers']} workers, seed {report['seed']}; part of the worth earned"]
-    form = "{:18}{:14}{:>8}{:>8}{:>8}{:>8}{:>10}{:>10}{:>8}"
-    heads = ("all", "bundle", "recon", "entry", "p50 ms", "p99 ms", "cores")
-    lines.append(form.format("load", "policy", *heads))
+    row_format = "{:18}{:14}{:>8}{:>8}{:>8}{:>8}{:>10}{:>10}{:>8}"
+    headings = ("all", "bundle", "recon", "entry", "p50 ms", "p99 ms", "cores")
+    lines.append(row_format.format("load", "policy", *headings))
     for load, policies in report["loads"].items():
-        for policy, found in policies.items():
-            worth = found["worth"]
-            cells = [f"{worth.get(name, 0.0):.3f}" for name in heads[:4]]
-            times = [f"{found[f'decision_ms_{q}']:.2f}" for q in ("p50", "p99")]
-            lines.append(form.format(load, policy, *cells, *times, f"{found['cores']:.3f}"))
+        for policy, results in policies.items():
+            worth = results["worth"]
+            cells = [f"{worth.get(name, 0.0):.3f}" for name in headings[:4]]
+            times = [f"{results[f'decision_ms_{q}']:.2f}" for q in ("p50", "p99")]
+            lines.append(
+                row_format.format(load, policy, *cells, *times, f"{results['cores']:.3f}")
+            )
     return "\n".join(lines)
--- a/baobabhoist/benchmarks/cell_workload.py
+++ b/baobabhoist/benchmarks/cell_workload.py
@@ -1,4 +1,4 @@
-"""Make the heavy loads of the platform's sites as seeded streams of jobs."""
+"""Generate seeded workloads with the job mix and overload scenarios of the platform's sites."""
 
 from __future__ import annotations
 
@@ -19,17 +19,20 @@
 
 SERVICE = "svc"
 TEAM_COUNT = 6
-# A team may have this many times its share running.
+# A team's limit as a multiple of its equal share of the cell.
 TEAM_LIMIT_FACTOR = 1.9
 WORKER_CAPACITY = Resources(16_000, 65_536, 0)
 WORKERS_PER_RACK = 20
-# How many times longer than declared a task takes on a worker.
+# Factors between the actual and the declared duration of a task, by worker.
 SLOWNESS_FACTORS = (0.7, 0.7, 1.7)
 
 
 @attrs.frozen
 class JobProfile:
-    """Describe one kind of job: its queue, its size, its rate at 24 workers and its worth."""
+    """Describe the jobs of one queue: their size, their value and their arrival rate.
+
+    `arrivals_per_s` applies to a cell of REFERENCE_WORKERS workers.
+    """
 
     queue: Queue
     arrivals_per_s: float
@@ -46,11 +49,11 @@
 
 @attrs.frozen
 class LoadScenario:
-    """Name what a stream strains, and how.
+    """Describe how a workload deviates from normal load.
 
-    `burst` multiplies the rate of one kind and `hot` that of one team from 4 s to 8 s; parts of
-    the workers fail everything or slow down from 4 s on, and parts of the jobs never succeed or
-    are cancelled soon after they came.
+    `burst_factor` multiplies the arrival rate of one queue and `hot_team_factor` that of one team
+    between PEAK_START_S and PEAK_END_S. From PEAK_START_S on, a fraction of the workers fails all
+    tasks or is slow. A fraction of the jobs always fails or is cancelled soon after its arrival.
     """
 
     name: str
@@ -79,31 +82,35 @@
 PEAK_START_S, PEAK_END_S = 4.0, 8.0
 
 
-def _advice(call_ms: float, per_worker_ms: float) -> AdviceTerms:
+def _advice_terms(call_ms: float, per_worker_ms: float) -> AdviceTerms:
     return AdviceTerms(call_ms, per_worker_ms, 2_500)
 
 
-def _queue(name: str, priority: int, attempts: int, slack: float, target: int) -> Queue:
-    terms = {"bundle": _advice(350, 5), "recon": _advice(80, 1.1), "entry": _advice(11, 0.16)}
+def _make_queue(name: str, priority: int, attempts: int, slack: float, target: int) -> Queue:
+    terms = {
+        "bundle": _advice_terms(350, 5),
+        "recon": _advice_terms(80, 1.1),
+        "entry": _advice_terms(11, 0.16),
+    }
     return Queue(name, SERVICE, priority, attempts, slack, target, advice=terms[name])
 
 
 JOB_PROFILES = (
     JobProfile(
-        _queue("bundle", 1, 2, 2.2, 1_000),
+        _make_queue("bundle", 1, 2, 2.2, 1_000),
         *(0.92, 9.15, 8, 4_500, 13_000, 4_000.0),
         gang_fraction=1.0,
         checkpoint_fraction=0.5,
     ),
     JobProfile(
-        _queue("recon", 2, 4, 4.0, 3_000),
+        _make_queue("recon", 2, 4, 4.0, 3_000),
         *(3.4, 1.54, 10, 980, 6_400, 2_200.0),
         steps=2,
         checkpoint_fraction=0.8,
         cancelled_fraction=0.05,
     ),
     JobProfile(
-        _queue("entry", 0, 3, 1.5, 250),
+        _make_queue("entry", 0, 3, 1.5, 250),
         *(15.4, 0.477, 2, 1_400, 9_100, 1_000.0),
         gang_fraction=0.3,
     ),
@@ -113,7 +120,7 @@
 
 @attrs.frozen
 class Arrival:
-    """Hold a job of the stream; `failures` is how many of its runs fail, times are in ms."""
+    """Describe the arrival of a job; the first `failing_runs` runs of each of its tasks fail."""
 
     at_ms: float
     job: AcceptedJob
@@ -125,7 +132,7 @@
 
 @attrs.frozen
 class CellWorkload:
-    """Hold a scenario as it is played: what comes, and how slow each worker is."""
+    """Hold the arrivals of a scenario and the slowness factor of each worker."""
 
     scenario: LoadScenario
     rules: CellRules
@@ -133,7 +140,7 @@
     arrivals: tuple[Arrival, ...]
 
     def slowness_factor(self, worker_id: str, at_ms: float) -> float:
-        """Return how many times longer than declared work takes on a worker."""
+        """Return the factor between the actual and the declared duration on a worker."""
         number = int(worker_id[1:])
         is_slowed = (
             at_ms >= PEAK_START_S * 1000
@@ -142,7 +149,7 @@
         return self.workers[worker_id] * (5.0 if is_slowed else 1.0)
 
     def worker_fails(self, worker_id: str, at_ms: float) -> bool:
-        """Tell whether a worker fails everything now."""
+        """Return whether a worker fails all tasks at this time."""
         number = int(worker_id[1:])
         return (
             at_ms >= PEAK_START_S * 1000
@@ -153,7 +160,7 @@
 def generate_workload(
     scenario: LoadScenario, workers: int, seconds: float, seed: int
 ) -> CellWorkload:
-    """Return a scenario of a length for a number of workers."""
+    """Return the workload of a scenario; the same seed gives the same workload."""
     rng = random.Random(seed)
     slowness_factors = {f"w{n}": rng.choice(SLOWNESS_FACTORS) for n in range(workers)}
     share = WORKER_CAPACITY.times(workers).cpu / TEAM_COUNT
--- a/baobabhoist/benchmarks/control_overhead.py
+++ b/baobabhoist/benchmarks/control_overhead.py
@@ -1,4 +1,4 @@
-"""Measure what control costs a daemon: processor time, memory and bytes on its links."""
+"""Measure the control overhead of a daemon: processor time, memory and traffic on its links."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Sample:
-    """Hold what a process has used so far."""
+    """Hold the resources that a process has used so far."""
 
     time_s: float
     cpu_s: float
@@ -46,7 +46,7 @@
 
 
 def read_sample(pid: int, admin_port: int) -> Sample:
-    """Read the use of a daemon's process and the traffic on its links."""
+    """Read the resource usage of a daemon's process and the traffic on its links."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
@@ -61,7 +61,7 @@
 
 
 def usage_rates(before: Sample, after: Sample) -> dict[str, float]:
-    """Return the use between two samples, per second."""
+    """Return the memory at the second sample and the usage per second between the two."""
     seconds = after.time_s - before.time_s
     return {
         "core_percent": round(100 * (after.cpu_s - before.cpu_s) / seconds, 2),
@@ -102,7 +102,7 @@
 
 
 async def _run_load(port: int, rate: float, seconds: float) -> dict[str, float]:
-    """Send requests at a steady rate and count the answers."""
+    """Send requests at a constant rate; return the rate of answers and the number of failures."""
     http = AsyncHTTPClient(force_instance=True, defaults={"request_timeout": 20.0})
     http.configure(None, max_clients=LOAD_CONNECTIONS)
     url = f"http://127.0.0.1:{port}/v1/queues/entries/requests"
@@ -119,9 +119,9 @@
     started = time.monotonic()
     calls = []
     for number in range(int(rate * seconds)):
-        delay = started + number / rate - time.monotonic()
-        if delay > 0:
-            await asyncio.sleep(delay)
+        delay_s = started + number / rate - time.monotonic()
+        if delay_s > 0:
+            await asyncio.sleep(delay_s)
         calls.append(asyncio.create_task(send()))
     await asyncio.gather(*calls)
     elapsed = time.monotonic() - started
@@ -129,7 +129,7 @@
 
 
 def measure_fleet(workers: int, rate: float, seconds: float) -> dict[str, Any]:
-    """Measure one daemon that owns all shards of a fleet, idle and under load."""
+    """Measure a daemon that owns all shards of a fleet, first idle, then under load."""
     with tempfile.TemporaryDirectory() as folder, Cluster(Path(folder)) as cluster:
         cluster.start_platform()
         names = [f"worker-{number}" for number in range(workers)]
@@ -167,13 +167,13 @@
         if f"baobabhoist_owned_shards {shards}" in text.decode():
             return
         time.sleep(0.5)
-    raise RuntimeError(f"the daemon does not own {shards} shards after {OWNERSHIP_TIMEOUT_S:g} s")
+    raise RuntimeError(f"the daemon did not own {shards} shards within {OWNERSHIP_TIMEOUT_S:g} s")
 
 
 def measure_heartbeat() -> dict[str, float]:
-    """Return the size of a heartbeat and the processor time to send and to receive it.
+    """Return the size of a heartbeat and the processor time to encode and to decode it.
 
-    The sender owns one shard, every team has work there, and it hears its design-size peers.
+    The sender owns one shard, in which all TEAM_COUNT teams have tasks, and has PEER_COUNT peers.
     """
     teams = [f"team-{number}" for number in range(TEAM_COUNT)]
     counts = dict.fromkeys(teams, 7)
@@ -208,7 +208,7 @@
 
 
 def measure_records(shards: int, workers_per_shard: int) -> dict[str, float]:
-    """Return the memory of all records in force at a fleet's size, in MB."""
+    """Return the memory that the records of a fleet occupy, in MB."""
     ports = {f"worker-{number}": 7000 for number in range(shards * workers_per_shard)}
     tracemalloc.start()
     view = RecordView()
@@ -220,11 +220,11 @@
 
 
 def run(sizes: list[int], rate: float, seconds: float) -> dict[str, Any]:
-    """Measure fleets of several sizes, and the slopes between the smallest and largest."""
+    """Measure fleets of several sizes and the cost per worker between the first and the last."""
     fleets = [measure_fleet(size, rate, seconds) for size in sizes]
     first, last = fleets[0], fleets[-1]
     added_workers = last["workers"] - first["workers"]
-    slopes = {
+    per_worker = {
         name: (
             round((last["idle"][name] - first["idle"][name]) / added_workers, 5)
             if added_workers
@@ -234,30 +234,31 @@
     }
     return {
         "fleets": fleets,
-        "per_worker_idle": slopes,
+        "per_worker_idle": per_worker,
         "heartbeat": measure_heartbeat(),
         "records": measure_records(DESIGN_SHARD_COUNT, WORKERS_PER_SHARD),
     }
 
 
 def format_table(report: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
+    """Format the report as a plain-text table."""
     lines = [
         f"{'workers':>8} {'phase':>6} {'core %':>7} {'MB':>7} {'sent KB/s':>10} {'recv KB/s':>10}"
     ]
     for fleet in report["fleets"]:
         for phase in ("idle", "busy"):
-            use = fleet[phase]
+            usage = fleet[phase]
             lines.append(
-                f"{fleet['workers']:>8} {phase:>6} {use['core_percent']:>7} "
-                f"{use['memory_mb']:>7} {use['sent_kb_s']:>10} {use['received_kb_s']:>10}"
+                f"{fleet['workers']:>8} {phase:>6} {usage['core_percent']:>7} "
+                f"{usage['memory_mb']:>7} {usage['sent_kb_s']:>10} {usage['received_kb_s']:>10}"
             )
         load = fleet["load"]
         lines.append(f"{'':>8} answered {load['rate']} requests/s, {load['failed']} failed")
-    slopes = report["per_worker_idle"]
+    per_worker = report["per_worker_idle"]
     lines.append(
-        f"per worker, idle: {slopes['core_percent']} % of a core, {slopes['memory_mb']} MB, "
-        f"{slopes['sent_kb_s']} KB/s sent, {slopes['received_kb_s']} KB/s received"
+        f"per worker, idle: {per_worker['core_percent']} % of a core, "
+        f"{per_worker['memory_mb']} MB, "
+        f"{per_worker['sent_kb_s']} KB/s sent, {per_worker['received_kb_s']} KB/s received"
     )
     heartbeat, records = report["heartbeat"], report["records"]
     lines.append(
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Run the replay for every policy and report the figures side by side."""
+"""Replay the same workload under each policy and report the results side by side."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 @attrs.frozen
 class ConfirmedReleaseQuota:
-    """Give places back as confirmed, as an owner does whose worker reports the end itself."""
+    """Release places as confirmed, because in the replay every end is reported by its worker."""
 
     ledger: QuotaLedger
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a place."""
+        """Acquire a place for a task."""
         return self.ledger.acquire(team, task_id, worker)
 
     def release(self, task_id: str) -> None:
-        """Give a place back."""
+        """Release the place of a task whose end is confirmed."""
         self.ledger.release(task_id, confirmed=True)
 
 
@@ -69,7 +69,7 @@
     failing_workers: bool = True,
     baselines: bool = True,
 ) -> dict[str, Any]:
-    """Return the figures of each policy on the same stream; 0 keeps the profile's value."""
+    """Return the results of each policy; 0 workers or seconds keep the value of the profile."""
     profile = attrs.evolve(PROFILES[profile_name], failing_workers=failing_workers)
     if workers:
         rate = profile.request_rate * workers / profile.workers
@@ -78,8 +78,8 @@
         profile = attrs.evolve(profile, duration_s=duration_s)
     workload = generate_workload(profile, seed)
     report: dict[str, Any] = {"profile": profile_name, "seed": seed, "workers": profile.workers}
-    chosen = POLICIES if baselines else {"baobabhoist": _make_scheduler}
-    report["policies"] = {name: _measure_policy(workload, make) for name, make in chosen.items()}
+    policies = POLICIES if baselines else {"baobabhoist": _make_scheduler}
+    report["policies"] = {name: _measure_policy(workload, make) for name, make in policies.items()}
     report["bytes"] = _measure_memory(workload.workers, workload.arrivals[0].items[0].task)
     return report
 
@@ -127,7 +127,7 @@
 
 
 def _measure_memory(workers: list[WorkerSpec], task: Task) -> dict[str, float]:
-    """Return what the scheduler allocates per worker, per batch job and per queued task."""
+    """Return the bytes that the scheduler allocates per worker, per job and per queued task."""
     count = 2000
     task = attrs.evolve(task, kind=WorkKind.BATCH)
     tracemalloc.start()
@@ -138,9 +138,10 @@
         scheduler.worker_up(spec.name)
     per_worker = (tracemalloc.get_traced_memory()[0] - before) / len(workers)
 
-    def fill(job_of: Callable[[int], str]) -> float:
+    def enqueue_tasks(job_id_of: Callable[[int], str]) -> float:
         tasks = [
-            attrs.evolve(task, task_id=f"{job_of(n)}/{n}", job_id=job_of(n)) for n in range(count)
+            attrs.evolve(task, task_id=f"{job_id_of(n)}/{n}", job_id=job_id_of(n))
+            for n in range(count)
         ]
         start = tracemalloc.get_traced_memory()[0]
         for item in tasks:
@@ -150,14 +151,14 @@
             scheduler.cancel(item.task_id)
         return used / count
 
-    per_task = fill(lambda n: "job")
-    per_job = fill(lambda n: f"job{n}")
+    per_task = enqueue_tasks(lambda n: "job")
+    per_job = enqueue_tasks(lambda n: f"job{n}")
     tracemalloc.stop()
     return {"worker": per_worker, "job of one task": per_job, "task": per_task}
 
 
 def format_table(report: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
+    """Format the report as a plain-text table."""
     policies = report["policies"]
     rows: list[tuple[str, list[str]]] = []
     for group in sorted({g for p in policies.values() for g in p["wait_s"]}):
--- a/baobabhoist/benchmarks/main.py
+++ b/baobabhoist/benchmarks/main.py
@@ -1,4 +1,4 @@
-"""Run a measurement named on the command line."""
+"""Run the benchmark that is named on the command line."""
 
 from __future__ import annotations
 
@@ -15,29 +15,46 @@
 from baobabhoist.benchmarks.workload import PROFILES
 
 FLAGS = flags.FLAGS
-flags.DEFINE_integer("seed", 1, "Seed of the stream of work.")
-flags.DEFINE_enum("profile", "whistlemark", list(PROFILES), "Fleet, teams and load.")
-flags.DEFINE_integer("workers", 0, "Number of workers in place of the profile's.", lower_bound=0)
-flags.DEFINE_float("duration_s", 0.0, "Length of the stream in place of the profile's.")
-flags.DEFINE_enum("load", "", ["", *SCENARIOS], "Load of a cell; all of them by default.")
-flags.DEFINE_bool("failing_workers", True, "Whether some workers fail everything for a time.")
-flags.DEFINE_bool("baselines", True, "Whether to replay the stream for the baselines too.")
-flags.DEFINE_float("measure_s", 5.0, "Length of each part of a measurement on real processes.")
-flags.DEFINE_list("fleets", ["24", "100", "400"], "Numbers of workers to measure control at.")
-flags.DEFINE_float("control_rate", 200.0, "Requests a second while control is under load.")
+flags.DEFINE_integer("seed", 1, "Seed of the generated workload.")
+flags.DEFINE_enum(
+    "profile", "whistlemark", list(PROFILES), "Profile of the fleet, the teams and the load."
+)
+flags.DEFINE_integer(
+    "workers",
+    0,
+    "Number of workers; 0 keeps the default of the benchmark or profile.",
+    lower_bound=0,
+)
+flags.DEFINE_float(
+    "duration_s", 0.0, "Length of the workload; 0 keeps the default of the benchmark or profile."
+)
+flags.DEFINE_enum("load", "", ["", *SCENARIOS], "Load scenario of a cell; by default all of them.")
+flags.DEFINE_bool("failing_workers", True, "Whether some workers fail all tasks for some time.")
+flags.DEFINE_bool(
+    "baselines", True, "Whether to replay the workload with the baseline policies too."
+)
+flags.DEFINE_float("measure_s", 5.0, "Length of each phase of a benchmark on real processes.")
+flags.DEFINE_list(
+    "fleets",
+    ["24", "100", "400"],
+    "Fleet sizes, in workers, at which to measure the control overhead.",
+)
+flags.DEFINE_float(
+    "control_rate", 200.0, "Requests per second while the control overhead is measured under load."
+)
 flags.DEFINE_float(
     "relay_rate",
     relay.TARGET_REQUESTS_PER_S / 2,
-    "Requests a second at which latency is measured.",
+    "Requests per second at which latency is measured.",
 )
-flags.DEFINE_integer("connections", 64, "Connections of callers to the relay.")
-flags.DEFINE_integer("body_bytes", 200, "Size of a relayed request's body.")
-flags.DEFINE_enum("output", "table", ["table", "json"], "Form of the report.")
+flags.DEFINE_integer("connections", 64, "Connections of the load generators to the relay.")
+flags.DEFINE_integer("body_bytes", 200, "Size of the body of a relayed request.")
+flags.DEFINE_enum("output", "table", ["table", "json"], "Format of the report.")
 
 
 @attrs.frozen
 class Benchmark:
-    """Bind a name to what measures it and what prints it."""
+    """Hold the functions that run a benchmark and format its report."""
 
     run: Callable[[], dict[str, Any]]
     format_table: Callable[[dict[str, Any]], str]
@@ -83,13 +100,13 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run the measurement and print its report."""
+    """Run the benchmark and print its report."""
     benchmark = BENCHMARKS.get(argv[1]) if len(argv) == 2 else None
     if benchmark is None:
-        raise app.UsageError(f"name one measurement: {', '.join(BENCHMARKS)}")
+        raise app.UsageError(f"expected one benchmark name: {', '.join(BENCHMARKS)}")
     report = benchmark.run()
-    json_wanted = FLAGS.output == "json"
-    print(orjson.dumps(report).decode() if json_wanted else benchmark.format_table(report))
+    as_json = FLAGS.output == "json"
+    print(orjson.dumps(report).decode() if as_json else benchmark.format_table(report))
 
 
 if __name__ == "__main__":
--- a/baobabhoist/benchmarks/progress_writes.py
+++ b/baobabhoist/benchmarks/progress_writes.py
@@ -1,4 +1,4 @@
-"""Compare batched with single writes of progress rows to the platform's table."""
+"""Compare batched and single writes of progress rows to the platform's table."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 @contextmanager
 def _run_platform() -> Iterator[str]:
-    """Launch the platform stand-in as a process and give its address."""
+    """Run the platform stand-in as a process and yield its URL."""
     port = free_port()
     command = [sys.executable, "-m", "baobabhoist.testing.platform", f"--port={port}"]
-    # The access log would count as part of each write.
+    # The time to write the access log would count as part of each write.
     command.append("--verbosity=-1")
     process = subprocess.Popen(command)
     try:
@@ -36,7 +36,7 @@
 
 
 async def run(measure_s: float) -> dict[str, Any]:
-    """Return writes and rows a second for each batch size."""
+    """Return the write rate, row rate and latency for each batch size."""
     with _run_platform() as url:
         table = PlatformTable(url)
         await _wait_until_ready(table)
@@ -64,11 +64,11 @@
     started_s = time.monotonic()
 
     async def write(writer: int) -> None:
-        number = 0
+        write_number = 0
         while time.monotonic() - started_s < measure_s:
             rows = {
-                f"progress/job{size}-{writer}-{(number * size + n) % 5000}/shard": {
-                    "done": number,
+                f"progress/job{size}-{writer}-{(write_number * size + n) % 5000}/shard": {
+                    "done": write_number,
                     "running": 3,
                     "failed": 0,
                 }
@@ -77,7 +77,7 @@
             sent_at_s = time.monotonic()
             await table.commit(Transaction({}, rows))
             latencies.append(time.monotonic() - sent_at_s)
-            number += 1
+            write_number += 1
 
     await asyncio.gather(*(write(writer) for writer in range(CONCURRENT_WRITERS)))
     elapsed_s = time.monotonic() - started_s
@@ -89,7 +89,7 @@
 
 
 def format_table(report: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
+    """Format the report as a plain-text table."""
     lines = [f"{'rows per write':>14}{'writes/s':>12}{'rows/s':>12}{'p99 ms':>10}"]
     for size, row in report.items():
         lines.append(
--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -1,8 +1,8 @@
-"""Measure requests through an instance that does not own the shard.
+"""Measure requests that an instance relays to the owner of the shard.
 
 The sustained rate is that of a closed loop over many connections. The added latency is measured
-at a fixed rate, against calls straight to a worker in the same run. The processor time of a
-request depends less on what else the machine does than both.
+at a fixed rate and compared with direct calls to a worker in the same run. The processor time
+per request depends less than these two on the other load of the machine.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 READY_TIMEOUT_S = 30.0
 GENERATOR_PROCESSES = 2
 PERCENT = 100
-# The stated target of one daemon process; latency is measured at half of it.
+# The throughput target of one daemon process; by default, latency is measured at half of it.
 TARGET_REQUESTS_PER_S = 1000.0
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @attrs.frozen
 class Load:
-    """Describe one run of a generator; a rate of 0 sends as fast as answers come."""
+    """Describe the load of a generator; a rate of 0 means a closed loop."""
 
     url: str
     connections: int
@@ -54,7 +54,7 @@
 
 
 def percentile(sorted_values: list[float], percent: float) -> float:
-    """Return a percentile of sorted values, 0 for none."""
+    """Return a percentile of sorted values, or 0 if there are none."""
     if not sorted_values:
         return 0.0
     index = min(len(sorted_values) - 1, int(len(sorted_values) * percent / PERCENT))
@@ -64,7 +64,7 @@
 async def drive_load(
     send: Callable[[int], Awaitable[bool]], connections: int, rate: float, seconds: float
 ) -> dict[str, Any]:
-    """Send from several connections; latencies count from the time a request was due."""
+    """Send on several connections; at a fixed rate, latency counts from when a request was due."""
     started_s = time.perf_counter()
     latencies: list[float] = []
     failures = 0
@@ -89,7 +89,7 @@
 
 
 async def generate_http_load(load: Load) -> dict[str, Any]:
-    """Send requests over HTTP."""
+    """Send requests over HTTP to an instance."""
     host, _, rest = load.url.partition("/")
     name, _, port = host.partition(":")
     head = (
@@ -115,7 +115,7 @@
 
 
 async def generate_direct_load(port: int, load: Load) -> dict[str, Any]:
-    """Run tasks on a worker without any daemon."""
+    """Run tasks on a worker directly, without an instance in between."""
 
     async def ignore(message: Any) -> None:
         return None
@@ -140,16 +140,16 @@
         reply = await links[number].call(RunTask(token, task, now + 30), 30.0)
         return bool(getattr(reply, "succeeded", False))
 
-    found = await drive_load(send, load.connections, load.rate, load.seconds)
+    results = await drive_load(send, load.connections, load.rate, load.seconds)
     for link, reader in zip(links, readers, strict=True):
         await link.close()
         await reader
-    return found
+    return results
 
 
 def run_generators(load: Load) -> dict[str, Any]:
-    """Run the load in several processes, so that the load generator is not the limit."""
-    part = attrs.evolve(
+    """Generate the load in several processes, so that the generator is not the bottleneck."""
+    load_share = attrs.evolve(
         load,
         connections=load.connections // GENERATOR_PROCESSES,
         rate=load.rate / GENERATOR_PROCESSES,
@@ -157,15 +157,15 @@
     command = [sys.executable, "-m", __name__ if __name__ != "__main__" else MODULE_NAME]
     running = [
         subprocess.Popen(
-            [*command, json.dumps(attrs.asdict(part))], stdout=subprocess.PIPE, text=True
+            [*command, json.dumps(attrs.asdict(load_share))], stdout=subprocess.PIPE, text=True
         )
         for _ in range(GENERATOR_PROCESSES)
     ]
-    found = [json.loads(process.communicate()[0]) for process in running]
+    results = [json.loads(process.communicate()[0]) for process in running]
     return {
-        "latencies": sorted(value for part in found for value in part["latencies"]),
-        "failures": sum(part["failures"] for part in found),
-        "rate": sum(part["rate"] for part in found),
+        "latencies": sorted(value for result in results for value in result["latencies"]),
+        "failures": sum(result["failures"] for result in results),
+        "rate": sum(result["rate"] for result in results),
     }
 
 
@@ -173,7 +173,7 @@
 
 
 def shard_records(ports: dict[str, int]) -> list[dict[str, Any]]:
-    """Return the records of one shard and one team that is never limited."""
+    """Return the records of one shard and of one team whose limit is never reached."""
     worker = {"host": "127.0.0.1", "cpu_milli": 64000, "memory_mb": 65536, "slots": SLOTS}
     workers = [{"name": name, "port": port, **worker} for name, port in ports.items()]
     bodies = {
@@ -189,7 +189,7 @@
 
 
 def wait_for_owner(cluster: Cluster) -> str:
-    """Wait until an instance owns the shard, and return it."""
+    """Wait until an instance owns the shard, and return the name of the instance."""
     deadline_s = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline_s:
         for name, cfg in cluster.instances.items():
@@ -198,24 +198,24 @@
             if SHARD in orjson.loads(body)["owned_shards"]:
                 return name
         time.sleep(0.1)
-    raise RuntimeError("no instance owns the shard")
+    raise RuntimeError("no instance took ownership of the shard in time")
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def measure(seconds: float, connections: int, body_bytes: int, rate: float) -> dict[str, Any]:
-    """Start a small cluster and measure requests through the instance that owns nothing."""
+    """Start a small cluster and measure requests through the instance that owns no shard."""
     with tempfile.TemporaryDirectory() as folder, Cluster(Path(folder)) as cluster:
         cluster.start_platform()
         slots = f"--slots={SLOTS}"
         ports: dict[str, int] = {}
-        for half in ("a", "b"):
-            names = [f"{half}-{number}" for number in range(WORKERS // 2)]
-            ports |= cluster.start_workers(f"workers-{half}", names, slots, "--cpu_milli=64000")
+        for group in ("a", "b"):
+            names = [f"{group}-{number}" for number in range(WORKERS // 2)]
+            ports |= cluster.start_workers(f"workers-{group}", names, slots, "--cpu_milli=64000")
         direct_port = cluster.start_worker("direct", slots, "--cpu_milli=64000")
         cluster.plan_instances({"north": ["entry-1", "entry-2"]})
         for name in cluster.instances:
@@ -240,9 +240,9 @@
             / len(closed_loop["latencies"])
             for role, pid in pids.items()
         }
-        half_load = attrs.evolve(load, rate=rate)
-        relayed = run_generators(half_load)
-        direct_load = asyncio.run(generate_direct_load(direct_port, half_load))
+        fixed_rate_load = attrs.evolve(load, rate=rate)
+        relayed = run_generators(fixed_rate_load)
+        direct_load = asyncio.run(generate_direct_load(direct_port, fixed_rate_load))
     return build_report(closed_loop, relayed, direct_load) | {
         name: round(us) for name, us in used.items()
     }
@@ -251,8 +251,8 @@
 def build_report(
     closed_loop: dict[str, Any], relayed: dict[str, Any], direct_load: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return the figures; latencies in milliseconds."""
-    found: dict[str, Any] = {
+    """Combine the measurements into a report; latencies are in milliseconds."""
+    report: dict[str, Any] = {
         "sustained_per_s": round(closed_loop["rate"], 1),
         "failures": closed_loop["failures"] + relayed["failures"] + direct_load["failures"],
         "rate_of_latencies_per_s": round(relayed["rate"], 1),
@@ -261,15 +261,15 @@
     for percent in (50, 99):
         relayed_ms = percentile(relayed["latencies"], percent) * 1000
         direct_ms = percentile(direct_latencies, percent) * 1000
-        found[f"relayed_p{percent}_ms"] = round(relayed_ms, 2)
-        found[f"direct_p{percent}_ms"] = round(direct_ms, 2)
-        found[f"added_p{percent}_ms"] = round(relayed_ms - direct_ms, 2)
-    return found
+        report[f"relayed_p{percent}_ms"] = round(relayed_ms, 2)
+        report[f"direct_p{percent}_ms"] = round(direct_ms, 2)
+        report[f"added_p{percent}_ms"] = round(relayed_ms - direct_ms, 2)
+    return report
 
 
-def format_table(found: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
-    return "\n".join(f"{name:26} {value}" for name, value in found.items())
+def format_table(report: dict[str, Any]) -> str:
+    """Format the report as a plain-text table."""
+    return "\n".join(f"{name:26} {value}" for name, value in report.items())
 
 
 if __name__ == "__main__":
--- a/baobabhoist/benchmarks/replay.py
+++ b/baobabhoist/benchmarks/replay.py
@@ -1,4 +1,4 @@
-"""Replay a stream of work against one policy and measure what the policy decides."""
+"""Replay a workload under one policy in simulated time and measure its decisions."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 SAMPLE_INTERVAL_S = 1.0
 FAILED_RUN_S = 0.2
 PREEMPTION_DELAY_S = 0.2
-# A backlog counts as full when the oldest waiting work has waited this long.
+# The fleet counts as full while the oldest queued task has waited longer than this.
 BACKLOG_WAIT_S = 1.0
 
 
 class Policy(Protocol):
-    """Decide as `Scheduler` does."""
+    """Define the methods of `Scheduler` that the replay calls."""
 
     def enqueue(self, task: Task, now: float) -> Refusal | None: ...  # noqa: D102
     def enqueue_gang(self, job_id: str, tasks: list[Task], now: float) -> Refusal | None: ...  # noqa: D102
@@ -54,7 +54,7 @@
 
 @attrs.define(eq=False)
 class Replay:
-    """Hold the state of one run."""
+    """Simulate a fleet under a workload and a policy."""
 
     workload: Workload
     policy: Policy
@@ -80,7 +80,7 @@
     _event_numbers: itertools.count[int] = attrs.Factory(itertools.count)
 
     def run(self) -> None:
-        """Replay until the end of the stream; what still waits then counts as waiting."""
+        """Replay the workload until its end; tasks that are queued then count as waiting."""
         end = self.workload.profile.duration_s
         for arrival in self.workload.arrivals:
             self._schedule_event(arrival.arrives_at_s, "arrival", arrival)
@@ -167,7 +167,7 @@
         self._update_task_rates(now, placement.worker)
 
     def _update_task_rates(self, now: float, worker: str) -> None:
-        """Slow down every task of a worker whose processors are oversubscribed."""
+        """Update the progress rates of all tasks of a worker, which share its processors."""
         oversubscription = self.demand_by_worker[worker][0] / self.workload.profile.cpu_milli
         rate = self.workload.worker_behaviours[worker].speed_factor / max(1.0, oversubscription)
         for run in self.runs_by_worker[worker]:
@@ -211,12 +211,12 @@
         if not any(now - item.task.submitted_at > BACKLOG_WAIT_S for item in self.queued.values()):
             return
         used: defaultdict[str, float] = defaultdict(float)
-        useful = 0.0
+        packing = 0.0
         for run in self.running.values():
             share = self._dominant_share(run.item)
             used[run.item.task.team] += share
-            useful += share * run.succeeds
-        self.packing_samples.append(useful)
+            packing += share * run.succeeds
+        self.packing_samples.append(packing)
         wanted = used.copy()
         spare_places = {
             team: n - self.ledger.used[team] for team, n in self.workload.limits.items()
@@ -239,13 +239,13 @@
     def waits(self) -> dict[str, tuple[Task, float]]:
         """Return each accepted task's wait until its last start, in seconds.
 
-        Work that was not served by the end of the stream, and idempotent work that was given
-        up although a sound worker could have run it, waits until its deadline or the end.
+        A task that was not started by the end of the workload, and an idempotent task that was
+        abandoned although a healthy worker could have run it, waits until its deadline or the end.
         """
-        found = {}
+        waits = {}
         for task_id, item in self.items_by_task_id.items():
-            started = self.started_at_s.get(task_id, 0.0)
+            started_at_s = self.started_at_s.get(task_id, 0.0)
             if task_id in self.queued or task_id in self.abandoned:
-                started = min(self.workload.profile.duration_s, item.task.deadline)
-            found[task_id] = (item.task, started - item.task.submitted_at)
-        return found
+                started_at_s = min(self.workload.profile.duration_s, item.task.deadline)
+            waits[task_id] = (item.task, started_at_s - item.task.submitted_at)
+        return waits
--- a/baobabhoist/benchmarks/stats.py
+++ b/baobabhoist/benchmarks/stats.py
@@ -1,4 +1,4 @@
-"""Compute the figures of a report."""
+"""Compute fair shares and quantiles for the reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def water_fill(
     demand: dict[str, float], weights: dict[str, float], capacity: float
 ) -> dict[str, float]:
-    """Divide an amount by weight, giving no team more than it wants."""
+    """Return the weighted max-min fair allocation: no team gets more than its demand."""
     allocation = dict.fromkeys(weights, 0.0)
     unsatisfied = {team for team in weights if demand.get(team, 0.0) > 0.0}
     while unsatisfied and capacity > 1e-9:
@@ -24,6 +24,6 @@
 
 
 def quantile(values: Iterable[float], fraction: float) -> float:
-    """Return a quantile, or 0 without values."""
+    """Return a quantile of the values, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
--- a/baobabhoist/tests/test_benchmarks_cell_replay.py
+++ b/baobabhoist/tests/test_benchmarks_cell_replay.py
@@ -1,4 +1,4 @@
-"""Test the replay of the platform's loads."""
+"""Test the workloads and the replay of a cell."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_stream_depends_on_the_seed_alone(name: str) -> None:
-    """Guard against comparisons of policies on unlike streams."""
+def test_workload_depends_only_on_the_seed(name: str) -> None:
+    """Guard against comparing policies on different workloads."""
     first = generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED)
     assert first == generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED)
     assert first != generate_workload(SCENARIOS[name], WORKERS, SECONDS, SEED + 1)
 
 
-def test_replay_repeats_and_prints_every_policy() -> None:
-    """Guard against figures of a replay that chance decides."""
+def test_replay_is_repeatable_and_reports_all_policies() -> None:
+    """Guard against results that differ between replays of the same workload."""
     reports = [cell_replay.run("hot_team", WORKERS, SECONDS, SEED, True) for _ in range(2)]
     worths = [
-        {policy: found["worth"] for policy, found in report["loads"]["hot_team"].items()}
+        {policy: results["worth"] for policy, results in report["loads"]["hot_team"].items()}
         for report in reports
     ]
     assert worths[0] == worths[1]
