--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward queued work to a shard that has places and capacity for it."""
+"""Forward queued work to another shard that has quota and capacity for it."""
 
 from __future__ import annotations
 
@@ -12,77 +12,79 @@
 from baobabhoist.model import Outcome, Request, Task, WorkKind
 from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
-# Work that starts within this time is not worth a forward.
-FORWARD_AFTER_S = 0.05
-# Digests of other shards are up to 0.3 s old; a forward that was refused waits longer.
-RETRY_AFTER_S = 0.5
-FORWARDS_PER_TICK = 32
+# Work that starts within this time is not worth forwarding.
+FORWARD_DELAY_S = 0.05
+# Digests of other shards are up to 0.3 s old. A refused request waits longer than that, so that
+# the next attempt sees newer digests.
+FORWARD_RETRY_DELAY_S = 0.5
+MAX_FORWARDS_PER_TICK = 32
 
-Forward = Callable[[Request], tuple[str, Awaitable[Result]] | None]
-"""Send a request to another shard and return that shard with the pending result.
+ForwardRequest = Callable[[Request], tuple[str, Awaitable[Result]] | None]
+"""Send a request to another shard and return that shard and an awaitable result.
 
 None means that no other shard has room.
 """
 
 
 @attrs.define(eq=False)
-class Open:
-    """Hold a request that has no result yet; `forward_at` is in Unix seconds.
+class PendingRequest:
+    """Track a request without a result; times are Unix seconds.
 
-    `target` is the shard that has the request while `forwarding` is set.
+    `arrived_forwarded` marks a request that another shard forwarded to this one. While
+    `is_forwarding` is set, the shard `target` has the request.
     """
 
     req: Request
     fut: asyncio.Future[Result]
     forward_at: float
     opened_at: float = 0.0
-    forwarded: bool = False
-    forwarding: bool = False
+    arrived_forwarded: bool = False
+    is_forwarding: bool = False
     target: str = ""
 
 
-def is_queued(keys: RequestKeyLedger, entry: Open) -> bool:
-    """Tell whether a request waits in the queue of this shard."""
-    known = keys.entries.get(entry.req.request_id)
-    return known is not None and known.state is RequestKeyState.QUEUED and not entry.forwarding
+def is_queued(keys: RequestKeyLedger, entry: PendingRequest) -> bool:
+    """Return whether a request waits in the queue of this shard."""
+    key = keys.entries.get(entry.req.request_id)
+    return key is not None and key.state is RequestKeyState.QUEUED and not entry.is_forwarding
 
 
-class Queue(Protocol):
-    """Cancel and queue tasks."""
+class TaskQueue(Protocol):
+    """Define what forwarding needs from the scheduler."""
 
     def cancel(self, task_id: str) -> bool:
-        """Drop a queued task; tell whether it was still queued."""
+        """Remove a queued task; return whether it was still queued."""
 
     def enqueue(self, task: Task, now: float) -> Refusal | None:
         """Queue a task, or return why it can never run here."""
 
 
-class Home(Protocol):
-    """Be the shard that keeps the state of the keys of forwarded requests."""
+class HomeShard(Protocol):
+    """Define the shard that forwards requests and keeps the state of their keys."""
 
-    open: dict[str, Open]
+    pending: dict[str, PendingRequest]
     keys: RequestKeyLedger
 
     @property
-    def usable(self) -> bool:
-        """Tell whether the shard may start work."""
+    def is_usable(self) -> bool:
+        """Return whether the shard may start work."""
 
     @property
-    def queue(self) -> Queue:
+    def queue(self) -> TaskQueue:
         """Return the scheduler."""
 
     @property
     def now(self) -> float:
         """Return the time in Unix seconds."""
 
-    def owned_at(self, at: float) -> bool:
-        """Tell whether this instance certainly owned the shard at a time; if not, find out.
+    def was_owned_at(self, at: float) -> bool:
+        """Return whether this instance surely owned the shard at a time, or start to verify it.
 
-        No worker of this shard would refuse the forward of an owner that was superseded.
+        No worker of this shard would reject a request that a superseded owner forwards.
         """
 
     def dispatch(self, now: float) -> None:
-        """Start what fits now."""
+        """Start the tasks that fit now."""
 
     def finish(self, request_id: str, result: Result) -> Result:
         """Store the result of a request."""
@@ -92,70 +94,79 @@
 
 
 class Forwarder:
-    """Offer waiting requests to other shards; a forwarded one is never forwarded again."""
+    """Forward waiting requests to other shards, except those that arrived forwarded."""
 
-    def __init__(self, home: Home, forward: Forward) -> None:
+    def __init__(self, home: HomeShard, forward: ForwardRequest) -> None:
         self._home = home
         self._forward = forward
 
     def tick(self, now: float) -> None:
-        """Forward a bounded number of the requests that wait."""
-        home, sent = self._home, 0
-        # Where one request of a team and kind finds no room, the others find none in this tick.
-        without_room: set[tuple[str, WorkKind]] = set()
-        if not home.usable:
+        """Forward a bounded number of waiting requests."""
+        home, forwarded_count = self._home, 0
+        # If one request of a team and kind finds no room, neither do the others in this tick.
+        full_classes: set[tuple[str, WorkKind]] = set()
+        if not home.is_usable:
             return
-        for entry in list(home.open.values()):
-            if sent >= FORWARDS_PER_TICK:
+        for entry in list(home.pending.values()):
+            if forwarded_count >= MAX_FORWARDS_PER_TICK:
                 return
-            work = (entry.req.task.team, entry.req.task.kind)
-            due = now >= entry.forward_at and not entry.forwarded
-            if not due or work in without_room or not is_queued(home.keys, entry):
+            work_class = (entry.req.task.team, entry.req.task.kind)
+            is_due = now >= entry.forward_at and not entry.arrived_forwarded
+            if not is_due or work_class in full_classes or not is_queued(home.keys, entry):
                 continue
-            # The next owner of this shard cannot know what was forwarded: it answers unknown for
-            # keys that are older than its takeover, but it may run idempotent work again.
-            if entry.req.task.idempotent or not home.owned_at(entry.opened_at):
+            # The next owner of this shard cannot know which requests were forwarded. It reports
+            # keys older than its takeover as unknown but may run idempotent work again, which
+            # the other shard may still be running.
+            if entry.req.task.idempotent or not home.was_owned_at(entry.opened_at):
                 continue
-            sent_to = self._forward(entry.req)
-            if sent_to is None:
-                without_room.add(work)
+            forward = self._forward(entry.req)
+            if forward is None:
+                full_classes.add(work_class)
             else:
-                entry.target, running = sent_to
+                entry.target, pending_result = forward
                 home.queue.cancel(entry.req.request_id)
-                entry.forwarding = True
-                sent += 1
-                home.spawn(self._await(entry, running))
-
-    def out(self) -> set[str]:
-        """Return the requests that other shards have now."""
-        return {name for name, entry in self._home.open.items() if entry.forwarding}
-
-    def targets(self, task_ids: Iterable[str]) -> dict[str, str]:
-        """Return the shards that have those of these requests that were forwarded."""
-        entries = ((name, self._home.open.get(name)) for name in task_ids)
-        return {name: entry.target for name, entry in entries if entry and entry.forwarding}
-
-    def freeze(self) -> None:
-        """Count what other shards have as dispatched, before the queue is given up."""
-        for entry in self._home.open.values():
-            known = self._home.keys.entries.get(entry.req.request_id)
-            if entry.forwarding and known is not None and known.state is RequestKeyState.QUEUED:
+                entry.is_forwarding = True
+                forwarded_count += 1
+                home.spawn(self._await_result(entry, pending_result))
+
+    def forwarded_ids(self) -> set[str]:
+        """Return the ids of the requests that other shards have now."""
+        return {
+            request_id for request_id, entry in self._home.pending.items() if entry.is_forwarding
+        }
+
+    def forward_targets(self, task_ids: Iterable[str]) -> dict[str, str]:
+        """Return the target shard of each of these requests that is forwarded now."""
+        entries = ((request_id, self._home.pending.get(request_id)) for request_id in task_ids)
+        return {
+            request_id: entry.target
+            for request_id, entry in entries
+            if entry and entry.is_forwarding
+        }
+
+    def mark_forwarded_dispatched(self) -> None:
+        """Mark the keys of forwarded requests as dispatched, before the queue is dropped."""
+        for entry in self._home.pending.values():
+            key = self._home.keys.entries.get(entry.req.request_id)
+            if entry.is_forwarding and key is not None and key.state is RequestKeyState.QUEUED:
                 self._home.keys.record_dispatch(entry.req.request_id)
 
-    async def _await(self, entry: Open, running: Awaitable[Result]) -> None:
-        """Take the result of the other shard; what it certainly did not run waits here again."""
-        result = await running
+    async def _await_result(
+        self, entry: PendingRequest, pending_result: Awaitable[Result]
+    ) -> None:
+        """Store the result of the other shard, or requeue the request if it was not run there."""
+        result = await pending_result
         home, now = self._home, self._home.now
-        entry.forwarding = False
-        not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-        queued = is_queued(home.keys, entry)
-        if queued and not_run and now < entry.req.task.deadline and home.usable:
-            entry.forward_at = now + RETRY_AFTER_S
+        entry.is_forwarding = False
+        is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+        is_still_queued = is_queued(home.keys, entry)
+        if is_still_queued and is_not_run and now < entry.req.task.deadline and home.is_usable:
+            entry.forward_at = now + FORWARD_RETRY_DELAY_S
             refusal = home.queue.enqueue(entry.req.task, now)
             if refusal is None:
                 home.dispatch(now)
                 return
             result = refusal
-        elif queued and not not_run:
+        elif is_still_queued and not is_not_run:
             home.keys.record_dispatch(entry.req.request_id)
         home.finish(entry.req.request_id, result)
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -1,102 +1,108 @@
-"""Hold the open requests of a shard with the states of their keys."""
+"""Track the pending requests of a shard and the state of their request keys."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Container
 
-from baobabhoist.daemon.answers import Resolve, StoredAnswers
-from baobabhoist.daemon.dispatch import not_owner, outcome_unknown
-from baobabhoist.daemon.forwarding import FORWARD_AFTER_S, Open
+from baobabhoist.daemon.answers import AnswerStore, ResolveOutcome
+from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
+from baobabhoist.daemon.forwarding import FORWARD_DELAY_S, PendingRequest
 from baobabhoist.errors import InvariantBreachError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
 from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
-# asyncio takes no infinite timeout; work without a deadline waits again after this time.
-LONGEST_WAIT_S = 86400.0
+# asyncio accepts no infinite timeout. Requests without a deadline wait in steps of this length.
+MAX_WAIT_S = 86400.0
 FINAL_STATES = (RequestKeyState.ANSWERED, RequestKeyState.NOT_RUN)
 
 
-class RequestBook:
-    """Give each request one result, however many callers wait for it."""
+class RequestRegistry:
+    """Deliver one result per request to all callers that wait for it."""
 
     def __init__(
-        self, shard: str, keys: RequestKeyLedger, resolve: Resolve, clock: Callable[[], float]
+        self,
+        shard: str,
+        keys: RequestKeyLedger,
+        resolve: ResolveOutcome,
+        clock: Callable[[], float],
     ) -> None:
-        self.open: dict[str, Open] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.keys = keys
-        self.answers = StoredAnswers(resolve)
+        self.answers = AnswerStore(resolve)
         self._shard = shard
         self._clock = clock
 
-    def entry(self, req: Request, now: float) -> Open:
-        """Return the entry of a request without a result."""
-        entry = self.open.get(req.request_id)
+    def get_or_create(self, req: Request, now: float) -> PendingRequest:
+        """Return the entry of a pending request, and create it if there is none."""
+        entry = self.pending.get(req.request_id)
         if entry is None:
             fut: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-            entry = Open(req, fut, now + FORWARD_AFTER_S, now)
-            self.open[req.request_id] = entry
+            entry = PendingRequest(req, fut, now + FORWARD_DELAY_S, now)
+            self.pending[req.request_id] = entry
         return entry
 
-    async def wait(self, req: Request, entry: Open) -> Result | None:
-        """Return the result of a request, or None when its deadline passes first."""
+    async def wait_for_result(self, req: Request, entry: PendingRequest) -> Result | None:
+        """Return the result of a request, or None if its deadline passes first."""
         if entry.fut.done():
             return entry.fut.result()
-        while (left_s := req.task.deadline - self._clock()) > 0:
-            # `wait` leaves the future alone when this caller goes away, for the others that wait.
-            timeout = min(left_s, LONGEST_WAIT_S)
+        while (remaining_s := req.task.deadline - self._clock()) > 0:
+            # `wait` does not cancel the shared future if this caller is cancelled.
+            timeout = min(remaining_s, MAX_WAIT_S)
             done, _ = await asyncio.wait((entry.fut,), timeout=timeout)
             if done:
                 return entry.fut.result()
         return None
 
     def finish(self, request_id: str, result: Result) -> Result:
-        """Store the result of a request and give it to those who wait."""
-        known = self.keys.entries.get(request_id)
-        if known is not None and known.state in FINAL_STATES and known.result is not None:
-            # Only the kept answer may lack its body.
-            both = isinstance(known.result, Answer) and isinstance(result, Answer)
-            result = result if both else known.result
-        elif known is not None:
+        """Store the result of a request and deliver it to all waiting callers."""
+        key = self.keys.entries.get(request_id)
+        if key is not None and key.state in FINAL_STATES and key.result is not None:
+            # Of the two answers, only the stored one may lack its body.
+            are_answers = isinstance(key.result, Answer) and isinstance(result, Answer)
+            result = result if are_answers else key.result
+        elif key is not None:
             try:
-                kept = self.answers.trim(request_id, result, known.worker)
-                stored = self.keys.record_result(request_id, kept)
-                result = result if stored is kept else stored
+                stripped = self.answers.strip_body(request_id, result, key.worker)
+                stored = self.keys.record_result(request_id, stripped)
+                result = result if stored is stripped else stored
             except InvariantBreachError:
-                result = outcome_unknown("the owner holds no consistent state for the request")
-        self.give(request_id, result)
+                result = outcome_unknown_refusal(
+                    "the owner holds no consistent state for the request"
+                )
+        self.deliver(request_id, result)
         return result
 
-    def give(self, request_id: str, result: Result) -> None:
-        """Give a result to those who wait, without storing it."""
-        entry = self.open.pop(request_id, None)
+    def deliver(self, request_id: str, result: Result) -> None:
+        """Deliver a result to all waiting callers without storing it."""
+        entry = self.pending.pop(request_id, None)
         if entry is not None and not entry.fut.done():
             entry.fut.set_result(result)
 
-    async def give_whole(self, request_id: str, result: Result) -> None:
-        """Give a kept result with its body."""
-        entry = self.open.get(request_id)
+    async def deliver_with_body(self, request_id: str, result: Result) -> None:
+        """Deliver a stored result with its body."""
+        entry = self.pending.get(request_id)
         if entry is not None:
-            self.give(request_id, await self.answers.whole(entry.req, result))
+            self.deliver(request_id, await self.answers.load_body(entry.req, result))
 
-    def give_up(self, elsewhere: Container[str], moved: bool) -> None:
-        """Answer what can no longer be decided here, but for what is `elsewhere`.
+    def drop_unfinished(self, elsewhere: Container[str], was_handed_over: bool) -> None:
+        """Refuse all pending requests but those in `elsewhere`, whose results still arrive.
 
-        After a move the next owner may run the queue, so nothing is called not run.
+        After a hand-over the next owner may run the queue, so no request is reported `not_run`.
         """
         for request_id, result in self.keys.settle_open_keys(self._clock()):
             if request_id in elsewhere:
                 continue
-            certain = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-            outcome = Outcome.NOT_RUN if certain and not moved else Outcome.UNKNOWN
-            self.give(request_id, not_owner(self._shard, outcome))
+            is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+            outcome = Outcome.NOT_RUN if is_not_run and not was_handed_over else Outcome.UNKNOWN
+            self.deliver(request_id, not_owner_refusal(self._shard, outcome))
 
-    def end(self) -> None:
-        """Answer everything that is still open, because the owner ends."""
-        for request_id in list(self.open):
-            self.give(request_id, not_owner(self._shard, Outcome.UNKNOWN))
+    def close(self) -> None:
+        """Refuse all pending requests with an unknown outcome, because the owner ends."""
+        for request_id in list(self.pending):
+            self.deliver(request_id, not_owner_refusal(self._shard, Outcome.UNKNOWN))
 
-    def expire(self, now: float) -> None:
-        """Forget the keys whose time has passed."""
+    def expire_keys(self, now: float) -> None:
+        """Remove the keys whose retention has expired, and their answers."""
         if self.keys.expire(now):
-            self.answers.forget(self.keys.entries)
+            self.answers.retain(self.keys.entries)
