--- a/baobabhoist/benchmarks/cell_workload.py
+++ b/baobabhoist/benchmarks/cell_workload.py
@@ -82,17 +82,27 @@
 PEAK_START_S, PEAK_END_S = 4.0, 8.0
 
 
-def _advice_terms(call_ms: float, per_worker_ms: float) -> AdviceTerms:
-    return AdviceTerms(call_ms, per_worker_ms, 2_500)
+def _advice_terms(base_cost_ms: float, cost_per_worker_ms: float) -> AdviceTerms:
+    return AdviceTerms(base_cost_ms, cost_per_worker_ms, 2_500)
 
 
-def _make_queue(name: str, priority: int, attempts: int, slack: float, target: int) -> Queue:
-    terms = {
+def _make_queue(
+    name: str, priority: int, max_attempts: int, slack_factor: float, target_latency_ms: int
+) -> Queue:
+    advice_terms = {
         "bundle": _advice_terms(350, 5),
         "recon": _advice_terms(80, 1.1),
         "entry": _advice_terms(11, 0.16),
     }
-    return Queue(name, SERVICE, priority, attempts, slack, target, advice=terms[name])
+    return Queue(
+        name,
+        SERVICE,
+        priority,
+        max_attempts,
+        slack_factor,
+        target_latency_ms,
+        advice=advice_terms[name],
+    )
 
 
 JOB_PROFILES = (
--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -79,34 +79,36 @@
     workload = generate_workload(profile, seed)
     report: dict[str, Any] = {"profile": profile_name, "seed": seed, "workers": profile.workers}
     policies = POLICIES if baselines else {"baobabhoist": _make_scheduler}
-    report["policies"] = {name: _measure_policy(workload, make) for name, make in policies.items()}
+    report["policies"] = {
+        name: _measure_policy(workload, make_policy) for name, make_policy in policies.items()
+    }
     report["bytes"] = _measure_memory(workload.workers, workload.arrivals[0].items[0].task)
     return report
 
 
 def _measure_policy(
-    workload: Workload, make: Callable[[Workload, PlaceQuota], Policy]
+    workload: Workload, make_policy: Callable[[Workload, PlaceQuota], Policy]
 ) -> dict[str, Any]:
     ledger = QuotaLedger("bench", escrow=dict(workload.limits))
-    replay = Replay(workload, make(workload, ConfirmedReleaseQuota(ledger)), ledger)
+    replay = Replay(workload, make_policy(workload, ConfirmedReleaseQuota(ledger)), ledger)
     gc.collect()
     gc.freeze()
     replay.run()
     gc.unfreeze()
-    groups: defaultdict[str, list[float]] = defaultdict(list)
+    waits_by_group: defaultdict[str, list[float]] = defaultdict(list)
     for task_id, (task, wait) in replay.waits().items():
-        groups[f"kind {task.kind.value}"].append(wait)
-        groups[f"team {task.team}"].append(wait)
+        waits_by_group[f"kind {task.kind.value}"].append(wait)
+        waits_by_group[f"team {task.team}"].append(wait)
         if task.urgency is Urgency.URGENT:
-            groups["urgent"].append(wait)
+            waits_by_group["urgent"].append(wait)
         if task_id not in replay.abandoned and task_id not in replay.queued:
-            groups[f"kind {task.kind.value}, served"].append(wait)
+            waits_by_group[f"kind {task.kind.value}, served"].append(wait)
         if task_id in replay.urgent_with_quota:
-            groups["urgent with quota"].append(wait)
+            waits_by_group["urgent with quota"].append(wait)
     return {
         "wait_s": {
             name: {"p50": quantile(waits, 0.5), "p99": quantile(waits, 0.99), "n": len(waits)}
-            for name, waits in sorted(groups.items())
+            for name, waits in sorted(waits_by_group.items())
         },
         "packing": _mean(replay.packing_samples),
         "full_s": len(replay.packing_samples),
@@ -143,13 +145,13 @@
             attrs.evolve(task, task_id=f"{job_id_of(n)}/{n}", job_id=job_id_of(n))
             for n in range(count)
         ]
-        start = tracemalloc.get_traced_memory()[0]
-        for item in tasks:
-            scheduler.enqueue(item, task.submitted_at)
-        used = tracemalloc.get_traced_memory()[0] - start
-        for item in tasks:
-            scheduler.cancel(item.task_id)
-        return used / count
+        before_bytes = tracemalloc.get_traced_memory()[0]
+        for queued_task in tasks:
+            scheduler.enqueue(queued_task, task.submitted_at)
+        allocated_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
+        for queued_task in tasks:
+            scheduler.cancel(queued_task.task_id)
+        return allocated_bytes / count
 
     per_task = enqueue_tasks(lambda n: "job")
     per_job = enqueue_tasks(lambda n: f"job{n}")
@@ -164,7 +166,7 @@
     for group in sorted({g for p in policies.values() for g in p["wait_s"]}):
         waits = [p["wait_s"].get(group, {"p50": 0, "p99": 0}) for p in policies.values()]
         rows.append((f"wait s, {group}", [f"{w['p50']:.2f} / {w['p99']:.2f}" for w in waits]))
-    for name, form in (
+    for name, number_format in (
         ("packing", "{:.3f}"),
         ("full_s", "{}"),
         ("deviation_pp", "{:.2f}"),
@@ -172,7 +174,7 @@
         ("placements", "{}"),
         ("placements_per_s", "{:.0f}"),
     ):
-        rows.append((name, [form.format(p[name]) for p in policies.values()]))
+        rows.append((name, [number_format.format(p[name]) for p in policies.values()]))
     times = [p["decision_ms"] for p in policies.values()]
     rows.append(("decision_ms", [f"{t['p50']:.3f} / {t['p99']:.3f}" for t in times]))
     kinds = sorted({kind for p in policies.values() for kind in p["refusals"]})
--- a/baobabhoist/benchmarks/main.py
+++ b/baobabhoist/benchmarks/main.py
@@ -60,7 +60,7 @@
     format_table: Callable[[dict[str, Any]], str]
 
 
-def _decisions() -> dict[str, Any]:
+def _run_decisions() -> dict[str, Any]:
     return decisions.run(
         FLAGS.profile,
         FLAGS.seed,
@@ -71,31 +71,31 @@
     )
 
 
-def _cell() -> dict[str, Any]:
+def _run_cell() -> dict[str, Any]:
     workers, seconds = FLAGS.workers or 24, FLAGS.duration_s or 14.0
     return cell_replay.run(FLAGS.load, workers, seconds, FLAGS.seed, FLAGS.baselines)
 
 
-def _progress() -> dict[str, Any]:
+def _run_progress() -> dict[str, Any]:
     return asyncio.run(progress_writes.run(FLAGS.measure_s))
 
 
-def _control() -> dict[str, Any]:
+def _run_control() -> dict[str, Any]:
     return control_overhead.run(
         [int(size) for size in FLAGS.fleets], FLAGS.control_rate, FLAGS.measure_s
     )
 
 
-def _relay() -> dict[str, Any]:
+def _run_relay() -> dict[str, Any]:
     return relay.measure(FLAGS.measure_s, FLAGS.connections, FLAGS.body_bytes, FLAGS.relay_rate)
 
 
 BENCHMARKS = {
-    "cell": Benchmark(_cell, cell_replay.format_table),
-    "control": Benchmark(_control, control_overhead.format_table),
-    "decisions": Benchmark(_decisions, decisions.format_table),
-    "progress": Benchmark(_progress, progress_writes.format_table),
-    "relay": Benchmark(_relay, relay.format_table),
+    "cell": Benchmark(_run_cell, cell_replay.format_table),
+    "control": Benchmark(_run_control, control_overhead.format_table),
+    "decisions": Benchmark(_run_decisions, decisions.format_table),
+    "progress": Benchmark(_run_progress, progress_writes.format_table),
+    "relay": Benchmark(_run_relay, relay.format_table),
 }
 
 
--- a/baobabhoist/benchmarks/replay.py
+++ b/baobabhoist/benchmarks/replay.py
@@ -42,12 +42,14 @@
 
 @attrs.define(eq=False)
 class _Run:
+    """Hold a run of a task; an end event counts only if `version` is unchanged since."""
+
     item: WorkItem
     worker: str
     succeeds: bool
     remaining_s: float
     updated_at_s: float
-    rate: float = 0.0
+    progress_rate: float = 0.0
     version: int = 0
     ended: bool = False
 
@@ -67,6 +69,7 @@
     refusals: Counter[str] = attrs.Factory(Counter)
     abandoned: set[str] = attrs.Factory(set)
     urgent_with_quota: set[str] = attrs.Factory(set)
+    # Processor and memory demand of the running tasks of each worker.
     demand_by_worker: defaultdict[str, list[int]] = attrs.Factory(
         lambda: defaultdict(lambda: [0, 0])
     )
@@ -169,14 +172,18 @@
     def _update_task_rates(self, now: float, worker: str) -> None:
         """Update the progress rates of all tasks of a worker, which share its processors."""
         oversubscription = self.demand_by_worker[worker][0] / self.workload.profile.cpu_milli
-        rate = self.workload.worker_behaviours[worker].speed_factor / max(1.0, oversubscription)
+        progress_rate = self.workload.worker_behaviours[worker].speed_factor / max(
+            1.0, oversubscription
+        )
         for run in self.runs_by_worker[worker]:
-            if run.rate != rate:
-                run.remaining_s -= (now - run.updated_at_s) * run.rate
-                run.updated_at_s, run.rate = now, rate
+            if run.progress_rate != progress_rate:
+                run.remaining_s -= (now - run.updated_at_s) * run.progress_rate
+                run.updated_at_s, run.progress_rate = now, progress_rate
                 run.version += 1
                 payload = (run, run.version, False)
-                self._schedule_event(now + max(0.0, run.remaining_s) / rate, "end", payload)
+                self._schedule_event(
+                    now + max(0.0, run.remaining_s) / progress_rate, "end", payload
+                )
 
     def _on_end(self, now: float, payload: tuple[_Run, int, bool]) -> None:
         run, version, preempted = payload
--- a/baobabhoist/observability/events.py
+++ b/baobabhoist/observability/events.py
@@ -65,7 +65,7 @@
         logging.INFO,
         "moved {places} places of team {team} from {source} to {target}",
     )
-    ESCROW_MOVE_FAILED = (3003, logging.WARNING, "cannot move places of team {team}: {detail}")
+    ESCROW_MOVE_FAILED = (3003, logging.WARNING, "cannot move places of {team}: {detail}")
     TAKEOVER_CAP_LIFTED = (3005, logging.INFO, "shard {shard} may use its full escrow again")
     LIMIT_LOWERED = (
         3006,
@@ -85,7 +85,7 @@
         "preempting task {task_id} in favour of task {for_task_id}",
     )
     MESSAGE_DISCARDED = (6003, logging.WARNING, "discarded an invalid message: {detail}")
-    LINK_REPLACED = (6004, logging.WARNING, "replaced the unresponsive link to {name}")
+    LINK_REPLACED = (6004, logging.WARNING, "replacing the unresponsive link to worker {name}")
     WORKER_CONNECTED = (7001, logging.INFO, "worker {worker} connected")
     WORKER_DISCONNECTED = (7002, logging.WARNING, "worker {worker} disconnected")
     WORKER_LEAVING = (7003, logging.INFO, "worker {worker} is leaving and receives no new work")
--- a/baobabhoist/observability/metrics.py
+++ b/baobabhoist/observability/metrics.py
@@ -48,7 +48,7 @@
         self._classes = LabelLimiter(CLASS_LABELS_MAX)
         self._shards = LabelLimiter(SHARD_LABELS_MAX)
         self._invariants = LabelLimiter(INVARIANT_LABELS_MAX)
-        self._waiting = self._histogram(
+        self._wait = self._histogram(
             "waiting_seconds", "Time from submission to start.", WAITING_BUCKETS_S
         )
         self._service = self._histogram(
@@ -62,8 +62,10 @@
         )
         self._share = self._gauge("share_ratio", "Dominant share that a team uses of a shard.")
         self._escrow = self._gauge("escrow_places", "Places of a team that a shard holds.")
-        self._owned = self._gauge("owned_shards", "Shards this instance owns.")
-        self._revision = self._gauge("records_revision", "Revision of the records in force.")
+        self._owned_shards = self._gauge("owned_shards", "Shards this instance owns.")
+        self._records_revision = self._gauge(
+            "records_revision", "Revision of the records in force."
+        )
         self._breaches = self._counter(
             "invariant_breaches_total", "Steps refused because an invariant would break."
         )
@@ -74,15 +76,15 @@
 
     def observe_wait(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task waited for its start."""
-        self._waiting.observe(self._team_and_class(team, kind), seconds)
+        self._wait.observe(self._team_and_class_labels(team, kind), seconds)
 
     def observe_service(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task ran."""
-        self._service.observe(self._team_and_class(team, kind), seconds)
+        self._service.observe(self._team_and_class_labels(team, kind), seconds)
 
     def observe_decision(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a placement decision took."""
-        self._decision.observe(self._team_and_class(team, kind), seconds)
+        self._decision.observe(self._team_and_class_labels(team, kind), seconds)
 
     def set_packing_ratio(self, shard: str, ratio: float) -> None:
         """Set the allocated fraction of a shard's most used resource, from 0 to 1."""
@@ -90,19 +92,19 @@
 
     def set_share_ratio(self, team: str, shard: str, ratio: float) -> None:
         """Set a team's dominant share of a shard, from 0 to 1."""
-        self._share.set(self._team_and_shard(team, shard), ratio)
+        self._share.set(self._team_and_shard_labels(team, shard), ratio)
 
     def set_escrow_places(self, team: str, shard: str, places: int) -> None:
         """Set the number of places that a shard holds for a team."""
-        self._escrow.set(self._team_and_shard(team, shard), places)
+        self._escrow.set(self._team_and_shard_labels(team, shard), places)
 
     def set_owned_shards(self, count: int) -> None:
         """Set the number of shards that this instance owns."""
-        self._owned.set({}, count)
+        self._owned_shards.set({}, count)
 
     def set_records_revision(self, revision: int) -> None:
         """Set the revision of the records in force."""
-        self._revision.set({}, revision)
+        self._records_revision.set({}, revision)
 
     def set_link_traffic(self, sent_bytes: int, received_bytes: int) -> None:
         """Set the bytes of messages sent and received since the start of the process."""
@@ -122,10 +124,10 @@
         content, headers = render(self.registry, accept or ["text/plain"])
         return content, dict(headers)
 
-    def _team_and_class(self, team: str, kind: str) -> dict[str, str]:
+    def _team_and_class_labels(self, team: str, kind: str) -> dict[str, str]:
         return {"team": self._teams.label_for(team), "class": self._classes.label_for(kind)}
 
-    def _team_and_shard(self, team: str, shard: str) -> dict[str, str]:
+    def _team_and_shard_labels(self, team: str, shard: str) -> dict[str, str]:
         return {"team": self._teams.label_for(team), "shard": self._shards.label_for(shard)}
 
     def _histogram(self, name: str, help_text: str, buckets: tuple[float, ...]) -> Any:
--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -67,8 +67,8 @@
         self._codec = codec
         self._handler = handler
         self._pending_calls: dict[int, asyncio.Future[Any]] = {}
-        self._next_correlation_id = itertools.count(1)
-        self._next_stream_id = itertools.count(1)
+        self._correlation_ids = itertools.count(1)
+        self._stream_ids = itertools.count(1)
         self._send_windows: dict[int, SendWindow] = {}
         self._assembler = StreamAssembler()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -94,7 +94,7 @@
         """
         if self.closed:
             raise NotSentError("the connection is closed; the message was not sent")
-        correlation_id = next(self._next_correlation_id)
+        correlation_id = next(self._correlation_ids)
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._pending_calls[correlation_id] = fut
         data = self._codec.encode(message, correlation_id)
@@ -128,14 +128,16 @@
         await self._conn.close()
 
     def abort(self) -> None:
-        """Close the connection without a closing handshake, which an unresponsive peer delays."""
+        """Close the connection at once, without the handshake that an unresponsive peer delays."""
         self.closed = True
         self._fail_pending_calls()
         self._conn.transport.abort()
 
     async def _send(self, data: bytes) -> None:
         if len(data) > MAX_MESSAGE_BYTES:
-            raise MessageTooLargeError(f"a message of {len(data)} bytes exceeds the size limit")
+            raise MessageTooLargeError(
+                f"a message of {len(data)} bytes exceeds the size limit of the protocol"
+            )
         if len(data) > CHUNK_BYTES:
             await self._send_chunks(data)
         else:
@@ -149,20 +151,20 @@
             raise LinkClosedError("the connection is closed") from exc
 
     async def _send_chunks(self, data: bytes) -> None:
-        stream = next(self._next_stream_id)
-        window = self._send_windows[stream] = SendWindow()
+        stream_id = next(self._stream_ids)
+        window = self._send_windows[stream_id] = SendWindow()
         try:
             for offset in range(0, len(data), CHUNK_BYTES):
                 part = data[offset : offset + CHUNK_BYTES]
                 await window.reserve(len(part))
-                last = offset + len(part) == len(data)
-                chunk = BodyChunk(stream, offset, last, part)
+                is_last = offset + len(part) == len(data)
+                chunk = BodyChunk(stream_id, offset, is_last, part)
                 await self._send_frame(self._codec.encode(chunk))
         except asyncio.CancelledError:
-            self._spawn(self._send_if_open(StreamAborted(stream, by_sender=True)))
+            self._spawn(self._send_if_open(StreamAborted(stream_id, by_sender=True)))
             raise
         finally:
-            del self._send_windows[stream]
+            del self._send_windows[stream_id]
 
     async def _send_if_open(self, message: Any, correlation_id: int = 0) -> None:
         try:
--- a/baobabhoist/peer/streams.py
+++ b/baobabhoist/peer/streams.py
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StreamAborted:
-    """Abort a stream; `by_sender` tells whether the end that numbered it aborts it."""
+    """Abort a stream; `by_sender` tells whether its sender or its receiver aborts it."""
 
     stream: int
     by_sender: bool
@@ -52,17 +52,18 @@
         self._sent_bytes = 0
         self._acknowledged_bytes = 0
         self._state_changed = asyncio.Event()
-        self._aborted = False
+        self._is_aborted = False
 
     async def reserve(self, size: int) -> None:
         """Wait until `size` more bytes may be sent; raises LinkClosedError after an abort."""
         while (
-            self._sent_bytes + size - self._acknowledged_bytes > WINDOW_BYTES and not self._aborted
+            self._sent_bytes + size - self._acknowledged_bytes > WINDOW_BYTES
+            and not self._is_aborted
         ):
             self._state_changed.clear()
             await self._state_changed.wait()
-        if self._aborted:
-            raise LinkClosedError("the receiver aborted the message")
+        if self._is_aborted:
+            raise LinkClosedError("the transfer of the message was aborted")
         self._sent_bytes += size
 
     def acknowledge(self, received_bytes: int) -> None:
@@ -73,8 +74,8 @@
         self._state_changed.set()
 
     def abort(self) -> None:
-        """Make pending and later reservations fail."""
-        self._aborted = True
+        """Fail the waiting and all later reservations."""
+        self._is_aborted = True
         self._state_changed.set()
 
 
@@ -102,8 +103,8 @@
         self.discard(chunk.stream)
         return message
 
-    def discard(self, stream: int) -> None:
+    def discard(self, stream_id: int) -> None:
         """Discard the buffer of a stream, if there is one."""
-        buffer = self.buffers.pop(stream, None)
+        buffer = self.buffers.pop(stream_id, None)
         if buffer is not None:
             self.buffered_bytes -= len(buffer)
