--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -341,8 +341,8 @@
     lines.append(row_format.format("load", "policy", *headings))
     for load, policies in report["loads"].items():
         for policy, results in policies.items():
-            worth = results["worth"]
-            cells = [f"{worth.get(name, 0.0):.3f}" for name in headings[:4]]
+            earned = results["worth"]
+            cells = [f"{earned.get(name, 0.0):.3f}" for name in headings[:4]]
             times = [f"{results[f'decision_ms_{q}']:.2f}" for q in ("p50", "p99")]
             lines.append(
                 row_format.format(load, policy, *cells, *times, f"{results['cores']:.3f}")
--- a/baobabhoist/benchmarks/control_overhead.py
+++ b/baobabhoist/benchmarks/control_overhead.py
@@ -49,6 +49,7 @@
     """Read the resource usage of a daemon's process and the traffic on its links."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+    # The user and the system time of the process, in clock ticks.
     cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
     headers = {"X-Operator-Key": OPERATOR_KEY}
     _, text = fetch(f"http://127.0.0.1:{admin_port}/metrics", headers)
@@ -62,12 +63,14 @@
 
 def usage_rates(before: Sample, after: Sample) -> dict[str, float]:
     """Return the memory at the second sample and the usage per second between the two."""
-    seconds = after.time_s - before.time_s
+    elapsed_s = after.time_s - before.time_s
     return {
-        "core_percent": round(100 * (after.cpu_s - before.cpu_s) / seconds, 2),
+        "core_percent": round(100 * (after.cpu_s - before.cpu_s) / elapsed_s, 2),
         "memory_mb": round(after.memory_kb / 1024, 1),
-        "sent_kb_s": round((after.sent_bytes - before.sent_bytes) / 1000 / seconds, 2),
-        "received_kb_s": round((after.received_bytes - before.received_bytes) / 1000 / seconds, 2),
+        "sent_kb_s": round((after.sent_bytes - before.sent_bytes) / 1000 / elapsed_s, 2),
+        "received_kb_s": round(
+            (after.received_bytes - before.received_bytes) / 1000 / elapsed_s, 2
+        ),
     }
 
 
@@ -116,16 +119,16 @@
         except (HTTPClientError, OSError):
             counts["failed"] += 1
 
-    started = time.monotonic()
+    started_s = time.monotonic()
     calls = []
     for number in range(int(rate * seconds)):
-        delay_s = started + number / rate - time.monotonic()
+        delay_s = started_s + number / rate - time.monotonic()
         if delay_s > 0:
             await asyncio.sleep(delay_s)
         calls.append(asyncio.create_task(send()))
     await asyncio.gather(*calls)
-    elapsed = time.monotonic() - started
-    return {"rate": round(counts["answered"] / elapsed, 1), "failed": counts["failed"]}
+    elapsed_s = time.monotonic() - started_s
+    return {"rate": round(counts["answered"] / elapsed_s, 1), "failed": counts["failed"]}
 
 
 def measure_fleet(workers: int, rate: float, seconds: float) -> dict[str, Any]:
@@ -201,10 +204,10 @@
 
 
 def _cpu_time_us(operation: Callable[[], object]) -> float:
-    started = time.process_time()
+    started_s = time.process_time()
     for _ in range(HEARTBEAT_REPETITIONS):
         operation()
-    return round(1e6 * (time.process_time() - started) / HEARTBEAT_REPETITIONS, 1)
+    return round(1e6 * (time.process_time() - started_s) / HEARTBEAT_REPETITIONS, 1)
 
 
 def measure_records(shards: int, workers_per_shard: int) -> dict[str, float]:
--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -204,6 +204,7 @@
 def read_cpu_s(pid: int) -> float:
     """Return the processor time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    # The user and the system time of the process, in clock ticks.
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -121,12 +121,12 @@
             link_task.cancel()
 
     def live_peers(self) -> list[PeerState]:
-        """Return the peers that this or another live instance heard within the timeout."""
+        """Return the peers whose recent heartbeat reached this or another live instance."""
         now = self._clock()
         return [peer for peer in self.peers.values() if peer.live_until > now]
 
     def last_contacts(self) -> tuple[LastContact, ...]:
-        """Return how long ago each live peer was heard, for this instance's heartbeat."""
+        """Return the age of each live peer's last heartbeat, for this instance's heartbeat."""
         now = self._clock()
         return tuple(
             LastContact(peer.address.instance_id, PEER_TIMEOUT_S - (peer.live_until - now))
--- a/baobabhoist/tests/test_benchmarks_cell_replay.py
+++ b/baobabhoist/tests/test_benchmarks_cell_replay.py
@@ -21,11 +21,11 @@
 def test_replay_is_repeatable_and_reports_all_policies() -> None:
     """Guard against results that differ between replays of the same workload."""
     reports = [cell_replay.run("hot_team", WORKERS, SECONDS, SEED, True) for _ in range(2)]
-    worths = [
+    earned = [
         {policy: results["worth"] for policy, results in report["loads"]["hot_team"].items()}
         for report in reports
     ]
-    assert worths[0] == worths[1]
-    assert all(0.0 <= part <= 1.0 for found in worths[0].values() for part in found.values())
+    assert earned[0] == earned[1]
+    assert all(0.0 <= value <= 1.0 for values in earned[0].values() for value in values.values())
     text = cell_replay.format_table(reports[0])
     assert all(policy in text for policy in cell_replay.POLICIES)
--- a/baobabhoist/tests/test_peer_mesh.py
+++ b/baobabhoist/tests/test_peer_mesh.py
@@ -133,23 +133,23 @@
 def mesh_with_clock(*names):
     now = [1000.0]
     peers = [PeerAddress(name, "north", "127.0.0.1", 1) for name in names]
-    found = Mesh(peers, lambda: make_heartbeat("me"), echo, clock=lambda: now[0])
-    return found, now
+    own_mesh = Mesh(peers, lambda: make_heartbeat("me"), echo, clock=lambda: now[0])
+    return own_mesh, now
 
 
 def test_instance_is_dead_two_seconds_after_its_last_heartbeat_to_anyone():
     """Guard against a takeover from an instance that is unreachable from this one only."""
 
     async def scenario():
-        found, now = mesh_with_clock("a", "b")
-        await found._handle_message(make_heartbeat("b", ["s"]))
+        own_mesh, now = mesh_with_clock("a", "b")
+        await own_mesh._handle_message(make_heartbeat("b", ["s"]))
         now[0] += 1.9
-        assert found.owner_of("s") == "b"
-        await found._handle_message(make_heartbeat("a", heard=[LastContact("b", 0.5)]))
+        assert own_mesh.owner_of("s") == "b"
+        await own_mesh._handle_message(make_heartbeat("a", heard=[LastContact("b", 0.5)]))
         now[0] += 1.4
-        assert found.owner_of("s") == "b"
+        assert own_mesh.owner_of("s") == "b"
         now[0] += 0.2
-        assert found.owner_of("s") is None
+        assert own_mesh.owner_of("s") is None
 
     asyncio.run(scenario())
 
@@ -158,11 +158,11 @@
     """Guard against requests to a paused former owner that still reports its shard."""
 
     async def scenario():
-        found, _ = mesh_with_clock("a", "b")
-        await found._handle_message(make_heartbeat("b", ["s"], epoch=1))
-        await found._handle_message(make_heartbeat("a", ["s"], epoch=2))
-        await found._handle_message(make_heartbeat("b", ["s"], epoch=1))
-        assert found.owner_of("s") == "a"
+        own_mesh, _ = mesh_with_clock("a", "b")
+        await own_mesh._handle_message(make_heartbeat("b", ["s"], epoch=1))
+        await own_mesh._handle_message(make_heartbeat("a", ["s"], epoch=2))
+        await own_mesh._handle_message(make_heartbeat("b", ["s"], epoch=1))
+        assert own_mesh.owner_of("s") == "a"
 
     asyncio.run(scenario())
 
@@ -170,7 +170,7 @@
 @contextlib.asynccontextmanager
 async def running(*meshes):
     """Run meshes, each given with its port."""
-    tasks = [asyncio.ensure_future(found.run("127.0.0.1", port)) for found, port in meshes]
+    tasks = [asyncio.ensure_future(own_mesh.run("127.0.0.1", port)) for own_mesh, port in meshes]
     yield
     for task in tasks:
         task.cancel()
@@ -183,9 +183,9 @@
     meshes = []
     for me, other in ((0, 1), (1, 0)):
         address = PeerAddress(names[other], "north", "127.0.0.1", peer_ports[me])
-        heartbeat = lambda me=me: make_heartbeat(names[me])  # noqa: E731
-        meshes.append(Mesh([address], heartbeat, echo, tls=tls[me]))
-    return [(found, port) for found, port in zip(meshes, ports, strict=True)]
+        make_own_heartbeat = lambda me=me: make_heartbeat(names[me])  # noqa: E731
+        meshes.append(Mesh([address], make_own_heartbeat, echo, tls=tls[me]))
+    return [(own_mesh, port) for own_mesh, port in zip(meshes, ports, strict=True)]
 
 
 def test_unresponsive_connection_is_replaced(monkeypatch):
