--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -54,10 +54,12 @@
 
 POLICIES: dict[str, Callable[[Workload, PlaceQuota], Policy]] = {
     "baobabhoist": _make_scheduler,
-    "arrival order, first fit": lambda s, q: BaselinePolicy.for_workers(
-        s.workers, q, best_fit=False
+    "arrival order, first fit": lambda workload, quota: BaselinePolicy.for_workers(
+        workload.workers, quota, best_fit=False
+    ),
+    "best fit, no shares": lambda workload, quota: BaselinePolicy.for_workers(
+        workload.workers, quota, best_fit=True
     ),
-    "best fit, no shares": lambda s, q: BaselinePolicy.for_workers(s.workers, q, best_fit=True),
 }
 
 
--- a/baobabhoist/peer/messages.py
+++ b/baobabhoist/peer/messages.py
@@ -27,8 +27,7 @@
     """Summarise one shard: its owner's token, used and spare places by team, and free slots.
 
     `queued` and `unmet` count the tasks that wait for places or workers, in total and by team.
-    `class_spare` holds how many more tasks may start of each team and kind with a class
-    limit.
+    `class_spare` holds how many more tasks of each team and kind with a class limit may start.
     """
 
     shard: str
@@ -133,9 +132,9 @@
 class HandOver:
     """Hand over a shard to its next owner with its queue and the results of its request keys.
 
-    `settled` holds the ids of all other keys and the times until which they are kept. Together
-    these are all keys that were first sent after `known_since`, in Unix seconds, which is None if
-    there are too many keys to send.
+    `settled` holds the ids of all other keys with the times until which they are kept. Together
+    with these, the message names every key that was first sent after `known_since`, in Unix
+    seconds. `known_since` is None if there are too many keys to send.
     """
 
     shard: str
