--- a/baobabhoist/benchmarks/progress_writes.py
+++ b/baobabhoist/benchmarks/progress_writes.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from baobabhoist.errors import PlatformError
-from baobabhoist.store.client import PlatformTable
 from baobabhoist.store.table import Transaction
+from baobabhoist.store.table_client import PlatformTableClient
 from baobabhoist.testing.cluster import free_port
 
 BATCH_SIZES = (1, 10, 100, 1000)
@@ -38,14 +38,14 @@
 async def run(measure_s: float) -> dict[str, Any]:
     """Return the write rate, row rate and latency for each batch size."""
     with _run_platform() as url:
-        table = PlatformTable(url)
+        table = PlatformTableClient(url)
         await _wait_until_ready(table)
         return {
             str(size): await _measure_batch_size(table, size, measure_s) for size in BATCH_SIZES
         }
 
 
-async def _wait_until_ready(table: PlatformTable) -> None:
+async def _wait_until_ready(table: PlatformTableClient) -> None:
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
@@ -58,7 +58,7 @@
 
 
 async def _measure_batch_size(
-    table: PlatformTable, size: int, measure_s: float
+    table: PlatformTableClient, size: int, measure_s: float
 ) -> dict[str, float]:
     latencies: list[float] = []
     started_s = time.monotonic()
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -12,12 +12,12 @@
 from baobabhoist.control.row_schema import cancel_row_key, job_row_key
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
     RowStore,
-    RowsTxn,
+    RowTransaction,
     StoreError,
     StoreRefusedError,
     StoreUnansweredError,
@@ -69,7 +69,7 @@
 
     async def _insert(self, key: RowKey, value: bytes, deadline_ms: float) -> WriteResult:
         """Insert a row, and retry until the outcome is known or the time is up."""
-        txn = RowsTxn({key: 0}, {key: value})
+        txn = RowTransaction({key: 0}, {key: value})
         start_ms = monotonic_ms()
         may_be_written = False
         while True:
--- a/baobabhoist/control/relay.py
+++ b/baobabhoist/control/relay.py
@@ -20,16 +20,16 @@
     WireRow,
 )
 from baobabhoist.control.store_health import MonitoredStore
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     HistoryLostError,
     RowKey,
-    Rows,
     RowsCommitted,
     RowsConflict,
-    RowsTxn,
+    RowSet,
+    RowTransaction,
     StoredRow,
     StoreError,
     StoreRefusedError,
@@ -92,20 +92,20 @@
         self._next_probe_ms = 0.0
         self._probe_task: asyncio.Task[None] | None = None
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Return the rows of a partition in a range of keys."""
         if self._use_direct():
-            return await self.direct.read(table, part, first=first, last=last)
-        return _to_rows(await self._relay(RelayRead(table, part, first, last), CALL_TIMEOUT_S))
+            return await self.direct.read(table, part, start=start, end=end)
+        return _to_rows(await self._relay(RelayRead(table, part, start, end), CALL_TIMEOUT_S))
 
-    async def follow(self, table: str, after_version: int, wait_ms: int) -> Rows:
+    async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return the rows of a table that changed after a version."""
         if self._use_direct():
-            return await self.direct.follow(table, after_version, wait_ms)
+            return await self.direct.poll_changes(table, after_version, wait_ms)
         timeout_s = wait_ms / 1000 + CALL_TIMEOUT_S
         return _to_rows(await self._relay(RelayFollow(table, after_version, wait_ms), timeout_s))
 
-    async def commit(self, txn: RowsTxn) -> RowsCommitted | RowsConflict:
+    async def commit(self, txn: RowTransaction) -> RowsCommitted | RowsConflict:
         """Apply a transaction."""
         if not self.direct.health.is_unreachable():
             try:
@@ -131,10 +131,10 @@
             return _to_relayed_commit(await self.direct.commit(_to_txn(message)))
         if isinstance(message, RelayRead):
             rows = await self.direct.read(
-                message.table, message.part, first=message.first, last=message.last
+                message.table, message.part, start=message.first, end=message.last
             )
         else:
-            rows = await self.direct.follow(message.table, message.after, message.wait_ms)
+            rows = await self.direct.poll_changes(message.table, message.after, message.wait_ms)
         return RelayedRows(tuple(map(_to_wire_row, rows.rows)), rows.version, rows.now_ms)
 
     def _use_direct(self) -> bool:
@@ -165,7 +165,7 @@
         for link in self._peers.usable_links():
             try:
                 reply = await link.call(message, timeout_s)
-            except NotSentError:
+            except MessageNotSentError:
                 continue
             except (LinkClosedError, TimeoutError) as exc:
                 self._peers.mark_unusable(link)
@@ -190,16 +190,16 @@
     return StoredRow(RowKey(row.table, row.part, row.key), row.value, row.version)
 
 
-def _to_relay_commit(txn: RowsTxn) -> RelayCommit:
+def _to_relay_commit(txn: RowTransaction) -> RelayCommit:
     return RelayCommit(
-        tuple(WireRow(k.table, k.part, k.key, None, v) for k, v in txn.expected.items()),
+        tuple(WireRow(k.table, k.part, k.key, None, v) for k, v in txn.expected_versions.items()),
         tuple(WireRow(k.table, k.part, k.key, v, 0) for k, v in txn.puts.items()),
         tuple(WireRow(k.table, k.part, k.key, None, 0) for k in txn.removes),
     )
 
 
-def _to_txn(message: RelayCommit) -> RowsTxn:
-    return RowsTxn(
+def _to_txn(message: RelayCommit) -> RowTransaction:
+    return RowTransaction(
         {_to_stored_row(row).key: row.version for row in message.expected},
         {_to_stored_row(row).key: row.value or b"" for row in message.puts},
         tuple(_to_stored_row(row).key for row in message.removes),
@@ -220,7 +220,7 @@
     return RowsConflict(tuple(map(_to_stored_row, reply.rows)))
 
 
-def _to_rows(reply: Any) -> Rows:
+def _to_rows(reply: Any) -> RowSet:
     if not isinstance(reply, RelayedRows):
         raise StoreUnansweredError("the relaying peer sent an unexpected reply")
-    return Rows(tuple(map(_to_stored_row, reply.rows)), reply.version, reply.now_ms)
+    return RowSet(tuple(map(_to_stored_row, reply.rows)), reply.version, reply.now_ms)
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -8,7 +8,7 @@
 from baobabhoist.daemon.answers import AnswerStore, ResolveOutcome
 from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
 from baobabhoist.daemon.forwarding import FORWARD_DELAY_S, PendingRequest
-from baobabhoist.errors import InvariantBreachError, Refusal
+from baobabhoist.errors import InvariantViolationError, Refusal
 from baobabhoist.model import Answer, Outcome, Request
 from baobabhoist.ownership.request_keys import RequestKeyLedger, RequestKeyState, Result
 
@@ -66,7 +66,7 @@
                 stripped = self.answers.strip_body(request_id, result, key.worker)
                 stored = self.keys.record_result(request_id, stripped)
                 result = result if stored is stripped else stored
-            except InvariantBreachError:
+            except InvariantViolationError:
                 result = outcome_unknown_refusal(
                     "the owner holds no consistent state for the request"
                 )
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -38,7 +38,7 @@
 from baobabhoist.daemon.preemption import PREEMPTED_REFUSAL, apply_preemption
 from baobabhoist.daemon.requests import RequestRegistry
 from baobabhoist.daemon.shard_quota import ShardQuota
-from baobabhoist.errors import ErrorKind, InvariantBreachError, LinkClosedError, Refusal
+from baobabhoist.errors import ErrorKind, InvariantViolationError, LinkClosedError, Refusal
 from baobabhoist.model import EndedTask, Outcome, Request, RunningTask, Task, WorkerSpec, WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -222,7 +222,7 @@
         started_at = time.perf_counter()
         try:
             batch = self.scheduler.next_batch(now, DISPATCH_BATCH_SIZE)
-        except InvariantBreachError:
+        except InvariantViolationError:
             return
         decision_s = (time.perf_counter() - started_at) / max(1, len(batch))
         for placement in batch:
@@ -242,7 +242,7 @@
             return
         try:
             self.keys.record_dispatch(task.task_id, worker)
-        except InvariantBreachError:
+        except InvariantViolationError:
             self.release_unsent(task.task_id, now)
             return
         self.in_flight[task.task_id] = worker
@@ -498,7 +498,7 @@
             now = self._clock()
             try:
                 self._tick(now)
-            except InvariantBreachError:
+            except InvariantViolationError:
                 continue
 
     def _tick(self, now: float) -> None:
--- a/baobabhoist/ownership/claim.py
+++ b/baobabhoist/ownership/claim.py
@@ -103,7 +103,7 @@
     def step(self, event: ClaimEvent, now: float) -> list[ClaimAction]:
         """Apply one event and return the actions that the caller has to perform.
 
-        Raises InvariantBreachError and leaves the claim unchanged if an invariant would be
+        Raises InvariantViolationError and leaves the claim unchanged if an invariant would be
         violated.
         """
         handler = TRANSITION_HANDLERS.get((self.state, type(event)))
--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -12,7 +12,12 @@
 from websockets.asyncio.connection import Connection
 from websockets.exceptions import ConnectionClosed
 
-from baobabhoist.errors import CodecError, LinkClosedError, MessageTooLargeError, NotSentError
+from baobabhoist.errors import (
+    CodecError,
+    LinkClosedError,
+    MessageNotSentError,
+    MessageTooLargeError,
+)
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.codec import Codec
 from baobabhoist.peer.streams import (
@@ -89,11 +94,11 @@
     async def call(self, message: Any, timeout_s: float) -> Any:
         """Send a message and return its reply.
 
-        Raises NotSentError if nothing was sent, LinkClosedError if the connection ends before the
-        reply and TimeoutError after `timeout_s`.
+        Raises MessageNotSentError if nothing was sent, LinkClosedError if the connection ends before
+        the reply and TimeoutError after `timeout_s`.
         """
         if self.closed:
-            raise NotSentError("the connection is closed; the message was not sent")
+            raise MessageNotSentError("the connection is closed; the message was not sent")
         correlation_id = next(self._correlation_ids)
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._pending_calls[correlation_id] = fut
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -15,7 +15,7 @@
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.ownership.tokens import NO_TOKEN, Token
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS, Link
 from baobabhoist.peer.messages import CODEC, Ack, Heartbeat, LastContact, ShardDigest
@@ -152,11 +152,11 @@
         return [digest for heartbeat in self.live_heartbeats() for digest in heartbeat.shards]
 
     async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
-        """Call a peer; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call a peer; raises MessageNotSentError, LinkClosedError or TimeoutError."""
         peer = self.peers.get(instance_id)
         link = peer.find_open_link() if peer is not None else None
         if link is None:
-            raise NotSentError(f"instance {instance_id} is not connected")
+            raise MessageNotSentError(f"instance {instance_id} is not connected")
         return await link.call(message, timeout_s)
 
     async def broadcast(self, message: Any, data_centre: str | None = None) -> None:
--- /dev/null
+++ b/baobabhoist/platform/http_client.py
@@ -0,0 +1,105 @@
+"""Send HTTP requests to the platform over persistent connections."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+import attrs
+import orjson
+import pycurl
+from tornado.curl_httpclient import CurlAsyncHTTPClient
+from tornado.httpclient import HTTPClientError, HTTPRequest
+
+log = logging.getLogger(__name__)
+
+MAX_CONCURRENT_REQUESTS = 250
+CONNECT_TIMEOUT_S = 0.5
+MAX_CACHED_CONNECTIONS = 1_000
+JSON = "application/json"
+# The status with which Tornado reports that no response arrived.
+NO_RESPONSE_CODE = 599
+
+
+@attrs.frozen
+class HttpResponse:
+    """Hold a response; `status` is 0 if none arrived and `body` is None unless it is JSON."""
+
+    status: int
+    body: Any = None
+    reason: str = ""
+
+    def field(self, name: str, default: Any = None) -> Any:
+        """Return a field of the body, or the default."""
+        if isinstance(self.body, dict):
+            return self.body.get(name, default)
+        return default
+
+
+class HttpClient:
+    """Own the connections to the platform's services and workers."""
+
+    def __init__(self) -> None:
+        self._client = CurlAsyncHTTPClient(
+            force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS
+        )
+        # libcurl caches few connections by default, and a new connection to a worker is costly.
+        self._client._multi.setopt(pycurl.M_MAXCONNECTS, MAX_CACHED_CONNECTIONS)
+        # Addresses whose last request got no response: their cached connections may be dead.
+        self._suspect_addresses: set[str] = set()
+
+    async def request(
+        self,
+        method: str,
+        address: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout_s: float,
+        headers: dict[str, str] | None = None,
+    ) -> HttpResponse:
+        """Send one request; a missing response is returned with status 0, not raised."""
+        needs_new_connection = address in self._suspect_addresses
+        data = orjson.dumps(body) if body is not None else None
+        if data is None and method in ("POST", "PUT"):
+            data = b""
+        request_headers = dict(headers or {})
+        if data:
+            request_headers["Content-Type"] = JSON
+        req = HTTPRequest(
+            f"http://{address}{path}",
+            method=method,
+            headers=request_headers,
+            body=data,
+            connect_timeout=min(CONNECT_TIMEOUT_S, timeout_s),
+            request_timeout=timeout_s,
+            follow_redirects=False,
+            decompress_response=False,
+            allow_ipv6=False,
+            prepare_curl_callback=_force_new_connection if needs_new_connection else None,
+        )
+        try:
+            response = await self._client.fetch(req, raise_error=False)
+        except (HTTPClientError, OSError) as exc:
+            return self._no_response(address, str(exc))
+        if response.code == NO_RESPONSE_CODE:
+            return self._no_response(address, str(response.error))
+        self._suspect_addresses.discard(address)
+        return HttpResponse(response.code, _parse_json(response.body))
+
+    def _no_response(self, address: str, reason: str) -> HttpResponse:
+        self._suspect_addresses.add(address)
+        return HttpResponse(0, None, reason)
+
+
+def _force_new_connection(curl: Any) -> None:
+    curl.setopt(pycurl.FRESH_CONNECT, 1)
+
+
+def _parse_json(body: bytes) -> Any:
+    if not body:
+        return None
+    try:
+        return orjson.loads(body)
+    except orjson.JSONDecodeError:
+        return None
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -93,7 +93,7 @@
 
 
 def check_row(team: str, row: EscrowRow) -> None:
-    """Check that a row is within its limit; raises InvariantBreachError."""
+    """Check that a row is within its limit; raises InvariantViolationError."""
     amounts = [row.pool, *row.places.values()]
     check(
         min(amounts) >= 0 and sum(amounts) <= row.limit,
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -48,7 +48,7 @@
     """Queue tasks and place them on the workers of one shard.
 
     Every method takes `now` in Unix seconds and does no I/O. A step that would break an
-    invariant raises InvariantBreachError and has no effect.
+    invariant raises InvariantViolationError and has no effect.
     """
 
     @classmethod
--- a/baobabhoist/store/__init__.py
+++ b/baobabhoist/store/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the platform's table, object store and membership list."""
+"""Define the interfaces of the shared stores and access the platform's tables and members."""
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -13,7 +13,7 @@
     job_row_key,
     progress_row_key,
 )
-from baobabhoist.store.rows import Rows, RowsTxn, StoreUnansweredError
+from baobabhoist.store.row_store import RowSet, RowTransaction, StoreUnansweredError
 from baobabhoist.testing.rows import MemoryRows
 
 DIRECTORY = "servers"
@@ -28,19 +28,21 @@
         self.failed: set[tuple[str, str]] = set()
         self.answered: list[tuple[str, str]] = []
 
-    async def read(self, table: str, part: str = "", *, first: str = "", last: str = "") -> Rows:
+    async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
         """Fail if this is the first read of a jobs partition."""
         if part and (table, part) not in self.failed:
             self.failed.add((table, part))
             raise StoreUnansweredError("no answer")
         self.answered.append((table, part))
-        return await super().read(table, part, first=first, last=last)
+        return await super().read(table, part, start=start, end=end)
 
 
 def store_job_and_progress(rows: MemoryRows) -> None:
     """Store a job and its progress under a claim."""
-    rows.apply(RowsTxn(puts={job_row_key(JOB_ID): b"job"}))
-    rows.apply(RowsTxn(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"}))
+    rows.apply(RowTransaction(puts={job_row_key(JOB_ID): b"job"}))
+    rows.apply(
+        RowTransaction(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"})
+    )
 
 
 def test_completed_reads_are_not_repeated() -> None:
@@ -76,14 +78,14 @@
 
     class CountingRows(MemoryRows):
         async def read(
-            self, table: str, part: str = "", *, first: str = "", last: str = ""
-        ) -> Rows:
+            self, table: str, part: str = "", *, start: str = "", end: str = ""
+        ) -> RowSet:
             nonlocal in_flight, max_in_flight
             in_flight += 1
             max_in_flight = max(max_in_flight, in_flight)
             await asyncio.sleep(0)
             in_flight -= 1
-            return await super().read(table, part, first=first, last=last)
+            return await super().read(table, part, start=start, end=end)
 
     asyncio.run(CellLoader(CountingRows(), DIRECTORY).read_missing())
     assert 1 < max_in_flight <= 6
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -10,7 +10,7 @@
 from baobabhoist.control.election import MAX_READ_GAP_MS, OwnerElection
 from baobabhoist.control.links import Identity
 from baobabhoist.control.row_schema import HEARTBEAT_ROW_KEY, OWNER_ROW_KEY
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 OTHER = ClaimRow("other", "boot-other", "10.0.0.9:7000", 0)
@@ -57,7 +57,7 @@
 
     def write(self, **rows):
         keys = {"owner": OWNER_ROW_KEY, "heartbeat": HEARTBEAT_ROW_KEY}
-        self.store.apply(RowsTxn({}, {keys[name]: value for name, value in rows.items()}))
+        self.store.apply(RowTransaction({}, {keys[name]: value for name, value in rows.items()}))
 
     def read(self, sent_ms=None):
         self.election.apply_rows(list(self.store.rows.values()), True)
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -17,7 +17,7 @@
 from baobabhoist.control.store_health import StoreHealth
 from baobabhoist.errors import ErrorKind, LinkClosedError
 from baobabhoist.platform.decode import PlatformDecoder
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 ID = "0123456789abcdef"
@@ -135,7 +135,7 @@
     admitted = harness.admit()
     assert asyncio.run(harness.job_api.job_state(admitted)) == "queued"
     done = encode(JobProgress(JobPhase.COMPLETED))
-    harness.rows.apply(RowsTxn({}, {progress_row_key(ID): done}))
+    harness.rows.apply(RowTransaction({}, {progress_row_key(ID): done}))
     assert asyncio.run(harness.job_api.job_state(admitted)) == "completed"
 
 
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -6,7 +6,7 @@
 from baobabhoist.cell.model import RunOutcome, Step
 from baobabhoist.control.progress_writer import ProgressWriter
 from baobabhoist.control.row_schema import OWNER_ROW_KEY, progress_row_key
-from baobabhoist.store.rows import RowsTxn
+from baobabhoist.store.row_store import RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 from baobabhoist.tests.cell_harness import SMALL, CellHarness, make_job, make_task_key
 
@@ -15,7 +15,7 @@
 
 def make_writer(**options):
     rows = MemoryRows(**options)
-    token = rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"me"})).version
+    token = rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"me"})).version
     loss_reasons = []
     return rows, ProgressWriter(rows, token, loss_reasons.append), loss_reasons
 
@@ -81,7 +81,7 @@
     rows, writer, loss_reasons = make_writer()
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
-    rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
+    rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, harness.cell)
     assert loss_reasons
     assert progress_row_key(ID) not in rows.rows
@@ -137,7 +137,7 @@
     harness.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(1))
-    rows.apply(RowsTxn({}, {OWNER_ROW_KEY: b"other"}))
+    rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, harness.cell)
     assert loss_reasons
     assert sent == []
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -7,7 +7,7 @@
 from baobabhoist.control import table_follower as table_follower_module
 from baobabhoist.control.clock import StoreClock
 from baobabhoist.control.table_follower import TableFollower
-from baobabhoist.store.rows import RowKey, RowsTxn
+from baobabhoist.store.row_store import RowKey, RowTransaction
 from baobabhoist.testing.rows import MemoryRows
 
 KEY = RowKey("t", "", "k")
@@ -19,7 +19,7 @@
 
 
 def put(rows, value):
-    rows.apply(RowsTxn({}, {KEY: value}))
+    rows.apply(RowTransaction({}, {KEY: value}))
 
 
 async def run_event_loop(times=30):
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -3,7 +3,7 @@
 import pytest
 
 from baobabhoist import invariants
-from baobabhoist.errors import InvariantBreachError, is_refusal
+from baobabhoist.errors import InvariantViolationError, is_refusal
 from baobabhoist.model import Resources, RunningTask
 from baobabhoist.quota.ledger import QuotaLedger
 
@@ -128,7 +128,7 @@
     quota = make_ledger(1)
     quota.acquire("roster", "a", "w1")
     before, counted = repr(quota), invariants.breach_counts[event]
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         step(quota)
     assert repr(quota) == before
     assert invariants.breach_counts[event] == counted + 1
@@ -138,6 +138,6 @@
     """Guard against a fault in `_has_place` that lets a team exceed its places."""
     monkeypatch.setattr(QuotaLedger, "_has_place", lambda *args: True)
     quota = make_ledger(0)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         quota.acquire("roster", "a", "w1")
     assert not quota.running
--- a/baobabhoist/upstream/pool.py
+++ b/baobabhoist/upstream/pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, Protocol
 
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.upstream.link import WorkerLink
 
@@ -24,7 +24,7 @@
         """Maintain the connection until cancelled."""
 
     async def call(self, message: Any, timeout_s: float) -> Any:
-        """Call the worker; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call the worker; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
     def reconnect(self) -> None:
         """Abort an unresponsive connection, so that a new one is opened."""
@@ -85,10 +85,10 @@
         return link is not None and link.is_connected
 
     async def call(self, worker: str, message: Any, timeout_s: float) -> Any:
-        """Call a worker; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Call a worker; raises MessageNotSentError, LinkClosedError or TimeoutError."""
         link = self._links.get(worker)
         if link is None:
-            raise NotSentError(f"worker {worker} is not in the pool")
+            raise MessageNotSentError(f"worker {worker} is not in the pool")
         return await link.call(message, timeout_s)
 
     def reconnect(self, worker: str) -> None:
