--- a/baobabhoist/peer/link.py
+++ b/baobabhoist/peer/link.py
@@ -94,8 +94,8 @@
     async def call(self, message: Any, timeout_s: float) -> Any:
         """Send a message and return its reply.
 
-        Raises MessageNotSentError if nothing was sent, LinkClosedError if the connection ends before
-        the reply and TimeoutError after `timeout_s`.
+        Raises MessageNotSentError if nothing was sent, LinkClosedError if the connection ends
+        before the reply and TimeoutError after `timeout_s`.
         """
         if self.closed:
             raise MessageNotSentError("the connection is closed; the message was not sent")
