--- /dev/null
+++ b/baobabhoist/benchmarks/cell_workload.py
@@ -0,0 +1,252 @@
+"""Generate seeded workloads with the job mix and overload scenarios of the platform's sites."""
+
+from __future__ import annotations
+
+import random
+
+import attrs
+
+from baobabhoist.cell.model import (
+    AcceptedJob,
+    AdviceTerms,
+    CellRules,
+    JobSpec,
+    Queue,
+    Resources,
+    Step,
+    Team,
+)
+
+SERVICE = "svc"
+TEAM_COUNT = 6
+# A team's limit as a multiple of its equal share of the cell.
+TEAM_LIMIT_FACTOR = 1.9
+WORKER_CAPACITY = Resources(16_000, 65_536, 0)
+WORKERS_PER_RACK = 20
+# Factors between the actual and the declared duration of a task, by worker.
+SLOWNESS_FACTORS = (0.7, 0.7, 1.7)
+
+
+@attrs.frozen
+class JobProfile:
+    """Describe the jobs of one queue: their size, their value and their arrival rate.
+
+    `arrivals_per_s` applies to a cell of REFERENCE_WORKERS workers.
+    """
+
+    queue: Queue
+    arrivals_per_s: float
+    value: float
+    mean_tasks: int
+    cpu: int
+    memory_mb: int
+    run_ms: float
+    steps: int = 1
+    gang_fraction: float = 0.0
+    checkpoint_fraction: float = 0.0
+    cancelled_fraction: float = 0.0
+
+
+@attrs.frozen
+class LoadScenario:
+    """Describe how a workload deviates from normal load.
+
+    `burst_factor` multiplies the arrival rate of one queue and `hot_team_factor` that of one team
+    between PEAK_START_S and PEAK_END_S. From PEAK_START_S on, a fraction of the workers fails all
+    tasks or is slow. A fraction of the jobs always fails or is cancelled soon after its arrival.
+    """
+
+    name: str
+    burst_queue: str = ""
+    burst_factor: float = 1.0
+    hot_team_factor: float = 1.0
+    failing_worker_fraction: float = 0.0
+    slow_worker_fraction: float = 0.0
+    always_failing_job_fraction: float = 0.03
+    cancelled_fraction: float = 0.0
+
+
+SCENARIOS = {
+    scenario.name: scenario
+    for scenario in (
+        LoadScenario("calm"),
+        LoadScenario("burst_of_small", burst_queue="entry", burst_factor=2.0),
+        LoadScenario("burst_of_large", burst_queue="bundle", burst_factor=2.0),
+        LoadScenario("hot_team", hot_team_factor=6.0),
+        LoadScenario("failing_workers", failing_worker_fraction=0.1),
+        LoadScenario("slow_workers", slow_worker_fraction=0.2),
+        LoadScenario("hopeless_jobs", always_failing_job_fraction=0.3),
+        LoadScenario("cancel_wave", cancelled_fraction=0.4),
+    )
+}
+PEAK_START_S, PEAK_END_S = 4.0, 8.0
+
+
+def _advice_terms(base_cost_ms: float, cost_per_worker_ms: float) -> AdviceTerms:
+    return AdviceTerms(base_cost_ms, cost_per_worker_ms, 2_500)
+
+
+def _make_queue(
+    name: str, priority: int, max_attempts: int, slack_factor: float, target_latency_ms: int
+) -> Queue:
+    advice_terms = {
+        "bundle": _advice_terms(350, 5),
+        "recon": _advice_terms(80, 1.1),
+        "entry": _advice_terms(11, 0.16),
+    }
+    return Queue(
+        name,
+        SERVICE,
+        priority,
+        max_attempts,
+        slack_factor,
+        target_latency_ms,
+        advice=advice_terms[name],
+    )
+
+
+JOB_PROFILES = (
+    JobProfile(
+        _make_queue("bundle", 1, 2, 2.2, 1_000),
+        *(0.92, 9.15, 8, 4_500, 13_000, 4_000.0),
+        gang_fraction=1.0,
+        checkpoint_fraction=0.5,
+    ),
+    JobProfile(
+        _make_queue("recon", 2, 4, 4.0, 3_000),
+        *(3.4, 1.54, 10, 980, 6_400, 2_200.0),
+        steps=2,
+        checkpoint_fraction=0.8,
+        cancelled_fraction=0.05,
+    ),
+    JobProfile(
+        _make_queue("entry", 0, 3, 1.5, 250),
+        *(15.4, 0.477, 2, 1_400, 9_100, 1_000.0),
+        gang_fraction=0.3,
+    ),
+)
+REFERENCE_WORKERS = 24
+
+
+@attrs.frozen
+class Arrival:
+    """Describe the arrival of a job; the first `failing_runs` runs of each of its tasks fail."""
+
+    at_ms: float
+    job: AcceptedJob
+    profile: JobProfile
+    duration_factor: float
+    failing_runs: int
+    cancel_ms: float | None
+
+
+@attrs.frozen
+class CellWorkload:
+    """Hold the arrivals of a scenario and the slowness factor of each worker."""
+
+    scenario: LoadScenario
+    rules: CellRules
+    workers: dict[str, float]
+    arrivals: tuple[Arrival, ...]
+
+    def slowness_factor(self, worker_id: str, at_ms: float) -> float:
+        """Return the factor between the actual and the declared duration on a worker."""
+        number = int(worker_id[1:])
+        is_slowed = (
+            at_ms >= PEAK_START_S * 1000
+            and number < self.scenario.slow_worker_fraction * len(self.workers)
+        )
+        return self.workers[worker_id] * (5.0 if is_slowed else 1.0)
+
+    def worker_fails(self, worker_id: str, at_ms: float) -> bool:
+        """Return whether a worker fails all tasks at this time."""
+        number = int(worker_id[1:])
+        return (
+            at_ms >= PEAK_START_S * 1000
+            and number < self.scenario.failing_worker_fraction * len(self.workers)
+        )
+
+
+def generate_workload(
+    scenario: LoadScenario, workers: int, seconds: float, seed: int
+) -> CellWorkload:
+    """Return the workload of a scenario; the same seed gives the same workload."""
+    rng = random.Random(seed)
+    slowness_factors = {f"w{n}": rng.choice(SLOWNESS_FACTORS) for n in range(workers)}
+    share = WORKER_CAPACITY.times(workers).cpu / TEAM_COUNT
+    limit = Resources(int(TEAM_LIMIT_FACTOR * share))
+    teams = {f"t{n}": Team(f"t{n}", 1.0, limit) for n in range(TEAM_COUNT)}
+    queues = {profile.queue.name: profile.queue for profile in JOB_PROFILES}
+    arrivals = [
+        arrival
+        for profile in JOB_PROFILES
+        for arrival in _generate_arrivals(
+            scenario, profile, workers / REFERENCE_WORKERS, seconds, rng
+        )
+    ]
+    arrivals.sort(key=lambda arrival: arrival.at_ms)
+    return CellWorkload(scenario, CellRules(1, queues, teams), slowness_factors, tuple(arrivals))
+
+
+def _generate_arrivals(
+    scenario: LoadScenario, profile: JobProfile, scale: float, seconds: float, rng: random.Random
+) -> list[Arrival]:
+    arrivals, at_s = [], 0.0
+    max_rate = (
+        profile.arrivals_per_s
+        * scale
+        * max(scenario.burst_factor, 1.0)
+        * (1.0 + (scenario.hot_team_factor - 1.0) / TEAM_COUNT)
+    )
+    while (at_s := at_s + rng.expovariate(max_rate)) < seconds:
+        in_peak = PEAK_START_S <= at_s < PEAK_END_S
+        burst = (
+            scenario.burst_factor
+            if in_peak and profile.queue.name == scenario.burst_queue
+            else 1.0
+        )
+        hot_factor = scenario.hot_team_factor if in_peak else 1.0
+        rate = profile.arrivals_per_s * scale * burst * (1.0 + (hot_factor - 1.0) / TEAM_COUNT)
+        if rng.random() < rate / max_rate:
+            team = rng.choices(range(TEAM_COUNT), [hot_factor] + [1.0] * (TEAM_COUNT - 1))[0]
+            arrivals.append(_generate_arrival(scenario, profile, at_s * 1000, f"t{team}", rng))
+    return arrivals
+
+
+def _generate_arrival(
+    scenario: LoadScenario, profile: JobProfile, at_ms: float, team: str, rng: random.Random
+) -> Arrival:
+    steps = []
+    is_gang = rng.random() < profile.gang_fraction
+    for number in range(rng.randint(1, profile.steps)):
+        count = max(1, round(profile.mean_tasks * rng.lognormvariate(-0.3, 0.8)))
+        demand = Resources(
+            round(profile.cpu * rng.lognormvariate(-0.1, 0.4)),
+            round(profile.memory_mb * rng.lognormvariate(-0.1, 0.4)),
+        )
+        declared = round(profile.run_ms * rng.lognormvariate(-0.1, 0.4))
+        predecessors = (number - 1,) if number else ()
+        has_checkpoints = rng.random() < profile.checkpoint_fraction
+        resources = Resources(
+            min(demand.cpu, WORKER_CAPACITY.cpu // 2),
+            min(demand.memory_mb, WORKER_CAPACITY.memory_mb // 2),
+        )
+        steps.append(
+            Step(
+                min(count, 40),
+                resources,
+                declared,
+                predecessors,
+                is_gang,
+                checkpoints=has_checkpoints,
+            )
+        )
+    job_id = f"{rng.getrandbits(64):016x}"
+    spec = JobSpec("(payload)", tuple(steps))
+    job = AcceptedJob(job_id, profile.queue.name, SERVICE, team, round(at_ms), spec, 1)
+    failing_runs = (
+        profile.queue.max_attempts if rng.random() < scenario.always_failing_job_fraction else 0
+    )
+    cancelled = rng.random() < profile.cancelled_fraction + scenario.cancelled_fraction
+    cancel_ms = at_ms + rng.uniform(100, 2_000) if cancelled else None
+    return Arrival(at_ms, job, profile, rng.lognormvariate(0.0, 0.2), failing_runs, cancel_ms)
--- a/baobabhoist/benchmarks/main.py
+++ b/baobabhoist/benchmarks/main.py
@@ -1,4 +1,4 @@
-"""Run a measurement named on the command line."""
+"""Run the benchmark that is named on the command line."""
 
 from __future__ import annotations
 
@@ -10,38 +10,57 @@
 import orjson
 from absl import app, flags
 
-from baobabhoist.benchmarks import cell_replay, control, decisions, progress, relay
-from baobabhoist.benchmarks.cell_loads import LOADS
-from baobabhoist.benchmarks.stream import PROFILES
+from baobabhoist.benchmarks import cell_replay, control_overhead, decisions, progress_writes, relay
+from baobabhoist.benchmarks.cell_workload import SCENARIOS
+from baobabhoist.benchmarks.workload import PROFILES
 
 FLAGS = flags.FLAGS
-flags.DEFINE_integer("seed", 1, "Seed of the stream of work.")
-flags.DEFINE_enum("profile", "whistlemark", list(PROFILES), "Fleet, teams and load.")
-flags.DEFINE_integer("workers", 0, "Number of workers in place of the profile's.", lower_bound=0)
-flags.DEFINE_float("duration_s", 0.0, "Length of the stream in place of the profile's.")
-flags.DEFINE_enum("load", "", ["", *LOADS], "Load of a cell; all of them by default.")
-flags.DEFINE_bool("failing_workers", True, "Whether some workers fail everything for a time.")
-flags.DEFINE_bool("baselines", True, "Whether to replay the stream for the baselines too.")
-flags.DEFINE_float("measure_s", 5.0, "Length of each part of a measurement on real processes.")
-flags.DEFINE_list("fleets", ["24", "100", "400"], "Numbers of workers to measure control at.")
-flags.DEFINE_float("control_rate", 200.0, "Requests a second while control is under load.")
+flags.DEFINE_integer("seed", 1, "Seed of the generated workload.")
+flags.DEFINE_enum(
+    "profile", "whistlemark", list(PROFILES), "Profile of the fleet, the teams and the load."
+)
+flags.DEFINE_integer(
+    "workers",
+    0,
+    "Number of workers; 0 keeps the default of the benchmark or profile.",
+    lower_bound=0,
+)
 flags.DEFINE_float(
-    "relay_rate", relay.TARGET_PER_S / 2, "Requests a second at which latency is measured."
+    "duration_s", 0.0, "Length of the workload; 0 keeps the default of the benchmark or profile."
+)
+flags.DEFINE_enum("load", "", ["", *SCENARIOS], "Load scenario of a cell; by default all of them.")
+flags.DEFINE_bool("failing_workers", True, "Whether some workers fail all tasks for some time.")
+flags.DEFINE_bool(
+    "baselines", True, "Whether to replay the workload with the baseline policies too."
 )
-flags.DEFINE_integer("connections", 64, "Connections of callers to the relay.")
-flags.DEFINE_integer("body_bytes", 200, "Size of a relayed request's body.")
-flags.DEFINE_enum("output", "table", ["table", "json"], "Form of the report.")
+flags.DEFINE_float("measure_s", 5.0, "Length of each phase of a benchmark on real processes.")
+flags.DEFINE_list(
+    "fleets",
+    ["24", "100", "400"],
+    "Fleet sizes, in workers, at which to measure the control overhead.",
+)
+flags.DEFINE_float(
+    "control_rate", 200.0, "Requests per second while the control overhead is measured under load."
+)
+flags.DEFINE_float(
+    "relay_rate",
+    relay.TARGET_REQUESTS_PER_S / 2,
+    "Requests per second at which latency is measured.",
+)
+flags.DEFINE_integer("connections", 64, "Connections of the load generators to the relay.")
+flags.DEFINE_integer("body_bytes", 200, "Size of the body of a relayed request.")
+flags.DEFINE_enum("output", "table", ["table", "json"], "Format of the report.")
 
 
 @attrs.frozen
-class Measurement:
-    """Bind a name to what measures it and what prints it."""
+class Benchmark:
+    """Hold the functions that run a benchmark and format its report."""
 
     run: Callable[[], dict[str, Any]]
-    table: Callable[[dict[str, Any]], str]
+    format_table: Callable[[dict[str, Any]], str]
 
 
-def _decisions() -> dict[str, Any]:
+def _run_decisions() -> dict[str, Any]:
     return decisions.run(
         FLAGS.profile,
         FLAGS.seed,
@@ -52,40 +71,42 @@
     )
 
 
-def _cell() -> dict[str, Any]:
+def _run_cell() -> dict[str, Any]:
     workers, seconds = FLAGS.workers or 24, FLAGS.duration_s or 14.0
     return cell_replay.run(FLAGS.load, workers, seconds, FLAGS.seed, FLAGS.baselines)
 
 
-def _progress() -> dict[str, Any]:
-    return asyncio.run(progress.run(FLAGS.measure_s))
+def _run_progress() -> dict[str, Any]:
+    return asyncio.run(progress_writes.run(FLAGS.measure_s))
 
 
-def _control() -> dict[str, Any]:
-    return control.run([int(size) for size in FLAGS.fleets], FLAGS.control_rate, FLAGS.measure_s)
+def _run_control() -> dict[str, Any]:
+    return control_overhead.run(
+        [int(size) for size in FLAGS.fleets], FLAGS.control_rate, FLAGS.measure_s
+    )
 
 
-def _relay() -> dict[str, Any]:
+def _run_relay() -> dict[str, Any]:
     return relay.measure(FLAGS.measure_s, FLAGS.connections, FLAGS.body_bytes, FLAGS.relay_rate)
 
 
-MEASUREMENTS = {
-    "cell": Measurement(_cell, cell_replay.table),
-    "control": Measurement(_control, control.table),
-    "decisions": Measurement(_decisions, decisions.table),
-    "progress": Measurement(_progress, progress.table),
-    "relay": Measurement(_relay, relay.table),
+BENCHMARKS = {
+    "cell": Benchmark(_run_cell, cell_replay.format_table),
+    "control": Benchmark(_run_control, control_overhead.format_table),
+    "decisions": Benchmark(_run_decisions, decisions.format_table),
+    "progress": Benchmark(_run_progress, progress_writes.format_table),
+    "relay": Benchmark(_run_relay, relay.format_table),
 }
 
 
 def main(argv: list[str]) -> None:
-    """Run the measurement and print its report."""
-    measurement = MEASUREMENTS.get(argv[1]) if len(argv) == 2 else None
-    if measurement is None:
-        raise app.UsageError(f"name one measurement: {', '.join(MEASUREMENTS)}")
-    report = measurement.run()
-    json_wanted = FLAGS.output == "json"
-    print(orjson.dumps(report).decode() if json_wanted else measurement.table(report))
+    """Run the benchmark and print its report."""
+    benchmark = BENCHMARKS.get(argv[1]) if len(argv) == 2 else None
+    if benchmark is None:
+        raise app.UsageError(f"expected one benchmark name: {', '.join(BENCHMARKS)}")
+    report = benchmark.run()
+    as_json = FLAGS.output == "json"
+    print(orjson.dumps(report).decode() if as_json else benchmark.format_table(report))
 
 
 if __name__ == "__main__":
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -45,9 +45,9 @@
     Ack,
     HandOver,
     Heartbeat,
-    PlacesWanted,
+    PlaceTransferRequest,
     RecordEntries,
-    RecordPull,
+    RecordEntriesRequest,
     RecordSnapshot,
     RelayRequest,
     ShardDigest,
@@ -66,7 +66,7 @@
 USAGE_INTERVAL_S = 0.5
 # Members of this kind with a port are daemon instances, even if the settings do not list them.
 ENTRY_MEMBER_KIND = "entry"
-RECORD_MESSAGES = (RecordPull, RecordEntries, RecordSnapshot)
+RECORD_MESSAGES = (RecordEntriesRequest, RecordEntries, RecordSnapshot)
 
 
 class ShardRecords:
@@ -219,7 +219,7 @@
             self.view.revision,
             draining=self.drain.started.is_set(),
             shards=tuple(self._own_digests),
-            heard=self.mesh.heard(),
+            heard=self.mesh.last_contacts(),
             weight=self.cfg.vm_weight,
             cut_off_s=self.sync.cut_off_s(),
         )
@@ -252,7 +252,7 @@
 
     def peer_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards of live peers."""
-        return self.mesh.digests()
+        return self.mesh.shard_digests()
 
     async def call_owner(self, shard: str, message: Any, timeout_s: float) -> Any:
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
@@ -270,7 +270,7 @@
             return await self.sync.receive(message)
         if isinstance(message, HandOver):
             return self.ownership.accept_hand_over(message)
-        if isinstance(message, PlacesWanted):
+        if isinstance(message, PlaceTransferRequest):
             return await self.escrow.grant(message)
         if isinstance(message, JOB_MESSAGES):
             return await self.jobs.handle(message)
@@ -289,7 +289,7 @@
             owner.set_leaving_workers(members.not_live() | self.view.drained_workers(owner.shard))
             await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
-            self.mesh.forget(name)
+            self.mesh.remove_peer(name)
         member_addresses = [
             PeerAddress(member.name, member.data_centre, member.host, member.port)
             for member in members.members.values()
@@ -299,7 +299,7 @@
             self._addresses[name] for name in self._addresses if name not in gone
         ]
         own_id = self.cfg.instance_id
-        self.mesh.consider(
+        self.mesh.add_peers(
             peer
             for peer in (*configured_addresses, *member_addresses)
             if peer.instance_id != own_id
@@ -309,7 +309,7 @@
         """Return whether this instance polls the change log for its data centre."""
         poller_candidates = [
             heartbeat.instance_id
-            for heartbeat in self.mesh.beats()
+            for heartbeat in self.mesh.live_heartbeats()
             if heartbeat.data_centre == self.cfg.data_centre and not heartbeat.draining
         ]
         return all(self.cfg.instance_id < other for other in poller_candidates)
@@ -341,7 +341,7 @@
         slots = FleetSlots(self.view)
         while True:
             await asyncio.sleep(USAGE_INTERVAL_S)
-            digests = [*self.mesh.digests(), *map(build_digest, self.active_owners())]
+            digests = [*self.mesh.shard_digests(), *map(build_digest, self.active_owners())]
             for owner in self.active_owners():
                 usage, shard_fraction = usage_elsewhere(slots, owner.shard, digests)
                 owner.scheduler.set_fleet_usage(usage, shard_fraction)
--- a/baobabhoist/observability/metrics.py
+++ b/baobabhoist/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Define the metrics of one instance and bound the number of their labels."""
+"""Define the metrics of one instance and limit the number of their label values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from aioprometheus.renderer import render
 
 OVERFLOW_LABEL = "other"
-# The design target is 110 teams; a larger number of labels points to a caller's mistake.
+# The design target is 110 teams; more labels indicate that a caller sends wrong names.
 TEAM_LABELS_MAX = 200
 CLASS_LABELS_MAX = 16
 SHARD_LABELS_MAX = 512
@@ -18,37 +18,37 @@
 INF = float("inf")
 WAITING_BUCKETS_S = (0.001, 0.005, 0.02, 0.1, 0.5, 1.5, 5.0, 30.0, 120.0, 600.0, INF)
 SERVICE_BUCKETS_S = (0.001, 0.005, 0.02, 0.1, 0.5, 2.0, 10.0, 60.0, 600.0, 3600.0, INF)
-# The target for a decision is 2 ms at p99.
+# The target for a placement decision is 2 ms at p99.
 DECISION_BUCKETS_S = (0.00005, 0.0001, 0.0002, 0.0005, 0.001, 0.002, 0.005, 0.02, 0.1, INF)
 
 
 @attrs.define
-class LabelBound:
-    """Map label values beyond a bound to `other`, so that metrics stay small."""
+class LabelLimiter:
+    """Map new label values to `other` once `max_values` are known, to limit cardinality."""
 
-    limit: int
-    known: set[str] = attrs.Factory(set)
+    max_values: int
+    values: set[str] = attrs.Factory(set)
 
-    def of(self, value: str) -> str:
-        """Return the label under which a value is counted."""
-        if value in self.known:
+    def label_for(self, value: str) -> str:
+        """Return the value itself, or `other` if it is new and the limit is reached."""
+        if value in self.values:
             return value
-        if len(self.known) >= self.limit:
+        if len(self.values) >= self.max_values:
             return OVERFLOW_LABEL
-        self.known.add(value)
+        self.values.add(value)
         return value
 
 
 class Metrics:
-    """Own the registry of one instance; all times are in seconds."""
+    """Record the metrics of one instance; all durations are in seconds."""
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self._teams = LabelBound(TEAM_LABELS_MAX)
-        self._classes = LabelBound(CLASS_LABELS_MAX)
-        self._shards = LabelBound(SHARD_LABELS_MAX)
-        self._invariants = LabelBound(INVARIANT_LABELS_MAX)
-        self._waiting = self._histogram(
+        self._teams = LabelLimiter(TEAM_LABELS_MAX)
+        self._classes = LabelLimiter(CLASS_LABELS_MAX)
+        self._shards = LabelLimiter(SHARD_LABELS_MAX)
+        self._invariants = LabelLimiter(INVARIANT_LABELS_MAX)
+        self._wait = self._histogram(
             "waiting_seconds", "Time from submission to start.", WAITING_BUCKETS_S
         )
         self._service = self._histogram(
@@ -62,8 +62,10 @@
         )
         self._share = self._gauge("share_ratio", "Dominant share that a team uses of a shard.")
         self._escrow = self._gauge("escrow_places", "Places of a team that a shard holds.")
-        self._owned = self._gauge("owned_shards", "Shards this instance owns.")
-        self._revision = self._gauge("records_revision", "Revision of the records in force.")
+        self._owned_shards = self._gauge("owned_shards", "Shards this instance owns.")
+        self._records_revision = self._gauge(
+            "records_revision", "Revision of the records in force."
+        )
         self._breaches = self._counter(
             "invariant_breaches_total", "Steps refused because an invariant would break."
         )
@@ -72,67 +74,67 @@
         )
         self._refusals = self._counter("refusals_total", "Work refused, by team and kind.")
 
-    def waited(self, team: str, kind: str, seconds: float) -> None:
+    def observe_wait(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task waited for its start."""
-        self._waiting.observe(self._team_and_class(team, kind), seconds)
+        self._wait.observe(self._team_and_class_labels(team, kind), seconds)
 
-    def served(self, team: str, kind: str, seconds: float) -> None:
+    def observe_service(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a task ran."""
-        self._service.observe(self._team_and_class(team, kind), seconds)
+        self._service.observe(self._team_and_class_labels(team, kind), seconds)
 
-    def decided(self, team: str, kind: str, seconds: float) -> None:
+    def observe_decision(self, team: str, kind: str, seconds: float) -> None:
         """Observe how long a placement decision took."""
-        self._decision.observe(self._team_and_class(team, kind), seconds)
+        self._decision.observe(self._team_and_class_labels(team, kind), seconds)
 
-    def set_packing(self, shard: str, ratio: float) -> None:
-        """Report the bound fraction of a shard, from 0 to 1."""
-        self._packing.set({"shard": self._shards.of(shard)}, ratio)
+    def set_packing_ratio(self, shard: str, ratio: float) -> None:
+        """Set the allocated fraction of a shard's most used resource, from 0 to 1."""
+        self._packing.set({"shard": self._shards.label_for(shard)}, ratio)
 
-    def set_share(self, team: str, shard: str, ratio: float) -> None:
-        """Report a team's dominant share of a shard, from 0 to 1."""
-        self._share.set(self._team_and_shard(team, shard), ratio)
+    def set_share_ratio(self, team: str, shard: str, ratio: float) -> None:
+        """Set a team's dominant share of a shard, from 0 to 1."""
+        self._share.set(self._team_and_shard_labels(team, shard), ratio)
 
-    def set_escrow(self, team: str, shard: str, places: int) -> None:
-        """Report the places that a shard holds for a team."""
-        self._escrow.set(self._team_and_shard(team, shard), places)
+    def set_escrow_places(self, team: str, shard: str, places: int) -> None:
+        """Set the number of places that a shard holds for a team."""
+        self._escrow.set(self._team_and_shard_labels(team, shard), places)
 
     def set_owned_shards(self, count: int) -> None:
-        """Report how many shards this instance owns."""
-        self._owned.set({}, count)
+        """Set the number of shards that this instance owns."""
+        self._owned_shards.set({}, count)
 
     def set_records_revision(self, revision: int) -> None:
-        """Report the revision of the records in force."""
-        self._revision.set({}, revision)
+        """Set the revision of the records in force."""
+        self._records_revision.set({}, revision)
 
     def set_link_traffic(self, sent_bytes: int, received_bytes: int) -> None:
-        """Report the bytes of messages since the start of the process."""
+        """Set the bytes of messages sent and received since the start of the process."""
         self._traffic.set({"direction": "sent"}, sent_bytes)
         self._traffic.set({"direction": "received"}, received_bytes)
 
-    def invariant_breached(self, invariant: str) -> None:
-        """Count a step refused by an invariant."""
-        self._breaches.inc({"invariant": self._invariants.of(invariant)})
+    def count_invariant_breach(self, invariant: str) -> None:
+        """Count a step that was refused because it would violate an invariant."""
+        self._breaches.inc({"invariant": self._invariants.label_for(invariant)})
 
-    def refused(self, team: str, kind: str) -> None:
-        """Count a refusal of a team's work."""
-        self._refusals.inc({"team": self._teams.of(team), "kind": kind})
+    def count_refusal(self, team: str, kind: str) -> None:
+        """Count a refusal by team and kind."""
+        self._refusals.inc({"team": self._teams.label_for(team), "kind": kind})
 
     def exposition(self, accept: list[str] | None = None) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics and the HTTP headers, in a form that `accept` allows."""
+        """Return the metrics and the HTTP headers for a format in `accept`, by default text."""
         content, headers = render(self.registry, accept or ["text/plain"])
         return content, dict(headers)
 
-    def _team_and_class(self, team: str, kind: str) -> dict[str, str]:
-        return {"team": self._teams.of(team), "class": self._classes.of(kind)}
+    def _team_and_class_labels(self, team: str, kind: str) -> dict[str, str]:
+        return {"team": self._teams.label_for(team), "class": self._classes.label_for(kind)}
 
-    def _team_and_shard(self, team: str, shard: str) -> dict[str, str]:
-        return {"team": self._teams.of(team), "shard": self._shards.of(shard)}
+    def _team_and_shard_labels(self, team: str, shard: str) -> dict[str, str]:
+        return {"team": self._teams.label_for(team), "shard": self._shards.label_for(shard)}
 
-    def _histogram(self, name: str, text: str, buckets: tuple[float, ...]) -> Any:
-        return Histogram(f"baobabhoist_{name}", text, registry=self.registry, buckets=buckets)
+    def _histogram(self, name: str, help_text: str, buckets: tuple[float, ...]) -> Any:
+        return Histogram(f"baobabhoist_{name}", help_text, registry=self.registry, buckets=buckets)
 
-    def _gauge(self, name: str, text: str) -> Any:
-        return Gauge(f"baobabhoist_{name}", text, registry=self.registry)
+    def _gauge(self, name: str, help_text: str) -> Any:
+        return Gauge(f"baobabhoist_{name}", help_text, registry=self.registry)
 
-    def _counter(self, name: str, text: str) -> Any:
-        return Counter(f"baobabhoist_{name}", text, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> Any:
+        return Counter(f"baobabhoist_{name}", help_text, registry=self.registry)
--- a/baobabhoist/peer/messages.py
+++ b/baobabhoist/peer/messages.py
@@ -9,12 +9,12 @@
 from baobabhoist.model import Answer, Request
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.codec import Codec
-from baobabhoist.peer.streams import STREAM_TYPES
+from baobabhoist.peer.streams import STREAM_MESSAGES
 
 
 @attrs.frozen
 class Hello:
-    """Introduce an instance on a new connection; `host` and `port` are its peer address."""
+    """Introduce an instance on a new connection; `host` and `port` are those of its peer port."""
 
     instance_id: str
     data_centre: str
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class ShardDigest:
-    """Summarise one shard: its owner's token, use and spare places by team, free slots.
+    """Summarise one shard: its owner's token, used and spare places by team, and free slots.
 
-    `queued` and `unmet` count the tasks that wait for places or workers. `class_spare` holds how
-    many tasks may start of each team and kind with a class limit.
+    `queued` and `unmet` count the tasks that wait for places or workers, in total and by team.
+    `class_spare` holds how many more tasks of each team and kind with a class limit may start.
     """
 
     shard: str
@@ -41,8 +41,8 @@
 
 
 @attrs.frozen
-class Heard:
-    """Tell how long ago an instance was heard, in seconds."""
+class LastContact:
+    """Report how many seconds ago the last heartbeat of an instance was received."""
 
     instance_id: str
     age_s: float
@@ -50,7 +50,11 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Report that an instance lives, what it owns and which records it applies."""
+    """Report that an instance is alive, which shards it owns and which records it applies.
+
+    `heard` relays when this instance last received heartbeats of others, `weight` determines its
+    share of the shards, and `cut_off_s` is the time since the platform last confirmed its records.
+    """
 
     instance_id: str
     data_centre: str
@@ -58,14 +62,14 @@
     records_revision: int
     draining: bool
     shards: tuple[ShardDigest, ...] = ()
-    heard: tuple[Heard, ...] = ()
+    heard: tuple[LastContact, ...] = ()
     weight: float = 1.0
     cut_off_s: float = 0.0
 
 
 @attrs.frozen
 class RelayRequest:
-    """Pass a request to the owner of a shard; a forwarded one is not forwarded again."""
+    """Relay a request to the owner of a shard; a forwarded one must not be forwarded again."""
 
     request: Request
     forwarded: bool = False
@@ -88,7 +92,7 @@
 
 @attrs.frozen
 class Ack:
-    """Confirm a message that has no other reply."""
+    """Acknowledge a message that has no other reply."""
 
 
 @attrs.frozen
@@ -100,8 +104,8 @@
 
 
 @attrs.frozen
-class RecordPull:
-    """Ask for the entries of the change log behind a revision."""
+class RecordEntriesRequest:
+    """Request the entries of the change log after a revision."""
 
     after: int
 
@@ -115,8 +119,8 @@
 
 
 @attrs.frozen
-class KeyResult:
-    """Carry what an owner knows of a request key; exactly one of both results is set."""
+class RequestKeyResult:
+    """Carry the stored result of a request key: either its answer or its refusal."""
 
     request_id: str
     forget_at: float
@@ -126,33 +130,33 @@
 
 @attrs.frozen
 class HandOver:
-    """Hand a shard to its next owner: the queue and the results of its request keys.
+    """Hand over a shard to its next owner with its queue and the results of its request keys.
 
-    `settled` holds the ids of all other keys with the times until which they are kept. With
-    these, the sender knew every key that was first sent after `known_since`, in Unix seconds;
-    it is None when the keys are too many to send.
+    `settled` holds the ids of all other keys with the times until which they are kept. Together
+    with these, the message names every key that was first sent after `known_since`, in Unix
+    seconds. `known_since` is None if there are too many keys to send.
     """
 
     shard: str
     token: Token
     sender: str
     requests: tuple[Request, ...]
-    results: tuple[KeyResult, ...]
+    results: tuple[RequestKeyResult, ...]
     settled: dict[str, float] = attrs.Factory(dict)
     known_since: float | None = None
 
 
 @attrs.frozen
-class HandOverTaken:
-    """Confirm that the receiver claims the shard and keeps what was handed over."""
+class HandOverReply:
+    """Reply whether the receiver claims the shard and keeps what was handed over."""
 
     shard: str
     taken: bool
 
 
 @attrs.frozen
-class PlacesWanted:
-    """Ask the owner of a shard to transfer places of a team to another shard."""
+class PlaceTransferRequest:
+    """Request that the owner of a shard transfers places of a team to another shard."""
 
     team: str
     places: int
@@ -161,8 +165,8 @@
 
 
 @attrs.frozen
-class PlacesGiven:
-    """Report how many places were transferred; zero when there were none to give."""
+class PlaceTransferReply:
+    """Report how many places were transferred; zero if none were spare."""
 
     team: str
     places: int
@@ -177,13 +181,13 @@
         RelayRefusal,
         Ack,
         RecordEntries,
-        RecordPull,
+        RecordEntriesRequest,
         RecordSnapshot,
         HandOver,
-        HandOverTaken,
-        PlacesWanted,
-        PlacesGiven,
-        *STREAM_TYPES,
+        HandOverReply,
+        PlaceTransferRequest,
+        PlaceTransferReply,
+        *STREAM_MESSAGES,
         *JOB_MESSAGES,
     )
 )
--- a/baobabhoist/tests/test_observability_metrics.py
+++ b/baobabhoist/tests/test_observability_metrics.py
@@ -1,32 +1,32 @@
-"""Test the metrics and the bound on their labels."""
+"""Test the metrics and the limit on their label values."""
 
-from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelBound, Metrics
+from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelLimiter, Metrics
 
 
-def test_labels_beyond_the_bound_are_counted_as_other():
-    """Guard against memory that grows with every name a caller sends."""
+def test_labels_beyond_the_limit_are_counted_as_other():
+    """Guard against memory that grows with every name that a caller sends."""
     metrics = Metrics()
     for number in range(TEAM_LABELS_MAX + 50):
-        metrics.refused(f"team-{number}", "queue_full")
+        metrics.count_refusal(f"team-{number}", "queue_full")
     text = metrics.exposition()[0].decode()
     lines = [line for line in text.splitlines() if line.startswith("baobabhoist_refusals_total{")]
     assert len(lines) == TEAM_LABELS_MAX + 1
     assert 'baobabhoist_refusals_total{kind="queue_full",team="other"} 50' in lines
 
 
-def test_a_known_label_stays_known_when_the_bound_is_full():
-    """Guard against a team's series moving to `other` halfway."""
-    bound = LabelBound(1)
-    assert [bound.of(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
+def test_known_label_is_kept_when_the_limit_is_reached():
+    """Guard against an existing time series that continues under `other`."""
+    limiter = LabelLimiter(1)
+    assert [limiter.label_for(value) for value in ("a", "b", "a")] == ["a", "other", "a"]
 
 
-def test_each_histogram_has_team_and_class_and_no_two_registries_mix():
-    """Guard against series without the labels, and against a registry shared by instances."""
+def test_histograms_have_team_and_class_labels_and_registries_are_separate():
+    """Guard against time series without labels and a registry shared by two instances."""
     first, second = Metrics(), Metrics()
-    first.waited("roster", "batch", 0.2)
-    first.served("roster", "batch", 3.0)
-    first.decided("roster", "batch", 0.0003)
-    first.invariant_breached("capacity")
+    first.observe_wait("roster", "batch", 0.2)
+    first.observe_service("roster", "batch", 3.0)
+    first.observe_decision("roster", "batch", 0.0003)
+    first.count_invariant_breach("capacity")
     text = first.exposition()[0].decode()
     for name in ("waiting", "service", "decision"):
         assert f'baobabhoist_{name}_seconds_count{{class="batch",team="roster"}} 1' in text
