--- a/baobabhoist/benchmarks/relay.py
+++ b/baobabhoist/benchmarks/relay.py
@@ -1,8 +1,8 @@
-"""Measure requests through an instance that does not own the shard.
+"""Measure requests that an instance relays to the owner of the shard.
 
 The sustained rate is that of a closed loop over many connections. The added latency is measured
-at a fixed rate, against calls straight to a worker in the same run. The processor time of a
-request depends less on what else the machine does than both.
+at a fixed rate and compared with direct calls to a worker in the same run. The processor time
+per request depends less than these two on the other load of the machine.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 WORKERS = 8
 SLOTS = 64
 READY_TIMEOUT_S = 30.0
-GENERATORS = 2
+GENERATOR_PROCESSES = 2
 PERCENT = 100
-# The stated target of one daemon process; latency is measured at half of it.
-TARGET_PER_S = 1000.0
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+# The throughput target of one daemon process; by default, latency is measured at half of it.
+TARGET_REQUESTS_PER_S = 1000.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @attrs.frozen
 class Load:
-    """Describe one run of a generator; a rate of 0 sends as fast as answers come."""
+    """Describe the load of a generator; a rate of 0 means a closed loop."""
 
     url: str
     connections: int
@@ -54,42 +54,42 @@
 
 
 def percentile(sorted_values: list[float], percent: float) -> float:
-    """Return a percentile of sorted values, 0 for none."""
+    """Return a percentile of sorted values, or 0 if there are none."""
     if not sorted_values:
         return 0.0
     index = min(len(sorted_values) - 1, int(len(sorted_values) * percent / PERCENT))
     return sorted_values[index]
 
 
-async def drive(
+async def drive_load(
     send: Callable[[int], Awaitable[bool]], connections: int, rate: float, seconds: float
 ) -> dict[str, Any]:
-    """Send from several connections; latencies count from the time a request was due."""
-    began = time.perf_counter()
+    """Send on several connections; at a fixed rate, latency counts from when a request was due."""
+    started_s = time.perf_counter()
     latencies: list[float] = []
     failures = 0
-    next_due = began
+    next_due_s = started_s
 
-    async def work(number: int) -> None:
-        nonlocal failures, next_due
+    async def run_connection(number: int) -> None:
+        nonlocal failures, next_due_s
         while True:
-            due = time.perf_counter()
+            due_s = time.perf_counter()
             if rate:
-                due, next_due = next_due, next_due + 1.0 / rate
-                await asyncio.sleep(due - time.perf_counter())
-            if due - began >= seconds:
+                due_s, next_due_s = next_due_s, next_due_s + 1.0 / rate
+                await asyncio.sleep(due_s - time.perf_counter())
+            if due_s - started_s >= seconds:
                 return
             if not await send(number):
                 failures += 1
-            latencies.append(time.perf_counter() - due)
+            latencies.append(time.perf_counter() - due_s)
 
-    await asyncio.gather(*(work(number) for number in range(connections)))
-    elapsed = time.perf_counter() - began
-    return {"latencies": latencies, "failures": failures, "rate": len(latencies) / elapsed}
+    await asyncio.gather(*(run_connection(number) for number in range(connections)))
+    elapsed_s = time.perf_counter() - started_s
+    return {"latencies": latencies, "failures": failures, "rate": len(latencies) / elapsed_s}
 
 
-async def generate(load: Load) -> dict[str, Any]:
-    """Send requests over HTTP."""
+async def generate_http_load(load: Load) -> dict[str, Any]:
+    """Send requests over HTTP to an instance."""
     host, _, rest = load.url.partition("/")
     name, _, port = host.partition(":")
     head = (
@@ -108,14 +108,14 @@
         return answer.startswith(b"HTTP/1.1 200")
 
     try:
-        return await drive(send, load.connections, load.rate, load.seconds)
+        return await drive_load(send, load.connections, load.rate, load.seconds)
     finally:
         for _, writer in conns:
             writer.close()
 
 
-async def call_directly(port: int, load: Load) -> dict[str, Any]:
-    """Run tasks on a worker without any daemon."""
+async def generate_direct_load(port: int, load: Load) -> dict[str, Any]:
+    """Run tasks on a worker directly, without an instance in between."""
 
     async def ignore(message: Any) -> None:
         return None
@@ -140,38 +140,40 @@
         reply = await links[number].call(RunTask(token, task, now + 30), 30.0)
         return bool(getattr(reply, "succeeded", False))
 
-    found = await drive(send, load.connections, load.rate, load.seconds)
+    results = await drive_load(send, load.connections, load.rate, load.seconds)
     for link, reader in zip(links, readers, strict=True):
         await link.close()
         await reader
-    return found
+    return results
 
 
-def generators(load: Load) -> dict[str, Any]:
-    """Run the load in several processes, so that the load generator is not the limit."""
-    part = attrs.evolve(
-        load, connections=load.connections // GENERATORS, rate=load.rate / GENERATORS
+def run_generators(load: Load) -> dict[str, Any]:
+    """Generate the load in several processes, so that the generator is not the bottleneck."""
+    load_share = attrs.evolve(
+        load,
+        connections=load.connections // GENERATOR_PROCESSES,
+        rate=load.rate / GENERATOR_PROCESSES,
     )
-    command = [sys.executable, "-m", __name__ if __name__ != "__main__" else MODULE]
+    command = [sys.executable, "-m", __name__ if __name__ != "__main__" else MODULE_NAME]
     running = [
         subprocess.Popen(
-            [*command, json.dumps(attrs.asdict(part))], stdout=subprocess.PIPE, text=True
+            [*command, json.dumps(attrs.asdict(load_share))], stdout=subprocess.PIPE, text=True
         )
-        for _ in range(GENERATORS)
+        for _ in range(GENERATOR_PROCESSES)
     ]
-    found = [json.loads(process.communicate()[0]) for process in running]
+    results = [json.loads(process.communicate()[0]) for process in running]
     return {
-        "latencies": sorted(value for part in found for value in part["latencies"]),
-        "failures": sum(part["failures"] for part in found),
-        "rate": sum(part["rate"] for part in found),
+        "latencies": sorted(value for result in results for value in result["latencies"]),
+        "failures": sum(result["failures"] for result in results),
+        "rate": sum(result["rate"] for result in results),
     }
 
 
-MODULE = "baobabhoist.benchmarks.relay"
+MODULE_NAME = "baobabhoist.benchmarks.relay"
 
 
-def records(ports: dict[str, int]) -> list[dict[str, Any]]:
-    """Return the records of one shard and one team that is never limited."""
+def shard_records(ports: dict[str, int]) -> list[dict[str, Any]]:
+    """Return the records of one shard and of one team whose limit is never reached."""
     worker = {"host": "127.0.0.1", "cpu_milli": 64000, "memory_mb": 65536, "slots": SLOTS}
     workers = [{"name": name, "port": port, **worker} for name, port in ports.items()]
     bodies = {
@@ -186,87 +188,90 @@
     ]
 
 
-def owner_of(cluster: Cluster) -> str:
-    """Wait until an instance owns the shard, and return it."""
-    give_up_at = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < give_up_at:
+def wait_for_owner(cluster: Cluster) -> str:
+    """Wait until an instance owns the shard, and return the name of the instance."""
+    deadline_s = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         for name, cfg in cluster.instances.items():
             url = f"http://127.0.0.1:{cfg['admin_port']}/v1/status"
             _, body = fetch(url, {"X-Operator-Key": OPERATOR_KEY})
             if SHARD in orjson.loads(body)["owned_shards"]:
                 return name
         time.sleep(0.1)
-    raise RuntimeError("no instance owns the shard")
+    raise RuntimeError("no instance took ownership of the shard in time")
 
 
-def cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+def read_cpu_s(pid: int) -> float:
+    """Return the processor time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+    # The user and the system time of the process, in clock ticks.
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def measure(seconds: float, connections: int, body_bytes: int, rate: float) -> dict[str, Any]:
-    """Start a small cluster and measure requests through the instance that owns nothing."""
+    """Start a small cluster and measure requests through the instance that owns no shard."""
     with tempfile.TemporaryDirectory() as folder, Cluster(Path(folder)) as cluster:
         cluster.start_platform()
         slots = f"--slots={SLOTS}"
         ports: dict[str, int] = {}
-        for half in ("a", "b"):
-            names = [f"{half}-{number}" for number in range(WORKERS // 2)]
-            ports |= cluster.start_workers(f"workers-{half}", names, slots, "--cpu_milli=64000")
-        direct = cluster.start_worker("direct", slots, "--cpu_milli=64000")
+        for group in ("a", "b"):
+            names = [f"{group}-{number}" for number in range(WORKERS // 2)]
+            ports |= cluster.start_workers(f"workers-{group}", names, slots, "--cpu_milli=64000")
+        direct_port = cluster.start_worker("direct", slots, "--cpu_milli=64000")
         cluster.add_instances({"north": ["entry-1", "entry-2"]})
         for name in cluster.instances:
             cluster.start_instance(name)
         for cfg in cluster.instances.values():
             wait_for_port(cfg["admin_port"])
         path = Path(folder) / "records.yaml"
-        path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
+        path.write_text(yaml.safe_dump_all(shard_records(ports)), encoding="utf-8")
         cluster.run_cli("put", "record", str(path), instance="entry-1")
-        owner = owner_of(cluster)
+        owner = wait_for_owner(cluster)
         (entry,) = set(cluster.instances) - {owner}
         pids = {"entry": cluster.processes[entry].pid, "owner": cluster.processes[owner].pid}
         url = f"127.0.0.1:{cluster.instances[entry]['caller_port']}/v1/queues/bench/requests"
         load = Load(url, connections, 0.0, seconds, body_bytes)
         time.sleep(1.0)
-        generators(attrs.evolve(load, seconds=1.0))
-        before = {role: cpu_s(pid) for role, pid in pids.items()}
-        full = generators(load)
+        run_generators(attrs.evolve(load, seconds=1.0))
+        before = {role: read_cpu_s(pid) for role, pid in pids.items()}
+        closed_loop = run_generators(load)
         used = {
             f"{role}_cpu_us_per_request": 1e6
-            * (cpu_s(pid) - before[role])
-            / len(full["latencies"])
+            * (read_cpu_s(pid) - before[role])
+            / len(closed_loop["latencies"])
             for role, pid in pids.items()
         }
-        half_load = attrs.evolve(load, rate=rate)
-        relayed = generators(half_load)
-        straight = asyncio.run(call_directly(direct, half_load))
-    return report(full, relayed, straight) | {name: round(us) for name, us in used.items()}
+        fixed_rate_load = attrs.evolve(load, rate=rate)
+        relayed = run_generators(fixed_rate_load)
+        direct_load = asyncio.run(generate_direct_load(direct_port, fixed_rate_load))
+    return build_report(closed_loop, relayed, direct_load) | {
+        name: round(us) for name, us in used.items()
+    }
 
 
-def report(
-    full: dict[str, Any], relayed: dict[str, Any], straight: dict[str, Any]
+def build_report(
+    closed_loop: dict[str, Any], relayed: dict[str, Any], direct_load: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return the figures; latencies in milliseconds."""
-    found: dict[str, Any] = {
-        "sustained_per_s": round(full["rate"], 1),
-        "failures": full["failures"] + relayed["failures"] + straight["failures"],
+    """Combine the measurements into a report; latencies are in milliseconds."""
+    report: dict[str, Any] = {
+        "sustained_per_s": round(closed_loop["rate"], 1),
+        "failures": closed_loop["failures"] + relayed["failures"] + direct_load["failures"],
         "rate_of_latencies_per_s": round(relayed["rate"], 1),
     }
-    direct = sorted(straight["latencies"])
+    direct_latencies = sorted(direct_load["latencies"])
     for percent in (50, 99):
-        through = percentile(relayed["latencies"], percent) * 1000
-        alone = percentile(direct, percent) * 1000
-        found[f"relayed_p{percent}_ms"] = round(through, 2)
-        found[f"direct_p{percent}_ms"] = round(alone, 2)
-        found[f"added_p{percent}_ms"] = round(through - alone, 2)
-    return found
+        relayed_ms = percentile(relayed["latencies"], percent) * 1000
+        direct_ms = percentile(direct_latencies, percent) * 1000
+        report[f"relayed_p{percent}_ms"] = round(relayed_ms, 2)
+        report[f"direct_p{percent}_ms"] = round(direct_ms, 2)
+        report[f"added_p{percent}_ms"] = round(relayed_ms - direct_ms, 2)
+    return report
 
 
-def table(found: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
-    return "\n".join(f"{name:26} {value}" for name, value in found.items())
+def format_table(report: dict[str, Any]) -> str:
+    """Format the report as a plain-text table."""
+    return "\n".join(f"{name:26} {value}" for name, value in report.items())
 
 
 if __name__ == "__main__":
-    print(orjson.dumps(asyncio.run(generate(Load(**json.loads(sys.argv[1]))))).decode())
+    print(orjson.dumps(asyncio.run(generate_http_load(Load(**json.loads(sys.argv[1]))))).decode())
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -191,7 +191,7 @@
         return self._confirmation
 
     async def _confirm_with_workers(self) -> None:
-        workers = [name for name in self.claim.fenced_workers if self._pool.connected(name)]
+        workers = [name for name in self.claim.fenced_workers if self._pool.is_connected(name)]
         sample = workers[:CONFIRM_SAMPLE_SIZE]
         await asyncio.gather(*(self._renew_worker(worker) for worker in sample))
 
@@ -363,14 +363,14 @@
         except LinkClosedError:
             return None
         except TimeoutError:
-            self._pool.replace(worker)
+            self._pool.reconnect(worker)
             return None
 
     async def _renew_leases(self) -> None:
         while True:
             await asyncio.sleep(RENEW_INTERVAL_S)
             for worker in list(self.claim.fenced_workers):
-                if self._pool.connected(worker):
+                if self._pool.is_connected(worker):
                     self._spawn(self._renew_worker(worker))
 
     async def _renew_worker(self, worker: str) -> None:
@@ -395,7 +395,7 @@
         self._renewal_timeouts[worker] = self._renewal_timeouts.get(worker, 0) + 1
         if self._renewal_timeouts[worker] >= MAX_RENEWAL_TIMEOUTS:
             del self._renewal_timeouts[worker]
-            self._pool.replace(worker)
+            self._pool.reconnect(worker)
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coro)
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -16,7 +16,7 @@
     RequestKeyState,
 )
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.peer.messages import HandOver, KeyResult
+from baobabhoist.peer.messages import HandOver, RequestKeyResult
 
 # About 3 MB of ids, which a peer processes well within the time limit of a hand-over.
 MAX_SETTLED_IDS = 50_000
@@ -47,7 +47,7 @@
     queued = {key.request_id for key in keys.export_queued()}
     requests = tuple(entry.req for request_id, entry in pending.items() if request_id in queued)
     results = tuple(
-        KeyResult(request_id, entry.expires_at, None, entry.result)
+        RequestKeyResult(request_id, entry.expires_at, None, entry.result)
         for request_id, entry in keys.entries.items()
         if isinstance(entry.result, Refusal) and entry.state is not RequestKeyState.ANSWERED
     )
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -22,7 +22,7 @@
 from baobabhoist.ownership.events import ClaimState, ClaimTiming
 from baobabhoist.ownership.rendezvous import OwnerCandidate, rank_owners
 from baobabhoist.peer.link import WEBSOCKET_OPTIONS
-from baobabhoist.peer.messages import HandOver, HandOverTaken, Heartbeat
+from baobabhoist.peer.messages import HandOver, HandOverReply, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -56,13 +56,13 @@
 class Peers(Protocol):
     """Look up and call the other instances."""
 
-    def beats(self) -> list[Heartbeat]:
+    def live_heartbeats(self) -> list[Heartbeat]:
         """Return the last heartbeat of each live peer."""
 
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
 
 
@@ -178,13 +178,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def accept_hand_over(self, message: HandOver) -> HandOverTaken:
+    def accept_hand_over(self, message: HandOver) -> HandOverReply:
         """Claim a shard that another instance hands over, unless this one drains or has it."""
         is_refused = self.draining or message.shard not in self._shards.names()
         if not is_refused and message.shard not in self.owners:
             self.claim(message.shard, message)
-            return HandOverTaken(message.shard, True)
-        return HandOverTaken(message.shard, False)
+            return HandOverReply(message.shard, True)
+        return HandOverReply(message.shard, False)
 
     async def send_hand_over(self, successor: str, message: HandOver) -> bool | None:
         """Send a shard's queue; return whether it was accepted, or None if that is unknown."""
@@ -194,7 +194,7 @@
             return False
         except (LinkClosedError, TimeoutError):
             return None
-        return isinstance(reply, HandOverTaken) and reply.taken
+        return isinstance(reply, HandOverReply) and reply.taken
 
     async def hand_over_all(self) -> None:
         """Hand every shard over to its next instance; keep shards without a successor."""
@@ -267,7 +267,7 @@
     def _rank_candidates(self, shard: str, others_only: bool = False) -> list[str]:
         candidates = [
             OwnerCandidate(heartbeat.instance_id, heartbeat.data_centre, heartbeat.weight)
-            for heartbeat in self._peers.beats()
+            for heartbeat in self._peers.live_heartbeats()
             if not heartbeat.draining
         ]
         if not others_only:
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -10,7 +10,7 @@
 from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.model import Task
 from baobabhoist.observability.metrics import Metrics
-from baobabhoist.peer.link import TRAFFIC
+from baobabhoist.peer.link import LINK_TRAFFIC
 from baobabhoist.scheduling.capacity import CapacityIndex
 
 GAUGE_INTERVAL_S = 2.0
@@ -27,15 +27,15 @@
 
         The time is clamped at zero, because another VM's clock set the time of submission.
         """
-        self._metrics.waited(task.team, task.kind.value, max(0.0, now - task.submitted_at))
+        self._metrics.observe_wait(task.team, task.kind.value, max(0.0, now - task.submitted_at))
 
     def task_ended(self, task: Task, seconds: float) -> None:
         """Record how long a task was on its worker."""
-        self._metrics.served(task.team, task.kind.value, seconds)
+        self._metrics.observe_service(task.team, task.kind.value, seconds)
 
     def placement_decided(self, task: Task, seconds: float) -> None:
         """Record the duration of one placement decision."""
-        self._metrics.decided(task.team, task.kind.value, seconds)
+        self._metrics.observe_decision(task.team, task.kind.value, seconds)
 
 
 class GaugeSource(Protocol):
@@ -65,10 +65,10 @@
         owners = list(self._source.active_owners())
         self._metrics.set_owned_shards(len(owners))
         self._metrics.set_records_revision(self._revision())
-        self._metrics.set_link_traffic(TRAFFIC.sent_bytes, TRAFFIC.received_bytes)
+        self._metrics.set_link_traffic(LINK_TRAFFIC.sent_bytes, LINK_TRAFFIC.received_bytes)
         for number, count in invariants.breach_counts.items():
             for _ in range(count - self._reported_breaches.get(number, 0)):
-                self._metrics.invariant_breached(str(number))
+                self._metrics.count_invariant_breach(str(number))
             self._reported_breaches[number] = count
         for owner in owners:
             self._read_shard(owner)
@@ -77,9 +77,9 @@
         fairness = owner.scheduler.fairness
         teams = set(owner.quota_ledger.escrow) | set(owner.quota_ledger.used)
         for team in teams:
-            self._metrics.set_share(team, owner.shard, fairness.dominant_share(team))
-            self._metrics.set_escrow(team, owner.shard, owner.quota_ledger.allowed(team))
-        self._metrics.set_packing(owner.shard, packing_ratio(owner.scheduler.index))
+            self._metrics.set_share_ratio(team, owner.shard, fairness.dominant_share(team))
+            self._metrics.set_escrow_places(team, owner.shard, owner.quota_ledger.allowed(team))
+        self._metrics.set_packing_ratio(owner.shard, packing_ratio(owner.scheduler.index))
 
 
 def packing_ratio(index: CapacityIndex) -> float:
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -19,7 +19,7 @@
 from baobabhoist.ownership.tokens import Token
 from baobabhoist.peer.link import Link
 from baobabhoist.testing.event_log import EventLog
-from baobabhoist.upstream.link import WORKER_OPTIONS
+from baobabhoist.upstream.link import WORKER_WEBSOCKET_OPTIONS
 from baobabhoist.upstream.messages import (
     CODEC,
     CheckpointTask,
@@ -353,7 +353,7 @@
     async def handle(conn: ServerConnection) -> None:
         await Link(conn, CODEC, worker.handle).run()
 
-    async with serve(handle, "127.0.0.1", port, **WORKER_OPTIONS):
+    async with serve(handle, "127.0.0.1", port, **WORKER_WEBSOCKET_OPTIONS):
         while True:
             worker.tick(time.time())
             await asyncio.sleep(TICK_INTERVAL_S)
--- a/baobabhoist/tests/gateways.py
+++ b/baobabhoist/tests/gateway_harness.py
@@ -1,4 +1,4 @@
-"""Serve both HTTP applications on loopback for tests."""
+"""Serve the caller and admin APIs on loopback for tests, with a fake daemon behind them."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from tornado.testing import bind_unused_port
 
 from baobabhoist.errors import ErrorKind, Refusal
-from baobabhoist.gateway.admin import admin_app
-from baobabhoist.gateway.callers import caller_app
-from baobabhoist.gateway.context import CallerOptions
-from baobabhoist.gateway.operators import AdminOptions
-from baobabhoist.gateway.server import http_server
+from baobabhoist.gateway.admin import make_admin_app
+from baobabhoist.gateway.admin_handler import AdminOptions
+from baobabhoist.gateway.caller_handler import CallerOptions
+from baobabhoist.gateway.callers import make_caller_app
+from baobabhoist.gateway.server import make_http_server
 from baobabhoist.model import (
     FINAL_JOB_STATES,
     Answer,
@@ -29,8 +29,8 @@
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.memory_table import MemoryTable
 
-OPERATOR = {"X-Operator-Key": "operator"}
-ROSTER = {"X-Team-Key": "roster-key"}
+OPERATOR_HEADERS = {"X-Operator-Key": "operator"}
+ROSTER_HEADERS = {"X-Team-Key": "roster-key"}
 SHARD = {"data_centre": "north", "workers": []}
 RECORDS = [
     ("team", "roster", {"limit": 4}),
@@ -48,8 +48,8 @@
 ]
 
 
-class Jobs:
-    """Keep jobs in memory; all of them are in one state."""
+class FakeJobService:
+    """Store jobs in memory; all jobs share one state."""
 
     def __init__(self):
         self.specs = {}
@@ -67,46 +67,46 @@
         return JobStatus(job_id, self.state, counts, "", None, spec.team, spec.queue, spec.kind)
 
     async def cancel(self, job_id, team):
-        found = await self.status(job_id, team)
-        if isinstance(found, JobStatus):
+        status = await self.status(job_id, team)
+        if isinstance(status, JobStatus):
             self.state = JobState.CANCELLED
         return await self.status(job_id, team)
 
     async def explain(self, job_id, team):
-        found = await self.status(job_id, team)
-        if isinstance(found, Refusal):
-            return found
-        return JobExplanation(job_id, found.state, "no place", {"the team is at its limit": 2})
+        status = await self.status(job_id, team)
+        if isinstance(status, Refusal):
+            return status
+        return JobExplanation(job_id, status.state, "no place", {"the team is at its limit": 2})
 
     async def list(self, team):
         specs = [spec for spec in self.specs.values() if team in (None, spec.team)]
         return tuple([await self.status(spec.job_id, team) for spec in specs])
 
-    async def unfinished(self, queue):
+    async def unfinished_job_ids(self, queue):
         if self.state in FINAL_JOB_STATES:
             return ()
         return tuple(spec.job_id for spec in self.specs.values() if spec.queue == queue)
 
 
 @attrs.define
-class Settings:
+class FakeSettings:
     operator_key_digest: str = key_digest("operator")
 
 
-class Node:
-    """Stand in for the daemon; a request is answered with its body unless `answer` is set."""
+class FakeDaemon:
+    """Replace the daemon; each request is answered with its own body unless `answer` is set."""
 
     def __init__(self):
-        self.cfg = Settings()
+        self.cfg = FakeSettings()
         self.table = MemoryTable()
         self.view = RecordView()
         self.ready = True
         self.mesh = self
-        self.routed = []
+        self.routed_requests = []
         self.answer = None
-        beat = Heartbeat("entry-2", "south", ("s1",), 3, draining=False)
+        heartbeat = Heartbeat("entry-2", "south", ("s1",), 3, draining=False)
         address = PeerAddress("entry-2", "south", "127.0.0.1", 1)
-        self.peers = {"entry-2": PeerState(address, heartbeat=beat, live_until=0.0)}
+        self.peers = {"entry-2": PeerState(address, heartbeat=heartbeat, live_until=0.0)}
         for revision, (kind, name, body) in enumerate(RECORDS, 1):
             version = 2 if kind == "queue" else 1
             self.view.apply(Record(kind, name, version, revision, body))
@@ -115,18 +115,18 @@
         return Heartbeat("entry-1", "north", ("n1",), self.view.revision, draining=False)
 
     async def route(self, req):
-        self.routed.append(req)
+        self.routed_requests.append(req)
         if self.answer is not None:
             return await self.answer(req)
         return Answer(req.request_id, 200, req.task.payload, "text/plain")
 
-    async def catch_up(self):
+    async def apply_log(self):
         for row in await self.table.scan("log/"):
             self.view.apply(record_from_row(row))
 
 
 @attrs.frozen
-class Reply:
+class HttpReply:
     status: int
     headers: dict
     body: bytes
@@ -137,11 +137,11 @@
 
 
 class Gateway:
-    """Serve the applications; use it as an asynchronous context manager."""
+    """Serve both applications while used as an asynchronous context manager."""
 
     def __init__(self, **caller_options):
-        self.node = Node()
-        self.jobs = Jobs()
+        self.daemon = FakeDaemon()
+        self.jobs = FakeJobService()
         self.callers = CallerOptions(
             jobs=self.jobs, data_centre="north", metrics=Metrics(), **caller_options
         )
@@ -149,8 +149,8 @@
             jobs=self.jobs, open_requests=self.callers.open_requests, metrics=self.callers.metrics
         )
         self.apps = {
-            "callers": caller_app(self.node, self.callers),
-            "admin": admin_app(self.node, self.admin),
+            "callers": make_caller_app(self.daemon, self.callers),
+            "admin": make_admin_app(self.daemon, self.admin),
         }
         self.ports = {}
         self._servers = []
@@ -159,7 +159,7 @@
         for name, app in self.apps.items():
             limits = self.callers.limits if name == "callers" else self.admin.limits
             sock, self.ports[name] = bind_unused_port()
-            server = http_server(app, limits)
+            server = make_http_server(app, limits)
             server.add_sockets([sock])
             self._servers.append(server)
         return self
@@ -172,7 +172,7 @@
     async def call(self, listener, method, path, headers=None, body=None):
         if body is not None and not isinstance(body, bytes):
             body = orjson.dumps(body)
-        answer = await AsyncHTTPClient().fetch(
+        response = await AsyncHTTPClient().fetch(
             f"http://127.0.0.1:{self.ports[listener]}{path}",
             method=method,
             headers=headers,
@@ -180,13 +180,13 @@
             raise_error=False,
             allow_nonstandard_methods=True,
         )
-        return Reply(answer.code, dict(answer.headers.get_all()), answer.body)
+        return HttpReply(response.code, dict(response.headers.get_all()), response.body)
 
     async def post(self, path, headers=None, body=b""):
         return await self.call("callers", "POST", path, headers, body)
 
-    async def raw(self, listener, data, *, close=False):
-        """Send bytes on a new connection and return everything that comes back."""
+    async def send_raw(self, listener, data, *, close=False):
+        """Send bytes on a new connection and return all bytes received."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[listener])
         writer.write(data)
         if close:
@@ -197,7 +197,7 @@
 
 
 def with_gateway(test, **caller_options):
-    """Run an asynchronous test with a gateway."""
+    """Run an asynchronous test with a running gateway."""
 
     async def run():
         async with Gateway(**caller_options) as gateway:
