--- a/baobabhoist/testing/network.py
+++ b/baobabhoist/testing/network.py
@@ -27,9 +27,10 @@
 
 @attrs.define(eq=False)
 class Connection:
-    """Track a relayed connection; a silenced one stays open but delivers nothing."""
+    """Track a relayed connection, which stays open but delivers nothing once it is silenced."""
 
     client: asyncio.StreamWriter
+    # Label of the process that opened the connection.
     source: str = ""
     is_silenced: bool = False
 
--- a/baobabhoist/testing/platform.py
+++ b/baobabhoist/testing/platform.py
@@ -212,7 +212,7 @@
         self.finish({"error": message})
 
 
-class FaultsHandler(ControlHandler):
+class PlatformFaultHandler(ControlHandler):
     """Inject faults: POST /faults {"mode": ..., "delay_s": ..., "hang": ...}."""
 
     def post(self) -> None:
@@ -254,7 +254,7 @@
             (r"/objects/(.+)", ObjectHandler, context),
             (r"/members", MembersHandler, context),
             (r"/members/(.+)", MemberHandler, context),
-            (r"/faults", FaultsHandler, context),
+            (r"/faults", PlatformFaultHandler, context),
             (r"/counts", CountsHandler, context),
         ]
     )
--- a/baobabhoist/testing/soak_checker.py
+++ b/baobabhoist/testing/soak_checker.py
@@ -66,7 +66,7 @@
 
 @attrs.define
 class GuaranteeChecker:
-    """Check one soak; the driver's log holds its faults, record changes and status samples."""
+    """Check one run of the soak; the driver's log holds its faults, record changes and status samples."""
 
     worker_log: list[LogEntry]
     caller_log: list[LogEntry]
@@ -174,11 +174,11 @@
         capacity = {e["worker"]: e["capacity"] for e in self.worker_log if e["event"] == "up"}
         result = self.results["G1"]
         used: dict[str, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
-        for _, starts, run in run_boundaries(self.runs):
+        for _, is_start, run in run_boundaries(self.runs):
             total = used[run.worker]
             for index, amount in enumerate(run.resources):
-                total[index] += amount if starts else -amount
-            if starts:
+                total[index] += amount if is_start else -amount
+            if is_start:
                 fits = all(u <= c for u, c in zip(total, capacity[run.worker], strict=True))
                 result.check(fits, f"{run.worker} runs {total} with {run.task_id}")
         for entry in self.worker_log:
@@ -190,11 +190,11 @@
 
     def _check_no_concurrent_runs(self) -> None:
         running: Counter[str] = Counter()
-        for _, starts, run in run_boundaries(self.runs):
-            # Task ids with the same reference belong to the same work.
+        for _, is_start, run in run_boundaries(self.runs):
+            # Two task ids with the same reference are the same piece of work.
             work = run.ref or run.task_id
-            running[work] += 1 if starts else -1
-            if starts:
+            running[work] += 1 if is_start else -1
+            if is_start:
                 self.results["G2"].check(
                     running[work] == 1, f"{run.task_id} runs concurrently, also on {run.worker}"
                 )
@@ -208,12 +208,12 @@
                 limits[-1] = (since, self._in_force_deadline(entry["t"]), limit)
             limits.append((entry["sent"], INF, entry["limit"]))
         running: Counter[str] = Counter()
-        for t, starts, run in run_boundaries(self.runs):
-            running[run.team] += 1 if starts else -1
+        for t, is_start, run in run_boundaries(self.runs):
+            running[run.team] += 1 if is_start else -1
             allowed = [
                 limit for since, until, limit in limits_by_team[run.team] if since <= t <= until
             ]
-            if starts and allowed:
+            if is_start and allowed:
                 count = running[run.team]
                 self.results["G4"].check(
                     count <= max(allowed),
--- a/baobabhoist/testing/soak_faults.py
+++ b/baobabhoist/testing/soak_faults.py
@@ -259,7 +259,7 @@
     "revoke": _revoke,
     "lower_limit": _lower_limit,
 }
-# During these, the time limits of all reactions still apply.
+# Faults during which every latency target still applies.
 NON_DISRUPTIVE_FAULTS = frozenset(
     {"leaving", "wrong_sizes", "cancel_wave", "race", "revoke", "lower_limit"}
 )
--- a/baobabhoist/testing/worker.py
+++ b/baobabhoist/testing/worker.py
@@ -58,7 +58,7 @@
 class Execution:
     """Track a running task; `lease_deadline` is in Unix seconds."""
 
-    call: RunTask
+    message: RunTask
     lease_deadline: float
     state_changed: asyncio.Event = attrs.Factory(asyncio.Event)
     is_stopped: bool = False
@@ -66,7 +66,7 @@
     cpu_percent: int = FULL_PERCENT
 
     def stop(self, reason: str) -> None:
-        """Request the task to stop; the first reason is kept."""
+        """Signal the task to stop; the first reason is kept."""
         self.stop_reason = self.stop_reason or reason
         self.is_stopped = True
         self.state_changed.set()
@@ -135,7 +135,7 @@
             return TokenRefused(self.fence.highest_token)
         match message:
             case RunTask():
-                return await self._run(message)
+                return await self._run_task(message)
             case RenewLeases():
                 return self._renew_leases(message)
             case QueryOutcome():
@@ -173,11 +173,11 @@
         ):
             self._usage_samples.popleft()
 
-    def _accept_token(self, call: FenceWorker) -> Any:
+    def _accept_token(self, message: FenceWorker) -> Any:
         previous = self.fence.highest_token
-        if not self.fence.accept(call.token):
+        if not self.fence.accept(message.token):
             return TokenRefused(self.fence.highest_token)
-        self._events.write("fenced", self.name, token=attrs.astuple(call.token))
+        self._events.write("fenced", self.name, token=attrs.astuple(message.token))
         self._inventory_snapshot = [
             *self._running_tasks(),
             *map(omit_large_body, self.ended.values()),
@@ -202,16 +202,16 @@
             previous,
         )
 
-    async def _run(self, call: RunTask) -> Any:
-        task = call.task
-        reason = self._refusal_reason(call)
+    async def _run_task(self, message: RunTask) -> Any:
+        task = message.task
+        reason = self._refusal_reason(message)
         if reason is not None:
             self._reject_id(task.task_id)
-            self._log_task("refused", call, reason=reason)
+            self._log_task("refused", message, reason=reason)
             return TaskRefused(task.task_id, reason)
-        execution = Execution(call, call.lease_deadline)
+        execution = Execution(message, message.lease_deadline)
         self.running[task.task_id] = execution
-        self._log_task("started", call)
+        self._log_task("started", message)
         succeeded = await self._simulate(execution)
         del self.running[task.task_id]
         body = (
@@ -222,26 +222,26 @@
         self.ended[task.task_id] = EndedTask(task.task_id, task.team, succeeded, body)
         self._end_times.append((time.time(), task.task_id))
         self._log_task(
-            "stopped" if execution.is_stopped else "ended", call, reason=execution.stop_reason
+            "stopped" if execution.is_stopped else "ended", message, reason=execution.stop_reason
         )
         return TaskEnded(task.task_id, succeeded, body, self.fence.highest_token)
 
-    def _refusal_reason(self, call: RunTask) -> str | None:
-        task = call.task
+    def _refusal_reason(self, message: RunTask) -> str | None:
+        task = message.task
         if task.task_id in self.running or task.task_id in self.ended:
             return "duplicate"
         if task.task_id in self.rejected_ids:
             return "void"
-        if call.lease_deadline <= time.time():
+        if message.lease_deadline <= time.time():
             return "expired"
         available = self.capacity
         for execution in self.running.values():
-            available = available.minus(execution.call.task.resources)
+            available = available.minus(execution.message.task.resources)
         return None if task.resources.fits_in(available) else "full"
 
     async def _simulate(self, execution: Execution) -> bool:
         """Simulate a task until it ends; return whether it succeeded."""
-        options = PayloadOptions.parse(execution.call.task.payload, self._default_run_s)
+        options = PayloadOptions.parse(execution.message.task.payload, self._default_run_s)
         if self.mode == "fail" or options.fails:
             execution.stop_reason = "failed"
             return False
@@ -260,9 +260,9 @@
             remaining_s -= (loop.time() - started_at) * speed
         return not execution.is_stopped
 
-    def _renew_leases(self, call: RenewLeases) -> LeasesRenewed:
+    def _renew_leases(self, message: RenewLeases) -> LeasesRenewed:
         for execution in self.running.values():
-            execution.lease_deadline = max(execution.lease_deadline, call.lease_deadline)
+            execution.lease_deadline = max(execution.lease_deadline, message.lease_deadline)
         used_cpu_milli = self._usage_samples[0][1] if self._usage_samples else 0
         return LeasesRenewed(tuple(self.running), used_cpu_milli)
 
@@ -271,25 +271,27 @@
             self.running[task_id].stop(reason)
         return self._report_outcome(task_id)
 
-    def _throttle_task(self, call: ThrottleTask) -> OutcomeReport:
-        if call.task_id in self.running:
-            self.running[call.task_id].throttle(call.percent)
-        return self._report_outcome(call.task_id)
+    def _throttle_task(self, message: ThrottleTask) -> OutcomeReport:
+        if message.task_id in self.running:
+            self.running[message.task_id].throttle(message.percent)
+        return self._report_outcome(message.task_id)
 
     def _used_cpu_milli(self) -> int:
         total = 0
         for execution in self.running.values():
-            task = execution.call.task
+            task = execution.message.task
             options = PayloadOptions.parse(task.payload, self._default_run_s)
             used = task.resources.cpu_milli if options.cpu_milli is None else options.cpu_milli
             total += used * execution.cpu_percent // FULL_PERCENT
         return total
 
     def _running_tasks(self) -> tuple[RunningTask, ...]:
-        calls = [execution.call for execution in self.running.values()]
+        messages = [execution.message for execution in self.running.values()]
         return tuple(
-            RunningTask(call.task.task_id, call.task.team, call.task.resources, call.task.kind)
-            for call in calls
+            RunningTask(
+                message.task.task_id, message.task.team, message.task.resources, message.task.kind
+            )
+            for message in messages
         )
 
     def _report_outcome(self, task_id: str) -> OutcomeReport:
@@ -305,15 +307,15 @@
         if task_id not in self.ended and task_id not in self.running:
             self.rejected_ids[task_id] = time.time()
 
-    def _log_task(self, event: str, call: RunTask, **fields: Any) -> None:
-        task = call.task
+    def _log_task(self, event: str, message: RunTask, **fields: Any) -> None:
+        task = message.task
         self._events.write(
             event,
             self.name,
             id=task.task_id,
             team=task.team,
             resources=attrs.astuple(task.resources),
-            token=attrs.astuple(call.token),
+            token=attrs.astuple(message.token),
             ref=PayloadOptions.parse(task.payload, 0.0).ref,
             kind=task.kind.value,
             urgency=task.urgency.value,
