--- a/baobabhoist/testing/soak_checker.py
+++ b/baobabhoist/testing/soak_checker.py
@@ -66,7 +66,7 @@
 
 @attrs.define
 class GuaranteeChecker:
-    """Check one run of the soak; the driver's log holds its faults, record changes and status samples."""
+    """Check a run; the driver's log holds its faults, record changes and status samples."""
 
     worker_log: list[LogEntry]
     caller_log: list[LogEntry]
