--- a/baobabhoist/platform/testing/fleet.py
+++ b/baobabhoist/platform/testing/deployment.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class Fleet:
+class Deployment:
     """Hold the processes of one run."""
 
     cluster: Cluster
--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -16,7 +16,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
 from baobabhoist.platform.testing import soak_faults
-from baobabhoist.platform.testing.fleet import Fleet, repeat
+from baobabhoist.platform.testing.deployment import Deployment, repeat
 from baobabhoist.platform.testing.soak_faults import FAULTS
 from baobabhoist.platform.testing.soak_judge import REFUSED, JobNote, Judge, Team
 from baobabhoist.testing import soak_run
@@ -68,7 +68,7 @@
 class Soak(Driver):
     """Hold one run: its processes, its load and the logs of callers and driver."""
 
-    fleet: Fleet
+    deployment: Deployment
     rng: random.Random
     callers: list[dict[str, Any]] = attrs.Factory(list)
     jobs: dict[str, JobNote] = attrs.Factory(dict)
@@ -82,8 +82,8 @@
 
     def restart(self, name: str) -> None:
         """Start an instance again."""
-        self.fleet.start_instance(name)
-        self.fleet.label_sources()
+        self.deployment.start_instance(name)
+        self.deployment.label_sources()
         self.down.discard(name)
 
     # The operator.
@@ -114,7 +114,7 @@
     async def configure(self) -> None:
         """Write the configuration, and note what the teams may have from now on."""
         sent = self.note("limits", limits=dict(self.limits), acked=float("inf"))
-        await self.fleet.configure(self.config())
+        await self.deployment.configure(self.config())
         sent["acked"] = time.time()
 
     async def change_limits(self, rng: random.Random) -> None:
@@ -168,8 +168,10 @@
 
     def _choose(self, but: str = "") -> str:
         """Choose an instance in rotation; all of them if too few are."""
-        ready = [n for n in self.fleet.instances if self.misses[n] < READY_MISSES and n != but]
-        others = [name for name in self.fleet.instances if name != but]
+        ready = [
+            n for n in self.deployment.instances if self.misses[n] < READY_MISSES and n != but
+        ]
+        others = [name for name in self.deployment.instances if name != but]
         return self.rng.choice(ready if len(ready) * 2 >= len(others) else others)
 
     async def _call(
@@ -188,8 +190,8 @@
             "X-Credential": entry["key"],
             "X-Deadline-Ms": str(int(WAIT_S * 1000)),
         }
-        answer = await self.fleet.call(
-            self.fleet.instances[instance].callers,
+        answer = await self.deployment.call(
+            self.deployment.instances[instance].callers,
             method,
             f"/{job.queue}/{job.job_id}",
             WAIT_S,
@@ -266,14 +268,14 @@
         """Ask the instances whether they are ready, as the platform does."""
 
         async def check(name: str) -> None:
-            ready = await self.fleet.ready(name)
+            ready = await self.deployment.ready(name)
             self.misses[name] = 0 if ready else self.misses[name] + 1
 
-        await asyncio.gather(*map(check, self.fleet.instances))
+        await asyncio.gather(*map(check, self.deployment.instances))
 
     def judge(self, finished: bool) -> Judge:
         """Return the verdicts so far."""
-        text = self.fleet.worker_log.read_text(encoding="utf-8")
+        text = self.deployment.worker_log.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
         judge = Judge(
             runs=[json.loads(line) for line in lines],
@@ -295,7 +297,7 @@
 
     async def run(self, seconds: float, steps: list[soak_faults.Step]) -> None:
         """Run the load and the faults, then wait until everything has ended."""
-        await self.fleet.start(INSTANCES, WORKERS, self.config())
+        await self.deployment.start(INSTANCES, WORKERS, self.config())
         self.note("limits", limits=dict(self.limits), acked=time.time())
         checks = asyncio.create_task(repeat(READY_INTERVAL_S, self.check_ready))
         await self._until_ready()
@@ -322,7 +324,7 @@
     async def _until_ready(self) -> None:
         give_up_at = time.time() + START_S
         while time.time() < give_up_at:
-            if all([await self.fleet.ready(name) for name in self.fleet.instances]):
+            if all([await self.deployment.ready(name) for name in self.deployment.instances]):
                 return
             await asyncio.sleep(0.1)
         raise RuntimeError(f"the instances were not ready within {START_S} s")
@@ -338,10 +340,10 @@
 
 def report(soak: Soak, judge: Judge) -> bool:
     """Print the verdicts and figures; tell whether all held."""
-    folder = soak.fleet.cluster.folder
+    folder = soak.deployment.cluster.folder
     crashes = [
         line
-        for name in soak.fleet.instances
+        for name in soak.deployment.instances
         for line in (folder / f"{name}.log").read_text(errors="replace").splitlines()
         if "Traceback" in line or "task_crashed" in line
     ]
@@ -365,7 +367,7 @@
     steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
 
     async def body(cluster: Cluster) -> Soak:
-        soak = Soak(Fleet(cluster), random.Random(FLAGS.seed))
+        soak = Soak(Deployment(cluster), random.Random(FLAGS.seed))
         await soak.run(FLAGS.seconds, steps)
         return soak
 
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -56,8 +56,8 @@
 
 async def _target(soak: Soak, rng: random.Random) -> str:
     """Choose a running instance, the owner half of the time."""
-    running = [name for name in soak.fleet.instances if name not in soak.down]
-    owner = await soak.fleet.owner()
+    running = [name for name in soak.deployment.instances if name not in soak.down]
+    owner = await soak.deployment.owner()
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
@@ -66,7 +66,7 @@
 
 
 async def _herd(soak: Soak, step: Step, rng: random.Random) -> None:
-    running = [name for name in soak.fleet.instances if name not in soak.down]
+    running = [name for name in soak.deployment.instances if name not in soak.down]
     count = rng.choice([len(running) // 2, len(running)])
     await _kill_all(soak, step, rng.sample(running, count))
 
@@ -74,9 +74,9 @@
 async def _kill_all(soak: Soak, step: Step, names: list[str]) -> None:
     for name in names:
         soak.down.add(name)
-        soak.fleet.cluster.processes[name].kill()
+        soak.deployment.cluster.processes[name].kill()
     for name in names:
-        await asyncio.to_thread(soak.fleet.cluster.processes[name].wait)
+        await asyncio.to_thread(soak.deployment.cluster.processes[name].wait)
     await asyncio.sleep(step.duration_s / 2)
     for name in names:
         soak.restart(name)
@@ -85,9 +85,9 @@
 async def _pause(soak: Soak, step: Step, rng: random.Random) -> None:
     name = await _target(soak, rng)
     soak.down.add(name)
-    soak.fleet.cluster.pause(name)
+    soak.deployment.cluster.pause(name)
     await asyncio.sleep(step.duration_s)
-    soak.fleet.cluster.resume(name)
+    soak.deployment.cluster.resume(name)
     soak.down.discard(name)
 
 
@@ -95,7 +95,7 @@
     """Stop gracefully; callers go on using their connections until the process is gone."""
     name = await _target(soak, rng)
     soak.down.add(name)
-    process = soak.fleet.cluster.processes[name]
+    process = soak.deployment.cluster.processes[name]
     stop = soak.note("stop", instance=name, until=float("inf"))
     process.terminate()
     with contextlib.suppress(subprocess.TimeoutExpired):
@@ -108,28 +108,30 @@
 
 
 async def _hup(soak: Soak, step: Step, rng: random.Random) -> None:
-    for name in soak.fleet.instances:
+    for name in soak.deployment.instances:
         if name not in soak.down:
-            soak.fleet.cluster.processes[name].send_signal(signal.SIGHUP)
+            soak.deployment.cluster.processes[name].send_signal(signal.SIGHUP)
     await asyncio.sleep(step.duration_s)
 
 
 def _store(**fault: Any) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
         delay_s = rng.uniform(DELAY_MIN_S, DELAY_MAX_S)
-        await soak.fleet.store_fault(**{"delay_s": delay_s, **fault})
+        await soak.deployment.store_fault(**{"delay_s": delay_s, **fault})
         await asyncio.sleep(step.duration_s)
-        await soak.fleet.store_fault(mode="up")
+        await soak.deployment.store_fault(mode="up")
 
     return run
 
 
 async def _relays(soak: Soak, step: Step, mode: str, *names: str, **extra: Any) -> None:
     for name in names:
-        await soak.fleet.relay(name, mode, **extra)
+        await soak.deployment.relay(name, mode, **extra)
     await asyncio.sleep(step.duration_s)
     for name in names:
-        await soak.fleet.relay(name, "pass", **{k: v for k, v in extra.items() if k == "source"})
+        await soak.deployment.relay(
+            name, "pass", **{k: v for k, v in extra.items() if k == "source"}
+        )
 
 
 async def _cut_store(soak: Soak, step: Step, rng: random.Random) -> None:
@@ -142,7 +144,7 @@
 
 
 async def _cut_workers(soak: Soak, step: Step, rng: random.Random) -> None:
-    names = rng.sample(soak.fleet.workers, rng.choice([1, len(soak.fleet.workers) // 3]))
+    names = rng.sample(soak.deployment.workers, rng.choice([1, len(soak.deployment.workers) // 3]))
     extra = {"source": await _target(soak, rng)} if rng.random() < 0.5 else {}
     await _relays(soak, step, rng.choice(CUTS), *(f"worker:{name}" for name in names), **extra)
 
@@ -165,8 +167,8 @@
 async def _reset(soak: Soak, step: Step, rng: random.Random) -> None:
     """Reset open connections; new ones work."""
     for name in (rng.choice(["store:*", "peer:*", "worker:*"]),):
-        await soak.fleet.relay(name, "cut")
-        await soak.fleet.relay(name, "pass")
+        await soak.deployment.relay(name, "cut")
+        await soak.deployment.relay(name, "pass")
 
 
 async def _delay(soak: Soak, step: Step, rng: random.Random) -> None:
@@ -176,29 +178,29 @@
 
 def _workers(mode: str) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
-        names = rng.sample(soak.fleet.workers, rng.choice([1, 2]))
+        names = rng.sample(soak.deployment.workers, rng.choice([1, 2]))
         for name in names:
-            await soak.fleet.worker(name, mode=mode)
+            await soak.deployment.worker(name, mode=mode)
         await asyncio.sleep(step.duration_s)
         for name in names:
-            await soak.fleet.worker(name, mode="normal")
+            await soak.deployment.worker(name, mode="normal")
 
     return run
 
 
 async def _worker_crash(soak: Soak, step: Step, rng: random.Random) -> None:
-    for name in rng.sample(soak.fleet.workers, rng.choice([1, 3])):
-        await soak.fleet.worker(name, crash=1)
+    for name in rng.sample(soak.deployment.workers, rng.choice([1, 3])):
+        await soak.deployment.worker(name, crash=1)
 
 
 async def _worker_drain(soak: Soak, step: Step, rng: random.Random) -> None:
-    name = rng.choice(soak.fleet.workers)
-    await soak.fleet.worker(name, draining=True)
+    name = rng.choice(soak.deployment.workers)
+    await soak.deployment.worker(name, draining=True)
     soak.note("draining", worker=name)
     await asyncio.sleep(DRAIN_S)
-    await soak.fleet.worker(name, gone=True)
+    await soak.deployment.worker(name, gone=True)
     await asyncio.sleep(step.duration_s)
-    await soak.fleet.worker(name, crash=1)
+    await soak.deployment.worker(name, crash=1)
     soak.note("returned", worker=name)
 
 
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -11,7 +11,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from baobabhoist.platform.testing import soak, soak_faults
-from baobabhoist.platform.testing.fleet import Fleet
+from baobabhoist.platform.testing.deployment import Deployment
 from baobabhoist.platform.testing.regressions import REGRESSIONS
 from baobabhoist.testing.cluster import Cluster
 
@@ -53,7 +53,7 @@
     """Guard against instances that break a promise under a few common faults."""
 
     async def run(cluster: Cluster) -> soak.Soak:
-        running = soak.Soak(Fleet(cluster), random.Random(SEED))
+        running = soak.Soak(Deployment(cluster), random.Random(SEED))
         await running.run(SECONDS, soak_faults.schedule(SEED, SECONDS, FAULTS))
         return running
 
