--- a/baobabhoist/platform/testing/deployment.py
+++ b/baobabhoist/platform/testing/deployment.py
@@ -16,7 +16,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
 from baobabhoist.platform.main import SETTINGS_VARIABLE
-from baobabhoist.platform.testing.store import OUTSIDE_HEADER
+from baobabhoist.platform.testing.store import EXTERNAL_WRITER_HEADER
 from baobabhoist.testing.cluster import Cluster, free_port, wait_for_port
 from baobabhoist.testing.soak_run import fetch
 
@@ -160,7 +160,7 @@
         await self.http.fetch(
             url,
             method="POST",
-            headers={OUTSIDE_HEADER: "operator"},
+            headers={EXTERNAL_WRITER_HEADER: "operator"},
             body=json.dumps(body),
             request_timeout=COMMAND_TIMEOUT_S,
         )
@@ -168,7 +168,7 @@
     async def owner(self) -> str:
         """Return the name of the instance that has the claim, or an empty string."""
         url = f"http://{HOST}:{self.store_port}/-/rows-get?table=cell&part="
-        answer = await self.http.fetch(url, headers={OUTSIDE_HEADER: "operator"})
+        answer = await self.http.fetch(url, headers={EXTERNAL_WRITER_HEADER: "operator"})
         for row in json.loads(answer.body)["rows"]:
             if row["key"] == "owner":
                 return str(json.loads(base64.b64decode(row["value"]))["node"])
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -1,4 +1,4 @@
-"""Serve rows as the platform's store does, with outages, slowness and lost answers on command."""
+"""Simulate the platform's row store, with outages, delays and lost responses on command."""
 
 from __future__ import annotations
 
@@ -19,31 +19,33 @@
 
 FLAGS = flags.FLAGS
 
-# The platform's workers and operators send this; instances may not write to their tables.
-OUTSIDE_HEADER = "X-Outside-Writer"
-OUTSIDE_TABLES = frozenset({"op", "servers"})
-FEED_CHECK_S = 0.005
-LATE_MIN_S, LATE_MAX_S = 1.0, 6.0
-LOST_PROBABILITY = 0.3
+# Simulated workers and operators send this header. Requests without it come from instances, which
+# may not write to the external tables and which alone are subject to faults.
+EXTERNAL_WRITER_HEADER = "X-Outside-Writer"
+EXTERNAL_TABLES = frozenset({"op", "servers"})
+FEED_POLL_INTERVAL_S = 0.005
+LATE_COMMIT_MIN_S, LATE_COMMIT_MAX_S = 1.0, 6.0
+# The modes `lose` and `late` affect this share of the instances' transactions.
+COMMIT_FAULT_PROBABILITY = 0.3
 
 
 @attrs.define
 class StoreState:
-    """Hold the rows and the fault in force: up, refuse, hang, slow, lose or late."""
+    """Hold the rows and the active fault mode: up, refuse, hang, slow, lose or late."""
 
     rows: MemoryRows = attrs.Factory(MemoryRows)
     mode: str = "up"
     delay_s: float = 0.0
-    began_s: float = attrs.Factory(time.monotonic)
+    started_s: float = attrs.Factory(time.monotonic)
     rng: random.Random = attrs.Factory(lambda: random.Random(1))
-    late: set[asyncio.Task[None]] = attrs.Factory(set)
+    delayed_commits: set[asyncio.Task[None]] = attrs.Factory(set)
 
     def now_ms(self) -> int:
-        """Return the store's steady clock, which has its own beginning."""
-        return int((time.monotonic() - self.began_s) * 1000) + 7_000_000
+        """Return the time on the store's monotonic clock, which has an epoch of its own."""
+        return int((time.monotonic() - self.started_s) * 1000) + 7_000_000
 
-    async def disturb(self) -> None:
-        """Apply the fault in force to a call; raises HTTPError."""
+    async def apply_fault(self) -> None:
+        """Refuse or delay a request as the active fault demands; raises HTTPError."""
         if self.mode == "refuse":
             raise HTTPError(503)
         if self.mode == "hang":
@@ -51,43 +53,43 @@
         if self.mode == "slow":
             await asyncio.sleep(self.delay_s)
 
-    def carry_out_late(self, txn: RowsTxn) -> None:
-        """Apply a transaction seconds later, if its condition still holds then."""
+    def commit_later(self, txn: RowsTxn) -> None:
+        """Apply a transaction some seconds later, if the versions it expects still hold then."""
 
         async def apply() -> None:
-            await asyncio.sleep(self.rng.uniform(LATE_MIN_S, LATE_MAX_S))
+            await asyncio.sleep(self.rng.uniform(LATE_COMMIT_MIN_S, LATE_COMMIT_MAX_S))
             self.rows.apply(txn)
 
         task = asyncio.create_task(apply())
-        self.late.add(task)
-        task.add_done_callback(self.late.discard)
+        self.delayed_commits.add(task)
+        task.add_done_callback(self.delayed_commits.discard)
 
 
 class StoreHandler(RequestHandler):
-    """Hold what the calls of the store share."""
+    """Share the store and its faults among the handlers."""
 
     def initialize(self, state: StoreState) -> None:
-        """Take the store."""
+        """Set the store."""
         self.state = state
 
     async def prepare(self) -> None:
-        """Apply the fault in force, but for the stand-ins of workers and operators."""
-        if OUTSIDE_HEADER not in self.request.headers:
-            await self.state.disturb()
-
-    def write_rows(self, rows: Sequence[StoredRow], version: int, **extra: Any) -> None:
-        """Answer with rows."""
-        listed = [_entry(row) for row in rows]
-        body = {"rows": listed, "schemaVer": version, "nowMs": self.state.now_ms(), **extra}
+        """Apply the active fault unless a simulated worker or operator sent the request."""
+        if EXTERNAL_WRITER_HEADER not in self.request.headers:
+            await self.state.apply_fault()
+
+    def write_rows(self, rows: Sequence[StoredRow], version: int, **fields: Any) -> None:
+        """Write a response that holds rows."""
+        row_entries = [_row_to_json(row) for row in rows]
+        body = {"rows": row_entries, "schemaVer": version, "nowMs": self.state.now_ms(), **fields}
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(body))
 
 
-class GetHandler(StoreHandler):
-    """Answer rows-get."""
+class RowsGetHandler(StoreHandler):
+    """Handle rows-get."""
 
     async def get(self) -> None:
-        """Return rows of a part in a range of keys."""
+        """Return one page of the rows of a part in a range of keys."""
         limit = int(self.get_argument("limit", "500"))
         found = await self.state.rows.read(
             self.get_argument("table"),
@@ -98,43 +100,43 @@
         self.write_rows(found.rows[:limit], found.version, hasMore=len(found.rows) > limit)
 
 
-class FeedHandler(StoreHandler):
-    """Answer rows-feed."""
+class RowsFeedHandler(StoreHandler):
+    """Handle rows-feed."""
 
     async def get(self) -> None:
-        """Return what changed in a table, as soon as something has."""
+        """Return the changes of a table after a version; wait for one up to `waitMs`."""
         table, after = self.get_argument("table"), int(self.get_argument("after"))
-        until = time.monotonic() + int(self.get_argument("waitMs", "0")) / 1000
+        deadline_s = time.monotonic() + int(self.get_argument("waitMs", "0")) / 1000
         while True:
             try:
                 changes = await self.state.rows.follow(table, after, 0)
             except HistoryLostError as exc:
                 raise HTTPError(410) from exc
-            if changes.rows or time.monotonic() >= until:
+            if changes.rows or time.monotonic() >= deadline_s:
                 break
-            await asyncio.sleep(FEED_CHECK_S)
-        await self.state.disturb()
+            await asyncio.sleep(FEED_POLL_INTERVAL_S)
+        await self.state.apply_fault()
         self.write_rows(changes.rows, changes.version)
 
 
-class CommitHandler(StoreHandler):
-    """Answer rows-tx."""
+class RowsTxHandler(StoreHandler):
+    """Handle rows-tx."""
 
     def post(self) -> None:
-        """Apply a transaction, or lose it or its answer."""
+        """Apply a transaction; during a fault, delay it or drop its response."""
         body = orjson.loads(self.request.body)
-        txn = _txn(body)
+        txn = _parse_txn(body)
         tables = {key.table for key in (*txn.puts, *txn.removes)}
-        outside = OUTSIDE_HEADER in self.request.headers
-        if tables & OUTSIDE_TABLES and not outside:
+        is_external = EXTERNAL_WRITER_HEADER in self.request.headers
+        if tables & EXTERNAL_TABLES and not is_external:
             raise HTTPError(403)
-        lossy = not outside and self.state.rng.random() < LOST_PROBABILITY
-        if lossy and self.state.mode == "late":
-            self.state.carry_out_late(txn)
+        is_affected = not is_external and self.state.rng.random() < COMMIT_FAULT_PROBABILITY
+        if is_affected and self.state.mode == "late":
+            self.state.commit_later(txn)
             drop_connection(self)
             return
         outcome = self.state.rows.apply(txn)
-        if lossy and self.state.mode == "lose":
+        if is_affected and self.state.mode == "lose":
             drop_connection(self)
             return
         if isinstance(outcome, RowsConflict):
@@ -145,13 +147,13 @@
 
 
 class FaultHandler(StoreHandler):
-    """Take commands: POST /faults {"mode": ..., "delay_s": ..., "forget": true}."""
+    """Handle commands of the soak: POST /faults {"mode": ..., "delay_s": ..., "forget": true}."""
 
     async def prepare(self) -> None:
-        """Take commands also during a fault."""
+        """Accept commands during a fault as well."""
 
     def post(self) -> None:
-        """Put a fault in force."""
+        """Set the active fault, and drop the history if `forget` is set."""
         body = orjson.loads(self.request.body)
         self.state.mode = body["mode"]
         self.state.delay_s = float(body.get("delay_s", 0.0))
@@ -161,37 +163,37 @@
 
 
 def drop_connection(handler: RequestHandler) -> None:
-    """End a connection without an answer."""
+    """Close a connection without a response."""
     handler.detach().close()
 
 
-def _entry(row: StoredRow) -> dict[str, Any]:
+def _row_to_json(row: StoredRow) -> dict[str, Any]:
     entry: dict[str, Any] = {**attrs.asdict(row.key), "schemaVer": row.version}
     if row.value is None:
         return {**entry, "deleted": True}
     return {**entry, "value": base64.b64encode(row.value).decode()}
 
 
-def _key(entry: dict[str, Any]) -> RowKey:
+def _parse_key(entry: dict[str, Any]) -> RowKey:
     return RowKey(entry["table"], entry.get("part", ""), entry["key"])
 
 
-def _txn(body: dict[str, Any]) -> RowsTxn:
+def _parse_txn(body: dict[str, Any]) -> RowsTxn:
     return RowsTxn(
-        {_key(entry): entry["schemaVer"] for entry in body.get("expectedRev", ())},
-        {_key(entry): base64.b64decode(entry["value"]) for entry in body.get("puts", ())},
-        tuple(_key(entry) for entry in body.get("remove", ())),
+        {_parse_key(entry): entry["schemaVer"] for entry in body.get("expectedRev", ())},
+        {_parse_key(entry): base64.b64decode(entry["value"]) for entry in body.get("puts", ())},
+        tuple(_parse_key(entry) for entry in body.get("remove", ())),
     )
 
 
 def make_app(state: StoreState) -> Application:
-    """Return the store's HTTP interface."""
+    """Return the application that serves the store's HTTP interface."""
     context = {"state": state}
     return Application(
         [
-            (r"/-/rows-get", GetHandler, context),
-            (r"/-/rows-feed", FeedHandler, context),
-            (r"/-/rows-tx", CommitHandler, context),
+            (r"/-/rows-get", RowsGetHandler, context),
+            (r"/-/rows-feed", RowsFeedHandler, context),
+            (r"/-/rows-tx", RowsTxHandler, context),
             (r"/faults", FaultHandler, context),
         ]
     )
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -20,7 +20,7 @@
 from tornado.web import Application, RequestHandler
 
 from baobabhoist.platform.testing.soak_judge import CAPACITY
-from baobabhoist.platform.testing.store import OUTSIDE_HEADER, drop_connection
+from baobabhoist.platform.testing.store import EXTERNAL_WRITER_HEADER, drop_connection
 
 FLAGS = flags.FLAGS
 
@@ -321,7 +321,7 @@
             await self.http.fetch(
                 f"http://{self.store}/-/rows-tx",
                 method="POST",
-                headers={OUTSIDE_HEADER: "worker"},
+                headers={EXTERNAL_WRITER_HEADER: "worker"},
                 body=orjson.dumps(body),
             )
         except (OSError, HTTPClientError) as exc:
