--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -1,4 +1,4 @@
-"""Serve several workers and the placement adviser as the platform does, and log their runs."""
+"""Simulate several workers and the placement adviser of the platform, and log all runs."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 FLAGS = flags.FLAGS
 
-STEP_S = 0.01
-REPORT_INTERVAL_S = 1.0
-LEASE_MAX_MS = 6_000.0
+CLOCK_TICK_S = 0.01
+DIRECTORY_UPDATE_INTERVAL_S = 1.0
+LEASE_DURATION_MAX_MS = 6_000.0
 GANG_TIMEOUT_MS = 3_000.0
-CHECKPOINT_MS = 500.0
-STOP_MAX_MS = 300.0
-TICKET_VALID_MS = 2_000
-ENDS_AT_ONCE = 500
-LATE_MIN_S, LATE_MAX_S = 2.0, 6.0
-# A worker's clock may be this much slow.
-CLOCK_DRIFT_MAX = 0.02
+CHECKPOINT_INTERVAL_MS = 500.0
+STOP_DELAY_MAX_MS = 300.0
+TICKET_VALIDITY_MS = 2_000
+ENDS_PER_REPORT_MAX = 500
+LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S = 2.0, 6.0
+# Each worker's clock runs slower than real time by up to this fraction.
+CLOCK_SLOWDOWN_MAX = 0.02
 
 
 @attrs.define
-class Plan:
-    """Hold what a run should do, from its payload: `members` is the size of its gang or 0."""
+class RunPlan:
+    """Describe what a run does, from its payload; `members` is the size of its gang or 0."""
 
     run_ms: float
     failures: int = 0
@@ -49,228 +49,242 @@
 
 @attrs.define
 class Run:
-    """Hold a run on a worker; times are on the worker's clock, in ms."""
+    """Hold a run on a worker; times are on the worker's clock.
+
+    `started_ms` is None while the run waits for the other members of its gang.
+    """
 
     task: str
     number: int
-    plan: Plan
-    arrived_ms: float
-    began_ms: float | None
-    worked_ms: float = 0.0
-    saved: str = ""
+    plan: RunPlan
+    received_ms: float
+    started_ms: float | None
+    progress_ms: float = 0.0
+    checkpoint: str = ""
     stop_at_ms: float | None = None
 
     @property
-    def percent(self) -> float:
-        """Return how much of the work is done."""
-        return min(100.0, 100.0 * self.worked_ms / max(1.0, self.plan.run_ms))
+    def percent_done(self) -> float:
+        """Return the progress of the run in percent."""
+        return min(100.0, 100.0 * self.progress_ms / max(1.0, self.plan.run_ms))
 
 
 @attrs.define(eq=False)
 class Worker:
-    """Own one worker: its lease, runs and ends. Modes: normal, fail, hang, late, lose."""
+    """Simulate one worker: its lease, its runs and its ended runs until they are acknowledged.
+
+    The mode is normal, fail, hang, late or lose. Commands set `mode`, `draining` and `gone`.
+    """
 
     worker_id: str
     port: int
-    listed_port: int
+    advertised_port: int
     service: str
     labels: tuple[str, ...]
     capacity: dict[str, int]
-    hub: Hub
-    rate: float = 1.0
+    hub: WorkerHub
+    clock_rate: float = 1.0
     mode: str = "normal"
-    born_ms: int = 0
-    began_s: float = attrs.Factory(time.monotonic)
+    started_unix_ms: int = 0
+    clock_started_s: float = attrs.Factory(time.monotonic)
     token: int = 0
-    lease_until_ms: float = 0.0
-    leased: bool = False
+    lease_expires_ms: float = 0.0
+    has_lease: bool = False
     runs: dict[str, Run] = attrs.Factory(dict)
-    ends: list[list[Any]] = attrs.Factory(list)
-    highest: dict[str, int] = attrs.Factory(dict)
-    count: int = 0
-    sequence: int = 0
+    unacked_ends: list[list[Any]] = attrs.Factory(list)
+    highest_run_numbers: dict[str, int] = attrs.Factory(dict)
+    end_count: int = 0
+    row_sequence: int = 0
     draining: bool = False
     gone: bool = False
-    changed: asyncio.Event = attrs.Factory(asyncio.Event)
+    run_ended: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def clock_ms(self) -> float:
-        """Return the worker's own steady clock."""
-        return (time.monotonic() - self.began_s) * 1000 * self.rate
+        """Return the time on the worker's own monotonic clock."""
+        return (time.monotonic() - self.clock_started_s) * 1000 * self.clock_rate
 
-    def entry(self) -> dict[str, Any]:
-        """Return the worker's row in the directory."""
-        self.sequence += 1
+    def next_directory_row(self) -> dict[str, Any]:
+        """Return the worker's next row for the directory."""
+        self.row_sequence += 1
         return {
             "service": self.service,
-            "address": f"127.0.0.1:{self.listed_port}",
+            "address": f"127.0.0.1:{self.advertised_port}",
             "zone": "z1",
             "version": 1,
             "slots": 8,
             "state": "draining" if self.draining else "ready",
             "coldRemainingMs": 0,
-            "sequence": self.sequence,
-            "born": self.born_ms,
+            "sequence": self.row_sequence,
+            "born": self.started_unix_ms,
             "capacity": self.capacity,
             "labels": list(self.labels),
             "remainingMs": 2_000 if self.draining else 0,
         }
 
-    # Orders.
+    # Commands from instances.
 
-    def obey(self, token: int) -> bool:
-        """Take the fencing token; tell whether it is the highest so far."""
+    def accept_token(self, token: int) -> bool:
+        """Record a fencing token; return False if a higher one was seen."""
         if token < self.token:
             return False
         self.token = token
         return True
 
-    def extend(self, deadline_ms: float) -> None:
-        """Extend the lease, at most to the longest one."""
-        longest = self.clock_ms() + LEASE_MAX_MS
-        self.lease_until_ms = max(self.lease_until_ms, min(deadline_ms, longest))
-        self.leased = True
+    def extend_lease(self, deadline_ms: float) -> None:
+        """Extend the lease to a deadline, but by no more than the longest duration allowed."""
+        latest_ms = self.clock_ms() + LEASE_DURATION_MAX_MS
+        self.lease_expires_ms = max(self.lease_expires_ms, min(deadline_ms, latest_ms))
+        self.has_lease = True
 
-    def start(self, body: dict[str, Any]) -> tuple[int, str]:
-        """Carry a start out; return the status and the reason of a refusal."""
-        if not self.obey(body["fencingToken"]):
+    def start_run(self, body: dict[str, Any]) -> tuple[int, str]:
+        """Start a run; return the HTTP status and the reason of a refusal."""
+        if not self.accept_token(body["fencingToken"]):
             return 409, "fence"
         if body["deadlineMs"] <= self.clock_ms():
             return 409, "late"
-        self.extend(body["deadlineMs"])
+        self.extend_lease(body["deadlineMs"])
         task, number = body["task"], body["runId"]
-        held = self.runs.get(task)
-        if held is not None and held.number == number:
+        current_run = self.runs.get(task)
+        if current_run is not None and current_run.number == number:
             return 200, ""
-        if held is not None or number <= self.highest.get(task, 0):
+        if current_run is not None or number <= self.highest_run_numbers.get(task, 0):
             return 409, "old"
-        plan = Plan(**json.loads(body["taskSpec"])["plan"])
-        now, saved = self.clock_ms(), body.get("checkpoint", "")
-        run = Run(task, number, plan, now, None if plan.members else now, saved=saved)
-        run.worked_ms = float(int(saved[:8], 16)) if saved else 0.0
+        plan = RunPlan(**json.loads(body["taskSpec"])["plan"])
+        now, checkpoint = self.clock_ms(), body.get("checkpoint", "")
+        run = Run(task, number, plan, now, None if plan.members else now, checkpoint=checkpoint)
+        run.progress_ms = float(int(checkpoint[:8], 16)) if checkpoint else 0.0
         self.runs[task] = run
-        self.highest[task] = number
+        self.highest_run_numbers[task] = number
         spec = zlib.crc32(body["taskSpec"].encode())
-        self.log("start", run, spec=spec, checkpoint=saved, token=self.token, mode=self.mode)
+        self.log("start", run, spec=spec, checkpoint=checkpoint, token=self.token, mode=self.mode)
         return 200, ""
 
-    def stop(self, body: dict[str, Any]) -> tuple[int, str]:
-        """Carry a stop out; a run that never came is remembered as ended."""
-        if not self.obey(body["fencingToken"]):
+    def stop_run(self, body: dict[str, Any]) -> tuple[int, str]:
+        """Stop a run; one that has not arrived yet is refused when it does."""
+        if not self.accept_token(body["fencingToken"]):
             return 409, "fence"
         run = self.runs.get(body["task"])
         if run is not None and run.number <= body["runId"] and run.stop_at_ms is None:
-            run.stop_at_ms = self.clock_ms() + self.hub.rng.uniform(0, STOP_MAX_MS)
-        self.highest[body["task"]] = max(self.highest.get(body["task"], 0), body["runId"])
+            run.stop_at_ms = self.clock_ms() + self.hub.rng.uniform(0, STOP_DELAY_MAX_MS)
+        self.highest_run_numbers[body["task"]] = max(
+            self.highest_run_numbers.get(body["task"], 0), body["runId"]
+        )
         return 200, ""
 
-    def forget_ends(self, cursor: int) -> None:
-        """Forget ends that were taken note of."""
-        for end in self.ends:
+    def acknowledge_ends(self, cursor: int) -> None:
+        """Drop the ended runs up to a cursor, which an instance has acknowledged."""
+        for end in self.unacked_ends:
             if end[0] <= cursor:
                 self.hub.log("acked", worker=self.worker_id, task=end[1], run=end[2])
-        self.ends = [end for end in self.ends if end[0] > cursor]
+        self.unacked_ends = [end for end in self.unacked_ends if end[0] > cursor]
 
-    def lists(self) -> dict[str, Any]:
-        """Return what runs and what ended."""
-        running = [[r.task, r.number, r.saved, int(r.percent), 0] for r in self.runs.values()]
+    def make_report(self) -> dict[str, Any]:
+        """Return the active runs and the ended ones that are not acknowledged."""
+        running = [
+            [r.task, r.number, r.checkpoint, int(r.percent_done), 0] for r in self.runs.values()
+        ]
         return {
             "clockMs": int(self.clock_ms()),
-            "born": self.born_ms,
+            "born": self.started_unix_ms,
             "running": running,
-            "finished": self.ends[:ENDS_AT_ONCE],
+            "finished": self.unacked_ends[:ENDS_PER_REPORT_MAX],
         }
 
-    # Time.
+    # Simulated time.
 
-    def advance(self, passed_ms: float) -> None:
-        """Let runs work, save, end and lapse."""
+    def advance(self, elapsed_ms: float) -> None:
+        """Advance all runs, and end them if the lease has expired."""
         now = self.clock_ms()
-        if self.leased and now >= self.lease_until_ms:
-            # Also without a run: ends from before the lapse count as known no more.
-            self.leased = False
+        if self.has_lease and now >= self.lease_expires_ms:
+            # Logged without active runs as well: an end that is acknowledged only after the lease
+            # expired does not rule out another run of the task.
+            self.has_lease = False
             self.hub.log("lapsed", worker=self.worker_id)
             for run in list(self.runs.values()):
-                self.end(run, "lapsed")
+                self.end_run(run, "lapsed")
         for run in list(self.runs.values()):
-            self._advance_run(run, now, passed_ms)
+            self._advance_run(run, now, elapsed_ms)
 
-    def _advance_run(self, run: Run, now: float, passed_ms: float) -> None:
+    def _advance_run(self, run: Run, now: float, elapsed_ms: float) -> None:
         if run.task not in self.runs:
             return
         if run.stop_at_ms is not None and now >= run.stop_at_ms:
-            self._save(run)
-            self.end(run, "stopped")
-        elif run.began_ms is None:
-            if now - run.arrived_ms > GANG_TIMEOUT_MS:
-                self.end(run, "alone")
+            self._save_checkpoint(run)
+            self.end_run(run, "stopped")
+        elif run.started_ms is None:
+            if now - run.received_ms > GANG_TIMEOUT_MS:
+                self.end_run(run, "alone")
         elif self.mode != "hang":
-            before = run.worked_ms
-            run.worked_ms += passed_ms * self.rate
-            if run.worked_ms // CHECKPOINT_MS > before // CHECKPOINT_MS:
-                self._save(run)
-            if run.worked_ms >= run.plan.run_ms:
+            progress_before_ms = run.progress_ms
+            run.progress_ms += elapsed_ms * self.clock_rate
+            if (
+                run.progress_ms // CHECKPOINT_INTERVAL_MS
+                > progress_before_ms // CHECKPOINT_INTERVAL_MS
+            ):
+                self._save_checkpoint(run)
+            if run.progress_ms >= run.plan.run_ms:
                 fails = self.mode == "fail" or run.number <= run.plan.failures
-                self.end(run, "failed" if fails else "done")
+                self.end_run(run, "failed" if fails else "done")
 
-    def _save(self, run: Run) -> None:
+    def _save_checkpoint(self, run: Run) -> None:
         if run.plan.saves:
-            step = run.task.rpartition(".")[0] if run.plan.members else run.task
-            run.saved = f"{int(run.worked_ms):08x}{zlib.crc32(step.encode()):08x}"
+            owner = run.task.rpartition(".")[0] if run.plan.members else run.task
+            run.checkpoint = f"{int(run.progress_ms):08x}{zlib.crc32(owner.encode()):08x}"
 
-    def end(self, run: Run, how: str) -> None:
-        """End a run, and its gang's other members with it."""
+    def end_run(self, run: Run, outcome: str) -> None:
+        """End a run together with the other members of its gang."""
         if self.runs.pop(run.task, None) is None:
             return
-        self.count += 1
-        self.ends.append([self.count, run.task, run.number, how, run.saved])
-        self.log("end", run, how=how)
-        self.changed.set()
-        self._end_gang(run, "done" if how == "done" else "broken")
-
-    def _end_gang(self, run: Run, how: str) -> None:
-        """End the other members of a run's gang, if it is one."""
+        self.end_count += 1
+        self.unacked_ends.append([self.end_count, run.task, run.number, outcome, run.checkpoint])
+        self.log("end", run, how=outcome)
+        self.run_ended.set()
+        self._end_other_members(run, "done" if outcome == "done" else "broken")
+
+    def _end_other_members(self, run: Run, outcome: str) -> None:
+        """End the other members of the gang that a run belongs to, if any."""
         if run.plan.members:
-            for worker, member in self.hub.gang(run):
-                worker.end(member, how)
+            for worker, member in self.hub.gang_members(run):
+                worker.end_run(member, outcome)
 
     def crash(self) -> None:
-        """Lose everything, and begin a new lifetime under the same id."""
+        """Discard all state and restart under the same id with a new start time."""
         for run in self.runs.values():
             self.log("end", run, how="crashed")
         self.hub.log("crashed", worker=self.worker_id)
-        lost = list(self.runs.values())
+        lost_runs = list(self.runs.values())
         self.runs.clear()
-        for run in lost:
-            self._end_gang(run, "broken")
-        self.ends.clear()
-        self.highest.clear()
-        self.token, self.count, self.lease_until_ms = 0, 0, 0.0
-        self.born_ms, self.began_s = int(time.time() * 1000), time.monotonic()
+        for run in lost_runs:
+            self._end_other_members(run, "broken")
+        self.unacked_ends.clear()
+        self.highest_run_numbers.clear()
+        self.token, self.end_count, self.lease_expires_ms = 0, 0, 0.0
+        self.started_unix_ms, self.clock_started_s = int(time.time() * 1000), time.monotonic()
         self.draining = self.gone = False
 
     def log(self, event: str, run: Run, **fields: Any) -> None:
-        """Log what happened to a run."""
+        """Log an event of a run."""
         self.hub.log(event, worker=self.worker_id, task=run.task, run=run.number, **fields)
 
 
 @attrs.define(eq=False)
-class Hub:
-    """Own all workers, the adviser and their log."""
+class WorkerHub:
+    """Hold all simulated workers and their common log."""
 
-    path: Path
-    store: str
+    log_path: Path
+    store_address: str
     workers: dict[str, Worker] = attrs.Factory(dict)
     rng: random.Random = attrs.Factory(lambda: random.Random(1))
     http: AsyncHTTPClient = attrs.Factory(AsyncHTTPClient)
 
     def log(self, event: str, **fields: Any) -> None:
-        """Add a line to the log."""
+        """Append a line to the log."""
         line = json.dumps({"t": time.time(), "event": event, **fields})
-        with self.path.open("a", encoding="utf-8") as file:
+        with self.log_path.open("a", encoding="utf-8") as file:
             file.write(line + "\n")
 
-    def gang(self, run: Run) -> list[tuple[Worker, Run]]:
-        """Return the members of a run's gang that are on workers."""
+    def gang_members(self, run: Run) -> list[tuple[Worker, Run]]:
+        """Return the active members of a run's gang with their workers."""
         step = run.task.rpartition(".")[0]
         return [
             (worker, other)
@@ -279,47 +293,47 @@
             if other.number == run.number and other.task.rpartition(".")[0] == step
         ]
 
-    def gather_gangs(self) -> None:
-        """Let gangs begin whose members are all present."""
+    def start_complete_gangs(self) -> None:
+        """Start the gangs whose members have all arrived."""
         waiting = [
             (worker, run)
             for worker in self.workers.values()
             for run in worker.runs.values()
-            if run.began_ms is None
+            if run.started_ms is None
         ]
         for _, run in waiting:
-            members = self.gang(run)
+            members = self.gang_members(run)
             if len(members) == run.plan.members:
                 for other, member in members:
-                    member.began_ms = other.clock_ms()
+                    member.started_ms = other.clock_ms()
 
-    async def advance_forever(self) -> None:
-        """Let time pass on all workers."""
+    async def advance_periodically(self) -> None:
+        """Advance the time of all workers until cancelled."""
         last_s = time.monotonic()
         while True:
-            await asyncio.sleep(STEP_S)
-            passed_ms, last_s = (time.monotonic() - last_s) * 1000, time.monotonic()
+            await asyncio.sleep(CLOCK_TICK_S)
+            elapsed_ms, last_s = (time.monotonic() - last_s) * 1000, time.monotonic()
             for worker in self.workers.values():
-                worker.advance(passed_ms)
-            self.gather_gangs()
+                worker.advance(elapsed_ms)
+            self.start_complete_gangs()
 
-    async def report_forever(self, worker: Worker) -> None:
-        """Write a worker's row to the directory again and again."""
+    async def update_directory_periodically(self, worker: Worker) -> None:
+        """Write a worker's row to the directory at intervals until cancelled."""
         while True:
-            await self.report(worker)
-            await asyncio.sleep(REPORT_INTERVAL_S)
+            await self.write_directory_row(worker)
+            await asyncio.sleep(DIRECTORY_UPDATE_INTERVAL_S)
 
-    async def report(self, worker: Worker) -> None:
-        """Write a worker's row, or remove it once the worker has left."""
+    async def write_directory_row(self, worker: Worker) -> None:
+        """Write a worker's row to the directory, or remove it once the worker is gone."""
         row = {"table": "servers", "part": "", "key": worker.worker_id}
         if worker.gone:
             body = {"remove": [row]}
         else:
-            value = base64.b64encode(orjson.dumps(worker.entry())).decode()
+            value = base64.b64encode(orjson.dumps(worker.next_directory_row())).decode()
             body = {"puts": [{**row, "value": value}]}
         try:
             await self.http.fetch(
-                f"http://{self.store}/-/rows-tx",
+                f"http://{self.store_address}/-/rows-tx",
                 method="POST",
                 headers={EXTERNAL_WRITER_HEADER: "worker"},
                 body=orjson.dumps(body),
@@ -328,15 +342,15 @@
             self.log("report_failed", worker=worker.worker_id, detail=str(exc))
 
 
-class OrderHandler(RequestHandler):
-    """Take the orders to one worker."""
+class WorkerCommandHandler(RequestHandler):
+    """Handle the commands that instances send to one worker."""
 
     def initialize(self, worker: Worker) -> None:
-        """Take the worker."""
+        """Set the worker."""
         self.worker = worker
 
     async def post(self) -> None:
-        """Carry an order out."""
+        """Start a run, stop one or renew the lease."""
         worker, body = self.worker, orjson.loads(self.request.body)
         if worker.gone:
             drop_connection(self)
@@ -346,45 +360,45 @@
             self.finish({"clockMs": int(worker.clock_ms())})
             return
         if self.request.path == "/-/hold":
-            await self._renew(body)
+            await self._renew_lease(body)
             return
-        carry_out = worker.start if self.request.path == "/-/run-start" else worker.stop
+        execute = worker.start_run if self.request.path == "/-/run-start" else worker.stop_run
         if worker.mode == "late":
-            delay_s = worker.hub.rng.uniform(LATE_MIN_S, LATE_MAX_S)
-            asyncio.get_running_loop().call_later(delay_s, carry_out, body)
-            await asyncio.sleep(LATE_MAX_S)
+            delay_s = worker.hub.rng.uniform(LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S)
+            asyncio.get_running_loop().call_later(delay_s, execute, body)
+            await asyncio.sleep(LATE_COMMAND_MAX_S)
             return
-        status, reason = carry_out(body)
+        status, reason = execute(body)
         if worker.mode == "lose":
             drop_connection(self)
             return
         self.set_status(status)
         self.finish({"clockMs": int(worker.clock_ms()), "reason": reason})
 
-    async def _renew(self, body: dict[str, Any]) -> None:
+    async def _renew_lease(self, body: dict[str, Any]) -> None:
         worker = self.worker
-        if not worker.obey(body["fencingToken"]):
+        if not worker.accept_token(body["fencingToken"]):
             self.set_status(409)
             self.finish({"clockMs": int(worker.clock_ms()), "reason": "fence"})
             return
         if "deadlineMs" in body:
-            worker.extend(body["deadlineMs"])
-        worker.forget_ends(body.get("ackCursor", 0))
-        worker.changed.clear()
-        if body.get("waitMs") and not worker.ends:
+            worker.extend_lease(body["deadlineMs"])
+        worker.acknowledge_ends(body.get("ackCursor", 0))
+        worker.run_ended.clear()
+        if body.get("waitMs") and not worker.unacked_ends:
             try:
                 async with asyncio.timeout(body["waitMs"] / 1000):
-                    await worker.changed.wait()
+                    await worker.run_ended.wait()
             except TimeoutError:
                 pass
-        self.finish(orjson.dumps(worker.lists()))
+        self.finish(orjson.dumps(worker.make_report()))
 
 
-class AdviseHandler(RequestHandler):
-    """Be the placement adviser: nearly every worker may run a step."""
+class AdviserHandler(RequestHandler):
+    """Act as the placement adviser, which approves three of four workers for a step."""
 
     async def post(self) -> None:
-        """Return tickets."""
+        """Return tickets for the approved workers."""
         body = orjson.loads(self.request.body)
         await asyncio.sleep(0.02)
         approved = [
@@ -392,18 +406,18 @@
             for worker in body["workers"]
             if zlib.crc32((body["step"] + worker).encode()) % 4
         ]
-        self.finish({"approved": approved, "validityMs": TICKET_VALID_MS})
+        self.finish({"approved": approved, "validityMs": TICKET_VALIDITY_MS})
 
 
-class CommandHandler(RequestHandler):
-    """Take commands: POST /workers/ID {"mode": ...} or {"crash": 1}, {"draining": ...}, ..."""
+class ControlHandler(RequestHandler):
+    """Handle commands of the soak: POST /workers/ID with {"mode": ...}, {"crash": 1} and so on."""
 
-    def initialize(self, hub: Hub) -> None:
-        """Take the workers."""
+    def initialize(self, hub: WorkerHub) -> None:
+        """Set the workers."""
         self.hub = hub
 
     async def post(self, worker_id: str) -> None:
-        """Change a worker."""
+        """Crash a worker or change its attributes."""
         worker, body = self.hub.workers[worker_id], orjson.loads(self.request.body)
         if body.pop("crash", False):
             worker.crash()
@@ -411,55 +425,56 @@
             setattr(worker, name, value)
         if worker.gone:
             for run in list(worker.runs.values()):
-                worker.end(run, "crashed")
+                worker.end_run(run, "crashed")
         self.hub.log("command", worker=worker_id, **body)
-        await self.hub.report(worker)
+        await self.hub.write_directory_row(worker)
         self.finish({})
 
 
-def make_workers(hub: Hub, texts: Iterable[str]) -> None:
-    """Add workers given as ID:PORT:LISTED_PORT:RACK."""
+def add_workers(hub: WorkerHub, worker_specs: Iterable[str]) -> None:
+    """Add workers that are given as ID:PORT:ADVERTISED_PORT:RACK."""
     numbers = itertools.count()
-    for text in texts:
-        worker_id, port, listed, rack = text.split(":")
+    for worker_spec in worker_specs:
+        worker_id, port, advertised_port, rack = worker_spec.split(":")
         number = next(numbers)
         hub.workers[worker_id] = Worker(
             worker_id,
             int(port),
-            int(listed),
+            int(advertised_port),
             "svc",
             ("a" if number % 2 else "b", rack),
             {**CAPACITY, "gpu": 0},
             hub,
-            rate=1.0 - hub.rng.uniform(0, CLOCK_DRIFT_MAX),
-            born_ms=int(time.time() * 1000),
+            clock_rate=1.0 - hub.rng.uniform(0, CLOCK_SLOWDOWN_MAX),
+            started_unix_ms=int(time.time() * 1000),
         )
 
 
-async def serve(hub: Hub, control_port: int, adviser_port: int) -> None:
-    """Serve all workers until cancelled."""
+async def serve(hub: WorkerHub, control_port: int, adviser_port: int) -> None:
+    """Serve all workers and the adviser until cancelled."""
     for worker in hub.workers.values():
-        handlers = [(r"/-/(?:run-start|run-stop|hold)", OrderHandler, {"worker": worker})]
+        handlers = [(r"/-/(?:run-start|run-stop|hold)", WorkerCommandHandler, {"worker": worker})]
         Application(handlers).listen(worker.port, "127.0.0.1")
-    Application([(r"/-/advise", AdviseHandler)]).listen(adviser_port, "127.0.0.1")
-    commands = Application([(r"/workers/(.+)", CommandHandler, {"hub": hub})])
+    Application([(r"/-/advise", AdviserHandler)]).listen(adviser_port, "127.0.0.1")
+    commands = Application([(r"/workers/(.+)", ControlHandler, {"hub": hub})])
     commands.listen(control_port, "127.0.0.1")
     await asyncio.gather(
-        hub.advance_forever(), *(hub.report_forever(worker) for worker in hub.workers.values())
+        hub.advance_periodically(),
+        *(hub.update_directory_periodically(worker) for worker in hub.workers.values()),
     )
 
 
 def main(argv: list[str]) -> None:
-    """Serve the workers."""
-    hub = Hub(Path(FLAGS.log), FLAGS.store)
-    make_workers(hub, FLAGS.workers)
+    """Serve the workers that the flags describe."""
+    hub = WorkerHub(Path(FLAGS.log), FLAGS.store)
+    add_workers(hub, FLAGS.workers)
     asyncio.run(serve(hub, FLAGS.control_port, FLAGS.adviser_port))
 
 
 if __name__ == "__main__":
-    flags.DEFINE_list("workers", [], "Workers as ID:PORT:LISTED_PORT:RACK.")
-    flags.DEFINE_integer("control_port", 0, "Port for commands.")
+    flags.DEFINE_list("workers", [], "Workers as ID:PORT:ADVERTISED_PORT:RACK.")
+    flags.DEFINE_integer("control_port", 0, "Port for commands of the soak.")
     flags.DEFINE_integer("adviser_port", 0, "Port of the placement adviser.")
     flags.DEFINE_string("store", "", "Address of the store.")
-    flags.DEFINE_string("log", "", "File for the log of runs.")
+    flags.DEFINE_string("log", "", "Path of the log of runs.")
     app.run(main)
