--- a/baobabhoist/platform/testing/deployment.py
+++ b/baobabhoist/platform/testing/deployment.py
@@ -1,4 +1,4 @@
-"""Run instances on stand-ins of the platform as processes, with relays on every connection."""
+"""Run instances against a simulated platform, as processes with a relay on every connection."""
 
 from __future__ import annotations
 
@@ -21,80 +21,83 @@
 from baobabhoist.testing.soak_run import fetch
 
 HOST = "127.0.0.1"
-BOUNDS = {"lease_max_ms": 6_000, "revoke_ms": 5_000, "grace_s": 6, "job_kept_s": 120}
-ROW_BYTES = 65_536
+INSTANCE_BOUNDS = {"lease_max_ms": 6_000, "revoke_ms": 5_000, "grace_s": 6, "job_kept_s": 120}
+ROW_MAX_BYTES = 65_536
 COMMAND_TIMEOUT_S = 5.0
-RACK_SIZE = 4
+WORKERS_PER_RACK = 4
 
 
 @attrs.define
-class Instance:
-    """Hold the ports of one instance; the relayed one is what the others are told."""
+class InstancePorts:
+    """Hold the ports of one instance.
+
+    The other instances are told the port of its peer relay instead of its own peer port.
+    """
 
     name: str
-    callers: int = attrs.Factory(free_port)
-    ready: int = attrs.Factory(free_port)
-    peers: int = attrs.Factory(free_port)
-    metrics: int = attrs.Factory(free_port)
-    store_relay: int = 0
-    peer_relay: int = 0
+    caller_port: int = attrs.Factory(free_port)
+    ready_port: int = attrs.Factory(free_port)
+    peer_port: int = attrs.Factory(free_port)
+    metrics_port: int = attrs.Factory(free_port)
+    store_relay_port: int = 0
+    peer_relay_port: int = 0
 
 
 @attrs.define
 class Deployment:
-    """Hold the processes of one run."""
+    """Start and control the processes of one run."""
 
     cluster: Cluster
-    instances: dict[str, Instance] = attrs.Factory(dict)
+    instances: dict[str, InstancePorts] = attrs.Factory(dict)
     workers: list[str] = attrs.Factory(list)
     store_port: int = attrs.Factory(free_port)
     adviser_port: int = attrs.Factory(free_port)
     http: AsyncHTTPClient = attrs.Factory(AsyncHTTPClient)
-    versions: itertools.count[int] = attrs.Factory(lambda: itertools.count(3, 2))
+    config_versions: itertools.count[int] = attrs.Factory(lambda: itertools.count(3, 2))
 
     @property
-    def worker_log(self) -> Path:
-        """Return the file in which the workers log their runs."""
+    def worker_log_path(self) -> Path:
+        """Return the path of the file in which the workers log their runs."""
         return self.cluster.folder / "runs.jsonl"
 
-    async def start(self, instances: int, workers: int, config: dict[str, Any]) -> None:
-        """Start everything; the configuration is there before the instances are."""
+    async def start(self, instance_count: int, worker_count: int, config: dict[str, Any]) -> None:
+        """Start all processes; the configuration is written before the instances start."""
         self.cluster.start(
             "store", "baobabhoist.platform.testing.store", f"--port={self.store_port}"
         )
         wait_for_port(self.store_port)
-        self._plan(instances)
-        self._start_workers(workers)
+        self._plan_instances(instance_count)
+        self._start_workers(worker_count)
         self.cluster.start_relays()
-        await self.configure(config)
+        await self.write_config(config)
         for name in self.instances:
             self.start_instance(name)
         self.label_sources()
 
-    def _plan(self, count: int) -> None:
+    def _plan_instances(self, count: int) -> None:
         for number in range(count):
-            instance = Instance(f"edge-{number + 1}")
+            instance = InstancePorts(f"edge-{number + 1}")
             name = instance.name
-            instance.store_relay = self.cluster.plan_relay(f"store:{name}", self.store_port)
-            instance.peer_relay = self.cluster.plan_relay(f"peer:{name}", instance.peers)
+            instance.store_relay_port = self.cluster.plan_relay(f"store:{name}", self.store_port)
+            instance.peer_relay_port = self.cluster.plan_relay(f"peer:{name}", instance.peer_port)
             self.instances[name] = instance
 
     def _start_workers(self, count: int) -> None:
-        listed = []
+        worker_specs = []
         for number in range(count):
             name, port = f"w{number + 1}", free_port()
-            relay = self.cluster.plan_relay(f"worker:{name}", port)
+            relay_port = self.cluster.plan_relay(f"worker:{name}", port)
             self.workers.append(name)
-            listed.append(f"{name}:{port}:{relay}:r1-{number // RACK_SIZE}")
+            worker_specs.append(f"{name}:{port}:{relay_port}:r1-{number // WORKERS_PER_RACK}")
         self.cluster.control_ports["workers"] = free_port()
         self.cluster.start(
             "workers",
             "baobabhoist.platform.testing.workers",
-            f"--workers={','.join(listed)}",
+            f"--workers={','.join(worker_specs)}",
             f"--control_port={self.cluster.control_ports['workers']}",
             f"--adviser_port={self.adviser_port}",
             f"--store={HOST}:{self.store_port}",
-            f"--log={self.worker_log}",
+            f"--log={self.worker_log_path}",
         )
         wait_for_port(self.cluster.control_ports["workers"])
 
@@ -105,17 +108,20 @@
             "instance_id": name,
             "data_centre": "z1",
             "host": HOST,
-            "caller_address": f"{HOST}:{instance.callers}",
-            "ready_address": f"{HOST}:{instance.ready}",
-            "peer_port": instance.peers,
-            "peer_address": f"{HOST}:{instance.peer_relay}",
-            "metrics_port": instance.metrics,
+            "caller_address": f"{HOST}:{instance.caller_port}",
+            "ready_address": f"{HOST}:{instance.ready_port}",
+            "peer_port": instance.peer_port,
+            "peer_address": f"{HOST}:{instance.peer_relay_port}",
+            "metrics_port": instance.metrics_port,
             "adviser_address": f"{HOST}:{self.adviser_port}",
             "cpu_share": 1.0,
             "cpu_speed": 1.0,
             "link_mbps": 1000.0,
-            "store": {"address": f"{HOST}:{instance.store_relay}", "row_max_bytes": ROW_BYTES},
-            "bounds": BOUNDS,
+            "store": {
+                "address": f"{HOST}:{instance.store_relay_port}",
+                "row_max_bytes": ROW_MAX_BYTES,
+            },
+            "bounds": INSTANCE_BOUNDS,
         }
         path = self.cluster.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
@@ -123,7 +129,7 @@
         self.cluster.start(name, "baobabhoist.platform.main", env=env)
 
     def label_sources(self) -> None:
-        """Tell the relays which instance is behind which process."""
+        """Tell the relays which instance each process id belongs to."""
         labels = {
             str(self.cluster.processes[name].pid): name
             for name in self.instances
@@ -131,29 +137,29 @@
         }
         self.cluster.command("relays", "/sources", labels)
 
-    # What the operator, the workers and the network do.
+    # Actions of the operator, the workers and the network.
 
-    async def configure(self, config: dict[str, Any]) -> int:
-        """Write a configuration; return its version once the store has it."""
-        version = next(self.versions)
+    async def write_config(self, config: dict[str, Any]) -> int:
+        """Write a configuration to the store and return its version."""
+        version = next(self.config_versions)
         value = base64.b64encode(orjson.dumps({**config, "version": version})).decode()
         row = {"table": "op", "part": "", "key": "config", "value": value}
         await self._post(f"http://{HOST}:{self.store_port}/-/rows-tx", {"puts": [row]})
         return version
 
-    async def store_fault(self, **fault: Any) -> None:
-        """Put a fault of the store in force."""
+    async def set_store_fault(self, **fault: Any) -> None:
+        """Set the active fault of the store."""
         await self._post(f"http://{HOST}:{self.store_port}/faults", fault)
 
-    async def worker(self, name: str, **change: Any) -> None:
-        """Change a worker."""
+    async def command_worker(self, name: str, **command: Any) -> None:
+        """Send a command to a worker."""
         port = self.cluster.control_ports["workers"]
-        await self._post(f"http://{HOST}:{port}/workers/{name}", change)
+        await self._post(f"http://{HOST}:{port}/workers/{name}", command)
 
-    async def relay(self, name: str, mode: str, **extra: Any) -> None:
-        """Put a fault in force on all relays that match a name."""
+    async def set_relay_mode(self, pattern: str, mode: str, **options: Any) -> None:
+        """Set the mode of all relays whose names match a pattern."""
         port = self.cluster.control_ports["relays"]
-        body = {"name": name, "mode": mode, **extra}
+        body = {"name": pattern, "mode": mode, **options}
         await self._post(f"http://{HOST}:{port}/relays", body)
 
     async def _post(self, url: str, body: dict[str, Any]) -> None:
@@ -165,30 +171,30 @@
             request_timeout=COMMAND_TIMEOUT_S,
         )
 
-    async def owner(self) -> str:
-        """Return the name of the instance that has the claim, or an empty string."""
+    async def find_owner(self) -> str:
+        """Return the name of the instance that owns the cell, or an empty string."""
         url = f"http://{HOST}:{self.store_port}/-/rows-get?table=cell&part="
-        answer = await self.http.fetch(url, headers={EXTERNAL_WRITER_HEADER: "operator"})
-        for row in json.loads(answer.body)["rows"]:
+        response = await self.http.fetch(url, headers={EXTERNAL_WRITER_HEADER: "operator"})
+        for row in json.loads(response.body)["rows"]:
             if row["key"] == "owner":
                 return str(json.loads(base64.b64decode(row["value"]))["node"])
         return ""
 
-    async def call(
+    async def send_request(
         self, port: int, method: str, path: str, timeout_s: float, **options: Any
     ) -> HTTPResponse | str:
-        """Return the answer of an instance, or why there is none."""
+        """Send a request to an instance; return its response, or the reason why there is none."""
         url = f"http://{HOST}:{port}{path}"
         return await fetch(self.http, url, timeout_s, method=method, **options)
 
-    async def ready(self, name: str) -> bool:
-        """Ask an instance whether it takes callers."""
-        answer = await self.call(self.instances[name].ready, "GET", "/-/ready", 0.9)
-        return not isinstance(answer, str) and answer.code == 200
+    async def is_ready(self, name: str) -> bool:
+        """Ask an instance whether it is ready for callers."""
+        response = await self.send_request(self.instances[name].ready_port, "GET", "/-/ready", 0.9)
+        return not isinstance(response, str) and response.code == 200
 
 
-async def repeat(pause_s: float, work: Callable[[], Awaitable[Any]]) -> None:
-    """Repeat something until cancelled."""
+async def run_periodically(interval_s: float, action: Callable[[], Awaitable[Any]]) -> None:
+    """Run an action at intervals until cancelled."""
     while True:
-        await work()
-        await asyncio.sleep(pause_s)
+        await action()
+        await asyncio.sleep(interval_s)
--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -16,7 +16,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
 from baobabhoist.platform.testing import soak_faults
-from baobabhoist.platform.testing.deployment import Deployment, repeat
+from baobabhoist.platform.testing.deployment import Deployment, run_periodically
 from baobabhoist.platform.testing.soak_faults import FAULTS
 from baobabhoist.platform.testing.soak_judge import REFUSED, JobNote, Judge, Team
 from baobabhoist.testing import soak_run
@@ -114,7 +114,7 @@
     async def configure(self) -> None:
         """Write the configuration, and note what the teams may have from now on."""
         sent = self.note("limits", limits=dict(self.limits), acked=float("inf"))
-        await self.deployment.configure(self.config())
+        await self.deployment.write_config(self.config())
         sent["acked"] = time.time()
 
     async def change_limits(self, rng: random.Random) -> None:
@@ -190,8 +190,8 @@
             "X-Credential": entry["key"],
             "X-Deadline-Ms": str(int(WAIT_S * 1000)),
         }
-        answer = await self.deployment.call(
-            self.deployment.instances[instance].callers,
+        answer = await self.deployment.send_request(
+            self.deployment.instances[instance].caller_port,
             method,
             f"/{job.queue}/{job.job_id}",
             WAIT_S,
@@ -268,14 +268,14 @@
         """Ask the instances whether they are ready, as the platform does."""
 
         async def check(name: str) -> None:
-            ready = await self.deployment.ready(name)
+            ready = await self.deployment.is_ready(name)
             self.misses[name] = 0 if ready else self.misses[name] + 1
 
         await asyncio.gather(*map(check, self.deployment.instances))
 
     def judge(self, finished: bool) -> Judge:
         """Return the verdicts so far."""
-        text = self.deployment.worker_log.read_text(encoding="utf-8")
+        text = self.deployment.worker_log_path.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
         judge = Judge(
             runs=[json.loads(line) for line in lines],
@@ -299,10 +299,10 @@
         """Run the load and the faults, then wait until everything has ended."""
         await self.deployment.start(INSTANCES, WORKERS, self.config())
         self.note("limits", limits=dict(self.limits), acked=time.time())
-        checks = asyncio.create_task(repeat(READY_INTERVAL_S, self.check_ready))
+        checks = asyncio.create_task(run_periodically(READY_INTERVAL_S, self.check_ready))
         await self._until_ready()
         began = time.time()
-        judging = asyncio.create_task(repeat(JUDGE_INTERVAL_S, self.judge_now))
+        judging = asyncio.create_task(run_periodically(JUDGE_INTERVAL_S, self.judge_now))
         load = asyncio.create_task(self.load())
         faults = []
         for step in steps:
@@ -324,7 +324,7 @@
     async def _until_ready(self) -> None:
         give_up_at = time.time() + START_S
         while time.time() < give_up_at:
-            if all([await self.deployment.ready(name) for name in self.deployment.instances]):
+            if all([await self.deployment.is_ready(name) for name in self.deployment.instances]):
                 return
             await asyncio.sleep(0.1)
         raise RuntimeError(f"the instances were not ready within {START_S} s")
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -57,7 +57,7 @@
 async def _target(soak: Soak, rng: random.Random) -> str:
     """Choose a running instance, the owner half of the time."""
     running = [name for name in soak.deployment.instances if name not in soak.down]
-    owner = await soak.deployment.owner()
+    owner = await soak.deployment.find_owner()
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
@@ -117,19 +117,19 @@
 def _store(**fault: Any) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
         delay_s = rng.uniform(DELAY_MIN_S, DELAY_MAX_S)
-        await soak.deployment.store_fault(**{"delay_s": delay_s, **fault})
+        await soak.deployment.set_store_fault(**{"delay_s": delay_s, **fault})
         await asyncio.sleep(step.duration_s)
-        await soak.deployment.store_fault(mode="up")
+        await soak.deployment.set_store_fault(mode="up")
 
     return run
 
 
 async def _relays(soak: Soak, step: Step, mode: str, *names: str, **extra: Any) -> None:
     for name in names:
-        await soak.deployment.relay(name, mode, **extra)
+        await soak.deployment.set_relay_mode(name, mode, **extra)
     await asyncio.sleep(step.duration_s)
     for name in names:
-        await soak.deployment.relay(
+        await soak.deployment.set_relay_mode(
             name, "pass", **{k: v for k, v in extra.items() if k == "source"}
         )
 
@@ -167,8 +167,8 @@
 async def _reset(soak: Soak, step: Step, rng: random.Random) -> None:
     """Reset open connections; new ones work."""
     for name in (rng.choice(["store:*", "peer:*", "worker:*"]),):
-        await soak.deployment.relay(name, "cut")
-        await soak.deployment.relay(name, "pass")
+        await soak.deployment.set_relay_mode(name, "cut")
+        await soak.deployment.set_relay_mode(name, "pass")
 
 
 async def _delay(soak: Soak, step: Step, rng: random.Random) -> None:
@@ -180,27 +180,27 @@
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
         names = rng.sample(soak.deployment.workers, rng.choice([1, 2]))
         for name in names:
-            await soak.deployment.worker(name, mode=mode)
+            await soak.deployment.command_worker(name, mode=mode)
         await asyncio.sleep(step.duration_s)
         for name in names:
-            await soak.deployment.worker(name, mode="normal")
+            await soak.deployment.command_worker(name, mode="normal")
 
     return run
 
 
 async def _worker_crash(soak: Soak, step: Step, rng: random.Random) -> None:
     for name in rng.sample(soak.deployment.workers, rng.choice([1, 3])):
-        await soak.deployment.worker(name, crash=1)
+        await soak.deployment.command_worker(name, crash=1)
 
 
 async def _worker_drain(soak: Soak, step: Step, rng: random.Random) -> None:
     name = rng.choice(soak.deployment.workers)
-    await soak.deployment.worker(name, draining=True)
+    await soak.deployment.command_worker(name, draining=True)
     soak.note("draining", worker=name)
     await asyncio.sleep(DRAIN_S)
-    await soak.deployment.worker(name, gone=True)
+    await soak.deployment.command_worker(name, gone=True)
     await asyncio.sleep(step.duration_s)
-    await soak.deployment.worker(name, crash=1)
+    await soak.deployment.command_worker(name, crash=1)
     soak.note("returned", worker=name)
 
 
