--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -18,7 +18,7 @@
 from baobabhoist.platform.testing import soak_faults
 from baobabhoist.platform.testing.deployment import Deployment, run_periodically
 from baobabhoist.platform.testing.soak_faults import FAULTS
-from baobabhoist.platform.testing.soak_judge import REFUSED, JobNote, Judge, Team
+from baobabhoist.platform.testing.soak_judge import REFUSED_STATUSES, Judge, SubmittedJob, Team
 from baobabhoist.testing import soak_run
 from baobabhoist.testing.cluster import Cluster
 from baobabhoist.testing.soak_run import Driver
@@ -71,7 +71,7 @@
     deployment: Deployment
     rng: random.Random
     callers: list[dict[str, Any]] = attrs.Factory(list)
-    jobs: dict[str, JobNote] = attrs.Factory(dict)
+    jobs: dict[str, SubmittedJob] = attrs.Factory(dict)
     finals: dict[str, str] = attrs.Factory(dict)
     down: set[str] = attrs.Factory(set)
     misses: Counter[str] = attrs.Factory(Counter)
@@ -134,7 +134,7 @@
 
     # Callers.
 
-    def new_job(self, rng: random.Random, queue: str) -> JobNote:
+    def new_job(self, rng: random.Random, queue: str) -> SubmittedJob:
         """Make a job up."""
         job_id = f"{rng.getrandbits(64):016x}"
         team = rng.choice(list(LIMITS))
@@ -161,7 +161,7 @@
             steps[0] |= {"checkpointing": True, "maxPerServer": 3}
         spec = json.dumps({"plan": plan, "pad": "x" * rng.choice([0, 500])})
         attempts = int(QUEUES[queue]["maxAttempts"])
-        note = JobNote(job_id, queue, team, steps, zlib.crc32(spec.encode()), attempts)
+        note = SubmittedJob(job_id, queue, team, steps, zlib.crc32(spec.encode()), attempts)
         self.jobs[job_id] = note
         note.body = json.dumps({"taskSpec": spec, "steps": steps})
         return note
@@ -175,7 +175,7 @@
         return self.rng.choice(ready if len(ready) * 2 >= len(others) else others)
 
     async def _call(
-        self, event: str, job: JobNote, method: str, instance: str, key: str = ""
+        self, event: str, job: SubmittedJob, method: str, instance: str, key: str = ""
     ) -> dict[str, Any]:
         """Make one call and log it; `status` is 0 without an answer."""
         entry: dict[str, Any] = {
@@ -210,21 +210,21 @@
         self.callers.append(entry)
         return entry
 
-    async def submit(self, job: JobNote, key: str = "") -> bool:
+    async def submit(self, job: SubmittedJob, key: str = "") -> bool:
         """Hand a job in, again after a refusal or without an answer; tell whether it was taken."""
         instance = self._choose()
         for _ in range(TRIES):
             entry = await self._call("submit", job, "POST", instance, key)
             if entry["status"] == 200:
                 return True
-            if entry["status"] in REFUSED and entry["status"] not in (429, 503):
+            if entry["status"] in REFUSED_STATUSES and entry["status"] not in (429, 503):
                 return False
             pause_s = float(entry.get("retry_after") or RETRY_S)
             await asyncio.sleep(pause_s + self.rng.random() * RETRY_S)
             instance = self._choose(but=instance)
         return False
 
-    async def cancel(self, job: JobNote) -> None:
+    async def cancel(self, job: SubmittedJob) -> None:
         """Cancel a job, again until there is an answer."""
         job.cancel_sent = job.cancel_sent or time.time()
         for _ in range(TRIES):
@@ -233,7 +233,7 @@
                 return
             await asyncio.sleep(RETRY_S)
 
-    async def live(self, job: JobNote) -> None:
+    async def live(self, job: SubmittedJob) -> None:
         """Hand one job in, perhaps twice, with a wrong key or to cancel it, and follow it."""
         rng = random.Random(job.job_id)
         if rng.random() < STRANGER_PROBABILITY:
@@ -248,7 +248,7 @@
             await self.cancel(job)
         await self.follow(job)
 
-    async def follow(self, job: JobNote) -> None:
+    async def follow(self, job: SubmittedJob) -> None:
         """Ask for a job's state until it has ended."""
         while True:
             await asyncio.sleep(ASK_INTERVAL_S)
@@ -278,15 +278,15 @@
         text = self.deployment.worker_log_path.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
         judge = Judge(
-            runs=[json.loads(line) for line in lines],
-            callers=list(self.callers),
-            driver=list(self.driver),
+            worker_log=[json.loads(line) for line in lines],
+            caller_log=list(self.callers),
+            driver_log=list(self.driver),
             jobs=self.jobs,
             teams={name: Team(name, limit) for name, limit in LIMITS.items()},
         )
-        judge.judge()
+        judge.check_logs()
         if finished:
-            judge.judge_end(self.finals)
+            judge.check_completion(self.finals)
         return judge
 
     async def judge_now(self) -> None:
@@ -347,7 +347,7 @@
         for line in (folder / f"{name}.log").read_text(errors="replace").splitlines()
         if "Traceback" in line or "task_crashed" in line
     ]
-    for line in judge.lines():
+    for line in judge.verdict_lines():
         print(line)
     print(f"internal: {len(crashes)} crashed tasks {crashes[:1]}")
     statuses = Counter((e["event"], e["status"]) for e in soak.callers)
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any
 
-from baobabhoist.platform.testing.soak_judge import GRACE_S
+from baobabhoist.platform.testing.soak_judge import GRACE_PERIOD_S
 from baobabhoist.testing.soak_faults import Step
 
 if TYPE_CHECKING:
@@ -99,7 +99,7 @@
     stop = soak.note("stop", instance=name, until=float("inf"))
     process.terminate()
     with contextlib.suppress(subprocess.TimeoutExpired):
-        await asyncio.to_thread(process.wait, GRACE_S)
+        await asyncio.to_thread(process.wait, GRACE_PERIOD_S)
     soak.note("stopped", instance=name, code=process.poll())
     process.kill()
     await asyncio.to_thread(process.wait)
--- a/baobabhoist/platform/testing/soak_judge.py
+++ b/baobabhoist/platform/testing/soak_judge.py
@@ -1,4 +1,4 @@
-"""Judge the platform's promises from the logs of workers and callers."""
+"""Judge from the logs of the workers and the callers whether the platform's guarantees held."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 import attrs
 
-Entry = dict[str, Any]
-
-CAPACITY = {"cpu": 4_000, "memMb": 8_192}
-OVERAGE = 1.1
-# After these times, in seconds, a change is to be in force.
-CANCEL_S = 3.0
-STOP_S = 0.4
-REVOKE_S = 5.0
-VISIBLE_S = 3.0
-SHOWN_DONE_S = 1.0
-LIMIT_IN_FORCE_S = 2.0
-DRAIN_S = 2.0
-GRACE_S = 6.0
-# A fault that ended within this time may still have effects.
-AFTERMATH_S = 4.0
-# A run that starts and ends at one moment is seen within this.
-CLOCK_S = 0.002
+JsonObject = dict[str, Any]
+
+WORKER_CAPACITY = {"cpu": 4_000, "memMb": 8_192}
+QUOTA_TOLERANCE_FACTOR = 1.1
+# Time within which each change must have taken effect everywhere.
+CANCEL_DEADLINE_S = 3.0
+RUN_STOP_DEADLINE_S = 0.4
+REVOKE_DEADLINE_S = 5.0
+JOB_VISIBLE_DEADLINE_S = 3.0
+COMPLETION_DEADLINE_S = 1.0
+LIMIT_DEADLINE_S = 2.0
+DRAIN_DEADLINE_S = 2.0
+GRACE_PERIOD_S = 6.0
+# A fault may have effects for this long after its end.
+FAULT_RECOVERY_S = 4.0
+# Entries for events of the same moment may be logged this far apart.
+TIMESTAMP_TOLERANCE_S = 0.002
 INF = float("inf")
-REFUSED = frozenset({400, 401, 403, 404, 413, 429, 503})
+REFUSED_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 503})
 HARMLESS_FAULTS = frozenset({"config", "revoke", "cancel_wave", "burst", "worker_drain"})
 
 
 @attrs.define
-class JobNote:
-    """Hold what a caller knows of a job; `cancel_sent` is 0 unless it was cancelled."""
+class SubmittedJob:
+    """Hold what the caller knows of a job; `cancel_sent` is 0 unless it was cancelled."""
 
     job_id: str
     queue: str
     team: str
-    steps: list[Entry]
+    steps: list[JsonObject]
     spec: int
     attempts: int
     cancel_sent: float = 0.0
@@ -48,26 +48,26 @@
 
 @attrs.frozen
 class Team:
-    """Hold a team and its limit of processors at first; 0 means none."""
+    """Hold a team and its initial CPU limit in thousandths of a core; 0 means no limit."""
 
     name: str
-    limit: int
+    cpu_limit: int
 
 
 @attrs.define
-class Run:
-    """Hold one run of a task, from a worker's log."""
+class TaskRun:
+    """Hold one run of a task, as a worker logged it."""
 
     worker: str
     task: str
-    number: int
-    start: float
-    entry: Entry
-    end: float = INF
-    how: str = ""
-    acked: float = INF
-    # The worker's lease lapsed between the end and its acknowledgement.
-    lapsed_between: bool = False
+    run_number: int
+    started_at: float
+    start_entry: JsonObject
+    ended_at: float = INF
+    outcome: str = ""
+    acked_at: float = INF
+    # Whether the worker's lease expired between the end and its acknowledgement.
+    lapsed_before_ack: bool = False
 
     @property
     def job_id(self) -> str:
@@ -75,280 +75,381 @@
         return self.task.partition(".")[0]
 
     @property
-    def step(self) -> int:
+    def step_number(self) -> int:
         """Return the number of the run's step."""
         return int(self.task.split(".")[2])
 
 
 @attrs.define
 class Judge:
-    """Judge one run of the soak; `breaches` holds what was broken, with the rule first."""
+    """Judge one run of the soak; each of `breaches` begins with the guarantee that was broken."""
 
-    runs: list[Entry]
-    callers: list[Entry]
-    driver: list[Entry]
-    jobs: dict[str, JobNote]
+    worker_log: list[JsonObject]
+    caller_log: list[JsonObject]
+    driver_log: list[JsonObject]
+    jobs: dict[str, SubmittedJob]
     teams: dict[str, Team]
     breaches: list[str] = attrs.Factory(list)
-    checked: Counter[str] = attrs.Factory(Counter)
-    by_task: dict[str, list[Run]] = attrs.Factory(lambda: defaultdict(list))
-    by_job: dict[str, list[Run]] = attrs.Factory(lambda: defaultdict(list))
-    calls: dict[tuple[str, str], list[Entry]] = attrs.Factory(lambda: defaultdict(list))
-
-    def judge(self) -> None:
-        """Check what can be checked at any time."""
-        self._collect()
+    check_counts: Counter[str] = attrs.Factory(Counter)
+    runs_by_task: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
+    runs_by_job: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
+    calls: dict[tuple[str, str], list[JsonObject]] = attrs.Factory(lambda: defaultdict(list))
+
+    def check_logs(self) -> None:
+        """Check the guarantees that must hold at any time."""
+        self._index_logs()
         for check in (
-            self._twice,
-            self._room,
-            self._order,
-            self._quota,
-            self._budget,
-            self._unasked,
-            self._refused,
-            self._keys,
-            self._gangs,
-            self._shown,
-            self._draining,
-            self._stops,
+            self._check_duplicate_runs,
+            self._check_worker_capacity,
+            self._check_step_order,
+            self._check_quota,
+            self._check_attempts,
+            self._check_unrequested_runs,
+            self._check_refused_jobs,
+            self._check_api_keys,
+            self._check_gangs,
+            self._check_reported_states,
+            self._check_draining,
+            self._check_graceful_stops,
         ):
             check()
 
-    def lines(self) -> list[str]:
-        """Return the verdicts for people."""
+    def verdict_lines(self) -> list[str]:
+        """Return the verdict on each guarantee and the first breaches as lines of text."""
         broken = Counter(text.partition(" ")[0] for text in self.breaches)
-        rules = [
+        verdicts = [
             f"{name}: {'BROKEN' if broken[name] else 'held'} checks={n} breaches={broken[name]}"
-            for name, n in sorted(self.checked.items())
+            for name, n in sorted(self.check_counts.items())
         ]
-        return rules + [f"  {text}" for text in self.breaches[:20]]
-
-    def _check(self, rule: str, good: bool, breach: str) -> None:
-        self.checked[rule] += 1
-        if not good:
-            self.breaches.append(f"{rule} {breach}")
-
-    def _collect(self) -> None:
-        open_runs: dict[tuple[str, str, int], Run] = {}
-        ended: dict[tuple[str, str, int], Run] = {}
-        lapses: dict[str, list[float]] = defaultdict(list)
-        for entry in self.runs:
+        return verdicts + [f"  {text}" for text in self.breaches[:20]]
+
+    def _record_check(self, guarantee: str, holds: bool, breach: str) -> None:
+        self.check_counts[guarantee] += 1
+        if not holds:
+            self.breaches.append(f"{guarantee} {breach}")
+
+    def _index_logs(self) -> None:
+        open_runs: dict[tuple[str, str, int], TaskRun] = {}
+        ended_runs: dict[tuple[str, str, int], TaskRun] = {}
+        lease_lapses: dict[str, list[float]] = defaultdict(list)
+        for entry in self.worker_log:
             event, worker = entry["event"], entry.get("worker", "")
-            name = (worker, entry.get("task", ""), entry.get("run", 0))
+            run_key = (worker, entry.get("task", ""), entry.get("run", 0))
             if event == "start":
-                run = Run(worker, entry["task"], entry["run"], entry["t"], entry)
-                open_runs[name] = run
-                self.by_task[run.task].append(run)
-                self.by_job[run.job_id].append(run)
+                run = TaskRun(worker, entry["task"], entry["run"], entry["t"], entry)
+                open_runs[run_key] = run
+                self.runs_by_task[run.task].append(run)
+                self.runs_by_job[run.job_id].append(run)
             elif event == "end":
-                run = open_runs.pop(name)
-                run.end, run.how = entry["t"], entry["how"]
-                ended[name] = run
-            elif event == "acked" and name in ended:
-                run = ended[name]
-                run.acked = entry["t"]
-                run.lapsed_between = any(run.end < t < run.acked for t in lapses[worker])
+                run = open_runs.pop(run_key)
+                run.ended_at, run.outcome = entry["t"], entry["how"]
+                ended_runs[run_key] = run
+            elif event == "acked" and run_key in ended_runs:
+                run = ended_runs[run_key]
+                run.acked_at = entry["t"]
+                run.lapsed_before_ack = any(
+                    run.ended_at < t < run.acked_at for t in lease_lapses[worker]
+                )
             elif event == "lapsed":
-                lapses[worker].append(entry["t"])
+                lease_lapses[worker].append(entry["t"])
             elif event == "crashed":
-                # The worker forgot these ends; they can be acknowledged no more.
-                ended = {k: v for k, v in ended.items() if k[0] != worker}
-        for entry in self.callers:
+                # The worker lost these ends in the crash, so they can no longer be acknowledged.
+                ended_runs = {k: v for k, v in ended_runs.items() if k[0] != worker}
+        for entry in self.caller_log:
             self.calls[entry["event"], entry["job"]].append(entry)
 
-    def _all_runs(self) -> Iterator[Run]:
-        for runs in self.by_task.values():
+    def _all_runs(self) -> Iterator[TaskRun]:
+        for runs in self.runs_by_task.values():
             yield from runs
 
-    def _windows(self) -> list[Entry]:
+    def _fault_windows(self) -> list[JsonObject]:
         return [
-            e for e in self.driver if e["event"] == "window" and e["fault"] not in HARMLESS_FAULTS
+            e
+            for e in self.driver_log
+            if e["event"] == "window" and e["fault"] not in HARMLESS_FAULTS
         ]
 
-    def _calm(self, begin: float, end: float) -> bool:
-        """Tell whether no fault was near a span of time."""
+    def _is_fault_free(self, start: float, end: float) -> bool:
+        """Tell whether no fault was active, or could still have effects, in a span of time."""
         return all(
-            window["t"] > end or window["until"] + AFTERMATH_S < begin
-            for window in self._windows()
+            window["t"] > end or window["until"] + FAULT_RECOVERY_S < start
+            for window in self._fault_windows()
         )
 
-    def _step_done(self, job: JobNote, number: int) -> float:
-        """Return when all tasks of a step had ended done; one end speaks for a whole gang."""
+    def _step_completed_at(self, job: SubmittedJob, number: int) -> float:
+        """Return when all tasks of a step were done; the first member to end ends its whole gang."""
         step = job.steps[number]
         tasks = [f"{job.job_id}.0.{number}.{index}" for index in range(step["count"])]
         ends = [
-            min((run.end for run in self.by_task.get(task, ()) if run.how == "done"), default=INF)
+            min(
+                (run.ended_at for run in self.runs_by_task.get(task, ()) if run.outcome == "done"),
+                default=INF,
+            )
             for task in tasks
         ]
         return min(ends) if step.get("gang") else max(ends)
 
-    def _twice(self) -> None:
-        for task, runs in self.by_task.items():
-            ordered = sorted(runs, key=lambda run: run.start)
+    def _check_duplicate_runs(self) -> None:
+        for task, runs in self.runs_by_task.items():
+            ordered = sorted(runs, key=lambda run: run.started_at)
             for earlier, later in itertools.pairwise(ordered):
-                overlap = later.start < earlier.end - CLOCK_S
-                self._check("TWICE", not overlap, f"{task} runs twice at {later.start:.3f}")
-            noted = [
-                r for r in ordered if r.how == "done" and r.acked < INF and not r.lapsed_between
+                overlaps = later.started_at < earlier.ended_at - TIMESTAMP_TOLERANCE_S
+                self._record_check(
+                    "TWICE", not overlaps, f"two runs of {task} overlap at {later.started_at:.3f}"
+                )
+            acked_done_runs = [
+                r
+                for r in ordered
+                if r.outcome == "done" and r.acked_at < INF and not r.lapsed_before_ack
             ]
             for run in ordered:
-                again = any(run.start > done.end + CLOCK_S for done in noted)
-                self._check("TWICE", not again, f"{task} starts at {run.start:.3f}, though done")
-
-    def _room(self) -> None:
-        by_worker: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
+                is_repeated = any(
+                    run.started_at > done.ended_at + TIMESTAMP_TOLERANCE_S
+                    for done in acked_done_runs
+                )
+                self._record_check(
+                    "TWICE",
+                    not is_repeated,
+                    f"{task} starts at {run.started_at:.3f} after it was acknowledged as done",
+                )
+
+    def _check_worker_capacity(self) -> None:
+        changes_by_worker: dict[str, list[tuple[float, int, TaskRun]]] = defaultdict(list)
         for run in self._all_runs():
             if run.job_id in self.jobs:
-                by_worker[run.worker] += [(run.start, 1, run), (run.end, -1, run)]
-        for worker, changes in by_worker.items():
+                changes_by_worker[run.worker] += [
+                    (run.started_at, 1, run),
+                    (run.ended_at, -1, run),
+                ]
+        for worker, changes in changes_by_worker.items():
             used: Counter[str] = Counter()
             for t, sign, run in sorted(changes, key=lambda change: change[:2]):
-                step = self.jobs[run.job_id].steps[run.step]
-                for kind, most in CAPACITY.items():
-                    used[kind] += sign * step[kind]
-                    over = sign > 0 and used[kind] > most
-                    self._check("LIMIT", not over, f"{worker} has {used[kind]} {kind} at {t:.3f}")
-
-    def _order(self) -> None:
-        for job_id, runs in self.by_job.items():
+                step = self.jobs[run.job_id].steps[run.step_number]
+                for resource, maximum in WORKER_CAPACITY.items():
+                    used[resource] += sign * step[resource]
+                    exceeds_capacity = sign > 0 and used[resource] > maximum
+                    self._record_check(
+                        "LIMIT",
+                        not exceeds_capacity,
+                        f"{worker} uses {used[resource]} {resource} at {t:.3f}",
+                    )
+
+    def _check_step_order(self) -> None:
+        for job_id, runs in self.runs_by_job.items():
             job = self.jobs.get(job_id)
             if job is None:
                 continue
             for run in runs:
-                for earlier in job.steps[run.step].get("after", ()):
-                    good = self._step_done(job, earlier) <= run.start + CLOCK_S
-                    self._check("ORDER", good, f"{run.task} starts at {run.start:.3f} too early")
-                self._check_spread(job, run, runs)
-
-    def _check_spread(self, job: JobNote, run: Run, runs: list[Run]) -> None:
-        most = job.steps[run.step].get("maxPerServer")
-        if most:
-            beside = [
+                for earlier in job.steps[run.step_number].get("after", ()):
+                    holds = (
+                        self._step_completed_at(job, earlier)
+                        <= run.started_at + TIMESTAMP_TOLERANCE_S
+                    )
+                    self._record_check(
+                        "ORDER",
+                        holds,
+                        f"{run.task} starts at {run.started_at:.3f} before an earlier step ended",
+                    )
+                self._check_tasks_per_worker(job, run, runs)
+
+    def _check_tasks_per_worker(
+        self, job: SubmittedJob, run: TaskRun, runs: list[TaskRun]
+    ) -> None:
+        maximum = job.steps[run.step_number].get("maxPerServer")
+        if maximum:
+            concurrent_runs = [
                 other
                 for other in runs
-                if (other.worker, other.step) == (run.worker, run.step)
-                and other.start <= run.start < other.end
+                if (other.worker, other.step_number) == (run.worker, run.step_number)
+                and other.started_at <= run.started_at < other.ended_at
             ]
-            self._check("ROUTE", len(beside) <= most, f"{run.task} is one of {len(beside)}")
+            self._record_check(
+                "ROUTE",
+                len(concurrent_runs) <= maximum,
+                f"{run.task} is one of {len(concurrent_runs)} on its worker",
+            )
 
-    def _limit(self, team: str, t: float) -> float:
-        """Return the highest limit of a team that may be in force at a moment."""
-        changes = [e for e in self.driver if e["event"] == "limits"]
+    def _highest_limit(self, team: str, t: float) -> float:
+        """Return the highest limit of a team that may be in force at a time."""
+        changes = [e for e in self.driver_log if e["event"] == "limits"]
         highest = 0.0
         for change, following in zip(changes, [*changes[1:], None], strict=True):
-            until = following["acked"] + LIMIT_IN_FORCE_S if following else INF
-            if change["t"] <= t <= until + self._stretch(t):
+            until = following["acked"] + LIMIT_DEADLINE_S if following else INF
+            if change["t"] <= t <= until + self._extra_delay_s(t):
                 highest = max(highest, change["limits"][team] or INF)
         return highest
 
-    def _stretch(self, t: float) -> float:
-        """Return how much later a change may be in force because of faults."""
-        return 0.0 if self._calm(t - AFTERMATH_S, t) else INF
+    def _extra_delay_s(self, t: float) -> float:
+        """Return how much later than required a change may take effect because of faults."""
+        return 0.0 if self._is_fault_free(t - FAULT_RECOVERY_S, t) else INF
 
-    def _quota(self) -> None:
-        changes: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
+    def _check_quota(self) -> None:
+        changes: dict[str, list[tuple[float, int, TaskRun]]] = defaultdict(list)
         for run in self._all_runs():
             job = self.jobs.get(run.job_id)
-            if job is not None and self.teams[job.team].limit:
-                changes[job.team] += [(run.start, 1, run), (run.end, -1, run)]
+            if job is not None and self.teams[job.team].cpu_limit:
+                changes[job.team] += [(run.started_at, 1, run), (run.ended_at, -1, run)]
         for team, entries in changes.items():
             used = 0
             for t, sign, run in sorted(entries, key=lambda change: change[:2]):
-                cpu = self.jobs[run.job_id].steps[run.step]["cpu"]
+                cpu = self.jobs[run.job_id].steps[run.step_number]["cpu"]
                 used += sign * cpu
                 if sign > 0:
-                    most = self._limit(team, t) * OVERAGE + cpu
-                    self._check("QUOTA", used <= most, f"{team} has {used} of {most} at {t:.3f}")
+                    maximum = self._highest_limit(team, t) * QUOTA_TOLERANCE_FACTOR + cpu
+                    self._record_check(
+                        "QUOTA", used <= maximum, f"{team} uses {used} of {maximum} at {t:.3f}"
+                    )
 
-    def _budget(self) -> None:
-        for task, runs in self.by_task.items():
+    def _check_attempts(self) -> None:
+        for task, runs in self.runs_by_task.items():
             job = self.jobs.get(task.partition(".")[0])
             if job is None:
                 continue
-            failed = sorted(r.end for r in runs if r.how == "failed" and r.acked < INF)
-            if len(failed) >= job.attempts:
-                last = failed[job.attempts - 1]
-                late = [r for r in runs if r.start > last + CLOCK_S]
-                self._check("BUDGET", not late, f"{task} starts after {job.attempts} failures")
-
-    def _unasked(self) -> None:
+            failure_times = sorted(
+                r.ended_at for r in runs if r.outcome == "failed" and r.acked_at < INF
+            )
+            if len(failure_times) >= job.attempts:
+                last_failure = failure_times[job.attempts - 1]
+                late_runs = [
+                    r for r in runs if r.started_at > last_failure + TIMESTAMP_TOLERANCE_S
+                ]
+                self._record_check(
+                    "BUDGET", not late_runs, f"{task} starts after {job.attempts} failures"
+                )
+
+    def _check_unrequested_runs(self) -> None:
         for run in self._all_runs():
             job = self.jobs.get(run.job_id)
-            known = job is not None and run.entry["spec"] == job.spec
-            self._check("UNASKED", known, f"{run.task} was not asked for")
+            is_submitted = job is not None and run.start_entry["spec"] == job.spec
+            self._record_check(
+                "UNASKED", is_submitted, f"{run.task} runs a payload that was not submitted"
+            )
             if job is None:
                 continue
-            saved = run.entry["checkpoint"]
+            checkpoint = run.start_entry["checkpoint"]
             step = run.task.rpartition(".")[0]
-            owner = step if job.steps[run.step].get("gang") else run.task
-            own = f"{zlib.crc32(owner.encode()):08x}"
-            self._check("UNASKED", not saved or saved[8:] == own, f"{run.task} has {saved}")
+            owner = step if job.steps[run.step_number].get("gang") else run.task
+            owner_checksum = f"{zlib.crc32(owner.encode()):08x}"
+            self._record_check(
+                "UNASKED",
+                not checkpoint or checkpoint[8:] == owner_checksum,
+                f"{run.task} has another task's checkpoint {checkpoint}",
+            )
         for (event, job_id), entries in self.calls.items():
             if event != "cancel":
                 continue
-            acked = min((e["end"] for e in entries if e["status"] == 200), default=INF)
-            for run in self.by_job.get(job_id, ()):
-                late = run.start > acked + CANCEL_S and run.entry["mode"] != "late"
-                late = late and self._calm(acked, run.start)
-                self._check("UNASKED", not late, f"{run.task} starts after its cancellation")
-                over = acked + CANCEL_S + STOP_S
-                still = run.end > over and run.start < over and self._calm(acked, over)
-                self._check("UNASKED", not still, f"{run.task} works on after its cancellation")
-
-    def _refused(self) -> None:
+            cancelled_at = min((e["end"] for e in entries if e["status"] == 200), default=INF)
+            for run in self.runs_by_job.get(job_id, ()):
+                is_late = (
+                    run.started_at > cancelled_at + CANCEL_DEADLINE_S
+                    and run.start_entry["mode"] != "late"
+                )
+                is_late = is_late and self._is_fault_free(cancelled_at, run.started_at)
+                self._record_check(
+                    "UNASKED", not is_late, f"{run.task} starts after its cancellation"
+                )
+                stop_deadline = cancelled_at + CANCEL_DEADLINE_S + RUN_STOP_DEADLINE_S
+                is_still_running = (
+                    run.ended_at > stop_deadline
+                    and run.started_at < stop_deadline
+                    and self._is_fault_free(cancelled_at, stop_deadline)
+                )
+                self._record_check(
+                    "UNASKED",
+                    not is_still_running,
+                    f"{run.task} still runs after its cancellation",
+                )
+
+    def _check_refused_jobs(self) -> None:
         for (event, job_id), entries in self.calls.items():
-            if event == "submit" and all(e["status"] in REFUSED for e in entries):
-                began = bool(self.by_job.get(job_id))
-                self._check("REFUSED", not began, f"{job_id} was refused and runs")
+            if event == "submit" and all(e["status"] in REFUSED_STATUSES for e in entries):
+                has_run = bool(self.runs_by_job.get(job_id))
+                self._record_check("REFUSED", not has_run, f"{job_id} ran although it was refused")
 
-    def _keys(self) -> None:
-        revoked = {e["key"]: e["t"] for e in self.driver if e["event"] == "revoked"}
-        for entry in self.callers:
+    def _check_api_keys(self) -> None:
+        revoked = {e["key"]: e["t"] for e in self.driver_log if e["event"] == "revoked"}
+        for entry in self.caller_log:
             if entry["status"] == 200:
-                stranger = entry["key"] == "key-of-nobody"
-                self._check("ROUTE", not stranger, f"{entry['job']} was taken without a key")
-                late = entry["t"] > revoked.get(entry["key"], INF) + REVOKE_S
-                self._check("CONFIG", not late, f"{entry['job']} was taken with a revoked key")
-
-    def _gangs(self) -> None:
+                has_unknown_key = entry["key"] == "key-of-nobody"
+                self._record_check(
+                    "ROUTE",
+                    not has_unknown_key,
+                    f"{entry['job']} was accepted with an unknown key",
+                )
+                is_late = entry["t"] > revoked.get(entry["key"], INF) + REVOKE_DEADLINE_S
+                self._record_check(
+                    "CONFIG", not is_late, f"{entry['job']} was accepted with a revoked key"
+                )
+
+    def _check_gangs(self) -> None:
         for run in self._all_runs():
-            if run.how == "alone":
-                cancelled = self.jobs[run.job_id].cancel_sent
-                good = 0 < cancelled < run.end or not self._calm(run.start - AFTERMATH_S, run.end)
-                self._check("GANG", good, f"{run.task} was alone at {run.end:.3f}")
-
-    def _shown(self) -> None:
+            if run.outcome == "alone":
+                cancelled_at = self.jobs[run.job_id].cancel_sent
+                holds = 0 < cancelled_at < run.ended_at or not self._is_fault_free(
+                    run.started_at - FAULT_RECOVERY_S, run.ended_at
+                )
+                self._record_check(
+                    "GANG", holds, f"{run.task} lacked its gang until {run.ended_at:.3f}"
+                )
+
+    def _check_reported_states(self) -> None:
         for (event, job_id), entries in self.calls.items():
             if event != "state":
                 continue
             job = self.jobs[job_id]
-            accepted = min(e["end"] for e in self.calls["submit", job_id] if e["status"] == 200)
+            accepted_at = min(e["end"] for e in self.calls["submit", job_id] if e["status"] == 200)
             for entry in entries:
-                self._check_state(job, entry, accepted)
-
-    def _check_state(self, job: JobNote, entry: Entry, accepted: float) -> None:
-        shown, t = entry["state"], entry["end"]
-        late = entry["status"] == 410 and entry["t"] > accepted + VISIBLE_S
-        self._check("LOST", not late, f"{job.job_id} is not known at {t:.3f}")
-        if shown == "completed":
-            good = all(self._step_done(job, number) <= t for number in range(len(job.steps)))
-            self._check("MIXED", good, f"{job.job_id} is shown as completed at {t:.3f}")
-            again = [r for r in self.by_job.get(job.job_id, ()) if r.start > t + SHOWN_DONE_S]
-            self._check("TWICE", not again, f"{job.job_id} starts after it was completed")
-        elif shown == "failed":
-            failed = Counter(r.task for r in self.by_job.get(job.job_id, ()) if r.how == "failed")
-            gang = any(step.get("gang") for step in job.steps)
-            count = sum(failed.values()) if gang else max(failed.values(), default=0)
-            self._check("LOST", count >= job.attempts, f"{job.job_id} is shown as failed")
-        elif shown == "cancelled":
-            self._check("LOST", job.cancel_sent > 0, f"{job.job_id} is shown as cancelled")
-
-    def _draining(self) -> None:
-        for drain in (e for e in self.driver if e["event"] == "draining"):
-            back = min(
+                self._check_reported_state(job, entry, accepted_at)
+
+    def _check_reported_state(
+        self, job: SubmittedJob, entry: JsonObject, accepted_at: float
+    ) -> None:
+        state, t = entry["state"], entry["end"]
+        is_late = entry["status"] == 410 and entry["t"] > accepted_at + JOB_VISIBLE_DEADLINE_S
+        self._record_check("LOST", not is_late, f"{job.job_id} was unknown at {t:.3f}")
+        if state == "completed":
+            holds = all(
+                self._step_completed_at(job, number) <= t for number in range(len(job.steps))
+            )
+            self._record_check(
+                "MIXED", holds, f"{job.job_id} was reported as completed too early, at {t:.3f}"
+            )
+            later_runs = [
+                r
+                for r in self.runs_by_job.get(job.job_id, ())
+                if r.started_at > t + COMPLETION_DEADLINE_S
+            ]
+            self._record_check(
+                "TWICE", not later_runs, f"{job.job_id} starts after it was reported as completed"
+            )
+        elif state == "failed":
+            failure_counts = Counter(
+                r.task for r in self.runs_by_job.get(job.job_id, ()) if r.outcome == "failed"
+            )
+            has_gang = any(step.get("gang") for step in job.steps)
+            failure_count = (
+                sum(failure_counts.values())
+                if has_gang
+                else max(failure_counts.values(), default=0)
+            )
+            self._record_check(
+                "LOST",
+                failure_count >= job.attempts,
+                f"{job.job_id} was reported as failed with attempts left",
+            )
+        elif state == "cancelled":
+            self._record_check(
+                "LOST",
+                job.cancel_sent > 0,
+                f"{job.job_id} was reported as cancelled without a cancellation",
+            )
+
+    def _check_draining(self) -> None:
+        for drain in (e for e in self.driver_log if e["event"] == "draining"):
+            returned_at = min(
                 (
                     e["t"]
-                    for e in self.driver
+                    for e in self.driver_log
                     if e["event"] == "returned"
                     and e["worker"] == drain["worker"]
                     and e["t"] > drain["t"]
@@ -356,39 +457,60 @@
                 default=INF,
             )
             for run in self._all_runs():
-                if run.worker == drain["worker"] and drain["t"] + DRAIN_S < run.start < back:
-                    good = run.entry["mode"] == "late" or not self._calm(drain["t"], run.start)
-                    self._check("DRAIN", good, f"{run.task} starts on {run.worker}, which leaves")
-
-    def _stops(self) -> None:
-        for stop in (e for e in self.driver if e["event"] == "stop"):
-            name, begin = stop["instance"], stop["t"]
-            others = [
+                if (
+                    run.worker == drain["worker"]
+                    and drain["t"] + DRAIN_DEADLINE_S < run.started_at < returned_at
+                ):
+                    holds = run.start_entry["mode"] == "late" or not self._is_fault_free(
+                        drain["t"], run.started_at
+                    )
+                    self._record_check(
+                        "DRAIN", holds, f"{run.task} starts on {run.worker}, which is draining"
+                    )
+
+    def _check_graceful_stops(self) -> None:
+        for stop in (e for e in self.driver_log if e["event"] == "stop"):
+            instance, stopping_at = stop["instance"], stop["t"]
+            other_windows = [
                 w
-                for w in self._windows()
+                for w in self._fault_windows()
                 if w["fault"] != "stop"
-                and w["t"] < begin + GRACE_S
-                and w["until"] + AFTERMATH_S > begin
+                and w["t"] < stopping_at + GRACE_PERIOD_S
+                and w["until"] + FAULT_RECOVERY_S > stopping_at
             ]
-            for entry in self.callers:
-                near = begin - 1.0 < entry["t"] < begin + GRACE_S
+            for entry in self.caller_log:
+                is_near_stop = stopping_at - 1.0 < entry["t"] < stopping_at + GRACE_PERIOD_S
                 # A connection that was refused carried no request.
-                cut = entry["status"] == 0 and "refused" not in entry.get("reason", "").lower()
-                if entry["instance"] == name and near:
-                    self._check("LOST", not cut or bool(others), f"{entry['job']} was cut")
-        for stopped in (e for e in self.driver if e["event"] == "stopped"):
-            good = stopped["code"] is not None or not self._calm(stopped["t"], stopped["t"])
-            self._check("LOST", good, f"{stopped['instance']} did not stop in time")
-
-    def judge_end(self, finals: dict[str, str]) -> None:
-        """Check that everything that was accepted has ended as it should."""
+                lacks_response = (
+                    entry["status"] == 0 and "refused" not in entry.get("reason", "").lower()
+                )
+                if entry["instance"] == instance and is_near_stop:
+                    self._record_check(
+                        "LOST",
+                        not lacks_response or bool(other_windows),
+                        f"{entry['job']} got no response during a stop",
+                    )
+        for stopped in (e for e in self.driver_log if e["event"] == "stopped"):
+            holds = stopped["code"] is not None or not self._is_fault_free(
+                stopped["t"], stopped["t"]
+            )
+            self._record_check(
+                "LOST", holds, f"{stopped['instance']} did not stop within the grace period"
+            )
+
+    def check_completion(self, final_states: dict[str, str]) -> None:
+        """Check that every accepted job has reached a final state."""
         for (event, job_id), entries in self.calls.items():
             if event != "submit" or all(e["status"] != 200 for e in entries):
                 continue
-            final = finals.get(job_id, "")
-            self._check("LOST", bool(final), f"{job_id} has not ended; {self._last(job_id)}")
+            final = final_states.get(job_id, "")
+            self._record_check(
+                "LOST",
+                bool(final),
+                f"{job_id} has not finished; {self._describe_last_response(job_id)}",
+            )
 
-    def _last(self, job_id: str) -> str:
+    def _describe_last_response(self, job_id: str) -> str:
         calls = self.calls.get(("state", job_id))
         last = calls[-1] if calls else None
-        return f"last answer {last['status']} {last['state']}" if last else "no answer"
+        return f"last response {last['status']} {last['state']}" if last else "no response"
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -19,7 +19,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 from tornado.web import Application, RequestHandler
 
-from baobabhoist.platform.testing.soak_judge import CAPACITY
+from baobabhoist.platform.testing.soak_judge import WORKER_CAPACITY
 from baobabhoist.platform.testing.store import EXTERNAL_WRITER_HEADER, drop_connection
 
 FLAGS = flags.FLAGS
@@ -443,7 +443,7 @@
             int(advertised_port),
             "svc",
             ("a" if number % 2 else "b", rack),
-            {**CAPACITY, "gpu": 0},
+            {**WORKER_CAPACITY, "gpu": 0},
             hub,
             clock_rate=1.0 - hub.rng.uniform(0, CLOCK_SLOWDOWN_MAX),
             started_unix_ms=int(time.time() * 1000),
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -61,5 +61,5 @@
         played = asyncio.run(run(cluster))
     judge = played.judge(finished=True)
     assert judge.breaches == []
-    assert judge.checked["TWICE"] > 0
+    assert judge.check_counts["TWICE"] > 0
     assert played.finals
--- a/baobabhoist/tests/test_platform_soak_judge.py
+++ b/baobabhoist/tests/test_platform_soak_judge.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from baobabhoist.platform.testing.soak_judge import JobNote, Judge, Team
+from baobabhoist.platform.testing.soak_judge import Judge, SubmittedJob, Team
 
 JOB = "a" * 16
 TASK = f"{JOB}.0.0.0"
@@ -42,10 +42,10 @@
     """Return the rules that a job of two steps broke."""
     first = {"count": 1, "cpu": 600, "memMb": 100}
     steps = [{**first, **changes}, {**first, "after": [0]}]
-    job = JobNote(JOB, "batch", "alpha", steps, SPEC, attempts=2)
+    job = SubmittedJob(JOB, "batch", "alpha", steps, SPEC, attempts=2)
     judge = Judge(runs, callers, [BEGAN, *driver], {JOB: job}, {"alpha": Team("alpha", 1_000)})
-    judge.judge()
-    judge.judge_end({})
+    judge.check_logs()
+    judge.check_completion({})
     return {text.partition(" ")[0] for text in judge.breaches}
 
 
