--- a/baobabhoist/platform/testing/soak_judge.py
+++ b/baobabhoist/platform/testing/soak_judge.py
@@ -177,7 +177,7 @@
         )
 
     def _step_completed_at(self, job: SubmittedJob, number: int) -> float:
-        """Return when all tasks of a step were done; the first member to end ends its whole gang."""
+        """Return when all tasks of a step were done; the first end ends a whole gang."""
         step = job.steps[number]
         tasks = [f"{job.job_id}.0.{number}.{index}" for index in range(step["count"])]
         ends = [
