--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -1,4 +1,4 @@
-"""Run instances under seeded faults and judge the platform's promises from outside."""
+"""Run instances under seeded faults and check the platform's guarantees from outside."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
 
 FLAGS = flags.FLAGS
 
-# Callers keep their connections open until the instance is gone.
-HTTP_CLIENT = "tornado.curl_httpclient.CurlAsyncHTTPClient"
-CLIENTS_MAX = 400
-INSTANCES = 4
-WORKERS = 12
+# Callers reuse their connections until the instance is gone, for which they need this client.
+HTTP_CLIENT_CLASS = "tornado.curl_httpclient.CurlAsyncHTTPClient"
+HTTP_CLIENTS_MAX = 400
+INSTANCE_COUNT = 4
+WORKER_COUNT = 12
 JOBS_PER_S = 10.0
-WAIT_S = 3.0
-TRIES = 5
-RETRY_S = 0.3
-READY_INTERVAL_S = 0.5
-READY_MISSES = 2
-ASK_INTERVAL_S = 1.0
+REQUEST_TIMEOUT_S = 3.0
+REQUEST_ATTEMPTS = 5
+RETRY_DELAY_S = 0.3
+READY_CHECK_INTERVAL_S = 0.5
+READY_FAILURE_THRESHOLD = 2
+STATE_POLL_INTERVAL_S = 1.0
 JUDGE_INTERVAL_S = 5.0
-# After the last fault and the last submission, everything accepted ends within this time.
-FINISH_S = 25.0
-START_S = 10.0
+# All accepted jobs must finish within this time after the last fault and the last submission.
+FINISH_TIMEOUT_S = 25.0
+START_TIMEOUT_S = 10.0
 CANCEL_PROBABILITY = 0.08
-TWICE_PROBABILITY = 0.1
-STRANGER_PROBABILITY = 0.03
-POISON_PROBABILITY = 0.02
-FAILING_PROBABILITY = 0.05
-# The HTTP client gives this code to a call without an answer.
-NO_ANSWER = 599
+DUPLICATE_PROBABILITY = 0.1
+UNKNOWN_KEY_PROBABILITY = 0.03
+ALWAYS_FAILS_PROBABILITY = 0.02
+FAILS_ONCE_PROBABILITY = 0.05
+# The HTTP client reports a request without a response under this status.
+NO_RESPONSE_STATUS = 599
 
 QUEUES: dict[str, dict[str, Any]] = {
     "quick": {"priority": 0, "maxAttempts": 3, "slackFactor": 1.5, "targetLatencyMs": 300},
@@ -60,36 +60,37 @@
         "advice": {"decisionMs": 20, "perItemMs": 0, "validityMs": 2_000},
     },
 }
-MIX = ("quick",) * 7 + ("batch",) * 2 + ("gangs",)
-LIMITS = {"alpha": 20_000, "beta": 8_000, "gamma": 0}
+QUEUE_MIX = ("quick",) * 7 + ("batch",) * 2 + ("gangs",)
+# The teams' limits in thousandths of a core; 0 means no limit.
+CPU_LIMITS = {"alpha": 20_000, "beta": 8_000, "gamma": 0}
 
 
 @attrs.define
 class Soak(Driver):
-    """Hold one run: its processes, its load and the logs of callers and driver."""
+    """Drive one run: its processes, its load and the logs of the callers and the driver."""
 
     deployment: Deployment
     rng: random.Random
-    callers: list[dict[str, Any]] = attrs.Factory(list)
+    caller_log: list[dict[str, Any]] = attrs.Factory(list)
     jobs: dict[str, SubmittedJob] = attrs.Factory(dict)
-    finals: dict[str, str] = attrs.Factory(dict)
-    down: set[str] = attrs.Factory(set)
-    misses: Counter[str] = attrs.Factory(Counter)
-    limits: dict[str, int] = attrs.Factory(lambda: dict(LIMITS))
-    keys: dict[str, list[str]] = attrs.Factory(lambda: {n: [f"key-{n}"] for n in LIMITS})
-    rate_factor: float = 1.0
-    numbers: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
-
-    def restart(self, name: str) -> None:
-        """Start an instance again."""
+    final_states: dict[str, str] = attrs.Factory(dict)
+    down_instances: set[str] = attrs.Factory(set)
+    failed_ready_checks: Counter[str] = attrs.Factory(Counter)
+    cpu_limits: dict[str, int] = attrs.Factory(lambda: dict(CPU_LIMITS))
+    api_keys: dict[str, list[str]] = attrs.Factory(lambda: {n: [f"key-{n}"] for n in CPU_LIMITS})
+    load_factor: float = 1.0
+    key_numbers: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
+
+    def restart_instance(self, name: str) -> None:
+        """Restart an instance."""
         self.deployment.start_instance(name)
         self.deployment.label_sources()
-        self.down.discard(name)
+        self.down_instances.discard(name)
 
-    # The operator.
+    # Actions of the operator.
 
-    def config(self) -> dict[str, Any]:
-        """Return the configuration as it should be now."""
+    def make_config(self) -> dict[str, Any]:
+        """Return the configuration with the current limits and keys."""
         routes = [
             {
                 "name": name,
@@ -105,41 +106,43 @@
                 "name": name,
                 "weight": 1,
                 "maximum": {"cpu": limit},
-                "apiKeys": self.keys[name],
+                "apiKeys": self.api_keys[name],
             }
-            for name, limit in self.limits.items()
+            for name, limit in self.cpu_limits.items()
         ]
         return {"routes": routes, "services": [{"name": "svc"}], "tenants": tenants}
 
-    async def configure(self) -> None:
-        """Write the configuration, and note what the teams may have from now on."""
-        sent = self.note("limits", limits=dict(self.limits), acked=float("inf"))
-        await self.deployment.write_config(self.config())
+    async def write_config(self) -> None:
+        """Write the configuration and log the teams' new limits for the judge."""
+        sent = self.note("limits", limits=dict(self.cpu_limits), acked=float("inf"))
+        await self.deployment.write_config(self.make_config())
         sent["acked"] = time.time()
 
-    async def change_limits(self, rng: random.Random) -> None:
-        """Change one team's limit."""
-        team = rng.choice([name for name, limit in LIMITS.items() if limit])
-        self.limits[team] = rng.choice([LIMITS[team], LIMITS[team] // 2, LIMITS[team] * 2])
-        await self.configure()
-
-    async def replace_key(self, rng: random.Random) -> None:
-        """Take a team's key away and give it another one."""
-        team = rng.choice(list(LIMITS))
-        old = self.keys[team]
-        self.keys[team] = [f"key-{team}-{next(self.numbers)}"]
-        await self.configure()
-        for key in old:
+    async def change_team_limit(self, rng: random.Random) -> None:
+        """Change the limit of a random team."""
+        team = rng.choice([name for name, limit in CPU_LIMITS.items() if limit])
+        self.cpu_limits[team] = rng.choice(
+            [CPU_LIMITS[team], CPU_LIMITS[team] // 2, CPU_LIMITS[team] * 2]
+        )
+        await self.write_config()
+
+    async def replace_team_key(self, rng: random.Random) -> None:
+        """Revoke the API key of a random team and issue another one."""
+        team = rng.choice(list(CPU_LIMITS))
+        revoked_keys = self.api_keys[team]
+        self.api_keys[team] = [f"key-{team}-{next(self.key_numbers)}"]
+        await self.write_config()
+        for key in revoked_keys:
             self.note("revoked", key=key)
 
-    # Callers.
+    # Actions of the callers.
 
     def new_job(self, rng: random.Random, queue: str) -> SubmittedJob:
-        """Make a job up."""
+        """Return a random job for a queue."""
         job_id = f"{rng.getrandbits(64):016x}"
-        team = rng.choice(list(LIMITS))
-        failures = 99 if rng.random() < POISON_PROBABILITY else 0
-        failures = failures or int(rng.random() < FAILING_PROBABILITY)
+        team = rng.choice(list(CPU_LIMITS))
+        failures = 99 if rng.random() < ALWAYS_FAILS_PROBABILITY else 0
+        failures = failures or int(rng.random() < FAILS_ONCE_PROBABILITY)
         run_ms = {"quick": (50, 500), "batch": (200, 1_500), "gangs": (300, 1_200)}[queue]
         counts = {"quick": (1, 3), "batch": (2, 8), "gangs": (2, 4)}[queue]
         steps: list[dict[str, Any]] = [
@@ -161,187 +164,199 @@
             steps[0] |= {"checkpointing": True, "maxPerServer": 3}
         spec = json.dumps({"plan": plan, "pad": "x" * rng.choice([0, 500])})
         attempts = int(QUEUES[queue]["maxAttempts"])
-        note = SubmittedJob(job_id, queue, team, steps, zlib.crc32(spec.encode()), attempts)
-        self.jobs[job_id] = note
-        note.body = json.dumps({"taskSpec": spec, "steps": steps})
-        return note
-
-    def _choose(self, but: str = "") -> str:
-        """Choose an instance in rotation; all of them if too few are."""
-        ready = [
-            n for n in self.deployment.instances if self.misses[n] < READY_MISSES and n != but
+        job = SubmittedJob(job_id, queue, team, steps, zlib.crc32(spec.encode()), attempts)
+        self.jobs[job_id] = job
+        job.body = json.dumps({"taskSpec": spec, "steps": steps})
+        return job
+
+    def _pick_instance(self, excluded: str = "") -> str:
+        """Pick a ready instance, or any instance if fewer than half of them are ready."""
+        ready_instances = [
+            n
+            for n in self.deployment.instances
+            if self.failed_ready_checks[n] < READY_FAILURE_THRESHOLD and n != excluded
         ]
-        others = [name for name in self.deployment.instances if name != but]
-        return self.rng.choice(ready if len(ready) * 2 >= len(others) else others)
+        others = [name for name in self.deployment.instances if name != excluded]
+        return self.rng.choice(
+            ready_instances if len(ready_instances) * 2 >= len(others) else others
+        )
 
-    async def _call(
+    async def _send_request(
         self, event: str, job: SubmittedJob, method: str, instance: str, key: str = ""
     ) -> dict[str, Any]:
-        """Make one call and log it; `status` is 0 without an answer."""
+        """Send one request and log it; `status` is 0 if there was no response."""
         entry: dict[str, Any] = {
             "t": time.time(),
             "event": event,
             "job": job.job_id,
             "instance": instance,
-            "key": key or self.keys[job.team][0],
+            "key": key or self.api_keys[job.team][0],
         }
         headers = {
             "Host": f"{job.queue}.example",
             "X-Credential": entry["key"],
-            "X-Deadline-Ms": str(int(WAIT_S * 1000)),
+            "X-Deadline-Ms": str(int(REQUEST_TIMEOUT_S * 1000)),
         }
-        answer = await self.deployment.send_request(
+        response = await self.deployment.send_request(
             self.deployment.instances[instance].caller_port,
             method,
             f"/{job.queue}/{job.job_id}",
-            WAIT_S,
+            REQUEST_TIMEOUT_S,
             headers=headers,
             body=job.body if method == "POST" else None,
         )
         entry["end"] = time.time()
-        answered = isinstance(answer, HTTPResponse) and answer.code != NO_ANSWER
-        if isinstance(answer, HTTPResponse) and answered:
-            entry["status"] = answer.code
-            entry["state"] = _state(answer)
-            entry["retry_after"] = answer.headers.get("Retry-After")
+        has_response = isinstance(response, HTTPResponse) and response.code != NO_RESPONSE_STATUS
+        if isinstance(response, HTTPResponse) and has_response:
+            entry["status"] = response.code
+            entry["state"] = _read_state(response)
+            entry["retry_after"] = response.headers.get("Retry-After")
         else:
-            reason = answer if isinstance(answer, str) else answer.error
+            reason = response if isinstance(response, str) else response.error
             entry |= {"status": 0, "state": "", "reason": str(reason)}
-        self.callers.append(entry)
+        self.caller_log.append(entry)
         return entry
 
     async def submit(self, job: SubmittedJob, key: str = "") -> bool:
-        """Hand a job in, again after a refusal or without an answer; tell whether it was taken."""
-        instance = self._choose()
-        for _ in range(TRIES):
-            entry = await self._call("submit", job, "POST", instance, key)
+        """Submit a job, retrying unless it is refused for good; tell whether it was accepted."""
+        instance = self._pick_instance()
+        for _ in range(REQUEST_ATTEMPTS):
+            entry = await self._send_request("submit", job, "POST", instance, key)
             if entry["status"] == 200:
                 return True
             if entry["status"] in REFUSED_STATUSES and entry["status"] not in (429, 503):
                 return False
-            pause_s = float(entry.get("retry_after") or RETRY_S)
-            await asyncio.sleep(pause_s + self.rng.random() * RETRY_S)
-            instance = self._choose(but=instance)
+            pause_s = float(entry.get("retry_after") or RETRY_DELAY_S)
+            await asyncio.sleep(pause_s + self.rng.random() * RETRY_DELAY_S)
+            instance = self._pick_instance(excluded=instance)
         return False
 
     async def cancel(self, job: SubmittedJob) -> None:
-        """Cancel a job, again until there is an answer."""
+        """Cancel a job, retrying until the cancellation is confirmed or the job is unknown."""
         job.cancel_sent = job.cancel_sent or time.time()
-        for _ in range(TRIES):
-            entry = await self._call("cancel", job, "DELETE", self._choose())
+        for _ in range(REQUEST_ATTEMPTS):
+            entry = await self._send_request("cancel", job, "DELETE", self._pick_instance())
             if entry["status"] in (200, 410):
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
+
+    async def submit_and_follow(self, job: SubmittedJob) -> None:
+        """Submit a job and follow it to its end.
 
-    async def live(self, job: SubmittedJob) -> None:
-        """Hand one job in, perhaps twice, with a wrong key or to cancel it, and follow it."""
+        Some jobs are submitted twice at once, with an unknown key, or cancelled later.
+        """
         rng = random.Random(job.job_id)
-        if rng.random() < STRANGER_PROBABILITY:
+        if rng.random() < UNKNOWN_KEY_PROBABILITY:
             await self.submit(job, "key-of-nobody")
             return
-        again = [self.submit(job)] if rng.random() < TWICE_PROBABILITY else []
-        accepted = any(await asyncio.gather(self.submit(job), *again))
-        if not accepted:
+        duplicates = [self.submit(job)] if rng.random() < DUPLICATE_PROBABILITY else []
+        is_accepted = any(await asyncio.gather(self.submit(job), *duplicates))
+        if not is_accepted:
             return
         if rng.random() < CANCEL_PROBABILITY:
             await asyncio.sleep(rng.uniform(0, 1.5))
             await self.cancel(job)
-        await self.follow(job)
+        await self.poll_until_final(job)
 
-    async def follow(self, job: SubmittedJob) -> None:
-        """Ask for a job's state until it has ended."""
+    async def poll_until_final(self, job: SubmittedJob) -> None:
+        """Poll a job's state until it is final."""
         while True:
-            await asyncio.sleep(ASK_INTERVAL_S)
-            entry = await self._call("state", job, "GET", self._choose())
+            await asyncio.sleep(STATE_POLL_INTERVAL_S)
+            entry = await self._send_request("state", job, "GET", self._pick_instance())
             if entry["state"] in ("completed", "failed", "cancelled"):
-                self.finals[job.job_id] = entry["state"]
+                self.final_states[job.job_id] = entry["state"]
                 return
 
-    async def load(self) -> None:
-        """Hand jobs in at a steady rate until cancelled."""
+    async def generate_load(self) -> None:
+        """Submit jobs as a Poisson process until cancelled."""
         while True:
-            job = self.new_job(self.rng, self.rng.choice(MIX))
-            self.spawn(self.live(job))
-            await asyncio.sleep(self.rng.expovariate(JOBS_PER_S * self.rate_factor))
+            job = self.new_job(self.rng, self.rng.choice(QUEUE_MIX))
+            self.spawn(self.submit_and_follow(job))
+            await asyncio.sleep(self.rng.expovariate(JOBS_PER_S * self.load_factor))
 
-    async def check_ready(self) -> None:
-        """Ask the instances whether they are ready, as the platform does."""
+    async def check_readiness(self) -> None:
+        """Check whether the instances are ready, as the platform does."""
 
         async def check(name: str) -> None:
-            ready = await self.deployment.is_ready(name)
-            self.misses[name] = 0 if ready else self.misses[name] + 1
+            is_ready = await self.deployment.is_ready(name)
+            self.failed_ready_checks[name] = 0 if is_ready else self.failed_ready_checks[name] + 1
 
         await asyncio.gather(*map(check, self.deployment.instances))
 
-    def judge(self, finished: bool) -> Judge:
-        """Return the verdicts so far."""
+    def judge(self, is_finished: bool) -> Judge:
+        """Judge the logs so far; check also that all jobs finished if the run has."""
         text = self.deployment.worker_log_path.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
         judge = Judge(
             worker_log=[json.loads(line) for line in lines],
-            caller_log=list(self.callers),
+            caller_log=list(self.caller_log),
             driver_log=list(self.driver),
             jobs=self.jobs,
-            teams={name: Team(name, limit) for name, limit in LIMITS.items()},
+            teams={name: Team(name, limit) for name, limit in CPU_LIMITS.items()},
         )
         judge.check_logs()
-        if finished:
-            judge.check_completion(self.finals)
+        if is_finished:
+            judge.check_completion(self.final_states)
         return judge
 
-    async def judge_now(self) -> None:
-        """Print the first broken promise while the run goes on."""
+    async def print_first_breach(self) -> None:
+        """Print the first breach found so far, while the run continues."""
         judge = await asyncio.to_thread(self.judge, False)
         if judge.breaches:
-            print(f"broken already: {judge.breaches[0]}", flush=True)
+            print(f"breach so far: {judge.breaches[0]}", flush=True)
 
     async def run(self, seconds: float, steps: list[soak_faults.Step]) -> None:
-        """Run the load and the faults, then wait until everything has ended."""
-        await self.deployment.start(INSTANCES, WORKERS, self.config())
-        self.note("limits", limits=dict(self.limits), acked=time.time())
-        checks = asyncio.create_task(run_periodically(READY_INTERVAL_S, self.check_ready))
-        await self._until_ready()
-        began = time.time()
-        judging = asyncio.create_task(run_periodically(JUDGE_INTERVAL_S, self.judge_now))
-        load = asyncio.create_task(self.load())
-        faults = []
+        """Run the load and the faults, then wait until all jobs have finished."""
+        await self.deployment.start(INSTANCE_COUNT, WORKER_COUNT, self.make_config())
+        self.note("limits", limits=dict(self.cpu_limits), acked=time.time())
+        readiness_task = asyncio.create_task(
+            run_periodically(READY_CHECK_INTERVAL_S, self.check_readiness)
+        )
+        await self._wait_until_ready()
+        started_at = time.time()
+        judging_task = asyncio.create_task(
+            run_periodically(JUDGE_INTERVAL_S, self.print_first_breach)
+        )
+        load_task = asyncio.create_task(self.generate_load())
+        fault_tasks = []
         for step in steps:
-            await asyncio.sleep(max(0.0, began + step.at - time.time()))
+            await asyncio.sleep(max(0.0, started_at + step.at - time.time()))
             print(f"{step.at:7.1f}s {step.fault} {step.duration_s:.1f}s", flush=True)
-            faults.append(asyncio.create_task(soak_faults.inject(self, step)))
-        await asyncio.sleep(max(0.0, began + seconds - time.time()))
-        outcomes = await asyncio.gather(*faults, return_exceptions=True)
-        load.cancel()
-        self.note("calm", failed=[repr(o) for o in outcomes if o is not None])
-        # A team's backlog, or a gang wider than its lowered limit, would outlast the run.
-        self.limits = dict.fromkeys(LIMITS, 0)
-        await self.configure()
+            fault_tasks.append(asyncio.create_task(soak_faults.inject(self, step)))
+        await asyncio.sleep(max(0.0, started_at + seconds - time.time()))
+        results = await asyncio.gather(*fault_tasks, return_exceptions=True)
+        load_task.cancel()
+        self.note("calm", failed=[repr(r) for r in results if r is not None])
+        # Lift all limits: a team's backlog, or a gang that exceeds its team's lowered limit, would
+        # outlast the run.
+        self.cpu_limits = dict.fromkeys(CPU_LIMITS, 0)
+        await self.write_config()
         if self.tasks:
-            await asyncio.wait(self.tasks, timeout=FINISH_S)
-        for task in (checks, judging, *self.tasks):
+            await asyncio.wait(self.tasks, timeout=FINISH_TIMEOUT_S)
+        for task in (readiness_task, judging_task, *self.tasks):
             task.cancel()
 
-    async def _until_ready(self) -> None:
-        give_up_at = time.time() + START_S
-        while time.time() < give_up_at:
+    async def _wait_until_ready(self) -> None:
+        deadline = time.time() + START_TIMEOUT_S
+        while time.time() < deadline:
             if all([await self.deployment.is_ready(name) for name in self.deployment.instances]):
                 return
             await asyncio.sleep(0.1)
-        raise RuntimeError(f"the instances were not ready within {START_S} s")
+        raise RuntimeError(f"the instances were not ready within {START_TIMEOUT_S} s")
 
 
-def _state(answer: HTTPResponse) -> str:
+def _read_state(response: HTTPResponse) -> str:
     try:
-        body = json.loads(answer.body or b"{}")
+        body = json.loads(response.body or b"{}")
     except ValueError:
         return ""
     return str(body.get("state", "")) if isinstance(body, dict) else ""
 
 
-def report(soak: Soak, judge: Judge) -> bool:
-    """Print the verdicts and figures; tell whether all held."""
+def print_report(soak: Soak, judge: Judge) -> bool:
+    """Print the verdicts and the counts of responses; return whether the run passed."""
     folder = soak.deployment.cluster.folder
-    crashes = [
+    crash_lines = [
         line
         for name in soak.deployment.instances
         for line in (folder / f"{name}.log").read_text(errors="replace").splitlines()
@@ -349,18 +364,18 @@
     ]
     for line in judge.verdict_lines():
         print(line)
-    print(f"internal: {len(crashes)} crashed tasks {crashes[:1]}")
-    statuses = Counter((e["event"], e["status"]) for e in soak.callers)
+    print(f"internal: {len(crash_lines)} crashed tasks {crash_lines[:1]}")
+    statuses = Counter((e["event"], e["status"]) for e in soak.caller_log)
     print(f"answers: { {f'{event} {status}': n for (event, status), n in statuses.items()} }")
     failed = [e["failed"] for e in soak.driver if e["event"] == "calm" and e["failed"]]
     if failed:
-        print(f"the driver itself failed: {failed}")
-    return not judge.breaches and not crashes and not failed
+        print(f"faults that failed to run: {failed}")
+    return not judge.breaches and not crash_lines and not failed
 
 
 def main(argv: list[str]) -> int:
-    """Run one soak."""
-    AsyncHTTPClient.configure(HTTP_CLIENT, max_clients=CLIENTS_MAX)
+    """Run one soak and return its exit code."""
+    AsyncHTTPClient.configure(HTTP_CLIENT_CLASS, max_clients=HTTP_CLIENTS_MAX)
     folder = soak_run.prepare(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
@@ -374,15 +389,20 @@
     with Cluster(folder) as cluster:
         soak = asyncio.run(body(cluster))
     jobs = {name: attrs.asdict(job) for name, job in soak.jobs.items()}
-    trace = {"callers": soak.callers, "driver": soak.driver, "jobs": jobs, "finals": soak.finals}
+    trace = {
+        "callers": soak.caller_log,
+        "driver": soak.driver,
+        "jobs": jobs,
+        "finals": soak.final_states,
+    }
     (folder / "driver.json").write_text(json.dumps(trace))
     print(f"seed={FLAGS.seed} seconds={FLAGS.seconds:g} logs in {folder}")
-    return 0 if report(soak, soak.judge(finished=True)) else 1
+    return 0 if print_report(soak, soak.judge(is_finished=True)) else 1
 
 
 if __name__ == "__main__":
     flags.DEFINE_integer("seed", 1, "Seed of the schedule of faults.")
     flags.DEFINE_float("seconds", 40.0, "Length of the run, in seconds.")
-    flags.DEFINE_list("faults", sorted(FAULTS), "Faults to inject.")
-    flags.DEFINE_string("folder", "", "Folder for logs; a temporary one by default.")
+    flags.DEFINE_list("faults", sorted(FAULTS), "Names of the faults to inject.")
+    flags.DEFINE_string("folder", "", "Empty folder for the logs; a temporary one by default.")
     app.run(main)
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -18,35 +18,35 @@
     from baobabhoist.platform.testing.soak import Soak
 
 WARM_UP_S = 4.0
-GAP_MAX_S = 3.0
+FAULT_GAP_MAX_S = 3.0
 FAULT_MIN_S, FAULT_MAX_S = 1.0, 6.0
 PAIR_PROBABILITY = 0.35
-DRAIN_S = 2.5
-CUTS = ("cut", "blackhole", "mute")
+DRAIN_NOTICE_S = 2.5
+CUT_MODES = ("cut", "blackhole", "mute")
 DELAY_MIN_S, DELAY_MAX_S = 0.05, 0.6
-WAVE_JOBS = 12
-BURST_FACTOR = 4.0
+CANCEL_WAVE_JOBS = 12
+BURST_LOAD_FACTOR = 4.0
 
 Fault = Callable[["Soak", "Step", random.Random], Awaitable[None]]
 
 
 def schedule(seed: int, seconds: float, faults: list[str]) -> list[Step]:
-    """Return the faults of a run in order of time; they come in series and overlap."""
+    """Return the faults of a run in order of time; they follow closely and may overlap."""
     rng = random.Random(seed)
     steps: list[Step] = []
-    deck: list[str] = []
-    at = WARM_UP_S
-    while at + FAULT_MIN_S < seconds:
+    remaining_faults: list[str] = []
+    start_s = WARM_UP_S
+    while start_s + FAULT_MIN_S < seconds:
         for _ in range(2 if rng.random() < PAIR_PROBABILITY else 1):
-            deck = deck or rng.sample(faults, len(faults))
-            duration_s = min(rng.uniform(FAULT_MIN_S, FAULT_MAX_S), seconds - at)
-            steps.append(Step(at, deck.pop(), duration_s, rng.randrange(1 << 30)))
-        at += rng.uniform(0.3, 1.0) * steps[-1].duration_s + rng.uniform(0.0, GAP_MAX_S)
+            remaining_faults = remaining_faults or rng.sample(faults, len(faults))
+            duration_s = min(rng.uniform(FAULT_MIN_S, FAULT_MAX_S), seconds - start_s)
+            steps.append(Step(start_s, remaining_faults.pop(), duration_s, rng.randrange(1 << 30)))
+        start_s += rng.uniform(0.3, 1.0) * steps[-1].duration_s + rng.uniform(0.0, FAULT_GAP_MAX_S)
     return steps
 
 
 async def inject(soak: Soak, step: Step) -> None:
-    """Run one fault to its end, and note its time span for the judge."""
+    """Run one fault to its end, and log its time span for the judge."""
     window = soak.note("window", fault=step.fault, until=float("inf"))
     try:
         await FAULTS[step.fault](soak, step, random.Random(step.seed))
@@ -54,47 +54,47 @@
         window["until"] = time.time()
 
 
-async def _target(soak: Soak, rng: random.Random) -> str:
-    """Choose a running instance, the owner half of the time."""
-    running = [name for name in soak.deployment.instances if name not in soak.down]
+async def _pick_target(soak: Soak, rng: random.Random) -> str:
+    """Pick a running instance at random, but the owner half of the time."""
+    running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     owner = await soak.deployment.find_owner()
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
-async def _kill(soak: Soak, step: Step, rng: random.Random) -> None:
-    await _kill_all(soak, step, [await _target(soak, rng)])
+async def _kill_one(soak: Soak, step: Step, rng: random.Random) -> None:
+    await _kill_and_restart(soak, step, [await _pick_target(soak, rng)])
 
 
-async def _herd(soak: Soak, step: Step, rng: random.Random) -> None:
-    running = [name for name in soak.deployment.instances if name not in soak.down]
+async def _kill_many(soak: Soak, step: Step, rng: random.Random) -> None:
+    running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     count = rng.choice([len(running) // 2, len(running)])
-    await _kill_all(soak, step, rng.sample(running, count))
+    await _kill_and_restart(soak, step, rng.sample(running, count))
 
 
-async def _kill_all(soak: Soak, step: Step, names: list[str]) -> None:
+async def _kill_and_restart(soak: Soak, step: Step, names: list[str]) -> None:
     for name in names:
-        soak.down.add(name)
+        soak.down_instances.add(name)
         soak.deployment.cluster.processes[name].kill()
     for name in names:
         await asyncio.to_thread(soak.deployment.cluster.processes[name].wait)
     await asyncio.sleep(step.duration_s / 2)
     for name in names:
-        soak.restart(name)
+        soak.restart_instance(name)
 
 
-async def _pause(soak: Soak, step: Step, rng: random.Random) -> None:
-    name = await _target(soak, rng)
-    soak.down.add(name)
+async def _pause_instance(soak: Soak, step: Step, rng: random.Random) -> None:
+    name = await _pick_target(soak, rng)
+    soak.down_instances.add(name)
     soak.deployment.cluster.pause(name)
     await asyncio.sleep(step.duration_s)
     soak.deployment.cluster.resume(name)
-    soak.down.discard(name)
+    soak.down_instances.discard(name)
 
 
-async def _stop(soak: Soak, step: Step, rng: random.Random) -> None:
-    """Stop gracefully; callers go on using their connections until the process is gone."""
-    name = await _target(soak, rng)
-    soak.down.add(name)
+async def _stop_gracefully(soak: Soak, step: Step, rng: random.Random) -> None:
+    """Stop an instance with SIGTERM; callers keep using their connections until it exits."""
+    name = await _pick_target(soak, rng)
+    soak.down_instances.add(name)
     process = soak.deployment.cluster.processes[name]
     stop = soak.note("stop", instance=name, until=float("inf"))
     process.terminate()
@@ -104,17 +104,17 @@
     process.kill()
     await asyncio.to_thread(process.wait)
     stop["until"] = time.time()
-    soak.restart(name)
+    soak.restart_instance(name)
 
 
-async def _hup(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _send_sighup(soak: Soak, step: Step, rng: random.Random) -> None:
     for name in soak.deployment.instances:
-        if name not in soak.down:
+        if name not in soak.down_instances:
             soak.deployment.cluster.processes[name].send_signal(signal.SIGHUP)
     await asyncio.sleep(step.duration_s)
 
 
-def _store(**fault: Any) -> Fault:
+def _store_fault(**fault: Any) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
         delay_s = rng.uniform(DELAY_MIN_S, DELAY_MAX_S)
         await soak.deployment.set_store_fault(**{"delay_s": delay_s, **fault})
@@ -124,59 +124,65 @@
     return run
 
 
-async def _relays(soak: Soak, step: Step, mode: str, *names: str, **extra: Any) -> None:
+async def _run_relay_fault(soak: Soak, step: Step, mode: str, *names: str, **options: Any) -> None:
     for name in names:
-        await soak.deployment.set_relay_mode(name, mode, **extra)
+        await soak.deployment.set_relay_mode(name, mode, **options)
     await asyncio.sleep(step.duration_s)
     for name in names:
         await soak.deployment.set_relay_mode(
-            name, "pass", **{k: v for k, v in extra.items() if k == "source"}
+            name, "pass", **{k: v for k, v in options.items() if k == "source"}
         )
 
 
 async def _cut_store(soak: Soak, step: Step, rng: random.Random) -> None:
-    names = {await _target(soak, rng) for _ in range(rng.choice([1, 2]))}
-    await _relays(soak, step, rng.choice(CUTS), *(f"store:{name}" for name in names))
+    names = {await _pick_target(soak, rng) for _ in range(rng.choice([1, 2]))}
+    await _run_relay_fault(soak, step, rng.choice(CUT_MODES), *(f"store:{name}" for name in names))
 
 
 async def _cut_peer(soak: Soak, step: Step, rng: random.Random) -> None:
-    await _relays(soak, step, rng.choice(CUTS), f"peer:{await _target(soak, rng)}")
+    await _run_relay_fault(
+        soak, step, rng.choice(CUT_MODES), f"peer:{await _pick_target(soak, rng)}"
+    )
 
 
 async def _cut_workers(soak: Soak, step: Step, rng: random.Random) -> None:
     names = rng.sample(soak.deployment.workers, rng.choice([1, len(soak.deployment.workers) // 3]))
-    extra = {"source": await _target(soak, rng)} if rng.random() < 0.5 else {}
-    await _relays(soak, step, rng.choice(CUTS), *(f"worker:{name}" for name in names), **extra)
+    options = {"source": await _pick_target(soak, rng)} if rng.random() < 0.5 else {}
+    await _run_relay_fault(
+        soak, step, rng.choice(CUT_MODES), *(f"worker:{name}" for name in names), **options
+    )
 
 
-async def _alone(soak: Soak, step: Step, rng: random.Random) -> None:
-    """Cut one instance off from everything but its callers."""
-    name, mode = await _target(soak, rng), rng.choice(CUTS)
+async def _isolate(soak: Soak, step: Step, rng: random.Random) -> None:
+    """Isolate one instance from everything but its callers."""
+    name, mode = await _pick_target(soak, rng), rng.choice(CUT_MODES)
     await asyncio.gather(
-        _relays(soak, step, mode, f"store:{name}", f"peer:{name}"),
-        _relays(soak, step, mode, "peer:*", "worker:*", source=name),
+        _run_relay_fault(soak, step, mode, f"store:{name}", f"peer:{name}"),
+        _run_relay_fault(soak, step, mode, "peer:*", "worker:*", source=name),
     )
 
 
-async def _silent(soak: Soak, step: Step, rng: random.Random) -> None:
-    """Silence open connections for good; new ones work."""
-    kind = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _target(soak, rng)}"])
-    await _relays(soak, step, "silent", kind)
+async def _silence_connections(soak: Soak, step: Step, rng: random.Random) -> None:
+    """Silence the open connections for good; new connections work."""
+    pattern = rng.choice(
+        ["store:*", "peer:*", "worker:*", f"store:{await _pick_target(soak, rng)}"]
+    )
+    await _run_relay_fault(soak, step, "silent", pattern)
 
 
-async def _reset(soak: Soak, step: Step, rng: random.Random) -> None:
-    """Reset open connections; new ones work."""
+async def _reset_connections(soak: Soak, step: Step, rng: random.Random) -> None:
+    """Reset the open connections; new connections work."""
     for name in (rng.choice(["store:*", "peer:*", "worker:*"]),):
         await soak.deployment.set_relay_mode(name, "cut")
         await soak.deployment.set_relay_mode(name, "pass")
 
 
-async def _delay(soak: Soak, step: Step, rng: random.Random) -> None:
-    name = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _target(soak, rng)}"])
-    await _relays(soak, step, "pass", name, delay_s=rng.uniform(DELAY_MIN_S, DELAY_MAX_S))
+async def _delay_connections(soak: Soak, step: Step, rng: random.Random) -> None:
+    name = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _pick_target(soak, rng)}"])
+    await _run_relay_fault(soak, step, "pass", name, delay_s=rng.uniform(DELAY_MIN_S, DELAY_MAX_S))
 
 
-def _workers(mode: str) -> Fault:
+def _worker_fault(mode: str) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
         names = rng.sample(soak.deployment.workers, rng.choice([1, 2]))
         for name in names:
@@ -188,76 +194,76 @@
     return run
 
 
-async def _worker_crash(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _crash_workers(soak: Soak, step: Step, rng: random.Random) -> None:
     for name in rng.sample(soak.deployment.workers, rng.choice([1, 3])):
         await soak.deployment.command_worker(name, crash=1)
 
 
-async def _worker_drain(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _drain_worker(soak: Soak, step: Step, rng: random.Random) -> None:
     name = rng.choice(soak.deployment.workers)
     await soak.deployment.command_worker(name, draining=True)
     soak.note("draining", worker=name)
-    await asyncio.sleep(DRAIN_S)
+    await asyncio.sleep(DRAIN_NOTICE_S)
     await soak.deployment.command_worker(name, gone=True)
     await asyncio.sleep(step.duration_s)
     await soak.deployment.command_worker(name, crash=1)
     soak.note("returned", worker=name)
 
 
-async def _config(soak: Soak, step: Step, rng: random.Random) -> None:
-    """Change the limits of a team, several times in quick succession."""
+async def _change_limit(soak: Soak, step: Step, rng: random.Random) -> None:
+    """Change a team's limit once or four times in quick succession."""
     for _ in range(rng.choice([1, 4])):
-        await soak.change_limits(rng)
+        await soak.change_team_limit(rng)
         await asyncio.sleep(rng.uniform(0.05, 0.5))
 
 
-async def _revoke(soak: Soak, step: Step, rng: random.Random) -> None:
-    await soak.replace_key(rng)
+async def _revoke_key(soak: Soak, step: Step, rng: random.Random) -> None:
+    await soak.replace_team_key(rng)
 
 
-async def _cancel_wave(soak: Soak, step: Step, rng: random.Random) -> None:
-    jobs = [soak.new_job(rng, "batch") for _ in range(WAVE_JOBS)]
-    accepted = await asyncio.gather(*(soak.submit(job) for job in jobs))
+async def _cancel_many(soak: Soak, step: Step, rng: random.Random) -> None:
+    jobs = [soak.new_job(rng, "batch") for _ in range(CANCEL_WAVE_JOBS)]
+    results = await asyncio.gather(*(soak.submit(job) for job in jobs))
     await asyncio.sleep(rng.uniform(0.0, step.duration_s / 4))
-    taken = [job for job, good in zip(jobs, accepted, strict=True) if good]
-    for job in taken:
-        soak.spawn(soak.follow(job))
-    await asyncio.gather(*map(soak.cancel, taken))
+    accepted_jobs = [job for job, is_accepted in zip(jobs, results, strict=True) if is_accepted]
+    for job in accepted_jobs:
+        soak.spawn(soak.poll_until_final(job))
+    await asyncio.gather(*map(soak.cancel, accepted_jobs))
 
 
-async def _burst(soak: Soak, step: Step, rng: random.Random) -> None:
-    soak.rate_factor = BURST_FACTOR
+async def _raise_load(soak: Soak, step: Step, rng: random.Random) -> None:
+    soak.load_factor = BURST_LOAD_FACTOR
     await asyncio.sleep(step.duration_s)
-    soak.rate_factor = 1.0
+    soak.load_factor = 1.0
 
 
 FAULTS: dict[str, Fault] = {
-    "kill": _kill,
-    "herd": _herd,
-    "pause": _pause,
-    "stop": _stop,
-    "hup": _hup,
-    "store_refuses": _store(mode="refuse"),
-    "store_hangs": _store(mode="hang"),
-    "store_slow": _store(mode="slow"),
-    "store_loses": _store(mode="lose"),
-    "store_late": _store(mode="late"),
-    "store_forgets": _store(mode="up", forget=True),
+    "kill": _kill_one,
+    "herd": _kill_many,
+    "pause": _pause_instance,
+    "stop": _stop_gracefully,
+    "hup": _send_sighup,
+    "store_refuses": _store_fault(mode="refuse"),
+    "store_hangs": _store_fault(mode="hang"),
+    "store_slow": _store_fault(mode="slow"),
+    "store_loses": _store_fault(mode="lose"),
+    "store_late": _store_fault(mode="late"),
+    "store_forgets": _store_fault(mode="up", forget=True),
     "cut_store": _cut_store,
     "cut_peer": _cut_peer,
     "cut_workers": _cut_workers,
-    "alone": _alone,
-    "silent": _silent,
-    "reset": _reset,
-    "delay": _delay,
-    "worker_fails": _workers("fail"),
-    "worker_hangs": _workers("hang"),
-    "worker_late": _workers("late"),
-    "worker_loses": _workers("lose"),
-    "worker_crash": _worker_crash,
-    "worker_drain": _worker_drain,
-    "config": _config,
-    "revoke": _revoke,
-    "cancel_wave": _cancel_wave,
-    "burst": _burst,
+    "alone": _isolate,
+    "silent": _silence_connections,
+    "reset": _reset_connections,
+    "delay": _delay_connections,
+    "worker_fails": _worker_fault("fail"),
+    "worker_hangs": _worker_fault("hang"),
+    "worker_late": _worker_fault("late"),
+    "worker_loses": _worker_fault("lose"),
+    "worker_crash": _crash_workers,
+    "worker_drain": _drain_worker,
+    "config": _change_limit,
+    "revoke": _revoke_key,
+    "cancel_wave": _cancel_many,
+    "burst": _raise_load,
 }
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def curl_client():
-    AsyncHTTPClient.configure(soak.HTTP_CLIENT, max_clients=soak.CLIENTS_MAX)
+    AsyncHTTPClient.configure(soak.HTTP_CLIENT_CLASS, max_clients=soak.HTTP_CLIENTS_MAX)
     yield
     AsyncHTTPClient.configure(None)
 
@@ -59,7 +59,7 @@
 
     with Cluster(tmp_path) as cluster:
         played = asyncio.run(run(cluster))
-    judge = played.judge(finished=True)
+    judge = played.judge(is_finished=True)
     assert judge.breaches == []
     assert judge.check_counts["TWICE"] > 0
-    assert played.finals
+    assert played.final_states
