--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -33,7 +33,13 @@
 from baobabhoist.errors import LinkClosedError
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import RowsConflict, RowStore, RowsTxn, StoredRow, StoreError
+from baobabhoist.store.row_store import (
+    RowsConflict,
+    RowStore,
+    RowTransaction,
+    StoredRow,
+    StoreError,
+)
 
 log = logging.getLogger(__name__)
 
@@ -222,7 +228,7 @@
         expected = {OWNER_ROW_KEY: self._claim_version}
         if reason not in REASONS_PREVIOUS_OWNER_STOPPED and self._heartbeat_version:
             expected[HEARTBEAT_ROW_KEY] = self._heartbeat_version
-        txn = RowsTxn(expected, {OWNER_ROW_KEY: encode_claim(claim)})
+        txn = RowTransaction(expected, {OWNER_ROW_KEY: encode_claim(claim)})
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -30,7 +30,7 @@
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.link import Link
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowStore,
     StoredRow,
 )
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -33,7 +33,7 @@
 from baobabhoist.control.table_follower import TableFollower
 from baobabhoist.control.worker_session import WorkerSession
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import RowStore, StoredRow, StoreError
+from baobabhoist.store.row_store import RowStore, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -19,12 +19,12 @@
     progress_row_key,
 )
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import (
+from baobabhoist.store.row_store import (
     RowKey,
     RowsCommitted,
     RowsConflict,
     RowStore,
-    RowsTxn,
+    RowTransaction,
     StoreError,
 )
 
@@ -100,8 +100,8 @@
         """Remove the rows of a job whose retention period has passed."""
         try:
             removed = (job_row_key(job_id), cancel_row_key(job_id))
-            await self._store.commit(RowsTxn(removes=removed))
-            await self._store.commit(RowsTxn(removes=(progress_row_key(job_id),)))
+            await self._store.commit(RowTransaction(removes=removed))
+            await self._store.commit(RowTransaction(removes=(progress_row_key(job_id),)))
         except StoreError as exc:
             emit(log, Event.WRITE_REFUSED, row=job_id, detail=exc)
 
@@ -162,7 +162,7 @@
         self, puts: dict[RowKey, bytes], expected: dict[RowKey, int]
     ) -> RowsCommitted | None:
         sent_ms = monotonic_ms()
-        txn = RowsTxn({OWNER_ROW_KEY: self._token, **expected}, puts)
+        txn = RowTransaction({OWNER_ROW_KEY: self._token, **expected}, puts)
         try:
             outcome = await self._store.commit(txn)
         except StoreError as exc:
--- a/baobabhoist/control/table_follower.py
+++ b/baobabhoist/control/table_follower.py
@@ -8,7 +8,7 @@
 
 from baobabhoist.control.clock import StoreClock, monotonic_ms
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.store.rows import HistoryLostError, Rows, RowStore, StoredRow, StoreError
+from baobabhoist.store.row_store import HistoryLostError, RowSet, RowStore, StoredRow, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         """Read a snapshot of the table; raises StoreError."""
         sent_ms = monotonic_ms()
         reads = (self._store.read(self._table, partition) for partition in self._partitions)
-        snapshots: list[Rows] = await asyncio.gather(*reads)
+        snapshots: list[RowSet] = await asyncio.gather(*reads)
         # Partitions may differ in version; the first poll repeats the changes after the oldest.
         self.version = min(rows.version for rows in snapshots)
         self._on_rows([row for rows in snapshots for row in rows.rows], True)
@@ -79,7 +79,7 @@
 
     async def _poll(self) -> None:
         sent_ms = monotonic_ms()
-        changes = await self._store.follow(self._table, self.version, POLL_WAIT_MS)
+        changes = await self._store.poll_changes(self._table, self.version, POLL_WAIT_MS)
         self.version = max(self.version, changes.version)
         if changes.rows:
             self._on_rows(changes.rows, False)
@@ -102,7 +102,7 @@
         """Poll without waiting for the pause to end."""
         self._poll_requested.set()
 
-    def _confirm(self, rows: Rows, sent_ms: float) -> None:
+    def _confirm(self, rows: RowSet, sent_ms: float) -> None:
         self._clock.observe(rows.now_ms)
         self.confirmed_ms = sent_ms
         if not self._is_connected:
--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -25,7 +25,7 @@
 from baobabhoist.daemon.shard_owner import ShardOwner
 from baobabhoist.daemon.shutdown import Drain
 from baobabhoist.daemon.telemetry import GaugeUpdater, MetricsObserver
-from baobabhoist.errors import NotSentError
+from baobabhoist.errors import MessageNotSentError
 from baobabhoist.gateway.admin import admin_app
 from baobabhoist.gateway.callers import caller_app
 from baobabhoist.gateway.context import CallerOptions
@@ -53,12 +53,12 @@
     ShardDigest,
 )
 from baobabhoist.peer.tls import PeerTls
-from baobabhoist.records.changes import LOG_HEAD
+from baobabhoist.records.changes import LOG_HEAD_KEY
 from baobabhoist.records.kinds import Policy
 from baobabhoist.records.view import RecordView
-from baobabhoist.store.client import PlatformTable
-from baobabhoist.store.members import MemberList
-from baobabhoist.store.table import Table, WatchedTable
+from baobabhoist.store.membership import MembershipList
+from baobabhoist.store.table import CommitNotifyingTable, Table
+from baobabhoist.store.table_client import PlatformTableClient
 
 log = logging.getLogger(__name__)
 
@@ -86,7 +86,7 @@
 
     def workers_of(self, shard: str) -> list[WorkerSpec]:
         """Return the workers of a shard."""
-        return self._view.workers_of(shard)
+        return self._view.workers_in_shard(shard)
 
 
 def _listener_tls(cfg: TlsSettings | None) -> ReloadingTls | None:
@@ -98,13 +98,15 @@
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
-        platform = PlatformTable(cfg.platform_url)
-        self.table: Table = WatchedTable(platform, LOG_HEAD, lambda: self.sync.request_pull())
+        platform = PlatformTableClient(cfg.platform_url)
+        self.table: Table = CommitNotifyingTable(
+            platform, LOG_HEAD_KEY, lambda: self.sync.request_pull()
+        )
         self.view = RecordView()
         self.shards = ShardRecords(self.view)
         self.metrics = Metrics()
         self.sync = RecordSync(self.view, self.table, cfg.instance_id, cfg.data_centre)
-        self.members = MemberList(platform, self._on_membership_read)
+        self.members = MembershipList(platform, self._on_membership_read)
         self.tls = PeerTls(cfg.peer_tls) if cfg.peer_tls is not None else None
         self._addresses = {
             peer.instance_id: PeerAddress(peer.instance_id, peer.data_centre, peer.host, peer.port)
@@ -234,7 +236,7 @@
 
     def policy_of(self, queue: str) -> Policy:
         """Return the policy of a queue."""
-        return self.view.policy_of(queue)
+        return self.view.policy_for_queue(queue)
 
     def owned_shards(self) -> list[str]:
         """Return the shards that this instance fully owns."""
@@ -256,7 +258,7 @@
         """Call the instance that owns a shard; raises LinkClosedError or TimeoutError."""
         peer = self.mesh.owner_of(shard)
         if peer is None:
-            raise NotSentError(f"no live instance owns shard {shard}")
+            raise MessageNotSentError(f"no live instance owns shard {shard}")
         return await self.mesh.call(peer, message, timeout_s)
 
     # Events from peers and the platform.
@@ -281,10 +283,10 @@
             )
         )
 
-    async def _on_membership_read(self, members: MemberList) -> None:
+    async def _on_membership_read(self, members: MembershipList) -> None:
         gone = members.gone()
         for owner in list(self.ownership.owners.values()):
-            owner.set_leaving_workers(members.leaving() | self.view.drained_workers(owner.shard))
+            owner.set_leaving_workers(members.not_live() | self.view.drained_workers(owner.shard))
             await owner.claim_driver.on_membership_read(gone)
         for name in members.gone_longer_than(self.cfg.membership_lag_s):
             self.mesh.forget(name)
@@ -323,9 +325,9 @@
         while True:
             await self.sync.changed.wait()
             self.sync.changed.clear()
-            leaving = self.members.leaving()
+            leaving = self.members.not_live()
             for owner in list(self.ownership.owners.values()):
-                await owner.set_workers(self.view.workers_of(owner.shard))
+                await owner.set_workers(self.view.workers_in_shard(owner.shard))
                 owner.set_leaving_workers(leaving | self.view.drained_workers(owner.shard))
                 self._apply_policies(owner)
             self.escrow.apply_lowered_limits()
@@ -368,7 +370,7 @@
             inherited=inherited,
             observer=MetricsObserver(self.metrics),
         )
-        owner.set_leaving_workers(self.members.leaving() | self.view.drained_workers(owner.shard))
+        owner.set_leaving_workers(self.members.not_live() | self.view.drained_workers(owner.shard))
         self._apply_policies(owner)
         return owner
 
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -11,7 +11,7 @@
 import attrs
 
 from baobabhoist.daemon.dispatch import WORKER_CALL_TIMEOUT_S, WorkerLeases
-from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError
+from baobabhoist.errors import InvariantViolationError, LinkClosedError, PlatformError
 from baobabhoist.model import EndedTask, RunningTask
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -42,7 +42,7 @@
     WorkersChanged,
 )
 from baobabhoist.ownership.tokens import Token
-from baobabhoist.store.table import Committed, Table, Transaction, within
+from baobabhoist.store.table import Committed, Table, Transaction, call_with_timeout
 from baobabhoist.upstream.messages import (
     FenceWorker,
     LeasesRenewed,
@@ -228,7 +228,7 @@
         had_unverified = bool(self.claim.unverified_workers)
         try:
             actions = self.claim.step(event, self._clock())
-        except InvariantBreachError:
+        except InvariantViolationError:
             # The rejected step had no effect and is counted as a breach; the claim continues.
             return
         self._check_ended()
@@ -258,7 +258,7 @@
 
     async def _claim_shard(self) -> None:
         try:
-            row = await within(CLAIM_TABLE_TIMEOUT_S, self._table.read(self._row_key))
+            row = await call_with_timeout(CLAIM_TABLE_TIMEOUT_S, self._table.read(self._row_key))
             epoch: int | None = _stored_epoch(row.value)
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
@@ -271,7 +271,7 @@
         claimant, key = self.claim.instance_id, self._row_key
         deadline = time.monotonic() + CLAIM_TABLE_TIMEOUT_S
         try:
-            row = await within(deadline - time.monotonic(), self._table.read(key))
+            row = await call_with_timeout(deadline - time.monotonic(), self._table.read(key))
             stored_epoch = _stored_epoch(row.value)
             if stored_epoch == target and row.value["owner"] == claimant:
                 # An earlier commit took effect but its acknowledgement was lost.
@@ -280,11 +280,11 @@
             if stored_epoch != expected:
                 return EpochConflict(stored_epoch)
             txn = Transaction({key: row.revision}, {key: {"epoch": target, "owner": claimant}})
-            outcome = await within(deadline - time.monotonic(), self._table.commit(txn))
+            outcome = await call_with_timeout(deadline - time.monotonic(), self._table.commit(txn))
             if isinstance(outcome, Committed):
                 self.row_revision = outcome.revisions[key]
                 return EpochGranted(target)
-            row = await within(deadline - time.monotonic(), self._table.read(key))
+            row = await call_with_timeout(deadline - time.monotonic(), self._table.read(key))
             return EpochConflict(_stored_epoch(row.value))
         except (PlatformError, TimeoutError):
             emit(log, Event.EPOCH_UNAVAILABLE, shard=self.claim.shard)
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from baobabhoist.errors import ErrorKind, LinkClosedError, NotSentError, Refusal
+from baobabhoist.errors import ErrorKind, LinkClosedError, MessageNotSentError, Refusal
 from baobabhoist.model import Answer, EndedTask, Outcome, Task
 from baobabhoist.ownership.request_keys import Result
 from baobabhoist.ownership.tokens import Token
@@ -100,7 +100,7 @@
     """Send calls to workers."""
 
     async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
-        """Send a call; raises NotSentError, LinkClosedError or TimeoutError."""
+        """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
 
 @attrs.define
@@ -151,7 +151,7 @@
         timeout_s = min(task.deadline - now + DEADLINE_GRACE_S, MAX_CALL_TIMEOUT_S)
         try:
             reply = await self._client.call(worker, call, timeout_s)
-        except NotSentError:
+        except MessageNotSentError:
             return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
             return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -18,7 +18,7 @@
 from baobabhoist.daemon.digests import build_digest
 from baobabhoist.daemon.preemption import build_stop_message
 from baobabhoist.daemon.shard_owner import ShardOwner
-from baobabhoist.errors import InvariantBreachError, LinkClosedError, PlatformError, Refusal
+from baobabhoist.errors import InvariantViolationError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
@@ -103,7 +103,7 @@
                     self._next_read_at = self._clock() + IDLE_READ_INTERVAL_S
             except PlatformError as exc:
                 emit(log, Event.ESCROW_MOVE_FAILED, team="all teams", detail=exc)
-            except InvariantBreachError:
+            except InvariantViolationError:
                 log.warning("an invariant check rejected an escrow update")
             is_capped = any(
                 owner.quota_ledger.takeover_cap is not None
@@ -181,7 +181,7 @@
             committed = await self._transfer_out(
                 account, request.team, row, places, request.to_shard
             )
-        except (PlatformError, InvariantBreachError):
+        except (PlatformError, InvariantViolationError):
             return no_grant
         if committed:
             emit(
@@ -340,7 +340,7 @@
                 if is_request or worker is None or task_id in account.stop_sent_at:
                     continue
                 queue = placed.placement.task.queue if placed is not None else ""
-                policy = self._context.view.policy_of(queue)
+                policy = self._context.view.policy_for_queue(queue)
                 action = PreemptionAction(policy.preempt_action.value)
                 account.stop_sent_at[task_id] = now
                 owner.stopping_tasks.add(task_id)
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -15,7 +15,7 @@
 from websockets.exceptions import WebSocketException
 
 from baobabhoist.daemon.shard_owner import ShardOwner
-from baobabhoist.errors import LinkClosedError, NotSentError
+from baobabhoist.errors import LinkClosedError, MessageNotSentError
 from baobabhoist.model import WorkerSpec
 from baobabhoist.observability.events import Event, emit
 from baobabhoist.ownership.claim import ShardClaim
@@ -190,7 +190,7 @@
         """Send a shard's queue; return whether it was accepted, or None if that is unknown."""
         try:
             reply = await self._peers.call(successor, message, HAND_OVER_TIMEOUT_S)
-        except NotSentError:
+        except MessageNotSentError:
             return False
         except (LinkClosedError, TimeoutError):
             return None
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -14,8 +14,8 @@
 from baobabhoist.errors import (
     ErrorKind,
     LinkClosedError,
+    MessageNotSentError,
     MessageTooLargeError,
-    NotSentError,
     Refusal,
 )
 from baobabhoist.model import Outcome, Request, Task, WorkKind
@@ -165,7 +165,7 @@
         timeout_s = min(req.task.deadline - self._clock() + REPLY_MARGIN_S, MAX_CALL_TIMEOUT_S)
         try:
             reply = await self._peers.call(peer, RelayRequest(req, forwarded), timeout_s)
-        except NotSentError:
+        except MessageNotSentError:
             return RelayFailure(sent=False)
         except MessageTooLargeError as exc:
             return Refusal(ErrorKind.BODY_TOO_LARGE, str(exc), remedy="send a smaller body")
--- a/baobabhoist/gateway/bodies.py
+++ b/baobabhoist/gateway/bodies.py
@@ -14,29 +14,29 @@
 
 from baobabhoist.errors import ErrorKind, Problem, Refusal
 from baobabhoist.model import JobSpec, Resources, TaskSpec, Urgency, WorkKind
-from baobabhoist.records.checks import (
+from baobabhoist.records.schema import (
+    MAX_ACCELERATORS,
+    MAX_CPU_MILLI,
+    MAX_DEADLINE_S,
+    MAX_MEMORY_MB,
+    MAX_SLOTS,
+    NAME_DESCRIPTION,
+    NAME_PATTERN,
+    refusal_for_problems,
+    text,
+)
+from baobabhoist.records.validators import (
     ABSENT,
     Field,
     Problems,
     boolean,
+    format_value,
     integer,
     list_of,
     number,
     object_of,
     one_of,
     optional,
-    shown,
-)
-from baobabhoist.records.schema import (
-    MAX_ACCELERATORS,
-    MAX_CPU_MILLI,
-    MAX_DEADLINE_S,
-    MAX_MEMORY_MB,
-    MAX_SLOTS,
-    NAME_PATTERN,
-    NAME_REMEDY,
-    refusal_of,
-    text,
 )
 
 # A job's specification is one row of the table.
@@ -57,7 +57,7 @@
 
 def _payload(value: Any, path: str, problems: Problems) -> Any:
     if type(value) is not str:
-        problems.append(Problem(path, f"{shown(value)} is not a string", "give a string"))
+        problems.append(Problem(path, f"{format_value(value)} is not a string", "give a string"))
         return ABSENT
     return value.encode("utf-8")
 
@@ -66,7 +66,7 @@
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, ValueError, TypeError):
-        problems.append(Problem(path, f"{shown(value)} is not base64", "give base64 text"))
+        problems.append(Problem(path, f"{format_value(value)} is not base64", "give base64 text"))
         return ABSENT
 
 
@@ -79,7 +79,7 @@
 JOB = object_of(
     {
         **_TASK_FIELDS,
-        "queue": Field(text(NAME_PATTERN, NAME_REMEDY)),
+        "queue": Field(text(NAME_PATTERN, NAME_DESCRIPTION)),
         "kind": Field(one_of(WorkKind)),
         "tasks": Field(optional(list_of(object_of(_TASK_FIELDS), MAX_TASKS)), None),
         "replicas": Field(optional(integer(1, MAX_TASKS)), None),
@@ -140,7 +140,7 @@
     if found is not ABSENT:
         problems.extend(_job_problems(raw, found))
     if problems:
-        return refusal_of(problems, "the job")
+        return refusal_for_problems(problems, "the job")
     if found["replicas"] is not None:
         tasks = (_task(found),) * found["replicas"]
     else:
--- a/baobabhoist/ownership/claim_invariants.py
+++ b/baobabhoist/ownership/claim_invariants.py
@@ -37,7 +37,7 @@
 def check_transition(claim: ShardClaim, previous_state: ClaimState, previous_token: Token) -> None:
     """Compare a claim with its state and token before the step.
 
-    Raises InvariantBreachError if an invariant is violated.
+    Raises InvariantViolationError if an invariant is violated.
     """
     check(
         previous_state == claim.state or (previous_state, claim.state) in ALLOWED_TRANSITIONS,
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -14,7 +14,13 @@
 from absl import app, flags
 from tornado.web import Application, HTTPError, RequestHandler
 
-from baobabhoist.store.rows import HistoryLostError, RowKey, RowsConflict, RowsTxn, StoredRow
+from baobabhoist.store.row_store import (
+    HistoryLostError,
+    RowKey,
+    RowsConflict,
+    RowTransaction,
+    StoredRow,
+)
 from baobabhoist.testing.rows import MemoryRows
 
 FLAGS = flags.FLAGS
@@ -53,7 +59,7 @@
         if self.mode == "slow":
             await asyncio.sleep(self.delay_s)
 
-    def commit_later(self, txn: RowsTxn) -> None:
+    def commit_later(self, txn: RowTransaction) -> None:
         """Apply a transaction some seconds later, if the versions it expects still hold then."""
 
         async def apply() -> None:
@@ -94,8 +100,8 @@
         found = await self.state.rows.read(
             self.get_argument("table"),
             self.get_argument("part", ""),
-            first=self.get_argument("from", ""),
-            last=self.get_argument("to", ""),
+            start=self.get_argument("from", ""),
+            end=self.get_argument("to", ""),
         )
         self.write_rows(found.rows[:limit], found.version, hasMore=len(found.rows) > limit)
 
@@ -109,7 +115,7 @@
         deadline_s = time.monotonic() + int(self.get_argument("waitMs", "0")) / 1000
         while True:
             try:
-                changes = await self.state.rows.follow(table, after, 0)
+                changes = await self.state.rows.poll_changes(table, after, 0)
             except HistoryLostError as exc:
                 raise HTTPError(410) from exc
             if changes.rows or time.monotonic() >= deadline_s:
@@ -125,7 +131,7 @@
     def post(self) -> None:
         """Apply a transaction; during a fault, delay it or drop its response."""
         body = orjson.loads(self.request.body)
-        txn = _parse_txn(body)
+        txn = _parse_transaction(body)
         tables = {key.table for key in (*txn.puts, *txn.removes)}
         is_external = EXTERNAL_WRITER_HEADER in self.request.headers
         if tables & EXTERNAL_TABLES and not is_external:
@@ -178,8 +184,8 @@
     return RowKey(entry["table"], entry.get("part", ""), entry["key"])
 
 
-def _parse_txn(body: dict[str, Any]) -> RowsTxn:
-    return RowsTxn(
+def _parse_transaction(body: dict[str, Any]) -> RowTransaction:
+    return RowTransaction(
         {_parse_key(entry): entry["schemaVer"] for entry in body.get("expectedRev", ())},
         {_parse_key(entry): base64.b64decode(entry["value"]) for entry in body.get("puts", ())},
         tuple(_parse_key(entry) for entry in body.get("remove", ())),
--- a/baobabhoist/tests/test_ownership_request_keys.py
+++ b/baobabhoist/tests/test_ownership_request_keys.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabhoist.errors import ErrorKind, InvariantBreachError, Refusal
+from baobabhoist.errors import ErrorKind, InvariantViolationError, Refusal
 from baobabhoist.model import (
     Answer,
     EndedTask,
@@ -65,7 +65,7 @@
     ledger.admit(request(), NOW)
     assert ledger.record_not_run("k", QUEUE_FULL) == QUEUE_FULL
     assert ledger.admit(request(), NOW + 1) == ReplyNow(QUEUE_FULL)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         ledger.record_dispatch("k", "w1")
 
 
@@ -128,7 +128,7 @@
     ledger.record_unknown("k")
     answer = Answer("k", 200, b"")
     assert ledger.record_result("k", answer) == answer
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         ledger.record_result("k", unknown_outcome_refusal("late"))
     assert ledger.entries["k"].result == answer
 
@@ -179,6 +179,6 @@
     """Guard against a second dispatch and against a state without a matching result."""
     ledger = ledger_with_dispatched_key()
     entries_before = repr(ledger.entries)
-    with pytest.raises(InvariantBreachError):
+    with pytest.raises(InvariantViolationError):
         violate(ledger)
     assert repr(ledger.entries) == entries_before
