--- a/baobabhoist/platform/testing/__init__.py
+++ b/baobabhoist/platform/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for what the platform runs, and soak the instances against it."""
+"""Simulate the platform's services and run soak tests of the instances against them."""
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""Run the platform's soak for a few seconds, and test its schedule."""
+"""Test the platform's soak: its schedule, its list of regressions and a run of a few seconds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_schedule_depends_on_the_seed_alone() -> None:
-    """Guard against a failed seed that cannot be played again."""
+    """Guard against a failed run that its seed does not reproduce."""
     faults = sorted(soak_faults.FAULTS)
     first = soak_faults.schedule(SEED, 40.0, faults)
     assert first == soak_faults.schedule(SEED, 40.0, faults)
@@ -28,16 +28,16 @@
     assert all(step.at + step.duration_s <= 40.0 for step in first)
 
 
-def test_faults_come_in_series_and_overlap() -> None:
-    """Guard against a soak in which every fault meets a calm system."""
+def test_schedule_uses_all_faults_and_lets_them_overlap() -> None:
+    """Guard against a schedule in which every fault meets a system without other faults."""
     steps = soak_faults.schedule(SEED, 400.0, sorted(soak_faults.FAULTS))
     pairs = itertools.pairwise(steps)
     assert any(later.at < earlier.at + earlier.duration_s for earlier, later in pairs)
     assert {step.fault for step in steps} == set(soak_faults.FAULTS)
 
 
-def test_every_failed_seed_names_its_cause() -> None:
-    """Guard against regression cases that nobody can judge."""
+def test_every_regression_has_a_seed_and_a_cause() -> None:
+    """Guard against regressions whose cause nobody can look up."""
     assert len({case.seed for case in REGRESSIONS}) == len(REGRESSIONS)
     assert all(case.cause and case.seconds > 0 for case in REGRESSIONS)
 
@@ -49,17 +49,17 @@
     AsyncHTTPClient.configure(None)
 
 
-def test_promises_hold_in_a_short_run(tmp_path: Path, curl_client: None) -> None:
-    """Guard against instances that break a promise under a few common faults."""
+def test_guarantees_hold_in_a_short_run(tmp_path: Path, curl_client: None) -> None:
+    """Guard against instances that break a guarantee under a few common faults."""
 
     async def run(cluster: Cluster) -> soak.Soak:
-        running = soak.Soak(Deployment(cluster), random.Random(SEED))
-        await running.run(SECONDS, soak_faults.schedule(SEED, SECONDS, FAULTS))
-        return running
+        driver = soak.Soak(Deployment(cluster), random.Random(SEED))
+        await driver.run(SECONDS, soak_faults.schedule(SEED, SECONDS, FAULTS))
+        return driver
 
     with Cluster(tmp_path) as cluster:
-        played = asyncio.run(run(cluster))
-    judge = played.judge(is_finished=True)
+        finished = asyncio.run(run(cluster))
+    judge = finished.judge(is_finished=True)
     assert judge.breaches == []
     assert judge.check_counts["TWICE"] > 0
-    assert played.final_states
+    assert finished.final_states
