--- a/baobabhoist/platform/testing/deployment.py
+++ b/baobabhoist/platform/testing/deployment.py
@@ -49,7 +49,7 @@
 
     cluster: Cluster
     instances: dict[str, InstancePorts] = attrs.Factory(dict)
-    workers: list[str] = attrs.Factory(list)
+    worker_names: list[str] = attrs.Factory(list)
     store_port: int = attrs.Factory(free_port)
     adviser_port: int = attrs.Factory(free_port)
     http: AsyncHTTPClient = attrs.Factory(AsyncHTTPClient)
@@ -87,7 +87,7 @@
         for number in range(count):
             name, port = f"w{number + 1}", free_port()
             relay_port = self.cluster.plan_relay(f"worker:{name}", port)
-            self.workers.append(name)
+            self.worker_names.append(name)
             worker_specs.append(f"{name}:{port}:{relay_port}:r1-{number // WORKERS_PER_RACK}")
         self.cluster.control_ports["workers"] = free_port()
         self.cluster.start(
--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -114,9 +114,9 @@
 
     async def write_config(self) -> None:
         """Write the configuration and log the teams' new limits for the judge."""
-        sent = self.note("limits", limits=dict(self.cpu_limits), acked=float("inf"))
+        entry = self.note("limits", limits=dict(self.cpu_limits), acked=float("inf"))
         await self.deployment.write_config(self.make_config())
-        sent["acked"] = time.time()
+        entry["acked"] = time.time()
 
     async def change_team_limit(self, rng: random.Random) -> None:
         """Change the limit of a random team."""
@@ -143,11 +143,11 @@
         team = rng.choice(list(CPU_LIMITS))
         failures = 99 if rng.random() < ALWAYS_FAILS_PROBABILITY else 0
         failures = failures or int(rng.random() < FAILS_ONCE_PROBABILITY)
-        run_ms = {"quick": (50, 500), "batch": (200, 1_500), "gangs": (300, 1_200)}[queue]
-        counts = {"quick": (1, 3), "batch": (2, 8), "gangs": (2, 4)}[queue]
+        run_ms_range = {"quick": (50, 500), "batch": (200, 1_500), "gangs": (300, 1_200)}[queue]
+        task_counts = {"quick": (1, 3), "batch": (2, 8), "gangs": (2, 4)}[queue]
         steps: list[dict[str, Any]] = [
             {
-                "count": rng.randint(*counts),
+                "count": rng.randint(*task_counts),
                 "cpu": rng.choice([300, 700, 1_500]),
                 "memMb": rng.choice([100, 900]),
                 "estimatedMs": 500,
@@ -156,7 +156,11 @@
         ]
         for number, step in enumerate(steps[1:], 1):
             step["after"] = [number - 1]
-        plan = {"run_ms": rng.uniform(*run_ms), "failures": failures, "saves": queue == "batch"}
+        plan = {
+            "run_ms": rng.uniform(*run_ms_range),
+            "failures": failures,
+            "saves": queue == "batch",
+        }
         if queue == "gangs":
             steps[0]["gang"] = True
             plan["members"] = steps[0]["count"]
@@ -365,12 +369,14 @@
     for line in judge.verdict_lines():
         print(line)
     print(f"internal: {len(crash_lines)} crashed tasks {crash_lines[:1]}")
-    statuses = Counter((e["event"], e["status"]) for e in soak.caller_log)
-    print(f"answers: { {f'{event} {status}': n for (event, status), n in statuses.items()} }")
-    failed = [e["failed"] for e in soak.driver if e["event"] == "calm" and e["failed"]]
-    if failed:
-        print(f"faults that failed to run: {failed}")
-    return not judge.breaches and not crash_lines and not failed
+    response_counts = Counter((e["event"], e["status"]) for e in soak.caller_log)
+    print(
+        f"answers: { {f'{event} {status}': n for (event, status), n in response_counts.items()} }"
+    )
+    failed_faults = [e["failed"] for e in soak.driver if e["event"] == "calm" and e["failed"]]
+    if failed_faults:
+        print(f"faults that failed to run: {failed_faults}")
+    return not judge.breaches and not crash_lines and not failed_faults
 
 
 def main(argv: list[str]) -> int:
@@ -381,13 +387,13 @@
         return 2
     steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
 
-    async def body(cluster: Cluster) -> Soak:
+    async def run_soak(cluster: Cluster) -> Soak:
         soak = Soak(Deployment(cluster), random.Random(FLAGS.seed))
         await soak.run(FLAGS.seconds, steps)
         return soak
 
     with Cluster(folder) as cluster:
-        soak = asyncio.run(body(cluster))
+        soak = asyncio.run(run_soak(cluster))
     jobs = {name: attrs.asdict(job) for name, job in soak.jobs.items()}
     trace = {
         "callers": soak.caller_log,
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -146,7 +146,9 @@
 
 
 async def _cut_workers(soak: Soak, step: Step, rng: random.Random) -> None:
-    names = rng.sample(soak.deployment.workers, rng.choice([1, len(soak.deployment.workers) // 3]))
+    names = rng.sample(
+        soak.deployment.worker_names, rng.choice([1, len(soak.deployment.worker_names) // 3])
+    )
     options = {"source": await _pick_target(soak, rng)} if rng.random() < 0.5 else {}
     await _run_relay_fault(
         soak, step, rng.choice(CUT_MODES), *(f"worker:{name}" for name in names), **options
@@ -184,7 +186,7 @@
 
 def _worker_fault(mode: str) -> Fault:
     async def run(soak: Soak, step: Step, rng: random.Random) -> None:
-        names = rng.sample(soak.deployment.workers, rng.choice([1, 2]))
+        names = rng.sample(soak.deployment.worker_names, rng.choice([1, 2]))
         for name in names:
             await soak.deployment.command_worker(name, mode=mode)
         await asyncio.sleep(step.duration_s)
@@ -195,12 +197,12 @@
 
 
 async def _crash_workers(soak: Soak, step: Step, rng: random.Random) -> None:
-    for name in rng.sample(soak.deployment.workers, rng.choice([1, 3])):
+    for name in rng.sample(soak.deployment.worker_names, rng.choice([1, 3])):
         await soak.deployment.command_worker(name, crash=1)
 
 
 async def _drain_worker(soak: Soak, step: Step, rng: random.Random) -> None:
-    name = rng.choice(soak.deployment.workers)
+    name = rng.choice(soak.deployment.worker_names)
     await soak.deployment.command_worker(name, draining=True)
     soak.note("draining", worker=name)
     await asyncio.sleep(DRAIN_NOTICE_S)
--- a/baobabhoist/platform/testing/soak_judge.py
+++ b/baobabhoist/platform/testing/soak_judge.py
@@ -29,6 +29,7 @@
 TIMESTAMP_TOLERANCE_S = 0.002
 INF = float("inf")
 REFUSED_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 503})
+# These faults do not excuse a breach of any guarantee.
 HARMLESS_FAULTS = frozenset({"config", "revoke", "cancel_wave", "burst", "worker_drain"})
 
 
@@ -93,7 +94,7 @@
     check_counts: Counter[str] = attrs.Factory(Counter)
     runs_by_task: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
     runs_by_job: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
-    calls: dict[tuple[str, str], list[JsonObject]] = attrs.Factory(lambda: defaultdict(list))
+    requests: dict[tuple[str, str], list[JsonObject]] = attrs.Factory(lambda: defaultdict(list))
 
     def check_logs(self) -> None:
         """Check the guarantees that must hold at any time."""
@@ -156,7 +157,7 @@
                 # The worker lost these ends in the crash, so they can no longer be acknowledged.
                 ended_runs = {k: v for k, v in ended_runs.items() if k[0] != worker}
         for entry in self.caller_log:
-            self.calls[entry["event"], entry["job"]].append(entry)
+            self.requests[entry["event"], entry["job"]].append(entry)
 
     def _all_runs(self) -> Iterator[TaskRun]:
         for runs in self.runs_by_task.values():
@@ -273,8 +274,8 @@
         """Return the highest limit of a team that may be in force at a time."""
         changes = [e for e in self.driver_log if e["event"] == "limits"]
         highest = 0.0
-        for change, following in zip(changes, [*changes[1:], None], strict=True):
-            until = following["acked"] + LIMIT_DEADLINE_S if following else INF
+        for change, next_change in zip(changes, [*changes[1:], None], strict=True):
+            until = next_change["acked"] + LIMIT_DEADLINE_S if next_change else INF
             if change["t"] <= t <= until + self._extra_delay_s(t):
                 highest = max(highest, change["limits"][team] or INF)
         return highest
@@ -335,18 +336,18 @@
                 not checkpoint or checkpoint[8:] == owner_checksum,
                 f"{run.task} has another task's checkpoint {checkpoint}",
             )
-        for (event, job_id), entries in self.calls.items():
+        for (event, job_id), entries in self.requests.items():
             if event != "cancel":
                 continue
             cancelled_at = min((e["end"] for e in entries if e["status"] == 200), default=INF)
             for run in self.runs_by_job.get(job_id, ()):
-                is_late = (
+                starts_late = (
                     run.started_at > cancelled_at + CANCEL_DEADLINE_S
                     and run.start_entry["mode"] != "late"
                 )
-                is_late = is_late and self._is_fault_free(cancelled_at, run.started_at)
+                starts_late = starts_late and self._is_fault_free(cancelled_at, run.started_at)
                 self._record_check(
-                    "UNASKED", not is_late, f"{run.task} starts after its cancellation"
+                    "UNASKED", not starts_late, f"{run.task} starts after its cancellation"
                 )
                 stop_deadline = cancelled_at + CANCEL_DEADLINE_S + RUN_STOP_DEADLINE_S
                 is_still_running = (
@@ -361,7 +362,7 @@
                 )
 
     def _check_refused_jobs(self) -> None:
-        for (event, job_id), entries in self.calls.items():
+        for (event, job_id), entries in self.requests.items():
             if event == "submit" and all(e["status"] in REFUSED_STATUSES for e in entries):
                 has_run = bool(self.runs_by_job.get(job_id))
                 self._record_check("REFUSED", not has_run, f"{job_id} ran although it was refused")
@@ -376,9 +377,11 @@
                     not has_unknown_key,
                     f"{entry['job']} was accepted with an unknown key",
                 )
-                is_late = entry["t"] > revoked.get(entry["key"], INF) + REVOKE_DEADLINE_S
+                uses_revoked_key = entry["t"] > revoked.get(entry["key"], INF) + REVOKE_DEADLINE_S
                 self._record_check(
-                    "CONFIG", not is_late, f"{entry['job']} was accepted with a revoked key"
+                    "CONFIG",
+                    not uses_revoked_key,
+                    f"{entry['job']} was accepted with a revoked key",
                 )
 
     def _check_gangs(self) -> None:
@@ -393,11 +396,13 @@
                 )
 
     def _check_reported_states(self) -> None:
-        for (event, job_id), entries in self.calls.items():
+        for (event, job_id), entries in self.requests.items():
             if event != "state":
                 continue
             job = self.jobs[job_id]
-            accepted_at = min(e["end"] for e in self.calls["submit", job_id] if e["status"] == 200)
+            accepted_at = min(
+                e["end"] for e in self.requests["submit", job_id] if e["status"] == 200
+            )
             for entry in entries:
                 self._check_reported_state(job, entry, accepted_at)
 
@@ -405,8 +410,8 @@
         self, job: SubmittedJob, entry: JsonObject, accepted_at: float
     ) -> None:
         state, t = entry["state"], entry["end"]
-        is_late = entry["status"] == 410 and entry["t"] > accepted_at + JOB_VISIBLE_DEADLINE_S
-        self._record_check("LOST", not is_late, f"{job.job_id} was unknown at {t:.3f}")
+        is_lost = entry["status"] == 410 and entry["t"] > accepted_at + JOB_VISIBLE_DEADLINE_S
+        self._record_check("LOST", not is_lost, f"{job.job_id} was unknown at {t:.3f}")
         if state == "completed":
             holds = all(
                 self._step_completed_at(job, number) <= t for number in range(len(job.steps))
@@ -500,7 +505,7 @@
 
     def check_completion(self, final_states: dict[str, str]) -> None:
         """Check that every accepted job has reached a final state."""
-        for (event, job_id), entries in self.calls.items():
+        for (event, job_id), entries in self.requests.items():
             if event != "submit" or all(e["status"] != 200 for e in entries):
                 continue
             final = final_states.get(job_id, "")
@@ -511,6 +516,6 @@
             )
 
     def _describe_last_response(self, job_id: str) -> str:
-        calls = self.calls.get(("state", job_id))
-        last = calls[-1] if calls else None
+        requests = self.requests.get(("state", job_id))
+        last = requests[-1] if requests else None
         return f"last response {last['status']} {last['state']}" if last else "no response"
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -97,13 +97,13 @@
     async def get(self) -> None:
         """Return one page of the rows of a part in a range of keys."""
         limit = int(self.get_argument("limit", "500"))
-        found = await self.state.rows.read(
+        row_set = await self.state.rows.read(
             self.get_argument("table"),
             self.get_argument("part", ""),
             start=self.get_argument("from", ""),
             end=self.get_argument("to", ""),
         )
-        self.write_rows(found.rows[:limit], found.version, hasMore=len(found.rows) > limit)
+        self.write_rows(row_set.rows[:limit], row_set.version, hasMore=len(row_set.rows) > limit)
 
 
 class RowsFeedHandler(StoreHandler):
@@ -111,11 +111,11 @@
 
     async def get(self) -> None:
         """Return the changes of a table after a version; wait for one up to `waitMs`."""
-        table, after = self.get_argument("table"), int(self.get_argument("after"))
+        table, after_version = self.get_argument("table"), int(self.get_argument("after"))
         deadline_s = time.monotonic() + int(self.get_argument("waitMs", "0")) / 1000
         while True:
             try:
-                changes = await self.state.rows.poll_changes(table, after, 0)
+                changes = await self.state.rows.poll_changes(table, after_version, 0)
             except HistoryLostError as exc:
                 raise HTTPError(410) from exc
             if changes.rows or time.monotonic() >= deadline_s:
