--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -62,7 +62,7 @@
 }
 QUEUE_MIX = ("quick",) * 7 + ("batch",) * 2 + ("gangs",)
 # The teams' limits in thousandths of a core; 0 means no limit.
-CPU_LIMITS = {"alpha": 20_000, "beta": 8_000, "gamma": 0}
+TEAM_CPU_LIMITS = {"alpha": 20_000, "beta": 8_000, "gamma": 0}
 
 
 @attrs.define
@@ -76,8 +76,10 @@
     final_states: dict[str, str] = attrs.Factory(dict)
     down_instances: set[str] = attrs.Factory(set)
     failed_ready_checks: Counter[str] = attrs.Factory(Counter)
-    cpu_limits: dict[str, int] = attrs.Factory(lambda: dict(CPU_LIMITS))
-    api_keys: dict[str, list[str]] = attrs.Factory(lambda: {n: [f"key-{n}"] for n in CPU_LIMITS})
+    team_cpu_limits: dict[str, int] = attrs.Factory(lambda: dict(TEAM_CPU_LIMITS))
+    api_keys: dict[str, list[str]] = attrs.Factory(
+        lambda: {n: [f"key-{n}"] for n in TEAM_CPU_LIMITS}
+    )
     load_factor: float = 1.0
     key_numbers: itertools.count[int] = attrs.Factory(lambda: itertools.count(1))
 
@@ -108,27 +110,27 @@
                 "maximum": {"cpu": limit},
                 "apiKeys": self.api_keys[name],
             }
-            for name, limit in self.cpu_limits.items()
+            for name, limit in self.team_cpu_limits.items()
         ]
         return {"routes": routes, "services": [{"name": "svc"}], "tenants": tenants}
 
     async def write_config(self) -> None:
         """Write the configuration and log the teams' new limits for the judge."""
-        entry = self.note("limits", limits=dict(self.cpu_limits), acked=float("inf"))
+        entry = self.note("limits", limits=dict(self.team_cpu_limits), acked=float("inf"))
         await self.deployment.write_config(self.make_config())
         entry["acked"] = time.time()
 
     async def change_team_limit(self, rng: random.Random) -> None:
         """Change the limit of a random team."""
-        team = rng.choice([name for name, limit in CPU_LIMITS.items() if limit])
-        self.cpu_limits[team] = rng.choice(
-            [CPU_LIMITS[team], CPU_LIMITS[team] // 2, CPU_LIMITS[team] * 2]
+        team = rng.choice([name for name, limit in TEAM_CPU_LIMITS.items() if limit])
+        self.team_cpu_limits[team] = rng.choice(
+            [TEAM_CPU_LIMITS[team], TEAM_CPU_LIMITS[team] // 2, TEAM_CPU_LIMITS[team] * 2]
         )
         await self.write_config()
 
     async def replace_team_key(self, rng: random.Random) -> None:
         """Revoke the API key of a random team and issue another one."""
-        team = rng.choice(list(CPU_LIMITS))
+        team = rng.choice(list(TEAM_CPU_LIMITS))
         revoked_keys = self.api_keys[team]
         self.api_keys[team] = [f"key-{team}-{next(self.key_numbers)}"]
         await self.write_config()
@@ -140,7 +142,7 @@
     def new_job(self, rng: random.Random, queue: str) -> SubmittedJob:
         """Return a random job for a queue."""
         job_id = f"{rng.getrandbits(64):016x}"
-        team = rng.choice(list(CPU_LIMITS))
+        team = rng.choice(list(TEAM_CPU_LIMITS))
         failures = 99 if rng.random() < ALWAYS_FAILS_PROBABILITY else 0
         failures = failures or int(rng.random() < FAILS_ONCE_PROBABILITY)
         run_ms_range = {"quick": (50, 500), "batch": (200, 1_500), "gangs": (300, 1_200)}[queue]
@@ -296,7 +298,7 @@
             caller_log=list(self.caller_log),
             driver_log=list(self.driver),
             jobs=self.jobs,
-            teams={name: Team(name, limit) for name, limit in CPU_LIMITS.items()},
+            teams={name: Team(name, limit) for name, limit in TEAM_CPU_LIMITS.items()},
         )
         judge.check_logs()
         if is_finished:
@@ -312,7 +314,7 @@
     async def run(self, seconds: float, steps: list[soak_faults.Step]) -> None:
         """Run the load and the faults, then wait until all jobs have finished."""
         await self.deployment.start(INSTANCE_COUNT, WORKER_COUNT, self.make_config())
-        self.note("limits", limits=dict(self.cpu_limits), acked=time.time())
+        self.note("limits", limits=dict(self.team_cpu_limits), acked=time.time())
         readiness_task = asyncio.create_task(
             run_periodically(READY_CHECK_INTERVAL_S, self.check_readiness)
         )
@@ -333,7 +335,7 @@
         self.note("calm", failed=[repr(r) for r in results if r is not None])
         # Lift all limits: a team's backlog, or a gang that exceeds its team's lowered limit, would
         # outlast the run.
-        self.cpu_limits = dict.fromkeys(CPU_LIMITS, 0)
+        self.team_cpu_limits = dict.fromkeys(TEAM_CPU_LIMITS, 0)
         await self.write_config()
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=FINISH_TIMEOUT_S)
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -55,17 +55,17 @@
 
 
 async def _pick_target(soak: Soak, rng: random.Random) -> str:
-    """Pick a running instance at random, but the owner half of the time."""
+    """Pick a running instance: half of the time the owner, otherwise any."""
     running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     owner = await soak.deployment.find_owner()
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
-async def _kill_one(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _kill_instance(soak: Soak, step: Step, rng: random.Random) -> None:
     await _kill_and_restart(soak, step, [await _pick_target(soak, rng)])
 
 
-async def _kill_many(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _kill_instances(soak: Soak, step: Step, rng: random.Random) -> None:
     running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     count = rng.choice([len(running) // 2, len(running)])
     await _kill_and_restart(soak, step, rng.sample(running, count))
@@ -91,7 +91,7 @@
     soak.down_instances.discard(name)
 
 
-async def _stop_gracefully(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _stop_instance(soak: Soak, step: Step, rng: random.Random) -> None:
     """Stop an instance with SIGTERM; callers keep using their connections until it exits."""
     name = await _pick_target(soak, rng)
     soak.down_instances.add(name)
@@ -223,7 +223,7 @@
     await soak.replace_team_key(rng)
 
 
-async def _cancel_many(soak: Soak, step: Step, rng: random.Random) -> None:
+async def _submit_and_cancel_jobs(soak: Soak, step: Step, rng: random.Random) -> None:
     jobs = [soak.new_job(rng, "batch") for _ in range(CANCEL_WAVE_JOBS)]
     results = await asyncio.gather(*(soak.submit(job) for job in jobs))
     await asyncio.sleep(rng.uniform(0.0, step.duration_s / 4))
@@ -240,10 +240,10 @@
 
 
 FAULTS: dict[str, Fault] = {
-    "kill": _kill_one,
-    "herd": _kill_many,
+    "kill": _kill_instance,
+    "herd": _kill_instances,
     "pause": _pause_instance,
-    "stop": _stop_gracefully,
+    "stop": _stop_instance,
     "hup": _send_sighup,
     "store_refuses": _store_fault(mode="refuse"),
     "store_hangs": _store_fault(mode="hang"),
@@ -266,6 +266,6 @@
     "worker_drain": _drain_worker,
     "config": _change_limit,
     "revoke": _revoke_key,
-    "cancel_wave": _cancel_many,
+    "cancel_wave": _submit_and_cancel_jobs,
     "burst": _raise_load,
 }
--- a/baobabhoist/platform/testing/soak_judge.py
+++ b/baobabhoist/platform/testing/soak_judge.py
@@ -68,7 +68,7 @@
     outcome: str = ""
     acked_at: float = INF
     # Whether the worker's lease expired between the end and its acknowledgement.
-    lapsed_before_ack: bool = False
+    lease_expired_before_ack: bool = False
 
     @property
     def job_id(self) -> str:
@@ -132,7 +132,7 @@
     def _index_logs(self) -> None:
         open_runs: dict[tuple[str, str, int], TaskRun] = {}
         ended_runs: dict[tuple[str, str, int], TaskRun] = {}
-        lease_lapses: dict[str, list[float]] = defaultdict(list)
+        lease_expiries: dict[str, list[float]] = defaultdict(list)
         for entry in self.worker_log:
             event, worker = entry["event"], entry.get("worker", "")
             run_key = (worker, entry.get("task", ""), entry.get("run", 0))
@@ -148,11 +148,11 @@
             elif event == "acked" and run_key in ended_runs:
                 run = ended_runs[run_key]
                 run.acked_at = entry["t"]
-                run.lapsed_before_ack = any(
-                    run.ended_at < t < run.acked_at for t in lease_lapses[worker]
+                run.lease_expired_before_ack = any(
+                    run.ended_at < t < run.acked_at for t in lease_expiries[worker]
                 )
             elif event == "lapsed":
-                lease_lapses[worker].append(entry["t"])
+                lease_expiries[worker].append(entry["t"])
             elif event == "crashed":
                 # The worker lost these ends in the crash, so they can no longer be acknowledged.
                 ended_runs = {k: v for k, v in ended_runs.items() if k[0] != worker}
@@ -201,7 +201,7 @@
             acked_done_runs = [
                 r
                 for r in ordered
-                if r.outcome == "done" and r.acked_at < INF and not r.lapsed_before_ack
+                if r.outcome == "done" and r.acked_at < INF and not r.lease_expired_before_ack
             ]
             for run in ordered:
                 is_repeated = any(
@@ -341,6 +341,7 @@
                 continue
             cancelled_at = min((e["end"] for e in entries if e["status"] == 200), default=INF)
             for run in self.runs_by_job.get(job_id, ()):
+                # A worker in the mode `late` carries out starts seconds after they were sent.
                 starts_late = (
                     run.started_at > cancelled_at + CANCEL_DEADLINE_S
                     and run.start_entry["mode"] != "late"
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -190,7 +190,7 @@
             "finished": self.unacked_ends[:ENDS_PER_REPORT_MAX],
         }
 
-    # Simulated time.
+    # Progress of the runs.
 
     def advance(self, elapsed_ms: float) -> None:
         """Advance all runs, and end them if the lease has expired."""
@@ -308,7 +308,7 @@
                     member.started_ms = other.clock_ms()
 
     async def advance_periodically(self) -> None:
-        """Advance the time of all workers until cancelled."""
+        """Advance the runs on all workers until cancelled."""
         last_s = time.monotonic()
         while True:
             await asyncio.sleep(CLOCK_TICK_S)
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -58,8 +58,8 @@
         return driver
 
     with Cluster(tmp_path) as cluster:
-        finished = asyncio.run(run(cluster))
-    judge = finished.judge(is_finished=True)
+        finished_soak = asyncio.run(run(cluster))
+    judge = finished_soak.judge(is_finished=True)
     assert judge.breaches == []
     assert judge.check_counts["TWICE"] > 0
-    assert finished.final_states
+    assert finished_soak.final_states
--- a/baobabhoist/tests/test_platform_soak_judge.py
+++ b/baobabhoist/tests/test_platform_soak_judge.py
@@ -11,7 +11,7 @@
 
 JOB = "a" * 16
 TASK = f"{JOB}.0.0.0"
-SECOND_STEP = f"{JOB}.0.1.0"
+SECOND_STEP_TASK = f"{JOB}.0.1.0"
 SPEC = zlib.crc32(b"spec")
 INITIAL_LIMITS = {"event": "limits", "t": 0.0, "acked": 0.0, "limits": {"alpha": 1_000}}
 
@@ -71,7 +71,7 @@
     "started after it was done": ("TWICE", [*DONE_RUN, run_start(4.0, run=2)], [], []),
     "second step before the first": (
         "ORDER",
-        [run_start(2.0), run_start(2.5, SECOND_STEP)],
+        [run_start(2.0), run_start(2.5, SECOND_STEP_TASK)],
         [],
         [],
     ),
@@ -170,21 +170,20 @@
 
 def test_allowed_behaviour_is_no_breach() -> None:
     """Guard against a judge that reports what the guarantees allow."""
-    second_step = [
-        run_start(4.0, SECOND_STEP),
-        run_end(5.0, "done", SECOND_STEP),
-        run_acked(5.1, SECOND_STEP),
+    second_step_run = [
+        run_start(4.0, SECOND_STEP_TASK),
+        run_end(5.0, "done", SECOND_STEP_TASK),
+        run_acked(5.1, SECOND_STEP_TASK),
     ]
     reported = caller_request("state", 6.0, 200, "completed")
-    assert broken_guarantees([*DONE_RUN, *second_step], [ACCEPTED, reported], []) == {
-        "LOST"
-    }  # the job has no final state
-    done_before_lapse = [
+    # LOST remains, because no final state of the job is given.
+    assert broken_guarantees([*DONE_RUN, *second_step_run], [ACCEPTED, reported], []) == {"LOST"}
+    done_before_expiry = [
         run_start(2.0),
         run_end(3.0, "done"),
         {"t": 3.1, "event": "lapsed", "worker": "w1"},
     ]
-    rerun = [*done_before_lapse, run_acked(3.2), run_start(4.0, run=2)]
+    rerun = [*done_before_expiry, run_acked(3.2), run_start(4.0, run=2)]
     assert "TWICE" not in broken_guarantees(rerun, [], [])
     incomplete_gang = [run_start(9.5), run_end(12.0, "alone")]
     assert "GANG" not in broken_guarantees(incomplete_gang, [], [FAULT_WINDOW])
