--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -25,7 +25,7 @@
 
 FLAGS = flags.FLAGS
 
-# Callers reuse their connections until the instance is gone, for which they need this client.
+# The curl client keeps the callers' connections open until the instance is gone.
 HTTP_CLIENT_CLASS = "tornado.curl_httpclient.CurlAsyncHTTPClient"
 HTTP_CLIENTS_MAX = 400
 INSTANCE_COUNT = 4
@@ -290,7 +290,7 @@
         await asyncio.gather(*map(check, self.deployment.instances))
 
     def judge(self, is_finished: bool) -> Judge:
-        """Judge the logs so far; check also that all jobs finished if the run has."""
+        """Judge the logs so far; once the run is over, also whether all accepted jobs finished."""
         text = self.deployment.worker_log_path.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
         judge = Judge(
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -37,7 +37,11 @@
 
 @attrs.define
 class StoreState:
-    """Hold the rows and the active fault mode: up, refuse, hang, slow, lose or late."""
+    """Hold the rows and the active fault.
+
+    The modes are up: no fault; refuse: answer 503; hang: do not answer; slow: answer `delay_s`
+    later; lose: commit, but drop the response; late: commit seconds later, without a response.
+    """
 
     rows: MemoryRows = attrs.Factory(MemoryRows)
     mode: str = "up"
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -39,7 +39,11 @@
 
 @attrs.define
 class RunPlan:
-    """Describe what a run does, from its payload; `members` is the size of its gang or 0."""
+    """Describe what a run does, from its payload.
+
+    The first `failures` runs of a task fail, `members` is the size of its gang or 0, and `saves`
+    tells whether it saves checkpoints.
+    """
 
     run_ms: float
     failures: int = 0
@@ -73,7 +77,9 @@
 class Worker:
     """Simulate one worker: its lease, its runs and its ended runs until they are acknowledged.
 
-    The mode is normal, fail, hang, late or lose. Commands set `mode`, `draining` and `gone`.
+    Commands of the soak set `mode`, `draining` and `gone`. The modes are normal; fail: all runs
+    fail; hang: runs make no progress; late: starts and stops are carried out seconds later and not
+    answered; lose: they are carried out, but the responses are lost.
     """
 
     worker_id: str
