--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -78,8 +78,8 @@
     """Simulate one worker: its lease, its runs and its ended runs until they are acknowledged.
 
     Commands of the soak set `mode`, `draining` and `gone`. The modes are normal; fail: all runs
-    fail; hang: runs make no progress; late: starts and stops are carried out seconds later and not
-    answered; lose: they are carried out, but the responses are lost.
+    fail; hang: runs make no progress; late: starts and stops are carried out seconds later, after
+    the sender has timed out; lose: they are carried out at once, but the responses are lost.
     """
 
     worker_id: str
