--- a/baobabhoist/benchmarks/decisions.py
+++ b/baobabhoist/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Run the replay for every policy and report the figures side by side."""
+"""Replay the same workload under each policy and report the results side by side."""
 
 from __future__ import annotations
 
@@ -10,52 +10,56 @@
 
 import attrs
 
-from baobabhoist.benchmarks.baselines import Baseline
-from baobabhoist.benchmarks.figures import quantile
+from baobabhoist.benchmarks.baselines import BaselinePolicy
 from baobabhoist.benchmarks.replay import Policy, Replay
-from baobabhoist.benchmarks.stream import PROFILES, Stream, make_stream
+from baobabhoist.benchmarks.stats import quantile
+from baobabhoist.benchmarks.workload import PROFILES, Workload, generate_workload
 from baobabhoist.errors import Refusal
 from baobabhoist.model import Task, Urgency, WorkerSpec, WorkKind
 from baobabhoist.quota.ledger import QuotaLedger
 from baobabhoist.scheduling.policy import QueuePolicy, TeamPolicy
 from baobabhoist.scheduling.scheduler import PlaceQuota, Scheduler
 
-QUEUE_LIMIT = 10_000
+MAX_QUEUED_TASKS = 10_000
 
 
 @attrs.frozen
-class ConfirmedPlaces:
-    """Give places back as confirmed, as an owner does whose worker reports the end itself."""
+class ConfirmedReleaseQuota:
+    """Release places as confirmed, because in the replay every end is reported by its worker."""
 
     ledger: QuotaLedger
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
-        """Take a place."""
+        """Acquire a place for a task."""
         return self.ledger.acquire(team, task_id, worker)
 
     def release(self, task_id: str) -> None:
-        """Give a place back."""
+        """Release the place of a task whose end is confirmed."""
         self.ledger.release(task_id, confirmed=True)
 
 
-def _ours(stream: Stream, places: PlaceQuota) -> Policy:
-    scheduler = Scheduler.for_workers(stream.workers, places)
-    policy = QueuePolicy(objective=stream.profile.objective)
-    queues = {f"{team}-{kind.value}": policy for team in stream.weights for kind in WorkKind}
+def _make_scheduler(workload: Workload, quota: PlaceQuota) -> Policy:
+    scheduler = Scheduler.for_workers(workload.workers, quota)
+    policy = QueuePolicy(objective=workload.profile.objective)
+    queues = {f"{team}-{kind.value}": policy for team in workload.weights for kind in WorkKind}
     teams = {
-        team: TeamPolicy(weight=weight, max_queued=QUEUE_LIMIT)
-        for team, weight in stream.weights.items()
+        team: TeamPolicy(weight=weight, max_queued=MAX_QUEUED_TASKS)
+        for team, weight in workload.weights.items()
     }
     scheduler.set_policies(queues, teams)
-    for spec in stream.workers:
+    for spec in workload.workers:
         scheduler.worker_up(spec.name)
     return scheduler
 
 
-POLICIES: dict[str, Callable[[Stream, PlaceQuota], Policy]] = {
-    "baobabhoist": _ours,
-    "arrival order, first fit": lambda s, q: Baseline.over(s.workers, q, best_fit=False),
-    "best fit, no shares": lambda s, q: Baseline.over(s.workers, q, best_fit=True),
+POLICIES: dict[str, Callable[[Workload, PlaceQuota], Policy]] = {
+    "baobabhoist": _make_scheduler,
+    "arrival order, first fit": lambda workload, quota: BaselinePolicy.for_workers(
+        workload.workers, quota, best_fit=False
+    ),
+    "best fit, no shares": lambda workload, quota: BaselinePolicy.for_workers(
+        workload.workers, quota, best_fit=True
+    ),
 }
 
 
@@ -67,54 +71,58 @@
     failing_workers: bool = True,
     baselines: bool = True,
 ) -> dict[str, Any]:
-    """Return the figures of each policy on the same stream; 0 keeps the profile's value."""
+    """Return the results of each policy; 0 workers or seconds keep the value of the profile."""
     profile = attrs.evolve(PROFILES[profile_name], failing_workers=failing_workers)
     if workers:
         rate = profile.request_rate * workers / profile.workers
         profile = attrs.evolve(profile, workers=workers, request_rate=rate)
     if duration_s:
         profile = attrs.evolve(profile, duration_s=duration_s)
-    stream = make_stream(profile, seed)
+    workload = generate_workload(profile, seed)
     report: dict[str, Any] = {"profile": profile_name, "seed": seed, "workers": profile.workers}
-    chosen = POLICIES if baselines else {"baobabhoist": _ours}
-    report["policies"] = {name: _measure(stream, make) for name, make in chosen.items()}
-    report["bytes"] = _memory(stream.workers, stream.arrivals[0].works[0].task)
+    policies = POLICIES if baselines else {"baobabhoist": _make_scheduler}
+    report["policies"] = {
+        name: _measure_policy(workload, make_policy) for name, make_policy in policies.items()
+    }
+    report["bytes"] = _measure_memory(workload.workers, workload.arrivals[0].items[0].task)
     return report
 
 
-def _measure(stream: Stream, make: Callable[[Stream, PlaceQuota], Policy]) -> dict[str, Any]:
-    ledger = QuotaLedger("bench", escrow=dict(stream.limits))
-    replay = Replay(stream, make(stream, ConfirmedPlaces(ledger)), ledger)
+def _measure_policy(
+    workload: Workload, make_policy: Callable[[Workload, PlaceQuota], Policy]
+) -> dict[str, Any]:
+    ledger = QuotaLedger("bench", escrow=dict(workload.limits))
+    replay = Replay(workload, make_policy(workload, ConfirmedReleaseQuota(ledger)), ledger)
     gc.collect()
     gc.freeze()
     replay.run()
     gc.unfreeze()
-    groups: defaultdict[str, list[float]] = defaultdict(list)
+    waits_by_group: defaultdict[str, list[float]] = defaultdict(list)
     for task_id, (task, wait) in replay.waits().items():
-        groups[f"kind {task.kind.value}"].append(wait)
-        groups[f"team {task.team}"].append(wait)
+        waits_by_group[f"kind {task.kind.value}"].append(wait)
+        waits_by_group[f"team {task.team}"].append(wait)
         if task.urgency is Urgency.URGENT:
-            groups["urgent"].append(wait)
-        if task_id not in replay.lost and task_id not in replay.waiting:
-            groups[f"kind {task.kind.value}, served"].append(wait)
-        if task_id in replay.with_quota:
-            groups["urgent with quota"].append(wait)
+            waits_by_group["urgent"].append(wait)
+        if task_id not in replay.abandoned and task_id not in replay.queued:
+            waits_by_group[f"kind {task.kind.value}, served"].append(wait)
+        if task_id in replay.urgent_with_quota:
+            waits_by_group["urgent with quota"].append(wait)
     return {
         "wait_s": {
             name: {"p50": quantile(waits, 0.5), "p99": quantile(waits, 0.99), "n": len(waits)}
-            for name, waits in sorted(groups.items())
+            for name, waits in sorted(waits_by_group.items())
         },
-        "packing": _mean(replay.packing),
-        "full_s": len(replay.packing),
-        "deviation_pp": _mean(replay.deviation),
-        "refusals": dict(replay.refused),
-        "preemptions": replay.preempted,
+        "packing": _mean(replay.packing_samples),
+        "full_s": len(replay.packing_samples),
+        "deviation_pp": _mean(replay.deviation_samples),
+        "refusals": dict(replay.refusals),
+        "preemptions": replay.preemptions,
         "placements": replay.placements,
         "decision_ms": {
-            "p50": 1e3 * quantile(replay.call_s, 0.5),
-            "p99": 1e3 * quantile(replay.call_s, 0.99),
+            "p50": 1e3 * quantile(replay.decision_times_s, 0.5),
+            "p99": 1e3 * quantile(replay.decision_times_s, 0.99),
         },
-        "placements_per_s": replay.placements / replay.busy_s,
+        "placements_per_s": replay.placements / replay.policy_time_s,
     }
 
 
@@ -122,8 +130,8 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def _memory(workers: list[WorkerSpec], task: Task) -> dict[str, float]:
-    """Return what the scheduler allocates per worker, per batch job and per queued task."""
+def _measure_memory(workers: list[WorkerSpec], task: Task) -> dict[str, float]:
+    """Return the bytes that the scheduler allocates per worker, per job and per queued task."""
     count = 2000
     task = attrs.evolve(task, kind=WorkKind.BATCH)
     tracemalloc.start()
@@ -134,32 +142,33 @@
         scheduler.worker_up(spec.name)
     per_worker = (tracemalloc.get_traced_memory()[0] - before) / len(workers)
 
-    def fill(job_of: Callable[[int], str]) -> float:
+    def enqueue_tasks(job_id_of: Callable[[int], str]) -> float:
         tasks = [
-            attrs.evolve(task, task_id=f"{job_of(n)}/{n}", job_id=job_of(n)) for n in range(count)
+            attrs.evolve(task, task_id=f"{job_id_of(n)}/{n}", job_id=job_id_of(n))
+            for n in range(count)
         ]
-        start = tracemalloc.get_traced_memory()[0]
-        for item in tasks:
-            scheduler.enqueue(item, task.submitted_at)
-        used = tracemalloc.get_traced_memory()[0] - start
-        for item in tasks:
-            scheduler.cancel(item.task_id)
-        return used / count
-
-    per_task = fill(lambda n: "job")
-    per_job = fill(lambda n: f"job{n}")
+        before_bytes = tracemalloc.get_traced_memory()[0]
+        for queued_task in tasks:
+            scheduler.enqueue(queued_task, task.submitted_at)
+        allocated_bytes = tracemalloc.get_traced_memory()[0] - before_bytes
+        for queued_task in tasks:
+            scheduler.cancel(queued_task.task_id)
+        return allocated_bytes / count
+
+    per_task = enqueue_tasks(lambda n: "job")
+    per_job = enqueue_tasks(lambda n: f"job{n}")
     tracemalloc.stop()
     return {"worker": per_worker, "job of one task": per_job, "task": per_task}
 
 
-def table(report: dict[str, Any]) -> str:
-    """Return the report as a plain table."""
+def format_table(report: dict[str, Any]) -> str:
+    """Format the report as a plain-text table."""
     policies = report["policies"]
     rows: list[tuple[str, list[str]]] = []
     for group in sorted({g for p in policies.values() for g in p["wait_s"]}):
         waits = [p["wait_s"].get(group, {"p50": 0, "p99": 0}) for p in policies.values()]
         rows.append((f"wait s, {group}", [f"{w['p50']:.2f} / {w['p99']:.2f}" for w in waits]))
-    for name, form in (
+    for name, number_format in (
         ("packing", "{:.3f}"),
         ("full_s", "{}"),
         ("deviation_pp", "{:.2f}"),
@@ -167,7 +176,7 @@
         ("placements", "{}"),
         ("placements_per_s", "{:.0f}"),
     ):
-        rows.append((name, [form.format(p[name]) for p in policies.values()]))
+        rows.append((name, [number_format.format(p[name]) for p in policies.values()]))
     times = [p["decision_ms"] for p in policies.values()]
     rows.append(("decision_ms", [f"{t['p50']:.3f} / {t['p99']:.3f}" for t in times]))
     kinds = sorted({kind for p in policies.values() for kind in p["refusals"]})
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -99,7 +99,7 @@
 class WorkerClient(Protocol):
     """Send calls to workers."""
 
-    async def call(self, worker: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, worker: str, message: Any, timeout_s: float) -> Any:
         """Send a call; raises MessageNotSentError, LinkClosedError or TimeoutError."""
 
 
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -21,7 +21,7 @@
 from baobabhoist.errors import InvariantViolationError, LinkClosedError, PlatformError, Refusal
 from baobabhoist.model import WorkKind
 from baobabhoist.observability.events import Event, emit
-from baobabhoist.peer.messages import PlacesGiven, PlacesWanted, ShardDigest
+from baobabhoist.peer.messages import PlaceTransferReply, PlaceTransferRequest, ShardDigest
 from baobabhoist.quota import escrow
 from baobabhoist.quota.escrow import EscrowRow, PlaceMove
 from baobabhoist.quota.transfer import POOL, ShardBalance, TeamBalance, Transfer, TransferPlanner
@@ -135,7 +135,7 @@
         # A row shows a shard's full escrow only if it was read after the table confirmed the
         # epoch, because from then on the transactions of earlier owners fail.
         self._wake.clear()
-        requests: list[PlacesWanted] = []
+        requests: list[PlaceTransferRequest] = []
         async with self._lock:
             accounts = [self._account_of(owner) for owner in self._eligible_owners()]
             if not accounts:
@@ -161,13 +161,13 @@
                 owner.dispatch(self._clock())
         self._wake.set()
 
-    async def grant(self, request: PlacesWanted) -> PlacesGiven:
+    async def grant(self, request: PlaceTransferRequest) -> PlaceTransferReply:
         """Transfer free places to another shard and return how many."""
         async with self._lock:
             return await self._grant_locked(request)
 
-    async def _grant_locked(self, request: PlacesWanted) -> PlacesGiven:
-        no_grant = PlacesGiven(request.team, 0)
+    async def _grant_locked(self, request: PlaceTransferRequest) -> PlaceTransferReply:
+        no_grant = PlaceTransferReply(request.team, 0)
         owners = {owner.shard: owner for owner in self._eligible_owners()}
         owner = owners.get(request.from_shard)
         if owner is None or owner.quota_ledger.takeover_cap is not None:
@@ -192,7 +192,7 @@
                 source=request.from_shard,
                 target=request.to_shard,
             )
-        return PlacesGiven(request.team, places if committed else 0)
+        return PlaceTransferReply(request.team, places if committed else 0)
 
     def _eligible_owners(self) -> list[ShardOwner]:
         return [
@@ -349,7 +349,7 @@
 
     # Transfers.
 
-    async def _acquire_quota(self, account: ShardAccount) -> list[PlacesWanted]:
+    async def _acquire_quota(self, account: ShardAccount) -> list[PlaceTransferRequest]:
         """Take quota from the pool, and return the requests to send to other shards."""
         owner = account.owner
         if owner.quota_ledger.takeover_cap is not None:
@@ -365,7 +365,9 @@
                 await self._take_from_pool(account, transfer)
             else:
                 requests.append(
-                    PlacesWanted(transfer.team, transfer.places, transfer.source, transfer.target)
+                    PlaceTransferRequest(
+                        transfer.team, transfer.places, transfer.source, transfer.target
+                    )
                 )
         return requests
 
@@ -377,7 +379,7 @@
         if not isinstance(new_row, Refusal):
             await self._commit(account, transfer.team, current.revision, new_row)
 
-    async def _request_transfer(self, request: PlacesWanted) -> None:
+    async def _request_transfer(self, request: PlaceTransferRequest) -> None:
         if any(owner.shard == request.from_shard for owner in self._eligible_owners()):
             await self.grant(request)
             return
--- a/baobabhoist/daemon/routing.py
+++ b/baobabhoist/daemon/routing.py
@@ -49,10 +49,10 @@
     def owner_of(self, shard: str) -> str | None:
         """Return the live instance that owns a shard."""
 
-    def digests(self) -> list[ShardDigest]:
+    def shard_digests(self) -> list[ShardDigest]:
         """Return the digests of the shards that live peers own."""
 
-    async def call(self, instance_id: str, message: Any, deadline_s: float) -> Any:
+    async def call(self, instance_id: str, message: Any, timeout_s: float) -> Any:
         """Call a peer; raises LinkClosedError or TimeoutError."""
 
 
@@ -117,7 +117,7 @@
         data_centre = self._data_centre_of(req.shard)
         candidates = [
             (digest, _headroom(digest, req.task))
-            for digest in (*self._peers.digests(), *local_digests)
+            for digest in (*self._peers.shard_digests(), *local_digests)
             if digest.shard != req.shard
         ]
         candidates = [(digest, headroom) for digest, headroom in candidates if headroom > 0]
--- a/baobabhoist/gateway/metrics.py
+++ b/baobabhoist/gateway/metrics.py
@@ -4,7 +4,7 @@
 
 from aioprometheus import Counter, Gauge, Histogram
 
-from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelBound, Metrics
+from baobabhoist.observability.metrics import TEAM_LABELS_MAX, LabelLimiter, Metrics
 
 INF = float("inf")
 # The objectives are at most 5 ms of added latency at p99 and a start of urgent work within 1.5 s.
@@ -18,7 +18,7 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._teams = LabelBound(TEAM_LABELS_MAX)
+        self._teams = LabelLimiter(TEAM_LABELS_MAX)
         registry = metrics.registry
         self._latency_s = Histogram(
             "baobabhoist_answer_seconds",
@@ -34,13 +34,13 @@
 
     def observe_result(self, team: str, result: str, seconds: float) -> None:
         """Record a response or a refusal; requests without an accepted key have no team."""
-        label = self._teams.of(team) if team else NO_TEAM
+        label = self._teams.label_for(team) if team else NO_TEAM
         self._latency_s.observe({"team": label}, seconds)
         self._results.inc({"team": label, "result": result})
 
     def count_refusal(self, team: str, kind: str) -> None:
         """Count a refusal in the metrics of the instance."""
-        self._metrics.refused(team or NO_TEAM, kind)
+        self._metrics.count_refusal(team or NO_TEAM, kind)
 
 
 def register_open_requests_gauge(metrics: Metrics) -> Gauge:
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -8,7 +8,7 @@
 from baobabhoist.daemon.escrow import EscrowManager
 from baobabhoist.errors import PlatformError
 from baobabhoist.model import Answer
-from baobabhoist.peer.messages import PlacesWanted
+from baobabhoist.peer.messages import PlaceTransferRequest
 from baobabhoist.quota.escrow import decode_row
 from baobabhoist.records.view import Record, RecordView
 from baobabhoist.tests.memory_table import MemoryTable
@@ -162,7 +162,7 @@
         raise PlatformError("the answer was lost")
 
     table.commit = commit_and_fail
-    reply = await cluster.instances[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
+    reply = await cluster.instances[1].escrow.grant(PlaceTransferRequest("team", 1, "r2", "r1"))
     assert reply.places == 0
 
 
@@ -185,7 +185,7 @@
 async def test_a_donor_that_lost_its_shard_grants_nothing(cluster):
     """Guard against a paused owner that transfers quota which its successor uses."""
     await cluster.harnesses[1].start_owner("successor")
-    reply = await cluster.instances[1].escrow.grant(PlacesWanted("team", 1, "r2", "r1"))
+    reply = await cluster.instances[1].escrow.grant(PlaceTransferRequest("team", 1, "r2", "r1"))
     assert reply.places == 0
     assert cluster.row().places == {"r1": 2, "r2": 2}
 
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -42,7 +42,7 @@
 
     heard = False
 
-    def beats(self):
+    def live_heartbeats(self):
         return []
 
     def owner_of(self, shard):
@@ -97,7 +97,7 @@
             LocalInstance("n1", "south"), Shards(), peers, None, clock=lambda: now[0]
         )
         ownership.claim = lambda shard: claimed.append(now[0])
-        peers.beats = lambda: [SimpleNamespace(**BETTER)]
+        peers.live_heartbeats = lambda: [SimpleNamespace(**BETTER)]
         ownership._unowned_since["s"] = 1.0
         ownership._last_tick = now[0]
         ownership.owners["s"] = SimpleNamespace(claim=SimpleNamespace(state=None))
