--- a/baobabhoist/scheduling/admission.py
+++ b/baobabhoist/scheduling/admission.py
@@ -12,7 +12,7 @@
 # Time constant of the moving average of the start rates.
 RATE_WINDOW_S = 10.0
 # Shorter queues drain in unpredictable bursts, so no wait is predicted for them.
-MIN_PREDICTED_QUEUE = 32
+MIN_PREDICTED_QUEUE_TASKS = 32
 MAX_RETRY_AFTER_S = 60.0
 
 
@@ -69,7 +69,7 @@
             f"holds {queued_in_queue} tasks for the queue {task.queue}, the limit of that queue"
         )
         return _queue_full_refusal(task, reason, wait_s)
-    if task.kind is not WorkKind.REQUEST or team_queue.task_count < MIN_PREDICTED_QUEUE:
+    if task.kind is not WorkKind.REQUEST or team_queue.task_count < MIN_PREDICTED_QUEUE_TASKS:
         return None
     # Only requests with an earlier or similar deadline are served before this one.
     ahead = sum(
@@ -78,7 +78,7 @@
         if subqueue.kind is WorkKind.REQUEST
     )
     wait_s = rates.predicted_wait_s(task.team, ahead)
-    if ahead >= MIN_PREDICTED_QUEUE and wait_s is not None and now + wait_s > task.deadline:
+    if ahead >= MIN_PREDICTED_QUEUE_TASKS and wait_s is not None and now + wait_s > task.deadline:
         return _queue_full_refusal(
             task, f"needs about {wait_s:.0f} s, longer than the deadline allows", wait_s
         )
--- a/baobabhoist/scheduling/holds.py
+++ b/baobabhoist/scheduling/holds.py
@@ -96,7 +96,7 @@
         if entry is not None and entry.subqueue is not None and entry.has_reservation:
             self.queues.requeue(entry, self._now)
         for member in reservation.members:
-            self.queues.capacity_freed(member.worker.allocatable, member.worker)
+            self.queues.unblock_fitting(member.worker.allocatable, member.worker)
 
     def _bind_all(self, reservation: Reservation, now: float) -> list[Placement]:
         self.reservations.remove(reservation)
@@ -121,12 +121,13 @@
     def _handle_missing_places(self, subqueue: Subqueue, entry: QueueEntry, now: float) -> None:
         """Keep the team's other work waiting for a time, so that a starved gang gets its places.
 
-        The pause is limited to `HOLD_TIMEOUT_S` and followed by one of the same length at least.
+        The team's other work is paused for at most `HOLD_TIMEOUT_S`, and not paused again for this
+        gang until as much time has passed.
         """
-        if now >= entry.accumulate_from + 2 * HOLD_TIMEOUT_S or entry.accumulate_from == inf:
+        if now >= entry.team_paused_at + 2 * HOLD_TIMEOUT_S or entry.team_paused_at == inf:
             is_starved = entry.waited_s(now) >= self._queue_policy(subqueue.queue).reserve_after_s
-            entry.accumulate_from = now if is_starved else inf
-        if entry.accumulate_from <= now < entry.accumulate_from + HOLD_TIMEOUT_S:
+            entry.team_paused_at = now if is_starved else inf
+        if entry.team_paused_at <= now < entry.team_paused_at + HOLD_TIMEOUT_S:
             self.queues.mark_limited(subqueue.team)
         else:
             self.queues.skip_until_refresh(subqueue)
--- a/baobabhoist/scheduling/queues.py
+++ b/baobabhoist/scheduling/queues.py
@@ -28,8 +28,8 @@
     """Hold one waiting task, or the members of a gang that start together.
 
     An entry with a reservation is skipped by the queue; the reservation starts it.
-    `accumulate_from` is when the team's other work was paused so that its places accumulate for
-    this gang, or infinity.
+    `team_paused_at` is when the team's other work was paused so that enough places for this gang
+    become free, or infinity.
     """
 
     task: Task
@@ -39,7 +39,7 @@
     seq: int
     subqueue: Subqueue | None = None
     has_reservation: bool = False
-    accumulate_from: float = inf
+    team_paused_at: float = inf
 
     def waited_s(self, now: float) -> float:
         """Return how long the work has waited, in seconds."""
@@ -275,7 +275,7 @@
         """Skip a team until one of its places is free."""
         team.is_limited = True
 
-    def capacity_freed(self, available: ResourceVector, worker: WorkerState) -> None:
+    def unblock_fitting(self, available: ResourceVector, worker: WorkerState) -> None:
         """Unblock the size classes that may fit in what is available on a worker now."""
         for size_class in self.size_classes.values():
             if size_class.blocked_demand is None:
--- a/baobabhoist/scheduling/scheduler.py
+++ b/baobabhoist/scheduling/scheduler.py
@@ -313,7 +313,7 @@
             verdict = Verdict.DONE
         self._holds_need_check = self._holds_need_check or bool(self.reservations.by_job)
         is_pending = worker.name in self.reservations.pending_by_worker
-        self.queues.capacity_freed(worker.free if is_pending else worker.allocatable, worker)
+        self.queues.unblock_fitting(worker.free if is_pending else worker.allocatable, worker)
         self.queues.rerank_team(task.team, now)
         return verdict
 
@@ -344,7 +344,7 @@
         return verdict
 
     def task_throttled(self, task_id: str, cpu_milli: int) -> None:
-        """Record that a worker limits a task to this amount of processor time."""
+        """Record that a worker limits a task to this many millicores."""
         placed = self.running.get(task_id)
         if placed is None or cpu_milli >= placed.demand[0]:
             return
@@ -375,7 +375,7 @@
             for name in self.health.workers_due_for_probe(now):
                 worker = self.index.workers.get(name)
                 if worker is not None and worker.availability is Availability.UP:
-                    self.queues.capacity_freed(subtract(worker.free, worker.reserved), worker)
+                    self.queues.unblock_fitting(subtract(worker.free, worker.reserved), worker)
         if now >= self._size_class_retry_at:
             self._size_class_retry_at = now + SIZE_CLASS_RETRY_S
             self.queues.unblock_all()
--- a/baobabhoist/tests/test_quota_class_limits.py
+++ b/baobabhoist/tests/test_quota_class_limits.py
@@ -79,9 +79,9 @@
     shorten_intervals(monkeypatch)
 
     async def scenario():
-        rack = ShardHarness(MemoryTable())
+        harness = ShardHarness(MemoryTable())
         try:
-            owner, _ = await rack.start_owner("a")
+            owner, _ = await harness.start_owner("a")
             owner.shard_quota.class_ledger.limits = {BATCH: 1}
             calls = []
             for n in range(3):
@@ -104,6 +104,6 @@
             assert all(isinstance(result, Answer) for result in await asyncio.gather(*calls[1:]))
             calls[0].cancel()
         finally:
-            await rack.close()
+            await harness.close()
 
     asyncio.run(scenario())
