--- a/baobabhoist/invariants.py
+++ b/baobabhoist/invariants.py
@@ -37,7 +37,7 @@
 
 
 def check(condition: bool, event: int, detail: str, *args: object) -> None:
-    """Count, log and raise InvariantViolationError unless the condition holds.
+    """Raise InvariantViolationError unless the condition holds; a violation is counted and logged.
 
     `detail` is a logging format for `args`, which is formatted only on a violation.
     """
--- a/baobabhoist/jobs/coordinator.py
+++ b/baobabhoist/jobs/coordinator.py
@@ -89,6 +89,7 @@
         self._table = table
         self._shards = shards
         self._policy_of = policy_of
+        # The owned shards, each with the time of its next scan for unfinished jobs.
         self._next_scan_at: dict[str, float] = {}
         self._flush_at = 0.0
         self._evict_at: dict[str, float] = {}
--- a/baobabhoist/jobs/messages.py
+++ b/baobabhoist/jobs/messages.py
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class HoldAck:
-    """Report whether a hold still existed when it was committed or released."""
+    """Report whether a hold still existed when it was committed; true for each release."""
 
     done: bool
 
--- a/baobabhoist/jobs/rows.py
+++ b/baobabhoist/jobs/rows.py
@@ -60,7 +60,7 @@
         "queue": spec.queue,
         "kind": spec.kind.value,
         "idempotent": spec.idempotent,
-        # JSON has no infinity, which is the deadline of a service without one.
+        # JSON has no infinity, which stands for a service without a deadline.
         "deadline": None if math.isinf(spec.deadline) else spec.deadline,
         "urgency": spec.urgency.value,
         "home": run.home,
--- a/baobabhoist/ownership/events.py
+++ b/baobabhoist/ownership/events.py
@@ -51,7 +51,8 @@
 class ClaimRequested:
     """Request the shard; `epoch` is the epoch in the row, or None while the table is down.
 
-    If the shard is already owned under a round, request that its epoch be committed.
+    While the shard is owned under a round, a request with an epoch asks the table to commit the
+    ownership.
     """
 
     epoch: int | None
--- a/baobabhoist/ownership/request_keys.py
+++ b/baobabhoist/ownership/request_keys.py
@@ -347,7 +347,8 @@
             return unknown_outcome_refusal(
                 "the shard owner has reached its limit of stored request keys"
             )
-        # A copy that is sent after that with the same distant deadline is the caller's own choice.
+        # A copy that is sent after this entry has expired, with the same distant deadline, is the
+        # caller's own choice.
         expires_at = min(req.task.deadline, now + 2 * self.max_window_s) + self.clock_skew_s
         entry = RequestKeyEntry(RequestKeyState.NOT_RUN, expires_at, req.task.idempotent, refusal)
         self._add(req.request_id, entry)
--- a/baobabhoist/quota/escrow.py
+++ b/baobabhoist/quota/escrow.py
@@ -17,7 +17,9 @@
 
 @attrs.frozen
 class EscrowRow:
-    """Hold a team's places, with the invariant `pool + sum(places) <= limit`.
+    """Hold a team's places, of which each running task needs one.
+
+    `pool + sum(places) <= limit` always holds.
 
     `limit` is the upper limit in force. `pending_limit` is a lower limit for which the shards
     have not yet returned enough places. `epochs` holds the epoch under which each shard last
@@ -93,7 +95,7 @@
 
 
 def check_row(team: str, row: EscrowRow) -> None:
-    """Check that a row is within its limit; raises InvariantViolationError."""
+    """Raise InvariantViolationError if a row exceeds its limit or holds negative counts."""
     amounts = [row.pool, *row.places.values()]
     check(
         min(amounts) >= 0 and sum(amounts) <= row.limit,
--- a/baobabhoist/scheduling/health.py
+++ b/baobabhoist/scheduling/health.py
@@ -55,7 +55,7 @@
     quarantined: set[str] = attrs.Factory(set)
 
     def history(self, worker: str) -> WorkerHistory:
-        """Return a worker's history."""
+        """Return a worker's history, which is created if it does not exist."""
         return self.workers.setdefault(worker, WorkerHistory())
 
     def excluded_workers(self, task_id: str) -> list[str]:
--- a/baobabhoist/scheduling/results.py
+++ b/baobabhoist/scheduling/results.py
@@ -32,8 +32,9 @@
 
 @attrs.frozen
 class Preemption:
-    """Request a worker to preempt a task, whose capacity is free once its end is reported.
+    """Ask a worker to preempt a task, whose capacity is free once its end is reported.
 
+    `for_task_id` is the urgent task, or for a backfilled task the id of the delayed reservation.
     For a throttle, `cpu_milli` is what the task may keep, and `Scheduler.task_throttled` reports
     that the worker did so.
     """
@@ -61,7 +62,7 @@
 
 
 class WaitReason(enum.StrEnum):
-    """Define why a task waits, or that it runs or is unknown."""
+    """List the reasons why a task waits, and two states of a task that does not."""
 
     TEAM_LIMIT = "limit"
     SHARE = "share"
--- a/baobabhoist/scheduling/state.py
+++ b/baobabhoist/scheduling/state.py
@@ -41,7 +41,7 @@
 
 
 class PlaceQuota(Protocol):
-    """Grant places within the teams' upper limits."""
+    """Grant places within the teams' upper limits; a team needs one for each running task."""
 
     def acquire(self, team: str, task_id: str, worker: str) -> Refusal | None:
         """Acquire a place for a task, or return why there is none."""
--- a/baobabhoist/tests/test_jobs_coordinator.py
+++ b/baobabhoist/tests/test_jobs_coordinator.py
@@ -176,7 +176,7 @@
 def test_table_outage_delays_only_tasks_that_are_not_idempotent(
     monkeypatch, idempotent, sent_during_outage
 ):
-    """Guard against a start without a stored intent, and against delaying idempotent tasks."""
+    """Guard against a non-idempotent start without a stored intent, and a halt of all jobs."""
 
     async def scenario(jobs, table, shards):
         table.is_down = True
--- a/baobabhoist/tests/test_jobs_state.py
+++ b/baobabhoist/tests/test_jobs_state.py
@@ -103,7 +103,7 @@
     assert not any(req.first_attempt for req in requests)
 
 
-def test_resumed_run_sends_a_task_without_stored_intent_as_a_first_attempt():
+def test_resumed_run_sends_a_non_idempotent_task_without_intent_as_a_first_attempt():
     """Guard against an unknown outcome of a task that was certainly never sent."""
     run = new_run(tasks=1, idempotent=False)
     (req,) = send_all(resumed_run(run), 1.0)
--- a/baobabhoist/tests/test_ownership_claim.py
+++ b/baobabhoist/tests/test_ownership_claim.py
@@ -60,7 +60,7 @@
 
 
 def test_lost_race_for_the_epoch_backs_off_within_its_limits():
-    """Guard against two claimants that keep outbidding each other without a pause."""
+    """Guard against two claimants that advance the epoch against each other without a pause."""
     claim = new_claim()
     claim.step(events.ClaimRequested(4), NOW)
     claim.step(events.EpochConflict(5), NOW)
--- a/baobabhoist/tests/test_ownership_request_keys.py
+++ b/baobabhoist/tests/test_ownership_request_keys.py
@@ -87,7 +87,7 @@
         ({"sent_at": NOW - 60, "idempotent": True}, True),
     ],
 )
-def test_requests_that_an_earlier_owner_may_have_run_are_not_run(fields, is_run):
+def test_new_owner_runs_only_requests_that_no_earlier_owner_can_have_run(fields, is_run):
     """Guard against a second run of a request whose first run is unknown to the new owner."""
     ledger = RequestKeyLedger()
     ledger.begin_ownership(NOW)
@@ -111,7 +111,7 @@
 
 
 def test_idempotent_work_is_retried_once_and_other_work_never():
-    """Guard against a third run, a late retry, and any retry of work that is not idempotent."""
+    """Guard against a third run, a retry after the deadline and a retry of non-idempotent work."""
     ledger = ledger_with_dispatched_key()
     assert not ledger.requeue_for_retry("k", NOW + 60, NOW)
     ledger = ledger_with_dispatched_key(idempotent=True)
--- a/baobabhoist/tests/test_quota_ledger.py
+++ b/baobabhoist/tests/test_quota_ledger.py
@@ -43,7 +43,7 @@
 
 
 def test_call_sent_before_an_end_does_not_confirm_it():
-    """Guard against an end that is confirmed by a call which was sent before it."""
+    """Guard against an end confirmed by the late reply to a call that was sent before it."""
     quota = make_ledger(1)
     quota.acquire("roster", "a", "w1")
     watermark = quota.end_watermark()
--- a/specs/check.py
+++ b/specs/check.py
@@ -57,7 +57,10 @@
 def check_model(
     rules: Rules, bounds: Bounds, only: str = "", max_states: int = 1_000_000
 ) -> dict[str, Any]:
-    """Return the result of minicheck, or for the invariant `only` up to its first violation."""
+    """Return the result of minicheck.
+
+    `only` names an invariant whose first violation ends the search.
+    """
     core = CoreProtocol(rules, bounds)
     invariants = core.invariants()
     if not only:
--- a/specs/core_protocol.py
+++ b/specs/core_protocol.py
@@ -460,7 +460,7 @@
         return invariants
 
     def _has_single_owner(self, fields: dict[str, Any]) -> bool:
-        """Return whether no worker accepted a stale token and no two instances share a token."""
+        """Return whether no call under a stale token took effect and no token is shared."""
         if fields["stale_effect"]:
             return False
         first, second = fields["instances"]
