--- a/baobabhoist/cell/approvals.py
+++ b/baobabhoist/cell/approvals.py
@@ -37,7 +37,7 @@
         self.next_request_ms = answer_timeout_ms
 
     def is_request_blocked(self, now: float) -> bool:
-        """Tell whether it is too early for the next request."""
+        """Return whether it is too early for the next request."""
         return now < self.next_request_ms
 
     def record_answer(
--- a/baobabhoist/cell/health.py
+++ b/baobabhoist/cell/health.py
@@ -20,7 +20,7 @@
     is_on_probation: bool = False
 
     def record_success(self) -> None:
-        """Record a run that succeeded; ends the probation."""
+        """Record a run that succeeded; ends the probation and resets the backoff."""
         self.failed_job_ids.clear()
         self.is_on_probation = False
         self.quarantine_count = 0
@@ -38,7 +38,7 @@
         return self._quarantine(now)
 
     def accepts_task(self, now: float, run_count: int) -> bool:
-        """Tell whether the worker may get a task; on probation it gets one at a time."""
+        """Return whether the worker may get a task; on probation it gets one at a time."""
         return now >= self.quarantined_until_ms and not (self.is_on_probation and run_count > 0)
 
     def _quarantine(self, now: float) -> bool:
--- a/baobabhoist/cell/jobs.py
+++ b/baobabhoist/cell/jobs.py
@@ -81,30 +81,30 @@
     spec: Step
     tasks: list[TaskState] = attrs.Factory(list)
     # Tasks that are neither done nor running.
-    idle_count: int = 0
+    waiting_count: int = 0
     # Tasks that are not done.
-    pending_count: int = 0
+    unfinished_count: int = 0
     approvals: Approvals = attrs.Factory(Approvals)
     # Workers on which a task of the step failed.
     failed_worker_ids: set[str] = attrs.Factory(set)
-    # When the dependencies of the step were done, on the owner's clock.
+    # When the step became ready to run, on the owner's clock.
     ready_since_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         """Create the tasks."""
         self.tasks = [TaskState(self, index) for index in range(self.spec.count)]
-        self.idle_count = self.pending_count = self.spec.count
+        self.waiting_count = self.unfinished_count = self.spec.count
 
     @property
     def is_done(self) -> bool:
-        """Tell whether all tasks are done."""
-        return self.pending_count == 0
+        """Return whether all tasks are done."""
+        return self.unfinished_count == 0
 
     def discard_approvals(self) -> None:
         """Free the tickets of a step that will start no more tasks."""
         self.approvals = Approvals()
 
-    def idle_tasks(self) -> Iterator[TaskState]:
+    def waiting_tasks(self) -> Iterator[TaskState]:
         """Yield the tasks that are neither done nor running."""
         return (task for task in self.tasks if task.run is None and not task.is_done)
 
@@ -113,17 +113,17 @@
         if task.is_done:
             return False
         task.is_done = True
-        self.pending_count -= 1
+        self.unfinished_count -= 1
         if self.is_done:
             self.job.invalidate_critical_path()
         if task.run is None:
-            self.idle_count -= 1
+            self.waiting_count -= 1
         return True
 
     def attach_run(self, run: Run) -> None:
         """Make a run the current run of its task."""
         if run.task.run is None and not run.task.is_done:
-            self.idle_count -= 1
+            self.waiting_count -= 1
         run.task.run = run
         run.task.last_run_number = max(run.task.last_run_number, run.number)
 
@@ -132,7 +132,7 @@
         if run.task.run is run:
             run.task.run = None
             if not run.task.is_done:
-                self.idle_count += 1
+                self.waiting_count += 1
 
     def failed_attempts(self, task: TaskState) -> int:
         """Return the number of failed attempts of a task; members of a gang share theirs."""
@@ -164,7 +164,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the job has ended."""
+        """Return whether the job has ended."""
         return self.phase in FINAL_PHASES
 
     @property
@@ -212,14 +212,14 @@
         return step.tasks[key.index]
 
     def is_step_ready(self, step: StepState) -> bool:
-        """Tell whether all steps that a step depends on are done."""
+        """Return whether all steps that a step depends on are done."""
         occurrence = step.key.occurrence
         return all(
             self.steps[(occurrence, step_number)].is_done for step_number in step.spec.after
         )
 
     def are_all_tasks_done(self) -> bool:
-        """Tell whether every task of every occurrence is done."""
+        """Return whether every task of every occurrence is done."""
         if self.opened_count < self.accepted.spec.occurrence_count:
             return False
         return all(step.is_done for step in self.steps.values())
--- a/baobabhoist/cell/model.py
+++ b/baobabhoist/cell/model.py
@@ -16,7 +16,7 @@
     gpu: int = 0
 
     def fits_into(self, other: Resources) -> bool:
-        """Tell whether this amount fits into another."""
+        """Return whether this amount fits into another."""
         return (
             self.cpu <= other.cpu and self.memory_mb <= other.memory_mb and self.gpu <= other.gpu
         )
@@ -69,7 +69,7 @@
 
     @property
     def allocation(self) -> Resources:
-        """Return what a task reserves on its worker; fill-in tasks reserve no processor time."""
+        """Return what a task reserves on its worker; fill-in tasks only use spare cores."""
         return attrs.evolve(self.need, cpu=0) if self.fills else self.need
 
 
@@ -168,7 +168,7 @@
     limit: Resources = NO_RESOURCES
 
     def allows(self, total: Resources) -> bool:
-        """Tell whether a total allocation stays within the limit."""
+        """Return whether a total allocation stays within the limit."""
         return (
             (not self.limit.cpu or total.cpu <= self.limit.cpu)
             and (not self.limit.memory_mb or total.memory_mb <= self.limit.memory_mb)
--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -82,7 +82,7 @@
     def _repair_gangs(self, now: float) -> None:
         """Stop the remaining members of gangs that lost some under an earlier owner."""
         for step in list(self._state.ready_steps.values()):
-            if step.spec.gang and 0 < step.idle_count < step.pending_count:
+            if step.spec.gang and 0 < step.waiting_count < step.unfinished_count:
                 self._stop_members(step, now)
 
     def _stop_members(self, step: StepState, now: float) -> None:
--- a/baobabhoist/cell/placer.py
+++ b/baobabhoist/cell/placer.py
@@ -34,14 +34,14 @@
     """Place the waiting tasks of one cell; call `place_waiting_steps` after any change."""
 
     state: CellState
-    # Requests that the advisers can process at the same time.
+    # Advice requests that may be open at the same time.
     max_advice_requests: int = 1
     open_advice_requests: int = 0
     reservations: Reservations = attrs.Factory(Reservations)
 
     def place_waiting_steps(self, now: float, may_start: bool) -> None:
         """Start the tasks that fit and request advice for those that still wait."""
-        waiting_steps = [step for step in self.state.ready_steps.values() if step.idle_count]
+        waiting_steps = [step for step in self.state.ready_steps.values() if step.waiting_count]
         if not waiting_steps:
             return
         ranked_steps = sorted(waiting_steps, key=lambda step: self._rank(step, now))
@@ -51,7 +51,7 @@
             service = self.state.service_of(step.job)
             if may_start and step.spec.allocation.cpu <= worker_index.max_free_cpu(service):
                 self._place_step(step, worker_index, now)
-            if step.idle_count:
+            if step.waiting_count:
                 self._request_advice(step, position, worker_index, now)
 
     def _rank(self, step: StepState, now: float) -> Rank:
@@ -62,12 +62,12 @@
 
     def _place_step(self, step: StepState, worker_index: WorkerIndex, now: float) -> None:
         spec = step.spec
-        if spec.gang and step.idle_count < step.pending_count:
+        if spec.gang and step.waiting_count < step.unfinished_count:
             return
         team = step.job.accepted.team
         if not self.reservations.is_team_limit_available(team, step):
             return
-        need = spec.need.times(step.idle_count if spec.gang else 1)
+        need = spec.need.times(step.waiting_count if spec.gang else 1)
         if not self.state.is_within_team_limit(step.job, need):
             if spec.gang and self._may_reserve_team_limit(step, need, now):
                 self.reservations.reserve_team_limit(team, step)
@@ -85,21 +85,21 @@
         slots = find_slots(
             candidates,
             spec,
-            step.idle_count,
+            step.waiting_count,
             _tasks_by_worker(step),
             lambda w: self._placement_cost(w, step, tolerance),
         )
         if spec.gang:
             self._place_gang(step, slots, worker_index, now)
             return
-        chosen = assign_tasks(slots, step.idle_count)
-        for task, worker in zip(list(step.idle_tasks()), chosen, strict=False):
+        chosen = assign_tasks(slots, step.waiting_count)
+        for task, worker in zip(list(step.waiting_tasks()), chosen, strict=False):
             if not self.state.is_within_team_limit(step.job, spec.need):
                 return
             self.state.start_run(task, worker, self.state.next_run_number([task]), now)
 
     def _may_reserve_team_limit(self, step: StepState, need: Resources, now: float) -> bool:
-        """Tell whether a gang could fit into its team's limit and still has value."""
+        """Return whether a gang could fit into its team's limit and still has value."""
         team = self.state.team_of(step.job)
         could_fit = team is not None and team.allows(need)
         return could_fit and timeliness_of(step.job, now) is not Timeliness.EXPIRED
@@ -107,7 +107,7 @@
     def _place_gang(
         self, step: StepState, slots: list[WorkerSlots], worker_index: WorkerIndex, now: float
     ) -> None:
-        members = list(step.idle_tasks())
+        members = list(step.waiting_tasks())
         chosen = assign_gang(slots, len(members), step.spec.same_rack)
         if not chosen:
             if not self.reservations.is_full:
@@ -155,7 +155,7 @@
         if queue is None or queue.advice is None or step.approvals.is_request_blocked(now):
             return
         if self.open_advice_requests >= self.max_advice_requests or (
-            step.spec.gang and step.idle_count < step.pending_count
+            step.spec.gang and step.waiting_count < step.unfinished_count
         ):
             return
         service = self.state.service_of(step.job)
--- a/baobabhoist/cell/reservations.py
+++ b/baobabhoist/cell/reservations.py
@@ -28,14 +28,14 @@
         self.reserving_gang_count = 0
 
     def is_worker_available(self, worker: WorkerState, step: StepState) -> bool:
-        """Tell whether a worker is not reserved for another step."""
+        """Return whether a worker is not reserved for another step."""
         if not self.gang_by_worker:
             return True
         holder = self.gang_by_worker.get(worker.worker_id)
         return holder is None or holder is step
 
     def is_team_limit_available(self, team: str, step: StepState) -> bool:
-        """Tell whether the rest of a team's limit is not reserved for another step."""
+        """Return whether the rest of a team's limit is not reserved for another step."""
         return self.gang_by_team.get(team, step) is step
 
     def reserve_team_limit(self, team: str, step: StepState) -> None:
@@ -44,11 +44,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no further gang may reserve workers in this round."""
+        """Return whether no further gang may reserve workers in this round."""
         return self.reserving_gang_count >= MAX_RESERVING_GANGS
 
     def reserve_workers(self, step: StepState, approved: list[WorkerState]) -> None:
-        """Reserve the least loaded approved workers if their capacity suffices for the gang."""
+        """Reserve the approved workers that will soonest have the capacity for a gang.
+
+        These are the least loaded ones, and as few as suffice. If all together are too small for
+        the gang, none is reserved.
+        """
         if self.is_full or not approved:
             return
         available = [w for w in approved if self.is_worker_available(w, step)]
@@ -57,11 +61,11 @@
         for worker in available:
             chosen.append(worker)
             slot_count += count_fitting_tasks(
-                worker.info.capacity, step.spec.allocation, step.idle_count
+                worker.info.capacity, step.spec.allocation, step.waiting_count
             )
-            if slot_count >= step.idle_count:
+            if slot_count >= step.waiting_count:
                 break
-        if slot_count < step.idle_count:
+        if slot_count < step.waiting_count:
             return
         self.reserving_gang_count += 1
         for worker in chosen:
--- a/baobabhoist/cell/scheduler.py
+++ b/baobabhoist/cell/scheduler.py
@@ -224,7 +224,7 @@
         self._reports.handle_start_result(command, outcome, now)
 
     def should_send_start(self, command: StartTask) -> bool:
-        """Tell whether a start command is still valid after its run has been stored."""
+        """Return whether a start command is still valid after its run has been stored."""
         worker = self.state.workers.get(command.worker_id)
         run = worker.runs.get(command.task) if worker is not None else None
         return run is not None and run.number == command.run and not run.stop_sent_ms
@@ -264,11 +264,11 @@
         """Return the number of tasks that wait to be started, by queue."""
         counts: Counter[str] = Counter()
         for step in self.state.ready_steps.values():
-            counts[step.job.accepted.queue] += step.idle_count
+            counts[step.job.accepted.queue] += step.waiting_count
         return dict(counts)
 
     def min_lease_margin_ms(self, now: float) -> float:
-        """Return the time until the first lease of a worker with runs expires."""
+        """Return the time until the first known lease of a worker with runs expires, or 0."""
         busy_workers = [
             w for w in self.state.workers.values() if w.runs and w.lease.is_clock_known
         ]
--- a/baobabhoist/cell/speed_matching.py
+++ b/baobabhoist/cell/speed_matching.py
@@ -10,7 +10,7 @@
 
 # Only this fraction of a job's remaining time is planned for, because declared durations are
 # inaccurate.
-USABLE_SLACK_FRACTION = 0.5
+PLANNED_TIME_FRACTION = 0.5
 # A job whose remaining time is less than this multiple of its remaining work takes the fastest
 # worker.
 MIN_TOLERANCE_FOR_SLOW_WORKERS = 3.0
@@ -19,7 +19,7 @@
 
 
 def slowdown_tolerance(job: JobState, duration_ratio: float, now: float) -> float:
-    """Return how much slower than the mean worker may run the rest of a job in time."""
+    """Return how many times longer than on the mean worker the rest of a job may take."""
     work_ms = max(1.0, job.remaining_critical_path_ms() * duration_ratio)
     return (job.objective_ms - now) / work_ms
 
@@ -28,5 +28,5 @@
     """Return the placement cost of a worker with this slowdown; the lowest is preferred."""
     if tolerance < MIN_TOLERANCE_FOR_SLOW_WORKERS:
         return slowdown
-    limit = tolerance * USABLE_SLACK_FRACTION
+    limit = tolerance * PLANNED_TIME_FRACTION
     return limit - slowdown if slowdown <= limit else TOO_SLOW_COST + slowdown
--- a/baobabhoist/cell/state.py
+++ b/baobabhoist/cell/state.py
@@ -61,12 +61,12 @@
         return queue.service if queue is not None else job.accepted.service
 
     def requires_advice(self, job: JobState) -> bool:
-        """Tell whether the tasks of a job need a ticket from the placement adviser to start."""
+        """Return whether the tasks of a job need a ticket from the placement adviser to start."""
         queue = self.queue_of(job)
         return queue is not None and queue.advice is not None
 
     def is_within_team_limit(self, job: JobState, need: Resources) -> bool:
-        """Tell whether a team stays within its resource limit if a job takes this much more."""
+        """Return whether a team stays within its resource limit if a job takes this much more."""
         team = self.team_of(job)
         if team is None:
             return True
@@ -134,7 +134,7 @@
         self.commands.append(StopTask(run.worker_id, run.task.key, run.number))
 
     def stop_orphan_run(self, worker: WorkerState, task: TaskKey, run_number: int) -> None:
-        """Issue a stop command for a run on a worker that this owner does not track."""
+        """Issue a stop command for a run that a worker reports but this owner does not track."""
         if worker.orphan_runs.get(task) != run_number:
             emit(
                 log,
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -1,4 +1,4 @@
-"""Index the workers of a cell for one scheduling round, so that lookups skip the others."""
+"""Index the workers of a cell for one round, so that a step looks only at those it can use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class WorkerGroup:
-    """Hold the schedulable workers of one service with equal capacity and labels."""
+    """Hold the listed, not draining workers of one service with equal capacity and labels."""
 
     capacity: Resources
     labels: tuple[str, ...]
@@ -39,11 +39,11 @@
                     self._max_free_cpu[service] = free
 
     def max_free_cpu(self, service: str) -> int:
-        """Return the largest `free_cpu` of any usable worker at the start of the round, or -1."""
+        """Return the largest `free_cpu` of the usable workers at the start of the round, or -1."""
         return self._max_free_cpu.get(service, -1)
 
     def usable_workers(self, service: str, label: str) -> list[WorkerState]:
-        """Return the workers of a service that accept tasks now and have a label, unless empty."""
+        """Return the workers of a service that accept tasks now, with the label if one is given."""
         found = self._usable.get(service, {}).values()
         return [worker for worker in found if not label or label in worker.info.labels]
 
@@ -63,7 +63,7 @@
         return [worker for worker in found if not label or label in worker.info.labels]
 
     def capable_worker_ids(self, service: str, label: str, need: Resources) -> list[str]:
-        """Return the ids of the listed workers that are large enough for a task, free or not."""
+        """Return the ids of the listed workers that could run a task once they are free."""
         groups = self._capable_groups(service, label, need)
         key = tuple(map(id, groups))
         if key not in self._ids_by_groups:
--- a/baobabhoist/cell/worker_reports.py
+++ b/baobabhoist/cell/worker_reports.py
@@ -183,7 +183,7 @@
     def _close_missing_runs(
         self, worker: WorkerState, report: WorkerReport, requested_ms: float, now: float
     ) -> None:
-        """Close the runs and orphans that have ended because the report does not list them."""
+        """Close the runs and orphans that a report shows to have ended by not listing them."""
         listed = {(active_run.task, active_run.run) for active_run in report.running}
         for task_key, run_number in list(worker.orphan_runs.items()):
             if (task_key, run_number) not in listed:
--- a/baobabhoist/cell/workers.py
+++ b/baobabhoist/cell/workers.py
@@ -48,7 +48,7 @@
         return self.clock_ms + (now - self.clock_read_ms) * (1.0 - MAX_CLOCK_DRIFT)
 
     def extend_deadline(self, now: float, lease_ms: float) -> int | None:
-        """Return a new deadline to send to the worker, or None while its clock is unknown."""
+        """Extend the deadline and return it, or None while the worker's clock is unknown."""
         if not self.is_clock_known:
             return None
         self.deadline_ms = max(self.deadline_ms, int(self.min_clock_at(now) + lease_ms))
@@ -102,7 +102,7 @@
         return self.info.capacity.cpu - self.used.cpu
 
     def can_start_tasks(self, now: float) -> bool:
-        """Tell whether new tasks may be started on the worker."""
+        """Return whether new tasks may be started on the worker."""
         return (
             self.has_accepted_token
             and self.is_listed
--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -151,7 +151,7 @@
             self.schedule()
 
     def settle(self, rounds=4):
-        """Alternate reports and scheduling rounds until, by default, the state is stable."""
+        """Alternate reports and scheduling rounds; by default often enough for a stable state."""
         for _ in range(rounds):
             self.now += 1.0
             self.renew_all()
--- a/baobabhoist/tests/test_cell_speed_matching.py
+++ b/baobabhoist/tests/test_cell_speed_matching.py
@@ -21,7 +21,10 @@
 
 
 def test_jobs_with_slack_leave_the_fast_workers_free():
-    """Guard against urgent jobs on slow workers at low load, when jobs with slack came first."""
+    """Guard against urgent jobs on slow workers at low load, when jobs with slack came first.
+
+    Found in run "wm quiet-1".
+    """
     queues = {"q": Queue("q", "svc", 1, 3, 6.0, 1000), "fast": Queue("fast", "svc", 0, 3, 1.2, 0)}
     harness = CellHarness.with_workers(3, CellRules(1, queues, {"team": Team("team")}))
     for _ in range(12):
--- a/baobabhoist/tests/test_cell_stateful.py
+++ b/baobabhoist/tests/test_cell_stateful.py
@@ -127,7 +127,7 @@
     # Actions of the owner.
 
     @rule()
-    def decide(self):
+    def schedule(self):
         for command in self.cell.schedule(self.now, True):
             state = self.cell.state.workers[command.worker_id]
             deadline = state.lease.extend_deadline(self.now, LEASE_MS) or 0
@@ -183,12 +183,14 @@
             return
         state = self.cell.state.workers[worker]
         deadline = state.lease.extend_deadline(self.now, LEASE_MS)
-        stand_in = self.workers[worker]
+        fake_worker = self.workers[worker]
         # A cursor of an earlier incarnation is never applied: calls name the incarnation.
         acked = (
-            state.last_acked_end if state.started_unix_ms in (0, stand_in.started_unix_ms) else 0
+            state.last_acked_end
+            if state.started_unix_ms in (0, fake_worker.started_unix_ms)
+            else 0
         )
-        report = stand_in.renew(self.token, acked, deadline)
+        report = fake_worker.renew(self.token, acked, deadline)
         self.cell.handle_report(worker, report, self.now, self.now + 0.1)
         self.now += 0.2
 
@@ -206,10 +208,10 @@
             self.cell.state.workers[worker].last_acked_end = number
 
     def _record_stored_ends(self, worker, number):
-        state, stand_in = self.cell.state.workers[worker], self.workers[worker]
-        if state.started_unix_ms != stand_in.started_unix_ms:
+        state, fake_worker = self.cell.state.workers[worker], self.workers[worker]
+        if state.started_unix_ms != fake_worker.started_unix_ms:
             return
-        for ended_run in stand_in.unacked_ends:
+        for ended_run in fake_worker.unacked_ends:
             if ended_run.sequence_number <= number:
                 self._record_stored_end(ended_run)
 
--- a/baobabhoist/tests/test_cell_worker_index.py
+++ b/baobabhoist/tests/test_cell_worker_index.py
@@ -1,4 +1,7 @@
-"""Test the worker index, which limits the search for each step to the workers it can use."""
+"""Test the worker index with many waiting steps on many workers.
+
+Each step must look only at the workers that it can use.
+"""
 
 from __future__ import annotations
 
