--- a/baobabhoist/control/claim.py
+++ b/baobabhoist/control/claim.py
@@ -15,7 +15,7 @@
 # A live owner writes its next heartbeat within this time.
 HEARTBEAT_OVERDUE_MS = 1_200.0
 # An owner releases the cell after ISOLATION_TIMEOUT_MS with fewer than 1 / MIN_LINKS_DIVISOR of
-# its peak number of links. Sites whose peak is below MIN_PEAK_LINKS are exempt.
+# its peak number of links. An owner whose peak is below MIN_PEAK_LINKS never does so.
 MIN_LINKS_DIVISOR = 4
 MIN_PEAK_LINKS = 3
 ISOLATION_TIMEOUT_MS = 1_500.0
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -97,7 +97,7 @@
 
 @attrs.define
 class JobApi:
-    """Answer calls from the configuration, the owner and the store, without state of its own."""
+    """Answer calls by means of the configuration, the owner and the store; keeps no state."""
 
     config: ActiveConfig
     store: RowStore
--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -65,7 +65,7 @@
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
     def count_refusal(self, reason: str) -> None:
-        """Count a refused call by reason; the log event for it is `call_refused`."""
+        """Count a refused call by reason."""
         self._refusals.inc({"reason": self._reasons.label_for(reason)})
 
     def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
@@ -77,7 +77,7 @@
         self._waiting.observe(labels, waited_s)
 
     def observe_decision(self, seconds: float) -> None:
-        """Record a scheduling round."""
+        """Record the duration of a scheduling round."""
         self._decision.observe({}, seconds)
 
     def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
@@ -89,7 +89,7 @@
         self._worker.observe({"call": call, "outcome": outcome}, seconds)
 
     def observe_takeover(self, seconds: float) -> None:
-        """Record a takeover."""
+        """Record the duration of a takeover."""
         self._takeover.observe({}, seconds)
 
     def set_config(self, version: int, age_s: float) -> None:
--- a/baobabhoist/control/owner.py
+++ b/baobabhoist/control/owner.py
@@ -44,7 +44,7 @@
 LOAD_RETRY_INTERVAL_S = 0.15
 RETENTION_CHECK_TICKS = 100
 # Least pause after a scheduling round, as a multiple of the round's duration.
-DECISION_PAUSE_FACTOR = 3.0
+ROUND_PAUSE_FACTOR = 3.0
 # While loading a cell, yield to the event loop after this many rows, so that heartbeats are sent.
 ROWS_PER_YIELD = 40
 
@@ -99,8 +99,8 @@
         self._loader = CellLoader(deps.store, deps.decoder.tables.directory)
         self._tasks: set[asyncio.Task[None]] = set()
         self._sessions: dict[str, WorkerSession] = {}
-        self._decision_scheduled = False
-        self._next_decision_ms = 0.0
+        self._round_requested = False
+        self._next_round_ms = 0.0
         self._ownership_lost_reported = False
         self._ticks = 0
 
@@ -133,7 +133,7 @@
         self._rules = rules
         if self._cell is not None:
             self._cell.set_rules(rules)
-            self.schedule_decision()
+            self.request_scheduling_round()
 
     def may_renew(self) -> bool:
         """Return whether leases may be renewed: not if a later owner may rely on their expiry."""
@@ -153,12 +153,12 @@
             return
         accepted_local_ms = self._deps.clock.to_local_ms(accepted.accepted_ms)
         if cell.add_job(accepted, accepted_local_ms, monotonic_ms(), unix_ms()):
-            self.schedule_decision()
+            self.request_scheduling_round()
 
     def handle_cancelled_job(self, job_id: str) -> None:
         """Cancel a job whose cancellation is stored."""
         if self._cell is not None and self._cell.cancel_job(job_id, monotonic_ms()):
-            self.schedule_decision()
+            self.request_scheduling_round()
             self.progress_writer.request_flush()
 
     def job_state(self, job_id: str) -> StateReply:
@@ -185,7 +185,7 @@
 
     async def _build_cell(self, tables: CellTables) -> None:
         takeover = Takeover(
-            self.ownership.generation, self.ownership.token, self._lease_expiry_ms()
+            self.ownership.generation, self.ownership.token, self._inherited_leases_expire_ms()
         )
         loaded_rows = (*tables.progress, *tables.cell, *tables.speeds)
         self.progress_writer.set_versions({row.key: row.version for row in loaded_rows})
@@ -214,7 +214,7 @@
         )
         self._deps.metrics.observe_takeover((now - self.ownership.won_ms) / 1000)
 
-    def _lease_expiry_ms(self) -> float:
+    def _inherited_leases_expire_ms(self) -> float:
         """Return when every lease granted by previous owners has certainly expired."""
         last_ms = max(self.ownership.won_ms, self.ownership.previous_owner_until_ms)
         return last_ms + self._deps.lease_ms / (1.0 - MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS
@@ -300,7 +300,7 @@
         for worker_id, worker in workers.items():
             if worker.info.address:
                 self._open_session(worker_id)
-        self.schedule_decision()
+        self.request_scheduling_round()
 
     def _open_session(self, worker_id: str) -> None:
         if worker_id in self._sessions:
@@ -317,15 +317,15 @@
 
     # Scheduling and commands.
 
-    def schedule_decision(self) -> None:
-        """Schedule one round of decisions for all events of this turn of the event loop."""
-        if not self._decision_scheduled:
-            self._decision_scheduled = True
-            delay_s = (self._next_decision_ms - monotonic_ms()) / 1000
-            asyncio.get_running_loop().call_later(max(0.0, delay_s), self._decide)
+    def request_scheduling_round(self) -> None:
+        """Request one scheduling round for all events of this turn of the event loop."""
+        if not self._round_requested:
+            self._round_requested = True
+            delay_s = (self._next_round_ms - monotonic_ms()) / 1000
+            asyncio.get_running_loop().call_later(max(0.0, delay_s), self._run_scheduling_round)
 
-    def _decide(self) -> None:
-        self._decision_scheduled = False
+    def _run_scheduling_round(self) -> None:
+        self._round_requested = False
         cell = self.cell
         if cell is None:
             return
@@ -335,8 +335,8 @@
         start_s = time.perf_counter()
         commands = cell.schedule(monotonic_ms(), self._deps.may_start())
         duration_s = time.perf_counter() - start_s
-        # Limits the share of the processor that decisions take under a flood of events.
-        self._next_decision_ms = monotonic_ms() + duration_s * 1000 * DECISION_PAUSE_FACTOR
+        # Limits the share of the processor that rounds take under a flood of events.
+        self._next_round_ms = monotonic_ms() + duration_s * 1000 * ROUND_PAUSE_FACTOR
         self._deps.metrics.observe_decision(duration_s)
         for command in commands:
             if isinstance(command, StartTask):
@@ -361,7 +361,7 @@
             duration_s = (monotonic_ms() - sent_ms) / 1000
             self._deps.metrics.observe_worker_call("start", outcome.value, duration_s)
             cell.handle_start_result(command, outcome, monotonic_ms())
-            self.schedule_decision()
+            self.request_scheduling_round()
 
     def _observe_wait(self, command: StartTask) -> None:
         job = self._require_cell().find_job(command.task.job_id)
@@ -375,7 +375,7 @@
         if session is not None:
             outcome = await session.stop_task(command)
             self._require_cell().handle_stop_result(command, outcome, monotonic_ms())
-            self.schedule_decision()
+            self.request_scheduling_round()
 
     async def _ask_adviser(self, query: RequestAdvice) -> None:
         advice = await self._deps.advice_dispatcher.ask(query)
@@ -384,7 +384,7 @@
             cell.handle_advice_failure(query.step, now + LOAD_RETRY_INTERVAL_S * 1000)
         else:
             cell.handle_advice(query.step, query.workers, advice.tickets, now + advice.valid_ms)
-        self.schedule_decision()
+        self.request_scheduling_round()
 
     _SENDERS: dict[type[Command], Callable[[Any, Any], Coroutine[Any, Any, None]]] = {
         StartTask: _send_start,
@@ -402,7 +402,7 @@
                 self._remove_expired_jobs(cell)
             if set(self._sessions) - set(cell.state.workers):
                 self._sync_sessions()
-            self.schedule_decision()
+            self.request_scheduling_round()
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _remove_expired_jobs(self, cell: CellScheduler) -> None:
--- a/baobabhoist/control/progress_writer.py
+++ b/baobabhoist/control/progress_writer.py
@@ -36,7 +36,7 @@
 # The store accepts at most 100 entries per call; a write has one for the claim and two per row.
 MAX_ROWS_PER_WRITE = 45
 RELEASE_FLUSH_ATTEMPTS = 3
-# The measured speeds of workers are stored along with progress, at most once per interval.
+# The speed estimates are stored along with progress, at most once per interval.
 SPEEDS_INTERVAL_MS = 2_000.0
 
 
@@ -114,7 +114,7 @@
 
     async def _flush(self, cell: CellScheduler) -> bool:
         seen_ends = cell.last_seen_ends()
-        birth_times_ms = {w.worker_id: w.started_unix_ms for w in cell.state.workers.values()}
+        incarnations = {w.worker_id: w.started_unix_ms for w in cell.state.workers.values()}
         dirty = cell.take_unsaved_progress()
         deferred_sends, self._deferred_sends = self._deferred_sends, []
         puts = {progress_row_key(i): progress_rows.encode(p) for i, p in dirty.items()}
@@ -133,7 +133,7 @@
             return False
         for send in deferred_sends:
             send()
-        self._acknowledge(cell, seen_ends, birth_times_ms)
+        self._acknowledge(cell, seen_ends, incarnations)
         return True
 
     async def _write(self, puts: dict[RowKey, bytes]) -> bool:
@@ -148,11 +148,11 @@
         return True
 
     def _acknowledge(
-        self, cell: CellScheduler, seen_ends: dict[str, int], birth_times_ms: dict[str, int]
+        self, cell: CellScheduler, seen_ends: dict[str, int], incarnations: dict[str, int]
     ) -> None:
         for worker_id, end_number in seen_ends.items():
             worker = cell.state.workers.get(worker_id)
-            if worker is None or worker.started_unix_ms != birth_times_ms[worker_id]:
+            if worker is None or worker.started_unix_ms != incarnations[worker_id]:
                 continue
             if end_number > worker.last_acked_end:
                 worker.last_acked_end = end_number
--- a/baobabhoist/control/row_schema.py
+++ b/baobabhoist/control/row_schema.py
@@ -73,16 +73,16 @@
 
 
 def encode_speeds(speeds: SpeedEstimates) -> bytes:
-    """Encode the measured speeds of workers and queues as the value of a row."""
+    """Encode the speed estimates of workers and queues as the value of a row."""
     return orjson.dumps(_converter.unstructure(speeds))
 
 
 def decode_speeds(value: bytes) -> SpeedEstimates:
-    """Decode the speeds that a previous owner measured; raises ValueError if malformed."""
+    """Decode the speed estimates of a previous owner; raises ValueError if malformed."""
     try:
         return _converter.structure(orjson.loads(value), SpeedEstimates)
     except Exception as exc:
-        raise ValueError(f"malformed row of measured speeds: {exc}") from exc
+        raise ValueError(f"malformed row of speed estimates: {exc}") from exc
 
 
 def _without_defaults(step: Any) -> dict[str, Any]:
--- a/baobabhoist/control/store_health.py
+++ b/baobabhoist/control/store_health.py
@@ -72,7 +72,7 @@
             raise
         except StoreError as exc:
             outcome = "refused" if isinstance(exc, StoreRefusedError) else "unanswered"
-            # An answer to a later call is more recent evidence about the store.
+            # An answer that arrived after this call was sent says more about the store.
             if self.health.last_answer_ms < start_ms:
                 self.health.last_failure_ms = monotonic_ms()
             raise
--- a/baobabhoist/control/worker_session.py
+++ b/baobabhoist/control/worker_session.py
@@ -50,7 +50,7 @@
             self._task.cancel()
 
     async def start_task(self, command: StartTask) -> CommandOutcome:
-        """Order the worker to start a run."""
+        """Send a start command, or return LATE while the worker's clock is unknown."""
         deadline_ms = self._next_deadline()
         if deadline_ms is None:
             return CommandOutcome.LATE
@@ -61,7 +61,7 @@
         return answer.outcome
 
     async def stop_task(self, command: StopTask) -> CommandOutcome:
-        """Order the worker to stop a run."""
+        """Send a stop command."""
         token = self._owner.ownership.token
         answer = await self._driver.stop(self._state.info, token, command)
         return answer.outcome
@@ -106,7 +106,7 @@
             return False
         self._set_answering(True, "")
         cell.handle_report(state.worker_id, answer, sent_ms, monotonic_ms())
-        self._owner.schedule_decision()
+        self._owner.request_scheduling_round()
         if state.last_seen_end > state.last_acked_end:
             await self._wait_for_ack()
         return True
@@ -123,7 +123,7 @@
     def _handle_failure(self, outcome: CommandOutcome) -> None:
         if outcome is CommandOutcome.FENCED and self._owner.cell is not None:
             self._owner.cell.mark_fenced()
-            self._owner.schedule_decision()
+            self._owner.request_scheduling_round()
         self._set_answering(False, outcome.value)
 
     def _set_answering(self, is_answering: bool, reason: str) -> None:
--- a/baobabhoist/tests/test_control_claim.py
+++ b/baobabhoist/tests/test_control_claim.py
@@ -92,7 +92,7 @@
     assert not detector.is_isolated(4, ISOLATION_TIMEOUT_MS + 100.0)
 
 
-def test_small_site_is_never_isolated():
+def test_owner_that_never_had_many_links_is_never_isolated():
     """Guard against a single instance that releases its cell because it has no links."""
     detector = IsolationDetector()
     assert not detector.is_isolated(0, 0.0)
--- a/baobabhoist/tests/test_control_relay.py
+++ b/baobabhoist/tests/test_control_relay.py
@@ -44,12 +44,12 @@
 
     def __init__(self, peer):
         self.peer = peer
-        self.silent = False
+        self.is_silent = False
         self.calls = 0
 
     async def call(self, message, timeout_s):
         self.calls += 1
-        if self.silent:
+        if self.is_silent:
             raise TimeoutError
         if self.peer is None:
             raise MessageNotSentError("closed")
@@ -101,7 +101,7 @@
     async def run():
         _, view, store, link = make_pair()
         await cut_off(view, store)
-        link.silent = True
+        link.is_silent = True
         with pytest.raises(StoreUnansweredError):
             await store.commit(TXN)
         # The silent peer is skipped, so the next call is refused without being sent.
--- a/baobabhoist/tests/test_control_worker_session.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -16,7 +16,7 @@
 
     def __init__(self, worker):
         self.worker = worker
-        self.silent = False
+        self.is_silent = False
         self.deadlines = []
         self.waits = []
 
@@ -24,7 +24,7 @@
         await asyncio.sleep(0)
         self.deadlines.append(deadline_ms)
         self.waits.append(wait_ms)
-        if self.silent:
+        if self.is_silent:
             return CommandOutcome.UNKNOWN
         return self.worker.renew(token, acked_end, deadline_ms)
 
@@ -38,14 +38,14 @@
         cell=harness.cell,
         ownership=SimpleNamespace(token=harness.token),
         may_renew=lambda: True,
-        schedule_decision=lambda: None,
+        request_scheduling_round=lambda: None,
         progress_writer=SimpleNamespace(request_flush=lambda: None),
     )
     session = WorkerSession(owner, driver, harness.cell.state.workers["w0"], LEASE_MS)
 
     async def run():
         for number in range(rounds):
-            driver.silent = number >= silent_from
+            driver.is_silent = number >= silent_from
             await session._renew()
 
     asyncio.run(run())
