--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -21,10 +21,10 @@
 log = logging.getLogger(__name__)
 
 CREDENTIAL_HEADER = "X-Credential"
-# The deadline of the caller, in ms from now.
+# How long the caller waits for the answer, in ms from now.
 DEADLINE_HEADER = "X-Deadline-Ms"
-DEFAULT_DEADLINE_MS = 3_000.0
-MAX_DEADLINE_MS = 60_000.0
+DEFAULT_TIMEOUT_MS = 3_000.0
+MAX_TIMEOUT_MS = 60_000.0
 
 _STATUS_BY_KIND = {
     ErrorKind.BAD_REQUEST: 400,
@@ -84,7 +84,7 @@
         host = self.request.host.partition(":")[0]
         key = self.request.headers.get(CREDENTIAL_HEADER, "")
         self._call = ApiCall(
-            host, self.request.path, key, monotonic_ms() + self._caller_deadline_ms()
+            host, self.request.path, key, monotonic_ms() + self._caller_timeout_ms()
         )
         admitted = self._job_api.admit(self._call)
         if isinstance(admitted, Refusal):
@@ -93,9 +93,9 @@
         self._admitted = admitted
         return admitted
 
-    def _caller_deadline_ms(self) -> float:
+    def _caller_timeout_ms(self) -> float:
         header = self.request.headers.get(DEADLINE_HEADER, "")
-        return min(float(header), MAX_DEADLINE_MS) if header.isdigit() else DEFAULT_DEADLINE_MS
+        return min(float(header), MAX_TIMEOUT_MS) if header.isdigit() else DEFAULT_TIMEOUT_MS
 
     def _respond(self, result: dict[str, Any] | Refusal, not_found_status: int = 404) -> None:
         if not isinstance(result, Refusal):
--- a/baobabhoist/platform/store.py
+++ b/baobabhoist/platform/store.py
@@ -39,7 +39,7 @@
         self._page_size = AdaptivePageSize()
 
     async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
-        """Return the rows of a part from all its pages; raises StoreError."""
+        """Return the rows of a partition in a range of keys, all pages; raises StoreError."""
         query: dict[str, Any] = {"table": table, "part": part}
         if end:
             query["to"] = end
--- a/baobabhoist/tests/test_platform_adaptive_timeout.py
+++ b/baobabhoist/tests/test_platform_adaptive_timeout.py
@@ -13,7 +13,10 @@
 
 
 def test_a_store_that_becomes_slow_is_not_flooded_with_retries():
-    """Guard against repeated writes that overload a slow store."""
+    """Guard against repeated writes that overload a slow store.
+
+    Found in run "wm grown trouble-2".
+    """
     timeout = AdaptiveTimeout()
     timeout.record_response(0.01)
     timeout.record_timeout()
