--- a/baobabhoist/cell/periodic_checks.py
+++ b/baobabhoist/cell/periodic_checks.py
@@ -1,4 +1,8 @@
-"""Detect expired leases, stalled runs, unanswered stops and broken gangs, and open occurrences."""
+"""Run the checks that no message triggers.
+
+They detect expired leases, stalled runs, unanswered stops and broken gangs, and open the
+occurrences that are due.
+"""
 
 from __future__ import annotations
 
--- a/baobabhoist/cell/worker_index.py
+++ b/baobabhoist/cell/worker_index.py
@@ -43,7 +43,7 @@
         return self._max_free_cpu.get(service, -1)
 
     def usable_workers(self, service: str, label: str) -> list[WorkerState]:
-        """Return the workers of a service that accept tasks now, with the label if one is given."""
+        """Return the workers of a service that accept tasks now; `label` is ignored if empty."""
         found = self._usable.get(service, {}).values()
         return [worker for worker in found if not label or label in worker.info.labels]
 
--- a/baobabhoist/control/election.py
+++ b/baobabhoist/control/election.py
@@ -46,7 +46,7 @@
 CLAIM_CHECK_INTERVAL_S = 0.1
 # Random delay before a claim, so that instances do not all claim at the same moment.
 CLAIM_JITTER_S = 0.06
-# Resources that an owner needs; a smaller machine delays its claim, so that larger ones win.
+# What an owner needs approximately; a smaller machine delays its claim, so that larger ones win.
 RECOMMENDED_CORES = 1.0
 RECOMMENDED_LINK_MBPS = 50.0
 MAX_SMALL_MACHINE_DELAY_S = 0.5
@@ -170,7 +170,7 @@
         self._takeover_times_ms = [t for t in self._takeover_times_ms if t > since]
         return len(self._takeover_times_ms)
 
-    def note_read(self, sent_ms: float) -> None:
+    def record_read(self, sent_ms: float) -> None:
         """Record that a poll of the table, sent at `sent_ms`, was answered."""
         now = monotonic_ms()
         if sent_ms - self._read_ms > MAX_READ_GAP_MS:
--- a/baobabhoist/control/job_api.py
+++ b/baobabhoist/control/job_api.py
@@ -97,7 +97,7 @@
 
 @attrs.define
 class JobApi:
-    """Answer calls by means of the configuration, the owner and the store; keeps no state."""
+    """Answer calls using the configuration, the owner and the store; keeps no state of its own."""
 
     config: ActiveConfig
     store: RowStore
--- a/baobabhoist/control/job_writer.py
+++ b/baobabhoist/control/job_writer.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _is_silent_since(self, start_ms: float) -> bool:
-        """Return whether the store has answered no call since a write that is too long ago."""
+        """Return whether the store has been silent since `start_ms`, for too long."""
         is_silent = self._store_health.last_answer_ms < start_ms
         return is_silent and monotonic_ms() - start_ms > UNANSWERED_RETRY_MS
 
--- a/baobabhoist/control/messages.py
+++ b/baobabhoist/control/messages.py
@@ -169,7 +169,7 @@
 
 @attrs.frozen
 class NotOwner:
-    """Report that the instance that got a query for the owner does not own the cell."""
+    """Report that the queried instance does not own the cell."""
 
     node: str
 
--- a/baobabhoist/control/node.py
+++ b/baobabhoist/control/node.py
@@ -117,7 +117,7 @@
             CELL_TABLE,
             self._election.apply_rows,
             self.clock,
-            on_confirmed=self._election.note_read,
+            on_confirmed=self._election.record_read,
             pause_s=self._election.poll_pause_s,
         )
         self._election.poll_now = cell_follower.poll_now
--- a/baobabhoist/platform/decode.py
+++ b/baobabhoist/platform/decode.py
@@ -1,4 +1,4 @@
-"""Decode the JSON of operators, workers and callers into the types of the cell."""
+"""Decode the JSON of operators, workers and callers into cell and control types."""
 
 from __future__ import annotations
 
--- a/baobabhoist/platform/main.py
+++ b/baobabhoist/platform/main.py
@@ -35,7 +35,7 @@
 
 
 def load_settings() -> NodeSettings:
-    """Return the settings in the file that the platform names; raises SettingsError."""
+    """Return the settings in the file that BAOBABHOIST_SETTINGS names; raises SettingsError."""
     return load_with_warnings(os.environ.get(SETTINGS_ENV_VAR, ""), NodeSettings).settings
 
 
--- a/baobabhoist/tests/test_control_cell_loader.py
+++ b/baobabhoist/tests/test_control_cell_loader.py
@@ -20,7 +20,7 @@
 JOB_ID = "a" + 15 * "0"
 
 
-class FlakyRows(MemoryRowStore):
+class FlakyRowStore(MemoryRowStore):
     """Fail the first read of each partition of the jobs, and record the answered reads."""
 
     def __init__(self) -> None:
@@ -37,38 +37,38 @@
         return await super().read(table, part, start=start, end=end)
 
 
-def store_job_and_progress(rows: MemoryRowStore) -> None:
+def store_job_and_progress(store: MemoryRowStore) -> None:
     """Store a job and its progress under a claim."""
-    rows.apply(RowTransaction(puts={job_row_key(JOB_ID): b"job"}))
-    rows.apply(
+    store.apply(RowTransaction(puts={job_row_key(JOB_ID): b"job"}))
+    store.apply(
         RowTransaction(puts={progress_row_key(JOB_ID): b"progress", OWNER_ROW_KEY: b"claim"})
     )
 
 
 def test_completed_reads_are_not_repeated() -> None:
     """Guard against takeovers that restart for ever on a slow link."""
-    rows = FlakyRows()
-    store_job_and_progress(rows)
-    loader = CellLoader(rows, DIRECTORY)
+    store = FlakyRowStore()
+    store_job_and_progress(store)
+    loader = CellLoader(store, DIRECTORY)
     with pytest.raises(StoreUnansweredError):
         asyncio.run(loader.read_missing())
     assert len(loader.missing) == len(JOB_PARTITIONS)
     asyncio.run(loader.read_missing())
     assert loader.is_complete
-    assert len(rows.answered) == len(set(rows.answered))
+    assert len(store.answered) == len(set(store.answered))
 
 
 def test_tables_contain_the_rows_read() -> None:
     """Guard against a cell that lacks rows, or that follows the jobs from too late a version."""
-    rows = MemoryRowStore()
-    store_job_and_progress(rows)
-    loader = CellLoader(rows, DIRECTORY)
+    store = MemoryRowStore()
+    store_job_and_progress(store)
+    loader = CellLoader(store, DIRECTORY)
     asyncio.run(loader.read_missing())
     tables = loader.tables()
     assert [row.key for row in tables.jobs] == [job_row_key(JOB_ID)]
     assert [row.key for row in tables.progress] == [progress_row_key(JOB_ID)]
     assert [row.key for row in tables.cell] == [OWNER_ROW_KEY]
-    assert tables.jobs_version == rows.version
+    assert tables.jobs_version == store.version
 
 
 def test_concurrent_reads_are_limited() -> None:
@@ -76,7 +76,7 @@
     in_flight = 0
     max_in_flight = 0
 
-    class CountingRows(MemoryRowStore):
+    class CountingRowStore(MemoryRowStore):
         async def read(
             self, table: str, part: str = "", *, start: str = "", end: str = ""
         ) -> RowSet:
@@ -87,5 +87,5 @@
             in_flight -= 1
             return await super().read(table, part, start=start, end=end)
 
-    asyncio.run(CellLoader(CountingRows(), DIRECTORY).read_missing())
+    asyncio.run(CellLoader(CountingRowStore(), DIRECTORY).read_missing())
     assert 1 < max_in_flight <= 6
--- a/baobabhoist/tests/test_control_election.py
+++ b/baobabhoist/tests/test_control_election.py
@@ -61,7 +61,7 @@
 
     def read(self, sent_ms=None):
         self.election.apply_rows(list(self.store.rows.values()), True)
-        self.election.note_read(self.now if sent_ms is None else sent_ms)
+        self.election.record_read(self.now if sent_ms is None else sent_ms)
 
     async def settle(self):
         task = asyncio.create_task(self.election.run_claims())
--- a/baobabhoist/tests/test_control_job_api.py
+++ b/baobabhoist/tests/test_control_job_api.py
@@ -48,13 +48,13 @@
     def __init__(self, monkeypatch):
         self.now = 50_000.0
         monkeypatch.setattr(job_api_module, "monotonic_ms", lambda: self.now)
-        self.rows = MemoryRowStore()
+        self.store = MemoryRowStore()
         self.owner_router = FakeOwnerRouter()
         self.config = ActiveConfig()
         self.job_api = JobApi(
             self.config,
-            self.rows,
-            JobWriter(self.rows, StoreHealth()),
+            self.store,
+            JobWriter(self.store, StoreHealth()),
             PlatformDecoder(),
             StoreClock(),
             self.owner_router,
@@ -116,7 +116,7 @@
 def test_accepted_job_is_stored_before_the_answer(harness):
     """Guard against an accepted job that the next owner would not find."""
     assert harness.submit() is None
-    assert job_row_key(ID) in harness.rows.rows
+    assert job_row_key(ID) in harness.store.rows
     assert isinstance(harness.owner_router.notices[0], JobNotice)
     assert harness.submit() is None
     assert len(harness.owner_router.notices) == 1
@@ -126,7 +126,7 @@
     """Guard against a job whose oversized row makes every later write fail."""
     harness.job_api.row_max_bytes = 10
     assert harness.submit().kind is ErrorKind.BODY_TOO_LARGE
-    assert harness.rows.rows == {}
+    assert harness.store.rows == {}
 
 
 def test_state_is_read_from_the_store_without_an_owner(harness):
@@ -135,7 +135,7 @@
     admitted = harness.admit()
     assert asyncio.run(harness.job_api.job_state(admitted)) == "queued"
     done = encode(JobProgress(JobPhase.COMPLETED))
-    harness.rows.apply(RowTransaction({}, {progress_row_key(ID): done}))
+    harness.store.apply(RowTransaction({}, {progress_row_key(ID): done}))
     assert asyncio.run(harness.job_api.job_state(admitted)) == "completed"
 
 
@@ -149,7 +149,7 @@
 def test_unreadable_state_is_not_reported_as_missing(harness):
     """Guard against a 410 for an accepted job while neither the owner nor the store answers."""
     harness.submit()
-    harness.rows.is_down = True
+    harness.store.is_down = True
     refusal = asyncio.run(harness.job_api.job_state(harness.admit()))
     assert refusal.kind is ErrorKind.PLATFORM_UNAVAILABLE
 
@@ -176,4 +176,4 @@
     harness.owner_router.answer = StateReply("running", "q", "team")
     call = harness.call()
     assert asyncio.run(harness.job_api.cancel(call, harness.admit())) is None
-    assert any(key.key == f"{ID}/cancel" for key in harness.rows.rows)
+    assert any(key.key == f"{ID}/cancel" for key in harness.store.rows)
--- a/baobabhoist/tests/test_control_job_writer.py
+++ b/baobabhoist/tests/test_control_job_writer.py
@@ -19,12 +19,12 @@
     return lambda txn: remaining.pop(0) if remaining else ""
 
 
-def store(rows, budget_ms=2000.0):
-    return asyncio.run(make_writer(rows).store_job(ID, b"{}", monotonic_ms() + budget_ms))
+def store_job(store, budget_ms=2000.0):
+    return asyncio.run(make_writer(store).store_job(ID, b"{}", monotonic_ms() + budget_ms))
 
 
-def make_writer(rows):
-    return JobWriter(rows, StoreHealth())
+def make_writer(store):
+    return JobWriter(store, StoreHealth())
 
 
 @pytest.fixture(autouse=True)
@@ -34,32 +34,32 @@
 
 def test_repeated_write_resolves_a_lost_answer():
     """Guard against a stored job that is reported to its caller as refused."""
-    rows = MemoryRowStore(choose_failure=fail_in_turn("lost"))
-    assert store(rows).status is WriteStatus.NEW
-    assert len(rows.rows) == 1
+    store = MemoryRowStore(choose_failure=fail_in_turn("lost"))
+    assert store_job(store).status is WriteStatus.NEW
+    assert len(store.rows) == 1
 
 
 def test_already_stored_job_is_reported_with_its_version():
     """Guard against a job that is stored and run twice."""
-    rows = MemoryRowStore()
-    first = store(rows)
-    again = store(rows)
+    store = MemoryRowStore()
+    first = store_job(store)
+    again = store_job(store)
     assert (again.status, again.version) == (WriteStatus.ALREADY_STORED, first.version)
 
 
 def test_refusal_is_reported_only_if_no_late_write_is_possible(monkeypatch):
     """Guard against a refusal of a job whose earlier write the store applies late."""
     monkeypatch.setattr(job_writer, "REFUSED_RETRY_MS", 0.0)
-    rows = MemoryRowStore(choose_failure=lambda txn: "refused")
-    assert store(rows, 50.0).status is WriteStatus.REFUSED
-    late_rows = MemoryRowStore(choose_failure=fail_in_turn("late", *["refused"] * 10_000))
-    assert store(late_rows, 50.0).status is WriteStatus.UNKNOWN
-    late_rows.apply_delayed()
-    assert job_row_key(ID) in late_rows.rows
+    store = MemoryRowStore(choose_failure=lambda txn: "refused")
+    assert store_job(store, 50.0).status is WriteStatus.REFUSED
+    late_store = MemoryRowStore(choose_failure=fail_in_turn("late", *["refused"] * 10_000))
+    assert store_job(late_store, 50.0).status is WriteStatus.UNKNOWN
+    late_store.apply_delayed()
+    assert job_row_key(ID) in late_store.rows
 
 
 def test_outcome_is_unknown_while_the_store_is_silent():
     """Guard against a refusal after a write whose outcome is unknown."""
-    rows = MemoryRowStore()
-    rows.is_down = True
-    assert store(rows, 30.0).status is WriteStatus.UNKNOWN
+    store = MemoryRowStore()
+    store.is_down = True
+    assert store_job(store, 30.0).status is WriteStatus.UNKNOWN
--- a/baobabhoist/tests/test_control_progress_writer.py
+++ b/baobabhoist/tests/test_control_progress_writer.py
@@ -14,10 +14,10 @@
 
 
 def make_writer(**options):
-    rows = MemoryRowStore(**options)
-    token = rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"me"})).version
+    store = MemoryRowStore(**options)
+    token = store.apply(RowTransaction({}, {OWNER_ROW_KEY: b"me"})).version
     loss_reasons = []
-    return rows, ProgressWriter(rows, token, loss_reasons.append), loss_reasons
+    return store, ProgressWriter(store, token, loss_reasons.append), loss_reasons
 
 
 def make_harness_with_runs():
@@ -31,43 +31,43 @@
     return asyncio.run(writer._flush(cell))
 
 
-def stored_done_tasks(rows):
-    (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
+def stored_done_tasks(store):
+    (step,) = progress_rows.decode(store.rows[progress_row_key(ID)].value).steps
     return step.done
 
 
 def test_ends_are_acknowledged_only_after_their_progress_is_stored():
     """Guard against a finished task that neither the worker nor the store has a record of."""
-    rows, writer, _ = make_writer()
+    store, writer, _ = make_writer()
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
     worker = harness.cell.state.workers["w0"]
-    rows.is_down = True
+    store.is_down = True
     assert not flush(writer, harness.cell)
     assert worker.last_acked_end == 0
-    rows.is_down = False
+    store.is_down = False
     assert flush(writer, harness.cell)
     assert worker.last_acked_end == 1
-    assert stored_done_tasks(rows) == (0,)
+    assert stored_done_tasks(store) == (0,)
 
 
 def test_late_write_does_not_undo_a_newer_one():
     """Guard against older progress that replaces newer, already confirmed progress."""
     failures = ["late"]
-    rows, writer, _ = make_writer(choose_failure=lambda txn: failures.pop() if failures else "")
+    store, writer, _ = make_writer(choose_failure=lambda txn: failures.pop() if failures else "")
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
     assert not flush(writer, harness.cell)
     harness.end_run(make_task_key(index=1))
     assert flush(writer, harness.cell)
-    rows.apply_delayed()
-    assert stored_done_tasks(rows) == (0, 1)
+    store.apply_delayed()
+    assert stored_done_tasks(store) == (0, 1)
 
 
 def test_unanswered_write_does_not_block_the_next_one():
     """Guard against an owner that mistakes its own earlier write for that of another owner."""
     failures = ["lost"]
-    rows, writer, loss_reasons = make_writer(
+    store, writer, loss_reasons = make_writer(
         choose_failure=lambda txn: failures.pop() if failures else ""
     )
     harness = make_harness_with_runs()
@@ -75,71 +75,71 @@
     outcomes = [flush(writer, harness.cell) for _ in range(3)]
     assert outcomes == [False, False, True]
     assert loss_reasons == []
-    assert stored_done_tasks(rows) == (0,)
+    assert stored_done_tasks(store) == (0,)
 
 
 def test_replaced_owner_writes_nothing():
     """Guard against a previous owner that overwrites the progress of the current one."""
-    rows, writer, loss_reasons = make_writer()
+    store, writer, loss_reasons = make_writer()
     harness = make_harness_with_runs()
     harness.end_run(make_task_key(index=0))
-    rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
+    store.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, harness.cell)
     assert loss_reasons
-    assert progress_row_key(ID) not in rows.rows
+    assert progress_row_key(ID) not in store.rows
 
 
 def test_progress_of_a_cancelled_write_is_written_next():
     """Guard against progress that is lost when the writer is cancelled during a write."""
 
     async def run():
-        rows, writer, _ = make_writer()
+        store, writer, _ = make_writer()
         harness = make_harness_with_runs()
         harness.end_run(make_task_key(index=0), RunOutcome.DONE)
-        rows.commits_hang = True
+        store.commits_hang = True
         flushing = asyncio.create_task(writer._flush(harness.cell))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         flushing.cancel()
         await asyncio.gather(flushing, return_exceptions=True)
-        rows.commits_hang = False
+        store.commits_hang = False
         assert await writer.release(b"released", harness.cell)
-        assert stored_done_tasks(rows) == (0,)
-        return rows
+        assert stored_done_tasks(store) == (0,)
+        return store
 
-    rows = asyncio.run(run())
-    assert rows.rows[OWNER_ROW_KEY].value == b"released"
+    store = asyncio.run(run())
+    assert store.rows[OWNER_ROW_KEY].value == b"released"
 
 
 def test_start_is_sent_only_after_the_run_is_stored():
     """Guard against a run that the next owner does not know of and so starts again."""
-    rows, writer, _ = make_writer()
+    store, writer, _ = make_writer()
     harness = CellHarness.with_workers(1)
     harness.delivers_commands = False
     harness.submit(make_job(ID))
     (command,) = harness.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(command))
-    rows.is_down = True
+    store.is_down = True
     assert not flush(writer, harness.cell)
     assert sent == []
-    rows.is_down = False
+    store.is_down = False
     assert flush(writer, harness.cell)
     assert sent == [command]
-    (step,) = progress_rows.decode(rows.rows[progress_row_key(ID)].value).steps
+    (step,) = progress_rows.decode(store.rows[progress_row_key(ID)].value).steps
     assert step.runs[0].worker_id == command.worker_id
 
 
 def test_start_of_a_replaced_owner_is_never_sent():
     """Guard against two owners that both start runs although only one holds the claim."""
-    rows, writer, loss_reasons = make_writer()
+    store, writer, loss_reasons = make_writer()
     harness = CellHarness.with_workers(1)
     harness.delivers_commands = False
     harness.submit(make_job(ID))
     harness.schedule()
     sent = []
     writer.call_when_stored(lambda: sent.append(1))
-    rows.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
+    store.apply(RowTransaction({}, {OWNER_ROW_KEY: b"other"}))
     assert not flush(writer, harness.cell)
     assert loss_reasons
     assert sent == []
--- a/baobabhoist/tests/test_control_table_follower.py
+++ b/baobabhoist/tests/test_control_table_follower.py
@@ -18,8 +18,8 @@
     monkeypatch.setattr(table_follower_module, "RETRY_INTERVAL_S", 0.0)
 
 
-def put(rows, value):
-    rows.apply(RowTransaction({}, {KEY: value}))
+def put(store, value):
+    store.apply(RowTransaction({}, {KEY: value}))
 
 
 async def run_event_loop(times=30):
@@ -31,15 +31,15 @@
     """Run a test next to a follower, with the store, the rows seen and the follower."""
 
     async def run():
-        rows, seen = MemoryRowStore(), []
+        store, seen = MemoryRowStore(), []
 
         def record(changed, is_snapshot):
             seen.extend((row.value, is_snapshot) for row in changed)
 
-        follower = TableFollower(rows, "t", record, StoreClock())
+        follower = TableFollower(store, "t", record, StoreClock())
         task = asyncio.create_task(follower.run())
         await run_event_loop()
-        await test(rows, seen, follower)
+        await test(store, seen, follower)
         task.cancel()
 
     asyncio.run(run())
@@ -48,8 +48,8 @@
 def test_changes_follow_the_snapshot():
     """Guard against a change that is in neither the snapshot nor the polled changes."""
 
-    async def test(rows, seen, follower):
-        put(rows, b"1")
+    async def test(store, seen, follower):
+        put(store, b"1")
         await run_event_loop()
         assert seen == [(b"1", False)]
 
@@ -59,10 +59,10 @@
 def test_lost_history_leads_to_a_new_snapshot():
     """Guard against missing a change whose history the store has dropped."""
 
-    async def test(rows, seen, follower):
-        put(rows, b"1")
-        rows.history_start_version = rows.version + 1
-        rows.history.clear()
+    async def test(store, seen, follower):
+        put(store, b"1")
+        store.history_start_version = store.version + 1
+        store.history.clear()
         await run_event_loop()
         assert (b"1", True) in seen
 
@@ -72,15 +72,15 @@
 def test_following_continues_after_an_outage():
     """Guard against a follower that stops at the first failed call."""
 
-    async def test(rows, seen, follower):
-        rows.is_down = True
+    async def test(store, seen, follower):
+        store.is_down = True
         await run_event_loop()
         confirmed = follower.confirmed_ms
-        put(rows, b"2")
+        put(store, b"2")
         await run_event_loop()
         assert seen == []
         assert follower.confirmed_ms == confirmed
-        rows.is_down = False
+        store.is_down = False
         await run_event_loop()
         assert seen == [(b"2", False)]
 
