--- a/baobabhoist/platform/testing/soak.py
+++ b/baobabhoist/platform/testing/soak.py
@@ -17,8 +17,13 @@
 
 from baobabhoist.platform.testing import soak_faults
 from baobabhoist.platform.testing.deployment import Deployment, run_periodically
+from baobabhoist.platform.testing.soak_checker import (
+    REFUSED_STATUSES,
+    GuaranteeChecker,
+    SubmittedJob,
+    Team,
+)
 from baobabhoist.platform.testing.soak_faults import FAULTS
-from baobabhoist.platform.testing.soak_judge import REFUSED_STATUSES, Judge, SubmittedJob, Team
 from baobabhoist.testing import soak_driver
 from baobabhoist.testing.cluster import Cluster
 from baobabhoist.testing.soak_driver import SoakDriver
@@ -37,7 +42,7 @@
 READY_CHECK_INTERVAL_S = 0.5
 READY_FAILURE_THRESHOLD = 2
 STATE_POLL_INTERVAL_S = 1.0
-JUDGE_INTERVAL_S = 5.0
+CHECK_INTERVAL_S = 5.0
 # All accepted jobs must finish within this time after the last fault and the last submission.
 FINISH_TIMEOUT_S = 25.0
 START_TIMEOUT_S = 10.0
@@ -115,7 +120,7 @@
         return {"routes": routes, "services": [{"name": "svc"}], "tenants": tenants}
 
     async def write_config(self) -> None:
-        """Write the configuration and log the teams' new limits for the judge."""
+        """Write the configuration and log the teams' new limits for the checker."""
         entry = self.log_event("limits", limits=dict(self.team_cpu_limits), acked=float("inf"))
         await self.deployment.write_config(self.make_config())
         entry["acked"] = time.time()
@@ -289,29 +294,29 @@
 
         await asyncio.gather(*map(check, self.deployment.instances))
 
-    def judge(self, is_finished: bool) -> Judge:
-        """Judge the logs so far; once the run is over, also whether all accepted jobs finished."""
+    def check_guarantees(self, is_finished: bool) -> GuaranteeChecker:
+        """Check the logs so far and, once the run is over, that all accepted jobs finished."""
         text = self.deployment.worker_log_path.read_text(encoding="utf-8")
         lines = text[: text.rfind("\n") + 1].splitlines()
-        judge = Judge(
+        checker = GuaranteeChecker(
             worker_log=[json.loads(line) for line in lines],
             caller_log=list(self.caller_log),
             driver_log=list(self.driver_log),
             jobs=self.jobs,
             teams={name: Team(name, limit) for name, limit in TEAM_CPU_LIMITS.items()},
         )
-        judge.check_logs()
+        checker.check_logs()
         if is_finished:
-            judge.check_completion(self.final_states)
-        return judge
+            checker.check_completion(self.final_states)
+        return checker
 
     async def print_first_breach(self) -> None:
         """Print the first breach found so far, while the run continues."""
-        judge = await asyncio.to_thread(self.judge, False)
-        if judge.breaches:
-            print(f"breach so far: {judge.breaches[0]}", flush=True)
+        checker = await asyncio.to_thread(self.check_guarantees, False)
+        if checker.breaches:
+            print(f"breach so far: {checker.breaches[0]}", flush=True)
 
-    async def run(self, seconds: float, steps: list[soak_faults.ScheduledFault]) -> None:
+    async def run(self, seconds: float, schedule: list[soak_faults.ScheduledFault]) -> None:
         """Run the load and the faults, then wait until all jobs have finished."""
         await self.deployment.start(INSTANCE_COUNT, WORKER_COUNT, self.make_config())
         self.log_event("limits", limits=dict(self.team_cpu_limits), acked=time.time())
@@ -320,15 +325,15 @@
         )
         await self._wait_until_ready()
         started_at = time.time()
-        judging_task = asyncio.create_task(
-            run_periodically(JUDGE_INTERVAL_S, self.print_first_breach)
+        checking_task = asyncio.create_task(
+            run_periodically(CHECK_INTERVAL_S, self.print_first_breach)
         )
         load_task = asyncio.create_task(self.generate_load())
         fault_tasks = []
-        for step in steps:
-            await asyncio.sleep(max(0.0, started_at + step.start_s - time.time()))
-            print(f"{step.start_s:7.1f}s {step.name} {step.duration_s:.1f}s", flush=True)
-            fault_tasks.append(asyncio.create_task(soak_faults.inject(self, step)))
+        for fault in schedule:
+            await asyncio.sleep(max(0.0, started_at + fault.start_s - time.time()))
+            print(f"{fault.start_s:7.1f}s {fault.name} {fault.duration_s:.1f}s", flush=True)
+            fault_tasks.append(asyncio.create_task(soak_faults.inject_fault(self, fault)))
         await asyncio.sleep(max(0.0, started_at + seconds - time.time()))
         results = await asyncio.gather(*fault_tasks, return_exceptions=True)
         load_task.cancel()
@@ -339,7 +344,7 @@
         await self.write_config()
         if self.background_tasks:
             await asyncio.wait(self.background_tasks, timeout=FINISH_TIMEOUT_S)
-        for task in (readiness_task, judging_task, *self.background_tasks):
+        for task in (readiness_task, checking_task, *self.background_tasks):
             task.cancel()
 
     async def _wait_until_ready(self) -> None:
@@ -359,8 +364,8 @@
     return str(body.get("state", "")) if isinstance(body, dict) else ""
 
 
-def print_report(soak: Soak, judge: Judge) -> bool:
-    """Print the verdicts and the counts of responses; return whether the run passed."""
+def print_report(soak: Soak, checker: GuaranteeChecker) -> bool:
+    """Print the results and the counts of responses; return whether the run passed."""
     folder = soak.deployment.cluster.folder
     crash_lines = [
         line
@@ -368,7 +373,7 @@
         for line in (folder / f"{name}.log").read_text(errors="replace").splitlines()
         if "Traceback" in line or "task_crashed" in line
     ]
-    for line in judge.verdict_lines():
+    for line in checker.report_lines():
         print(line)
     print(f"internal: {len(crash_lines)} crashed tasks {crash_lines[:1]}")
     response_counts = Counter((e["event"], e["status"]) for e in soak.caller_log)
@@ -378,7 +383,7 @@
     failed_faults = [e["failed"] for e in soak.driver_log if e["event"] == "calm" and e["failed"]]
     if failed_faults:
         print(f"faults that failed to run: {failed_faults}")
-    return not judge.breaches and not crash_lines and not failed_faults
+    return not checker.breaches and not crash_lines and not failed_faults
 
 
 def main(argv: list[str]) -> int:
@@ -387,11 +392,11 @@
     folder = soak_driver.prepare_log_folder(FLAGS.folder, FLAGS.faults, FAULTS)
     if folder is None:
         return 2
-    steps = soak_faults.schedule(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
+    schedule = soak_faults.schedule_faults(FLAGS.seed, FLAGS.seconds, FLAGS.faults)
 
     async def run_soak(cluster: Cluster) -> Soak:
         soak = Soak(Deployment(cluster), random.Random(FLAGS.seed))
-        await soak.run(FLAGS.seconds, steps)
+        await soak.run(FLAGS.seconds, schedule)
         return soak
 
     with Cluster(folder) as cluster:
@@ -405,7 +410,7 @@
     }
     (folder / "driver.json").write_text(json.dumps(trace))
     print(f"seed={FLAGS.seed} seconds={FLAGS.seconds:g} logs in {folder}")
-    return 0 if print_report(soak, soak.judge(is_finished=True)) else 1
+    return 0 if print_report(soak, soak.check_guarantees(is_finished=True)) else 1
 
 
 if __name__ == "__main__":
--- a/baobabhoist/platform/testing/soak_judge.py
+++ b/baobabhoist/platform/testing/soak_checker.py
@@ -1,4 +1,4 @@
-"""Judge from the logs of the workers and the callers whether the platform's guarantees held."""
+"""Check the platform's guarantees against the logs of workers, callers and the soak's driver."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 DRAIN_DEADLINE_S = 2.0
 GRACE_PERIOD_S = 6.0
 # A fault may have effects for this long after its end.
-FAULT_RECOVERY_S = 4.0
+RECOVERY_S = 4.0
 # Entries for events of the same moment may be logged this far apart.
 TIMESTAMP_TOLERANCE_S = 0.002
 INF = float("inf")
 REFUSED_STATUSES = frozenset({400, 401, 403, 404, 413, 429, 503})
 # These faults do not excuse a breach of any guarantee.
-HARMLESS_FAULTS = frozenset({"config", "revoke", "cancel_wave", "burst", "worker_drain"})
+NON_DISRUPTIVE_FAULTS = frozenset({"config", "revoke", "cancel_wave", "burst", "worker_drain"})
 
 
 @attrs.define
@@ -56,15 +56,15 @@
 
 
 @attrs.define
-class TaskRun:
-    """Hold one run of a task, as a worker logged it."""
+class Run:
+    """Describe one run of a task, as a worker logged it."""
 
     worker: str
-    task: str
+    task_id: str
     run_number: int
-    started_at: float
-    start_entry: JsonObject
-    ended_at: float = INF
+    start: float
+    entry: JsonObject
+    end: float = INF
     outcome: str = ""
     acked_at: float = INF
     # Whether the worker's lease expired between the end and its acknowledgement.
@@ -73,17 +73,17 @@
     @property
     def job_id(self) -> str:
         """Return the id of the run's job."""
-        return self.task.partition(".")[0]
+        return self.task_id.partition(".")[0]
 
     @property
     def step_number(self) -> int:
         """Return the number of the run's step."""
-        return int(self.task.split(".")[2])
+        return int(self.task_id.split(".")[2])
 
 
 @attrs.define
-class Judge:
-    """Judge one run of the soak; each of `breaches` begins with the guarantee that was broken."""
+class GuaranteeChecker:
+    """Check one run of the soak; each of `breaches` begins with the guarantee that was broken."""
 
     worker_log: list[JsonObject]
     caller_log: list[JsonObject]
@@ -92,8 +92,8 @@
     teams: dict[str, Team]
     breaches: list[str] = attrs.Factory(list)
     check_counts: Counter[str] = attrs.Factory(Counter)
-    runs_by_task: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
-    runs_by_job: dict[str, list[TaskRun]] = attrs.Factory(lambda: defaultdict(list))
+    runs_by_task: dict[str, list[Run]] = attrs.Factory(lambda: defaultdict(list))
+    runs_by_job: dict[str, list[Run]] = attrs.Factory(lambda: defaultdict(list))
     requests: dict[tuple[str, str], list[JsonObject]] = attrs.Factory(lambda: defaultdict(list))
 
     def check_logs(self) -> None:
@@ -101,9 +101,9 @@
         self._index_logs()
         for check in (
             self._check_duplicate_runs,
-            self._check_worker_capacity,
+            self._check_capacity,
             self._check_step_order,
-            self._check_quota,
+            self._check_team_limits,
             self._check_attempts,
             self._check_unrequested_runs,
             self._check_refused_jobs,
@@ -115,41 +115,41 @@
         ):
             check()
 
-    def verdict_lines(self) -> list[str]:
-        """Return the verdict on each guarantee and the first breaches as lines of text."""
+    def report_lines(self) -> list[str]:
+        """Return one line for each guarantee, followed by the first breaches."""
         broken = Counter(text.partition(" ")[0] for text in self.breaches)
-        verdicts = [
+        lines = [
             f"{name}: {'BROKEN' if broken[name] else 'held'} checks={n} breaches={broken[name]}"
             for name, n in sorted(self.check_counts.items())
         ]
-        return verdicts + [f"  {text}" for text in self.breaches[:20]]
+        return lines + [f"  {text}" for text in self.breaches[:20]]
 
-    def _record_check(self, guarantee: str, holds: bool, breach: str) -> None:
+    def _check(self, guarantee: str, holds: bool, breach: str) -> None:
         self.check_counts[guarantee] += 1
         if not holds:
             self.breaches.append(f"{guarantee} {breach}")
 
     def _index_logs(self) -> None:
-        open_runs: dict[tuple[str, str, int], TaskRun] = {}
-        ended_runs: dict[tuple[str, str, int], TaskRun] = {}
+        open_runs: dict[tuple[str, str, int], Run] = {}
+        ended_runs: dict[tuple[str, str, int], Run] = {}
         lease_expiries: dict[str, list[float]] = defaultdict(list)
         for entry in self.worker_log:
             event, worker = entry["event"], entry.get("worker", "")
             run_key = (worker, entry.get("task", ""), entry.get("run", 0))
             if event == "start":
-                run = TaskRun(worker, entry["task"], entry["run"], entry["t"], entry)
+                run = Run(worker, entry["task"], entry["run"], entry["t"], entry)
                 open_runs[run_key] = run
-                self.runs_by_task[run.task].append(run)
+                self.runs_by_task[run.task_id].append(run)
                 self.runs_by_job[run.job_id].append(run)
             elif event == "end":
                 run = open_runs.pop(run_key)
-                run.ended_at, run.outcome = entry["t"], entry["how"]
+                run.end, run.outcome = entry["t"], entry["how"]
                 ended_runs[run_key] = run
             elif event == "acked" and run_key in ended_runs:
                 run = ended_runs[run_key]
                 run.acked_at = entry["t"]
                 run.lease_expired_before_ack = any(
-                    run.ended_at < t < run.acked_at for t in lease_expiries[worker]
+                    run.end < t < run.acked_at for t in lease_expiries[worker]
                 )
             elif event == "lapsed":
                 lease_expiries[worker].append(entry["t"])
@@ -159,7 +159,7 @@
         for entry in self.caller_log:
             self.requests[entry["event"], entry["job"]].append(entry)
 
-    def _all_runs(self) -> Iterator[TaskRun]:
+    def _all_runs(self) -> Iterator[Run]:
         for runs in self.runs_by_task.values():
             yield from runs
 
@@ -167,13 +167,13 @@
         return [
             e
             for e in self.driver_log
-            if e["event"] == "window" and e["fault"] not in HARMLESS_FAULTS
+            if e["event"] == "window" and e["fault"] not in NON_DISRUPTIVE_FAULTS
         ]
 
-    def _is_fault_free(self, start: float, end: float) -> bool:
-        """Tell whether no fault was active, or could still have effects, in a span of time."""
+    def _is_undisturbed(self, start: float, end: float) -> bool:
+        """Return whether no fault, including its recovery, affects a time span."""
         return all(
-            window["t"] > end or window["until"] + FAULT_RECOVERY_S < start
+            window["t"] > end or window["until"] + RECOVERY_S < start
             for window in self._fault_windows()
         )
 
@@ -183,7 +183,7 @@
         tasks = [f"{job.job_id}.0.{number}.{index}" for index in range(step["count"])]
         ends = [
             min(
-                (run.ended_at for run in self.runs_by_task.get(task, ()) if run.outcome == "done"),
+                (run.end for run in self.runs_by_task.get(task, ()) if run.outcome == "done"),
                 default=INF,
             )
             for task in tasks
@@ -192,11 +192,11 @@
 
     def _check_duplicate_runs(self) -> None:
         for task, runs in self.runs_by_task.items():
-            ordered = sorted(runs, key=lambda run: run.started_at)
+            ordered = sorted(runs, key=lambda run: run.start)
             for earlier, later in itertools.pairwise(ordered):
-                overlaps = later.started_at < earlier.ended_at - TIMESTAMP_TOLERANCE_S
-                self._record_check(
-                    "TWICE", not overlaps, f"two runs of {task} overlap at {later.started_at:.3f}"
+                overlaps = later.start < earlier.end - TIMESTAMP_TOLERANCE_S
+                self._check(
+                    "TWICE", not overlaps, f"two runs of {task} overlap at {later.start:.3f}"
                 )
             acked_done_runs = [
                 r
@@ -205,22 +205,21 @@
             ]
             for run in ordered:
                 is_repeated = any(
-                    run.started_at > done.ended_at + TIMESTAMP_TOLERANCE_S
-                    for done in acked_done_runs
+                    run.start > done.end + TIMESTAMP_TOLERANCE_S for done in acked_done_runs
                 )
-                self._record_check(
+                self._check(
                     "TWICE",
                     not is_repeated,
-                    f"{task} starts at {run.started_at:.3f} after it was acknowledged as done",
+                    f"{task} starts at {run.start:.3f} after it was acknowledged as done",
                 )
 
-    def _check_worker_capacity(self) -> None:
-        changes_by_worker: dict[str, list[tuple[float, int, TaskRun]]] = defaultdict(list)
+    def _check_capacity(self) -> None:
+        changes_by_worker: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
         for run in self._all_runs():
             if run.job_id in self.jobs:
                 changes_by_worker[run.worker] += [
-                    (run.started_at, 1, run),
-                    (run.ended_at, -1, run),
+                    (run.start, 1, run),
+                    (run.end, -1, run),
                 ]
         for worker, changes in changes_by_worker.items():
             used: Counter[str] = Counter()
@@ -229,7 +228,7 @@
                 for resource, maximum in WORKER_CAPACITY.items():
                     used[resource] += sign * step[resource]
                     exceeds_capacity = sign > 0 and used[resource] > maximum
-                    self._record_check(
+                    self._check(
                         "LIMIT",
                         not exceeds_capacity,
                         f"{worker} uses {used[resource]} {resource} at {t:.3f}",
@@ -243,31 +242,28 @@
             for run in runs:
                 for earlier in job.steps[run.step_number].get("after", ()):
                     holds = (
-                        self._step_completed_at(job, earlier)
-                        <= run.started_at + TIMESTAMP_TOLERANCE_S
+                        self._step_completed_at(job, earlier) <= run.start + TIMESTAMP_TOLERANCE_S
                     )
-                    self._record_check(
+                    self._check(
                         "ORDER",
                         holds,
-                        f"{run.task} starts at {run.started_at:.3f} before an earlier step ended",
+                        f"{run.task_id} starts at {run.start:.3f} before an earlier step ended",
                     )
                 self._check_tasks_per_worker(job, run, runs)
 
-    def _check_tasks_per_worker(
-        self, job: SubmittedJob, run: TaskRun, runs: list[TaskRun]
-    ) -> None:
+    def _check_tasks_per_worker(self, job: SubmittedJob, run: Run, runs: list[Run]) -> None:
         maximum = job.steps[run.step_number].get("maxPerServer")
         if maximum:
             concurrent_runs = [
                 other
                 for other in runs
                 if (other.worker, other.step_number) == (run.worker, run.step_number)
-                and other.started_at <= run.started_at < other.ended_at
+                and other.start <= run.start < other.end
             ]
-            self._record_check(
+            self._check(
                 "ROUTE",
                 len(concurrent_runs) <= maximum,
-                f"{run.task} is one of {len(concurrent_runs)} on its worker",
+                f"{run.task_id} is one of {len(concurrent_runs)} on its worker",
             )
 
     def _highest_limit(self, team: str, t: float) -> float:
@@ -282,14 +278,14 @@
 
     def _extra_delay_s(self, t: float) -> float:
         """Return how much later than required a change may take effect because of faults."""
-        return 0.0 if self._is_fault_free(t - FAULT_RECOVERY_S, t) else INF
+        return 0.0 if self._is_undisturbed(t - RECOVERY_S, t) else INF
 
-    def _check_quota(self) -> None:
-        changes: dict[str, list[tuple[float, int, TaskRun]]] = defaultdict(list)
+    def _check_team_limits(self) -> None:
+        changes: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
         for run in self._all_runs():
             job = self.jobs.get(run.job_id)
             if job is not None and self.teams[job.team].cpu_limit:
-                changes[job.team] += [(run.started_at, 1, run), (run.ended_at, -1, run)]
+                changes[job.team] += [(run.start, 1, run), (run.end, -1, run)]
         for team, entries in changes.items():
             used = 0
             for t, sign, run in sorted(entries, key=lambda change: change[:2]):
@@ -297,7 +293,7 @@
                 used += sign * cpu
                 if sign > 0:
                     maximum = self._highest_limit(team, t) * QUOTA_TOLERANCE_FACTOR + cpu
-                    self._record_check(
+                    self._check(
                         "QUOTA", used <= maximum, f"{team} uses {used} of {maximum} at {t:.3f}"
                     )
 
@@ -307,34 +303,32 @@
             if job is None:
                 continue
             failure_times = sorted(
-                r.ended_at for r in runs if r.outcome == "failed" and r.acked_at < INF
+                r.end for r in runs if r.outcome == "failed" and r.acked_at < INF
             )
             if len(failure_times) >= job.attempts:
                 last_failure = failure_times[job.attempts - 1]
-                late_runs = [
-                    r for r in runs if r.started_at > last_failure + TIMESTAMP_TOLERANCE_S
-                ]
-                self._record_check(
+                late_runs = [r for r in runs if r.start > last_failure + TIMESTAMP_TOLERANCE_S]
+                self._check(
                     "BUDGET", not late_runs, f"{task} starts after {job.attempts} failures"
                 )
 
     def _check_unrequested_runs(self) -> None:
         for run in self._all_runs():
             job = self.jobs.get(run.job_id)
-            is_submitted = job is not None and run.start_entry["spec"] == job.spec
-            self._record_check(
-                "UNASKED", is_submitted, f"{run.task} runs a payload that was not submitted"
+            is_submitted = job is not None and run.entry["spec"] == job.spec
+            self._check(
+                "UNASKED", is_submitted, f"{run.task_id} runs a payload that was not submitted"
             )
             if job is None:
                 continue
-            checkpoint = run.start_entry["checkpoint"]
-            step = run.task.rpartition(".")[0]
-            owner = step if job.steps[run.step_number].get("gang") else run.task
+            checkpoint = run.entry["checkpoint"]
+            step = run.task_id.rpartition(".")[0]
+            owner = step if job.steps[run.step_number].get("gang") else run.task_id
             owner_checksum = f"{zlib.crc32(owner.encode()):08x}"
-            self._record_check(
+            self._check(
                 "UNASKED",
                 not checkpoint or checkpoint[8:] == owner_checksum,
-                f"{run.task} has another task's checkpoint {checkpoint}",
+                f"{run.task_id} has another task's checkpoint {checkpoint}",
             )
         for (event, job_id), entries in self.requests.items():
             if event != "cancel":
@@ -343,43 +337,42 @@
             for run in self.runs_by_job.get(job_id, ()):
                 # A worker in the mode `late` carries out starts seconds after they were sent.
                 starts_late = (
-                    run.started_at > cancelled_at + CANCEL_DEADLINE_S
-                    and run.start_entry["mode"] != "late"
+                    run.start > cancelled_at + CANCEL_DEADLINE_S and run.entry["mode"] != "late"
                 )
-                starts_late = starts_late and self._is_fault_free(cancelled_at, run.started_at)
-                self._record_check(
-                    "UNASKED", not starts_late, f"{run.task} starts after its cancellation"
+                starts_late = starts_late and self._is_undisturbed(cancelled_at, run.start)
+                self._check(
+                    "UNASKED", not starts_late, f"{run.task_id} starts after its cancellation"
                 )
                 stop_deadline = cancelled_at + CANCEL_DEADLINE_S + RUN_STOP_DEADLINE_S
                 is_still_running = (
-                    run.ended_at > stop_deadline
-                    and run.started_at < stop_deadline
-                    and self._is_fault_free(cancelled_at, stop_deadline)
+                    run.end > stop_deadline
+                    and run.start < stop_deadline
+                    and self._is_undisturbed(cancelled_at, stop_deadline)
                 )
-                self._record_check(
+                self._check(
                     "UNASKED",
                     not is_still_running,
-                    f"{run.task} still runs after its cancellation",
+                    f"{run.task_id} still runs after its cancellation",
                 )
 
     def _check_refused_jobs(self) -> None:
         for (event, job_id), entries in self.requests.items():
             if event == "submit" and all(e["status"] in REFUSED_STATUSES for e in entries):
                 has_run = bool(self.runs_by_job.get(job_id))
-                self._record_check("REFUSED", not has_run, f"{job_id} ran although it was refused")
+                self._check("REFUSED", not has_run, f"{job_id} ran although it was refused")
 
     def _check_api_keys(self) -> None:
         revoked = {e["key"]: e["t"] for e in self.driver_log if e["event"] == "revoked"}
         for entry in self.caller_log:
             if entry["status"] == 200:
                 has_unknown_key = entry["key"] == "key-of-nobody"
-                self._record_check(
+                self._check(
                     "ROUTE",
                     not has_unknown_key,
                     f"{entry['job']} was accepted with an unknown key",
                 )
                 uses_revoked_key = entry["t"] > revoked.get(entry["key"], INF) + REVOKE_DEADLINE_S
-                self._record_check(
+                self._check(
                     "CONFIG",
                     not uses_revoked_key,
                     f"{entry['job']} was accepted with a revoked key",
@@ -389,12 +382,10 @@
         for run in self._all_runs():
             if run.outcome == "alone":
                 cancelled_at = self.jobs[run.job_id].cancel_sent
-                holds = 0 < cancelled_at < run.ended_at or not self._is_fault_free(
-                    run.started_at - FAULT_RECOVERY_S, run.ended_at
-                )
-                self._record_check(
-                    "GANG", holds, f"{run.task} lacked its gang until {run.ended_at:.3f}"
+                holds = 0 < cancelled_at < run.end or not self._is_undisturbed(
+                    run.start - RECOVERY_S, run.end
                 )
+                self._check("GANG", holds, f"{run.task_id} lacked its gang until {run.end:.3f}")
 
     def _check_reported_states(self) -> None:
         for (event, job_id), entries in self.requests.items():
@@ -412,25 +403,25 @@
     ) -> None:
         state, t = entry["state"], entry["end"]
         is_lost = entry["status"] == 410 and entry["t"] > accepted_at + JOB_VISIBLE_DEADLINE_S
-        self._record_check("LOST", not is_lost, f"{job.job_id} was unknown at {t:.3f}")
+        self._check("LOST", not is_lost, f"{job.job_id} was unknown at {t:.3f}")
         if state == "completed":
             holds = all(
                 self._step_completed_at(job, number) <= t for number in range(len(job.steps))
             )
-            self._record_check(
+            self._check(
                 "MIXED", holds, f"{job.job_id} was reported as completed too early, at {t:.3f}"
             )
             later_runs = [
                 r
                 for r in self.runs_by_job.get(job.job_id, ())
-                if r.started_at > t + COMPLETION_DEADLINE_S
+                if r.start > t + COMPLETION_DEADLINE_S
             ]
-            self._record_check(
+            self._check(
                 "TWICE", not later_runs, f"{job.job_id} starts after it was reported as completed"
             )
         elif state == "failed":
             failure_counts = Counter(
-                r.task for r in self.runs_by_job.get(job.job_id, ()) if r.outcome == "failed"
+                r.task_id for r in self.runs_by_job.get(job.job_id, ()) if r.outcome == "failed"
             )
             has_gang = any(step.get("gang") for step in job.steps)
             failure_count = (
@@ -438,13 +429,13 @@
                 if has_gang
                 else max(failure_counts.values(), default=0)
             )
-            self._record_check(
+            self._check(
                 "LOST",
                 failure_count >= job.attempts,
                 f"{job.job_id} was reported as failed with attempts left",
             )
         elif state == "cancelled":
-            self._record_check(
+            self._check(
                 "LOST",
                 job.cancel_sent > 0,
                 f"{job.job_id} was reported as cancelled without a cancellation",
@@ -465,13 +456,13 @@
             for run in self._all_runs():
                 if (
                     run.worker == drain["worker"]
-                    and drain["t"] + DRAIN_DEADLINE_S < run.started_at < returned_at
+                    and drain["t"] + DRAIN_DEADLINE_S < run.start < returned_at
                 ):
-                    holds = run.start_entry["mode"] == "late" or not self._is_fault_free(
-                        drain["t"], run.started_at
+                    holds = run.entry["mode"] == "late" or not self._is_undisturbed(
+                        drain["t"], run.start
                     )
-                    self._record_check(
-                        "DRAIN", holds, f"{run.task} starts on {run.worker}, which is draining"
+                    self._check(
+                        "DRAIN", holds, f"{run.task_id} starts on {run.worker}, which is draining"
                     )
 
     def _check_graceful_stops(self) -> None:
@@ -482,7 +473,7 @@
                 for w in self._fault_windows()
                 if w["fault"] != "stop"
                 and w["t"] < stopping_at + GRACE_PERIOD_S
-                and w["until"] + FAULT_RECOVERY_S > stopping_at
+                and w["until"] + RECOVERY_S > stopping_at
             ]
             for entry in self.caller_log:
                 is_near_stop = stopping_at - 1.0 < entry["t"] < stopping_at + GRACE_PERIOD_S
@@ -491,16 +482,16 @@
                     entry["status"] == 0 and "refused" not in entry.get("reason", "").lower()
                 )
                 if entry["instance"] == instance and is_near_stop:
-                    self._record_check(
+                    self._check(
                         "LOST",
                         not lacks_response or bool(other_windows),
                         f"{entry['job']} got no response during a stop",
                     )
         for stopped in (e for e in self.driver_log if e["event"] == "stopped"):
-            holds = stopped["code"] is not None or not self._is_fault_free(
+            holds = stopped["code"] is not None or not self._is_undisturbed(
                 stopped["t"], stopped["t"]
             )
-            self._record_check(
+            self._check(
                 "LOST", holds, f"{stopped['instance']} did not stop within the grace period"
             )
 
@@ -510,7 +501,7 @@
             if event != "submit" or all(e["status"] != 200 for e in entries):
                 continue
             final = final_states.get(job_id, "")
-            self._record_check(
+            self._check(
                 "LOST",
                 bool(final),
                 f"{job_id} has not finished; {self._describe_last_response(job_id)}",
--- a/baobabhoist/platform/testing/soak_faults.py
+++ b/baobabhoist/platform/testing/soak_faults.py
@@ -1,4 +1,4 @@
-"""Define the faults of the platform's soak and their schedule, which depends on the seed alone."""
+"""Define the faults of the platform's soak and their schedule, which depends only on the seed."""
 
 from __future__ import annotations
 
@@ -11,91 +11,91 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any
 
-from baobabhoist.platform.testing.soak_judge import GRACE_PERIOD_S
+from baobabhoist.platform.testing.soak_checker import GRACE_PERIOD_S
 from baobabhoist.testing.soak_faults import ScheduledFault
 
 if TYPE_CHECKING:
     from baobabhoist.platform.testing.soak import Soak
 
 WARM_UP_S = 4.0
-FAULT_GAP_MAX_S = 3.0
-FAULT_MIN_S, FAULT_MAX_S = 1.0, 6.0
+MAX_GAP_S = 3.0
+MIN_FAULT_S, MAX_FAULT_S = 1.0, 6.0
 PAIR_PROBABILITY = 0.35
 DRAIN_NOTICE_S = 2.5
-CUT_MODES = ("cut", "blackhole", "mute")
-DELAY_MIN_S, DELAY_MAX_S = 0.05, 0.6
-CANCEL_WAVE_JOBS = 12
+PARTITION_MODES = ("cut", "blackhole", "mute")
+MIN_DELAY_S, MAX_DELAY_S = 0.05, 0.6
+CANCELLED_JOBS = 12
 BURST_LOAD_FACTOR = 4.0
 
-Fault = Callable[["Soak", "ScheduledFault", random.Random], Awaitable[None]]
+Injector = Callable[["Soak", "ScheduledFault", random.Random], Awaitable[None]]
 
 
-def schedule(seed: int, seconds: float, faults: list[str]) -> list[ScheduledFault]:
+def schedule_faults(seed: int, seconds: float, faults: list[str]) -> list[ScheduledFault]:
     """Return the faults of a run in order of time; they follow closely and may overlap."""
     rng = random.Random(seed)
-    steps: list[ScheduledFault] = []
-    remaining_faults: list[str] = []
+    schedule: list[ScheduledFault] = []
+    remaining: list[str] = []
     start_s = WARM_UP_S
-    while start_s + FAULT_MIN_S < seconds:
+    while start_s + MIN_FAULT_S < seconds:
         for _ in range(2 if rng.random() < PAIR_PROBABILITY else 1):
-            remaining_faults = remaining_faults or rng.sample(faults, len(faults))
-            duration_s = min(rng.uniform(FAULT_MIN_S, FAULT_MAX_S), seconds - start_s)
-            steps.append(
-                ScheduledFault(start_s, remaining_faults.pop(), duration_s, rng.randrange(1 << 30))
+            remaining = remaining or rng.sample(faults, len(faults))
+            duration_s = min(rng.uniform(MIN_FAULT_S, MAX_FAULT_S), seconds - start_s)
+            schedule.append(
+                ScheduledFault(start_s, remaining.pop(), duration_s, rng.randrange(1 << 30))
             )
-        start_s += rng.uniform(0.3, 1.0) * steps[-1].duration_s + rng.uniform(0.0, FAULT_GAP_MAX_S)
-    return steps
+        start_s += rng.uniform(0.3, 1.0) * schedule[-1].duration_s + rng.uniform(0.0, MAX_GAP_S)
+    return schedule
 
 
-async def inject(soak: Soak, step: ScheduledFault) -> None:
-    """Run one fault to its end, and log its time span for the judge."""
-    window = soak.log_event("window", fault=step.name, until=float("inf"))
+async def inject_fault(soak: Soak, fault: ScheduledFault) -> None:
+    """Inject a fault until its end, and log its time window."""
+    window = soak.log_event("window", fault=fault.name, until=float("inf"))
     try:
-        await FAULTS[step.name](soak, step, random.Random(step.seed))
+        await FAULTS[fault.name](soak, fault, random.Random(fault.seed))
     finally:
         window["until"] = time.time()
 
 
-async def _pick_target(soak: Soak, rng: random.Random) -> str:
+async def _pick_instance(soak: Soak, rng: random.Random) -> str:
     """Pick a running instance: half of the time the owner, otherwise any."""
     running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     owner = await soak.deployment.find_owner()
     return owner if owner in running and rng.random() < 0.5 else rng.choice(running)
 
 
-async def _kill_instance(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    await _kill_and_restart(soak, step, [await _pick_target(soak, rng)])
+async def _kill_instance(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    await _kill_and_restart(soak, fault, [await _pick_instance(soak, rng)])
 
 
-async def _kill_instances(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _kill_instances(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     running = [name for name in soak.deployment.instances if name not in soak.down_instances]
     count = rng.choice([len(running) // 2, len(running)])
-    await _kill_and_restart(soak, step, rng.sample(running, count))
+    await _kill_and_restart(soak, fault, rng.sample(running, count))
 
 
-async def _kill_and_restart(soak: Soak, step: ScheduledFault, names: list[str]) -> None:
+async def _kill_and_restart(soak: Soak, fault: ScheduledFault, names: list[str]) -> None:
     for name in names:
         soak.down_instances.add(name)
         soak.deployment.cluster.processes[name].kill()
     for name in names:
         await asyncio.to_thread(soak.deployment.cluster.processes[name].wait)
-    await asyncio.sleep(step.duration_s / 2)
+    await asyncio.sleep(fault.duration_s / 2)
     for name in names:
         soak.restart_instance(name)
 
 
-async def _pause_instance(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    name = await _pick_target(soak, rng)
+async def _pause_instance(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    name = await _pick_instance(soak, rng)
     soak.down_instances.add(name)
     soak.deployment.cluster.pause(name)
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
     soak.deployment.cluster.resume(name)
     soak.down_instances.discard(name)
 
 
-async def _stop_instance(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _stop_instance(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     """Stop an instance with SIGTERM; callers keep using their connections until it exits."""
-    name = await _pick_target(soak, rng)
+    name = await _pick_instance(soak, rng)
     soak.down_instances.add(name)
     process = soak.deployment.cluster.processes[name]
     stop = soak.log_event("stop", instance=name, until=float("inf"))
@@ -109,152 +109,158 @@
     soak.restart_instance(name)
 
 
-async def _send_sighup(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _send_sighup(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     for name in soak.deployment.instances:
         if name not in soak.down_instances:
             soak.deployment.cluster.processes[name].send_signal(signal.SIGHUP)
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
 
 
-def _store_fault(**fault: Any) -> Fault:
-    async def run(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-        delay_s = rng.uniform(DELAY_MIN_S, DELAY_MAX_S)
-        await soak.deployment.set_store_fault(**{"delay_s": delay_s, **fault})
-        await asyncio.sleep(step.duration_s)
+def _make_store_fault(**store_fault: Any) -> Injector:
+    async def inject(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+        delay_s = rng.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        await soak.deployment.set_store_fault(**{"delay_s": delay_s, **store_fault})
+        await asyncio.sleep(fault.duration_s)
         await soak.deployment.set_store_fault(mode="up")
 
-    return run
+    return inject
 
 
-async def _run_relay_fault(
-    soak: Soak, step: ScheduledFault, mode: str, *names: str, **options: Any
+async def _inject_relay_fault(
+    soak: Soak, fault: ScheduledFault, mode: str, *names: str, **options: Any
 ) -> None:
     for name in names:
         await soak.deployment.set_relay_mode(name, mode, **options)
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
     for name in names:
         await soak.deployment.set_relay_mode(
             name, "pass", **{k: v for k, v in options.items() if k == "source"}
         )
 
 
-async def _cut_store(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    names = {await _pick_target(soak, rng) for _ in range(rng.choice([1, 2]))}
-    await _run_relay_fault(soak, step, rng.choice(CUT_MODES), *(f"store:{name}" for name in names))
+async def _cut_store(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    names = {await _pick_instance(soak, rng) for _ in range(rng.choice([1, 2]))}
+    await _inject_relay_fault(
+        soak, fault, rng.choice(PARTITION_MODES), *(f"store:{name}" for name in names)
+    )
 
 
-async def _cut_peer(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    await _run_relay_fault(
-        soak, step, rng.choice(CUT_MODES), f"peer:{await _pick_target(soak, rng)}"
+async def _cut_peer(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    await _inject_relay_fault(
+        soak, fault, rng.choice(PARTITION_MODES), f"peer:{await _pick_instance(soak, rng)}"
     )
 
 
-async def _cut_workers(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _cut_workers(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     names = rng.sample(
         soak.deployment.worker_names, rng.choice([1, len(soak.deployment.worker_names) // 3])
     )
-    options = {"source": await _pick_target(soak, rng)} if rng.random() < 0.5 else {}
-    await _run_relay_fault(
-        soak, step, rng.choice(CUT_MODES), *(f"worker:{name}" for name in names), **options
+    options = {"source": await _pick_instance(soak, rng)} if rng.random() < 0.5 else {}
+    await _inject_relay_fault(
+        soak, fault, rng.choice(PARTITION_MODES), *(f"worker:{name}" for name in names), **options
     )
 
 
-async def _isolate(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _isolate(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     """Isolate one instance from everything but its callers."""
-    name, mode = await _pick_target(soak, rng), rng.choice(CUT_MODES)
+    name, mode = await _pick_instance(soak, rng), rng.choice(PARTITION_MODES)
     await asyncio.gather(
-        _run_relay_fault(soak, step, mode, f"store:{name}", f"peer:{name}"),
-        _run_relay_fault(soak, step, mode, "peer:*", "worker:*", source=name),
+        _inject_relay_fault(soak, fault, mode, f"store:{name}", f"peer:{name}"),
+        _inject_relay_fault(soak, fault, mode, "peer:*", "worker:*", source=name),
     )
 
 
-async def _silence_connections(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _silence_connections(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     """Silence the open connections for good; new connections work."""
     pattern = rng.choice(
-        ["store:*", "peer:*", "worker:*", f"store:{await _pick_target(soak, rng)}"]
+        ["store:*", "peer:*", "worker:*", f"store:{await _pick_instance(soak, rng)}"]
     )
-    await _run_relay_fault(soak, step, "silent", pattern)
+    await _inject_relay_fault(soak, fault, "silent", pattern)
 
 
-async def _reset_connections(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _reset_connections(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     """Reset the open connections; new connections work."""
     for name in (rng.choice(["store:*", "peer:*", "worker:*"]),):
         await soak.deployment.set_relay_mode(name, "cut")
         await soak.deployment.set_relay_mode(name, "pass")
 
 
-async def _delay_connections(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    name = rng.choice(["store:*", "peer:*", "worker:*", f"store:{await _pick_target(soak, rng)}"])
-    await _run_relay_fault(soak, step, "pass", name, delay_s=rng.uniform(DELAY_MIN_S, DELAY_MAX_S))
+async def _delay_connections(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    name = rng.choice(
+        ["store:*", "peer:*", "worker:*", f"store:{await _pick_instance(soak, rng)}"]
+    )
+    await _inject_relay_fault(
+        soak, fault, "pass", name, delay_s=rng.uniform(MIN_DELAY_S, MAX_DELAY_S)
+    )
 
 
-def _worker_fault(mode: str) -> Fault:
-    async def run(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+def _make_worker_fault(mode: str) -> Injector:
+    async def inject(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
         names = rng.sample(soak.deployment.worker_names, rng.choice([1, 2]))
         for name in names:
             await soak.deployment.command_worker(name, mode=mode)
-        await asyncio.sleep(step.duration_s)
+        await asyncio.sleep(fault.duration_s)
         for name in names:
             await soak.deployment.command_worker(name, mode="normal")
 
-    return run
+    return inject
 
 
-async def _crash_workers(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _crash_workers(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     for name in rng.sample(soak.deployment.worker_names, rng.choice([1, 3])):
         await soak.deployment.command_worker(name, crash=1)
 
 
-async def _drain_worker(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _drain_worker(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     name = rng.choice(soak.deployment.worker_names)
     await soak.deployment.command_worker(name, draining=True)
     soak.log_event("draining", worker=name)
     await asyncio.sleep(DRAIN_NOTICE_S)
     await soak.deployment.command_worker(name, gone=True)
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
     await soak.deployment.command_worker(name, crash=1)
     soak.log_event("returned", worker=name)
 
 
-async def _change_limit(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _change_limit(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     """Change a team's limit once or four times in quick succession."""
     for _ in range(rng.choice([1, 4])):
         await soak.change_team_limit(rng)
         await asyncio.sleep(rng.uniform(0.05, 0.5))
 
 
-async def _revoke_key(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _revoke_key(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     await soak.replace_team_key(rng)
 
 
-async def _submit_and_cancel_jobs(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
-    jobs = [soak.new_job(rng, "batch") for _ in range(CANCEL_WAVE_JOBS)]
+async def _submit_and_cancel_jobs(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
+    jobs = [soak.new_job(rng, "batch") for _ in range(CANCELLED_JOBS)]
     results = await asyncio.gather(*(soak.submit(job) for job in jobs))
-    await asyncio.sleep(rng.uniform(0.0, step.duration_s / 4))
+    await asyncio.sleep(rng.uniform(0.0, fault.duration_s / 4))
     accepted_jobs = [job for job, is_accepted in zip(jobs, results, strict=True) if is_accepted]
     for job in accepted_jobs:
         soak.spawn(soak.poll_until_final(job))
     await asyncio.gather(*map(soak.cancel, accepted_jobs))
 
 
-async def _raise_load(soak: Soak, step: ScheduledFault, rng: random.Random) -> None:
+async def _raise_load(soak: Soak, fault: ScheduledFault, rng: random.Random) -> None:
     soak.load_factor = BURST_LOAD_FACTOR
-    await asyncio.sleep(step.duration_s)
+    await asyncio.sleep(fault.duration_s)
     soak.load_factor = 1.0
 
 
-FAULTS: dict[str, Fault] = {
+FAULTS: dict[str, Injector] = {
     "kill": _kill_instance,
     "herd": _kill_instances,
     "pause": _pause_instance,
     "stop": _stop_instance,
     "hup": _send_sighup,
-    "store_refuses": _store_fault(mode="refuse"),
-    "store_hangs": _store_fault(mode="hang"),
-    "store_slow": _store_fault(mode="slow"),
-    "store_loses": _store_fault(mode="lose"),
-    "store_late": _store_fault(mode="late"),
-    "store_forgets": _store_fault(mode="up", forget=True),
+    "store_refuses": _make_store_fault(mode="refuse"),
+    "store_hangs": _make_store_fault(mode="hang"),
+    "store_slow": _make_store_fault(mode="slow"),
+    "store_loses": _make_store_fault(mode="lose"),
+    "store_late": _make_store_fault(mode="late"),
+    "store_forgets": _make_store_fault(mode="up", forget=True),
     "cut_store": _cut_store,
     "cut_peer": _cut_peer,
     "cut_workers": _cut_workers,
@@ -262,10 +268,10 @@
     "silent": _silence_connections,
     "reset": _reset_connections,
     "delay": _delay_connections,
-    "worker_fails": _worker_fault("fail"),
-    "worker_hangs": _worker_fault("hang"),
-    "worker_late": _worker_fault("late"),
-    "worker_loses": _worker_fault("lose"),
+    "worker_fails": _make_worker_fault("fail"),
+    "worker_hangs": _make_worker_fault("hang"),
+    "worker_late": _make_worker_fault("late"),
+    "worker_loses": _make_worker_fault("lose"),
     "worker_crash": _crash_workers,
     "worker_drain": _drain_worker,
     "config": _change_limit,
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -19,7 +19,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 from tornado.web import Application, RequestHandler
 
-from baobabhoist.platform.testing.soak_judge import WORKER_CAPACITY
+from baobabhoist.platform.testing.soak_checker import WORKER_CAPACITY
 from baobabhoist.platform.testing.store import EXTERNAL_WRITER_HEADER, drop_connection
 
 FLAGS = flags.FLAGS
--- a/baobabhoist/testing/soak_checker.py
+++ b/baobabhoist/testing/soak_checker.py
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Run:
-    """Describe one execution of a task, as a worker logged it."""
+    """Describe one run of a task, as a worker logged it."""
 
     worker: str
     task_id: str
@@ -76,7 +76,7 @@
     runs: list[Run] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Sort the logs by time and extract the executions."""
+        """Sort the logs by time and extract the runs."""
         for entries in (self.worker_log, self.caller_log, self.driver_log):
             entries.sort(key=lambda entry: entry["t"])
         self.results = {f"G{number}": GuaranteeResult() for number in range(1, 11)}
@@ -440,7 +440,7 @@
 
 
 def collect_runs(entries: list[LogEntry]) -> list[Run]:
-    """Return the executions in the workers' logs; a restart of a worker ends its executions."""
+    """Return the runs in the workers' logs; a restart of a worker ends its runs."""
     open_runs: dict[tuple[str, str], LogEntry] = {}
     runs = []
 
--- a/baobabhoist/tests/test_platform_soak.py
+++ b/baobabhoist/tests/test_platform_soak.py
@@ -22,18 +22,18 @@
 def test_schedule_depends_on_the_seed_alone() -> None:
     """Guard against a failed run that its seed does not reproduce."""
     faults = sorted(soak_faults.FAULTS)
-    first = soak_faults.schedule(SEED, 40.0, faults)
-    assert first == soak_faults.schedule(SEED, 40.0, faults)
-    assert first != soak_faults.schedule(SEED + 1, 40.0, faults)
-    assert all(step.start_s + step.duration_s <= 40.0 for step in first)
+    first = soak_faults.schedule_faults(SEED, 40.0, faults)
+    assert first == soak_faults.schedule_faults(SEED, 40.0, faults)
+    assert first != soak_faults.schedule_faults(SEED + 1, 40.0, faults)
+    assert all(fault.start_s + fault.duration_s <= 40.0 for fault in first)
 
 
 def test_schedule_uses_all_faults_and_lets_them_overlap() -> None:
     """Guard against a schedule in which every fault meets a system without other faults."""
-    steps = soak_faults.schedule(SEED, 400.0, sorted(soak_faults.FAULTS))
-    pairs = itertools.pairwise(steps)
+    schedule = soak_faults.schedule_faults(SEED, 400.0, sorted(soak_faults.FAULTS))
+    pairs = itertools.pairwise(schedule)
     assert any(later.start_s < earlier.start_s + earlier.duration_s for earlier, later in pairs)
-    assert {step.name for step in steps} == set(soak_faults.FAULTS)
+    assert {fault.name for fault in schedule} == set(soak_faults.FAULTS)
 
 
 def test_every_regression_has_a_seed_and_a_cause() -> None:
@@ -54,12 +54,12 @@
 
     async def run(cluster: Cluster) -> soak.Soak:
         driver = soak.Soak(Deployment(cluster), random.Random(SEED))
-        await driver.run(SECONDS, soak_faults.schedule(SEED, SECONDS, FAULTS))
+        await driver.run(SECONDS, soak_faults.schedule_faults(SEED, SECONDS, FAULTS))
         return driver
 
     with Cluster(tmp_path) as cluster:
         finished_soak = asyncio.run(run(cluster))
-    judge = finished_soak.judge(is_finished=True)
-    assert judge.breaches == []
-    assert judge.check_counts["TWICE"] > 0
+    checker = finished_soak.check_guarantees(is_finished=True)
+    assert checker.breaches == []
+    assert checker.check_counts["TWICE"] > 0
     assert finished_soak.final_states
--- a/baobabhoist/tests/test_platform_soak_judge.py
+++ b/baobabhoist/tests/test_platform_soak_checker.py
@@ -1,4 +1,4 @@
-"""Test that the judge of the platform's soak detects each broken guarantee."""
+"""Test that the checker of the platform's soak finds a breach of each guarantee."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from baobabhoist.platform.testing.soak_judge import Judge, SubmittedJob, Team
+from baobabhoist.platform.testing.soak_checker import GuaranteeChecker, SubmittedJob, Team
 
 JOB = "a" * 16
 TASK = f"{JOB}.0.0.0"
@@ -45,16 +45,16 @@
     step = {"count": 1, "cpu": 600, "memMb": 100}
     steps = [{**step, **changes}, {**step, "after": [0]}]
     job = SubmittedJob(JOB, "batch", "alpha", steps, SPEC, attempts=2)
-    judge = Judge(
+    checker = GuaranteeChecker(
         worker_log,
         caller_log,
         [INITIAL_LIMITS, *driver_log],
         {JOB: job},
         {"alpha": Team("alpha", 1_000)},
     )
-    judge.check_logs()
-    judge.check_completion({})
-    return {text.partition(" ")[0] for text in judge.breaches}
+    checker.check_logs()
+    checker.check_completion({})
+    return {text.partition(" ")[0] for text in checker.breaches}
 
 
 ACCEPTED = caller_request("submit", 1.0, 200)
@@ -163,13 +163,13 @@
 
 @pytest.mark.parametrize("name", BREACHES)
 def test_breach_is_detected(name: str) -> None:
-    """Guard against a judge that misses a broken guarantee."""
+    """Guard against a checker that misses a broken guarantee."""
     guarantee, worker_log, caller_log, driver_log = BREACHES[name]
     assert guarantee in broken_guarantees(worker_log, caller_log, driver_log)
 
 
 def test_allowed_behaviour_is_no_breach() -> None:
-    """Guard against a judge that reports what the guarantees allow."""
+    """Guard against a checker that reports what the guarantees allow."""
     second_step_run = [
         run_start(4.0, SECOND_STEP_TASK),
         run_end(5.0, "done", SECOND_STEP_TASK),
