--- a/baobabhoist/benchmarks/progress_writes.py
+++ b/baobabhoist/benchmarks/progress_writes.py
@@ -22,7 +22,7 @@
 
 @contextmanager
 def _run_platform() -> Iterator[str]:
-    """Run the platform stand-in as a process and yield its URL."""
+    """Run the fake platform as a process and yield its URL."""
     port = free_port()
     command = [sys.executable, "-m", "baobabhoist.testing.platform", f"--port={port}"]
     # The time to write the access log would count as part of each write.
--- a/baobabhoist/cli/client.py
+++ b/baobabhoist/cli/client.py
@@ -20,7 +20,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """List the exit codes of the command-line tool."""
+    """Enumerate the exit codes of the command-line tool."""
 
     OK = 0
     REFUSED = 1
--- a/baobabhoist/errors.py
+++ b/baobabhoist/errors.py
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Refusal:
-    """State why work was refused, whether it was executed, and what the caller can do.
+    """State why work was refused, what is known of its execution, and what the caller can do.
 
     Functions return a refusal in place of their result; it is not raised. `retry_after_s` is
     None if a retry of the same request cannot succeed.
--- a/baobabhoist/records/keys.py
+++ b/baobabhoist/records/keys.py
@@ -26,7 +26,7 @@
 
 @attrs.define
 class KeyIndex:
-    """Index key records by digest, so that a lookup does not depend on the number of keys."""
+    """Index key records by digest; a lookup takes constant time for any number of keys."""
 
     by_digest: dict[str, dict[str, Key]] = attrs.Factory(dict)
 
--- a/baobabhoist/store/row_store.py
+++ b/baobabhoist/store/row_store.py
@@ -84,7 +84,7 @@
     """Read, poll and change rows; every method may raise StoreError."""
 
     async def read(self, table: str, part: str = "", *, start: str = "", end: str = "") -> RowSet:
-        """Return the rows of a part with keys from `start` up to but excluding `end`."""
+        """Return the rows of a part with keys from `start` up to, not including, `end`."""
 
     async def poll_changes(self, table: str, after_version: int, wait_ms: int) -> RowSet:
         """Return the rows changed after a version, waiting up to `wait_ms` for a change."""
--- a/baobabhoist/testing/soak_faults.py
+++ b/baobabhoist/testing/soak_faults.py
@@ -259,7 +259,7 @@
     "revoke": _revoke,
     "lower_limit": _lower_limit,
 }
-# Faults during which every latency target still applies.
+# These faults excuse no late reaction to anything else, so their time windows are not logged.
 NON_DISRUPTIVE_FAULTS = frozenset(
     {"leaving", "wrong_sizes", "cancel_wave", "race", "revoke", "lower_limit"}
 )
--- a/baobabhoist/tests/test_testing_worker.py
+++ b/baobabhoist/tests/test_testing_worker.py
@@ -138,7 +138,7 @@
 
 
 def test_modes_determine_how_tasks_end():
-    """Guard against injected faults of a worker that have no effect on its tasks."""
+    """Guard against a worker whose tasks should all fail or hang, but which seems healthy."""
 
     async def scenario():
         worker = await make_fenced_worker()
