--- a/baobabhoist/benchmarks/cell_replay.py
+++ b/baobabhoist/benchmarks/cell_replay.py
@@ -103,7 +103,7 @@
     _decision_pending: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Create the cell and its simulated workers."""
+        """Create the cell and its fake workers."""
         self.cell = CellScheduler(self.workload.rules, Takeover(0, 0), LEASE_MS)
         self.cell.placer = self.policy(self.cell.state, max_advice_requests=MAX_ADVICE_REQUESTS)
         self.workers = {
--- a/baobabhoist/benchmarks/cell_workload.py
+++ b/baobabhoist/benchmarks/cell_workload.py
@@ -23,7 +23,7 @@
 TEAM_LIMIT_FACTOR = 1.9
 WORKER_CAPACITY = Resources(16_000, 65_536, 0)
 WORKERS_PER_RACK = 20
-# Factors between the actual and the declared duration of a task, by worker.
+# Actual duration of a task as a multiple of the declared one; each worker has one of these.
 SLOWNESS_FACTORS = (0.7, 0.7, 1.7)
 
 
@@ -150,7 +150,7 @@
     arrivals: tuple[Arrival, ...]
 
     def slowness_factor(self, worker_id: str, at_ms: float) -> float:
-        """Return the factor between the actual and the declared duration on a worker."""
+        """Return the actual duration of tasks on a worker as a multiple of the declared one."""
         number = int(worker_id[1:])
         is_slowed = (
             at_ms >= PEAK_START_S * 1000
--- a/baobabhoist/benchmarks/control_overhead.py
+++ b/baobabhoist/benchmarks/control_overhead.py
@@ -176,8 +176,8 @@
 def measure_heartbeat() -> dict[str, float]:
     """Return the size of a heartbeat and the processor time to encode and to decode it.
 
-    The sender owns one shard, in which all TEAM_COUNT teams have tasks, and has PEER_COUNT peers;
-    both are the numbers of the design size.
+    The sender owns one shard, in which all TEAM_COUNT teams have tasks, and has PEER_COUNT peers,
+    as at the design size.
     """
     teams = [f"team-{number}" for number in range(TEAM_COUNT)]
     counts = dict.fromkeys(teams, 7)
--- a/baobabhoist/benchmarks/workload.py
+++ b/baobabhoist/benchmarks/workload.py
@@ -10,7 +10,7 @@
 
 WORKERS_PER_RACK = 6
 SLOTS_PER_WORKER = 8
-# Deadline of requests, and one for all other tasks that they should never reach.
+# Requests have the first deadline, all other tasks the second, which they should never reach.
 REQUEST_DEADLINE_S = 30.0
 BATCH_DEADLINE_S = 7200.0
 SURGE_FACTOR = 5.0
--- a/baobabhoist/cli/options.py
+++ b/baobabhoist/cli/options.py
@@ -30,7 +30,7 @@
 flags.DEFINE_bool("idempotent", False, "Whether a request may run again if its response is lost.")
 flags.DEFINE_enum("urgency", "normal", ["normal", "urgent"], "Urgency of a request.")
 flags.DEFINE_integer("cpu_milli", 0, "CPU in millicores that a request needs.", 0)
-flags.DEFINE_integer("memory_mb", 0, "Memory in MB that a request needs.", 0)
+flags.DEFINE_integer("memory_mb", 0, "Memory in MiB that a request needs.", 0)
 flags.DEFINE_integer("accelerators", 0, "Number of accelerators that a request needs.", 0)
 flags.DEFINE_float(
     "wait_s", None, "Maximum wait for the end of a job in seconds; no limit if unset.", 0.0
--- a/baobabhoist/platform/testing/deployment.py
+++ b/baobabhoist/platform/testing/deployment.py
@@ -1,4 +1,4 @@
-"""Run instances against a simulated platform, as processes with a relay on every connection."""
+"""Run instances against a fake platform, as processes with a relay on every connection."""
 
 from __future__ import annotations
 
--- a/baobabhoist/platform/testing/regressions.py
+++ b/baobabhoist/platform/testing/regressions.py
@@ -22,9 +22,9 @@
     *(Regression(seed, 40.0, _LIMITED_JOBS) for seed in (102, 106, 110, 111)),
     Regression(105, 40.0, "soak: a port that this run had chosen was in use by another run"),
     Regression(
-        113, 40.0, "simulated worker: the expiry of a lease was not logged if no run was active"
+        113, 40.0, "fake worker: the expiry of a lease was not logged if no run was active"
     ),
     Regression(
-        116, 40.0, "simulated worker: a gang continued after the worker of a member had crashed"
+        116, 40.0, "fake worker: a gang continued after the worker of a member had crashed"
     ),
 )
--- a/baobabhoist/platform/testing/store.py
+++ b/baobabhoist/platform/testing/store.py
@@ -25,7 +25,7 @@
 
 FLAGS = flags.FLAGS
 
-# Simulated workers and operators send this header. Requests without it come from instances, which
+# Fake workers and operators send this header. Requests without it come from instances, which
 # may not write to the external tables and which alone are subject to faults.
 EXTERNAL_WRITER_HEADER = "X-Outside-Writer"
 EXTERNAL_TABLES = frozenset({"op", "servers"})
@@ -83,7 +83,7 @@
         self.state = state
 
     async def prepare(self) -> None:
-        """Apply the active fault unless a simulated worker or operator sent the request."""
+        """Apply the active fault unless a fake worker or operator sent the request."""
         if EXTERNAL_WRITER_HEADER not in self.request.headers:
             await self.state.apply_fault()
 
--- a/baobabhoist/platform/testing/workers.py
+++ b/baobabhoist/platform/testing/workers.py
@@ -275,7 +275,7 @@
 
 @attrs.define(eq=False)
 class WorkerHub:
-    """Hold all simulated workers and their common log."""
+    """Hold all fake workers and their common log."""
 
     log_path: Path
     store_address: str
