--- a/baobabhoist/daemon/app.py
+++ b/baobabhoist/daemon/app.py
@@ -81,8 +81,8 @@
 
     def data_centre_of(self, shard: str) -> str:
         """Return the data centre of a shard."""
-        found = self._view.shard(shard)
-        return found.data_centre if found is not None else ""
+        record = self._view.shard(shard)
+        return record.data_centre if record is not None else ""
 
     def workers_of(self, shard: str) -> list[WorkerSpec]:
         """Return the workers of a shard."""
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -118,7 +118,7 @@
         return deadline
 
     def all_expired(self, worker: str, now: float) -> bool:
-        """Return whether every lease that was sent to the worker has expired."""
+        """Return whether every lease sent to the worker has expired, even with clock skew."""
         return now > self.latest_deadlines.get(worker, 0.0) + self.clock_skew_s
 
 
@@ -206,7 +206,7 @@
             case OutcomeReport(ended=EndedTask() as ended):
                 return Completed(ended.succeeded, ended.body)
             case OutcomeReport(state="never"):
-                return NotStarted("the worker never started it")
+                return NotStarted("the worker has no record of it")
         return None
 
     async def _stop_task(self, task_id: str, worker: str) -> None:
@@ -234,7 +234,7 @@
     """Return the refusal for a task that its worker did not start."""
     return Refusal(
         ErrorKind.NO_CAPACITY,
-        f"the worker refused the task: {reason}",
+        f"the task was not started: {reason}",
         remedy="send the request again under a new key",
         retry_after_s=0.5,
     )
--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -36,7 +36,7 @@
 # Interval between reads of the rows while no owned shard lacks quota. Lowered limits arrive with
 # the records and transferred quota with the donor's reply, so neither waits for this interval.
 IDLE_READ_INTERVAL_S = 5.0
-SCAN_PAGE_SIZE = 1000
+SCAN_PAGE_ROWS = 1000
 TRANSFER_CALL_TIMEOUT_S = 2.0
 # Time after which a worker is told again to stop a task that still runs.
 STOP_RETRY_INTERVAL_S = 5.0
@@ -208,17 +208,17 @@
     # Escrow rows.
 
     async def _read_rows(self) -> None:
-        found: dict[str, VersionedRow] = {}
+        rows_by_team: dict[str, VersionedRow] = {}
         after = ""
         while True:
-            rows = await self._context.table.scan("escrow/", after, SCAN_PAGE_SIZE)
+            rows = await self._context.table.scan("escrow/", after, SCAN_PAGE_ROWS)
             for row in rows:
                 team = row.key.removeprefix("escrow/")
-                found[team] = _decode_row(team, row)
-            if len(rows) < SCAN_PAGE_SIZE:
+                rows_by_team[team] = _decode_row(team, row)
+            if len(rows) < SCAN_PAGE_ROWS:
                 break
             after = rows[-1].key
-        self.rows = found
+        self.rows = rows_by_team
 
     async def _write_record_limits(self) -> None:
         """Write the limits of the records to the rows; of several instances one succeeds."""
--- a/baobabhoist/daemon/handover.py
+++ b/baobabhoist/daemon/handover.py
@@ -39,7 +39,7 @@
     keys: RequestKeyLedger,
     pending: Mapping[str, PendingRequest],
 ) -> HandOver:
-    """Build the message; afterwards this owner may not report its queued keys as `not_run`.
+    """Build the message; this owner must not report its queued keys as `not_run` afterwards.
 
     Answers of completed tasks are omitted, because the workers' inventories contain them. Their
     ids are included, because a worker may have lost its inventory or belong to another shard.
--- a/baobabhoist/daemon/jobs.py
+++ b/baobabhoist/daemon/jobs.py
@@ -184,7 +184,7 @@
         await self.call(shard, HoldRelease(shard, job_id))
 
     async def call(self, shard: str, message: Any) -> Any | None:
-        """Return the reply of a shard's owner, or None without one."""
+        """Return the reply of a shard's owner, or None if it does not reply."""
         local = self._context.local_shard(shard)
         if local is not None:
             return await handle_shard_call(local, message)
@@ -299,7 +299,7 @@
         return tuple(statuses[job_id] for job_id in job_ids if job_id in statuses)
 
     async def unfinished_job_ids(self, queue: str) -> Refusal | tuple[str, ...]:
-        """Return the ids of all unfinished jobs of a queue, from the rows of active jobs."""
+        """Return the ids of all unfinished jobs of a queue, from the rows that mark these jobs."""
         job_ids = []
         try:
             for row in await self._scan(UNFINISHED_PREFIX):
--- a/baobabhoist/daemon/owners.py
+++ b/baobabhoist/daemon/owners.py
@@ -83,7 +83,7 @@
 
 
 async def is_any_reachable(workers: list[WorkerSpec]) -> bool:
-    """Return whether one of a random sample of workers accepts a new connection."""
+    """Return whether one of a random sample of workers completes a WebSocket handshake."""
     for spec in random.sample(workers, min(REACHABILITY_SAMPLE_SIZE, len(workers))):
         try:
             # Some middleboxes accept TCP connections for an unreachable host. Only the worker
@@ -197,7 +197,7 @@
         return isinstance(reply, HandOverReply) and reply.taken
 
     async def hand_over_all(self) -> None:
-        """Hand every shard over to its next instance; keep shards without a successor."""
+        """Hand every shard over to its next owner; keep shards without a successor."""
         self.draining = True
         for shard, owner in list(self.owners.items()):
             successor = self.preferred_instance(shard, others_only=True)
--- a/baobabhoist/daemon/policies.py
+++ b/baobabhoist/daemon/policies.py
@@ -70,7 +70,10 @@
 def usage_elsewhere(
     slots: FleetSlots, shard: str, digests: Iterable[ShardDigest]
 ) -> tuple[dict[str, float], float]:
-    """Return each team's share of the fleet's slots used outside a shard, and the shard's own."""
+    """Return the fraction of the fleet's slots that each team uses in the other shards.
+
+    The second value is the fraction of the fleet's slots that belongs to this shard.
+    """
     slots.refresh()
     total = slots.total
     if not total:
--- a/baobabhoist/daemon/record_sync.py
+++ b/baobabhoist/daemon/record_sync.py
@@ -31,7 +31,7 @@
 # Instances other than the poller of a data centre poll at this interval, in case the poller has
 # failed in a way that its heartbeats do not show.
 STANDBY_POLL_INTERVAL_S = 5.0
-SCAN_PAGE_SIZE = 1000
+SCAN_PAGE_ROWS = 1000
 MAX_RECENT_ENTRIES = 2000
 PEER_CALL_TIMEOUT_S = 2.0
 
@@ -113,9 +113,9 @@
             await self._load()
         applied: list[Record] = []
         while True:
-            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), SCAN_PAGE_SIZE)
+            rows = await self._table.scan(LOG_PREFIX, log_key(self._view.revision), SCAN_PAGE_ROWS)
             applied += self._apply([record_from_row(row) for row in rows])
-            if len(rows) < SCAN_PAGE_SIZE:
+            if len(rows) < SCAN_PAGE_ROWS:
                 break
         self._note_confirmed(self._clock())
         self._set_loaded()
@@ -128,9 +128,9 @@
         records: list[Record] = []
         after = ""
         while head:
-            rows = await self._table.scan(RECORD_PREFIX, after, SCAN_PAGE_SIZE)
+            rows = await self._table.scan(RECORD_PREFIX, after, SCAN_PAGE_ROWS)
             records += [record_from_row(row) for row in rows]
-            if len(rows) < SCAN_PAGE_SIZE:
+            if len(rows) < SCAN_PAGE_ROWS:
                 break
             after = rows[-1].key
         # Versions after the head follow with the log, in order.
@@ -207,7 +207,10 @@
             self.loaded.set()
 
     def _note_confirmed(self, at: float, revision: int | None = None) -> None:
-        """Record a time at which the platform had no later record than the given revision."""
+        """Record a time at which the platform had no later record than a revision.
+
+        Without `revision`, that is the one in force here, which the table itself confirmed.
+        """
         if revision is None or revision <= self._view.revision:
             self._confirmed_at = max(self._confirmed_at, at)
 
--- a/baobabhoist/daemon/shard_jobs.py
+++ b/baobabhoist/daemon/shard_jobs.py
@@ -25,11 +25,13 @@
         """Return which tasks run and why the others wait."""
         owner = self._owner
         elsewhere = owner.forwarder.forward_targets(task_ids)
-        running = tuple(name for name in task_ids if owner.worker_of(name) is not None)
+        running = tuple(task_id for task_id in task_ids if owner.worker_of(task_id) is not None)
         waiting = {
-            name: owner.scheduler.explain(name, now).message
-            for name in task_ids
-            if owner.worker_of(name) is None and name in owner.pending and name not in elsewhere
+            task_id: owner.scheduler.explain(task_id, now).message
+            for task_id in task_ids
+            if owner.worker_of(task_id) is None
+            and task_id in owner.pending
+            and task_id not in elsewhere
         }
         return TasksReport(running, waiting, elsewhere)
 
--- a/baobabhoist/daemon/shard_quota.py
+++ b/baobabhoist/daemon/shard_quota.py
@@ -70,7 +70,7 @@
         self.class_ledger.adopt(worker, tasks)
 
     def confirm_ends(self, worker: str, watermark: int) -> None:
-        """Confirm the ends of tasks that were known before an accepted call was sent."""
+        """Release the places of ends on a worker that were known before a call it accepted."""
         self.team_ledger.confirm_ends(worker, watermark)
         self.class_ledger.confirm_ends(worker, watermark)
 
--- a/baobabhoist/daemon/shutdown.py
+++ b/baobabhoist/daemon/shutdown.py
@@ -35,7 +35,7 @@
     """Define how a drain gives up the shards of this instance."""
 
     async def hand_over_all(self) -> None:
-        """Hand every shard over to its next instance."""
+        """Hand every shard over to its next owner."""
 
     async def release_idle(self) -> None:
         """Release the shards without pending requests."""
@@ -47,7 +47,7 @@
     def __init__(
         self,
         open_requests: OpenRequests,
-        owners: ShardReleaser,
+        ownership: ShardReleaser,
         count_open_work: Callable[[], int],
         close_caller_server: Callable[[], Awaitable[None]],
         balancer_delay_s: float = BALANCER_DELAY_S,
@@ -55,7 +55,7 @@
         self.started = asyncio.Event()
         self.finished = asyncio.Event()
         self._open_requests = open_requests
-        self._owners = owners
+        self._ownership = ownership
         self._count_open_work = count_open_work
         self._close_caller_server = close_caller_server
         self._balancer_delay_s = balancer_delay_s
@@ -69,14 +69,14 @@
         await self.started.wait()
         emit(log, Event.DRAIN_STARTED, open_requests=self._count_open_work())
         self._open_requests.leave_balancer()
-        await self._owners.hand_over_all()
+        await self._ownership.hand_over_all()
         await asyncio.sleep(self._balancer_delay_s)
         self._open_requests.begin_drain()
         while self._count_open_work() or self._open_requests.count:
             # A shard that had no successor so far may have one by now.
-            await self._owners.hand_over_all()
+            await self._ownership.hand_over_all()
             await asyncio.sleep(CHECK_INTERVAL_S)
-        await self._owners.release_idle()
+        await self._ownership.release_idle()
         await asyncio.sleep(FLUSH_DELAY_S)
         await self._close_caller_server()
         emit(log, Event.DRAIN_FINISHED)
--- a/baobabhoist/daemon/telemetry.py
+++ b/baobabhoist/daemon/telemetry.py
@@ -71,9 +71,9 @@
                 self._metrics.count_invariant_breach(str(number))
             self._reported_breaches[number] = count
         for owner in owners:
-            self._read_shard(owner)
+            self._update_shard(owner)
 
-    def _read_shard(self, owner: ShardOwner) -> None:
+    def _update_shard(self, owner: ShardOwner) -> None:
         fairness = owner.scheduler.fairness
         teams = set(owner.quota_ledger.escrow) | set(owner.quota_ledger.used)
         for team in teams:
--- a/baobabhoist/gateway/pending_limits.py
+++ b/baobabhoist/gateway/pending_limits.py
@@ -13,8 +13,9 @@
 from baobabhoist.store.table import Row, Table
 
 ESCROW_PREFIX = row_key("")
-PAGE_ROWS = 1000
-# /v1/status must respond during an outage of the table as well, without pending limits.
+SCAN_PAGE_ROWS = 1000
+# Operators must be able to read the status and the records during an outage of the table as well,
+# then without pending limits.
 READ_TIMEOUT_S = 1.0
 
 
@@ -48,12 +49,12 @@
     try:
         async with asyncio.timeout(READ_TIMEOUT_S):
             while True:
-                rows = await table.scan(ESCROW_PREFIX, last_key, PAGE_ROWS)
+                rows = await table.scan(ESCROW_PREFIX, last_key, SCAN_PAGE_ROWS)
                 for row in rows:
                     name = row.key.removeprefix(ESCROW_PREFIX)
                     if name in teams and (pending := _compare_limits(row, name, teams[name])):
                         pending_limits.append(pending)
-                if len(rows) < PAGE_ROWS:
+                if len(rows) < SCAN_PAGE_ROWS:
                     return pending_limits
                 last_key = rows[-1].key
     except (PlatformError, TimeoutError):
--- a/baobabhoist/gateway/records.py
+++ b/baobabhoist/gateway/records.py
@@ -32,7 +32,7 @@
 ETAG_PATTERN = re.compile(r'(W/)?"?([0-9]{1,15})"?')
 INTEGER_PATTERN = re.compile(r"[0-9]{1,15}")
 MAX_REVISION = 10**15
-# The expected revision of a record that must not exist yet.
+# The base revision of a change that creates the record, which must not exist yet.
 ABSENT_REVISION = 0
 HTTP_CREATED = 201
 
@@ -44,8 +44,8 @@
         """Return a record store on the table and the current view of the records."""
         return RecordStore(self.backend.table, self.backend.view, self._check_no_jobs)
 
-    def parse_expected_revision(self) -> int | Refusal:
-        """Return the revision that the change expects, or 0 if it creates the record."""
+    def parse_base_revision(self) -> int | Refusal:
+        """Return the revision that the change is based on, or 0 if it creates the record."""
         if self.request.headers.get("If-None-Match") == "*":
             return ABSENT_REVISION
         value = self.request.headers.get("If-Match")
@@ -157,7 +157,8 @@
         try:
             team = to_typed_record(record.kind, record.body)
         except (ValueError, TypeError, KeyError):
-            # A later release may have written the record in a format unknown to this one.
+            # A later release may have written the record in a format unknown to this one, which
+            # cannot compare its limit then.
             return None
         if not isinstance(team, Team):
             return None
@@ -185,11 +186,11 @@
         """Delete a record."""
         if self.receive_body() is None:
             return
-        expected_revision = self.parse_expected_revision()
-        if isinstance(expected_revision, Refusal):
-            self.refuse(expected_revision)
+        base_revision = self.parse_base_revision()
+        if isinstance(base_revision, Refusal):
+            self.refuse(base_revision)
             return
-        change = RecordChange(kind, name, 0, None, expected_revision, self.operator)
+        change = RecordChange(kind, name, 0, None, base_revision, self.operator)
         record = await self.record_store().delete(change, self.now())
         if isinstance(record, Refusal):
             self.refuse_change(kind, name, record)
@@ -203,15 +204,15 @@
         problems = _find_envelope_problems(envelope)
         if problems:
             return refusal_for_problems(problems, "the change")
-        expected_revision = self.parse_expected_revision()
-        if isinstance(expected_revision, Refusal):
-            return expected_revision
+        base_revision = self.parse_base_revision()
+        if isinstance(base_revision, Refusal):
+            return base_revision
         return RecordChange(
             kind,
             name,
             envelope["schema_version"],
             envelope["body"],
-            expected_revision,
+            base_revision,
             self.operator,
         )
 
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -25,7 +25,8 @@
 HEARTBEAT_INTERVAL_S = 0.3
 PEER_TIMEOUT_S = 2.0
 RECONNECT_DELAY_S = 0.2
-# Half of PEER_TIMEOUT_S, so that a link to a restarted peer is open again within that time.
+# Half of PEER_TIMEOUT_S: a peer that is reachable again is connected again within half of the time
+# after which a peer without heartbeats counts as dead.
 MAX_RECONNECT_DELAY_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 # Shorter than PEER_TIMEOUT_S, so that an unresponsive connection is replaced before its peer
@@ -54,7 +55,7 @@
     live_until: float = 0.0
 
     def find_open_link(self) -> Link | None:
-        """Return an open link to the peer, preferring the one that this instance opened."""
+        """Return an open link to the peer, preferably the one opened from here, or None."""
         for link in (self.outbound_link, self.inbound_link):
             if link is not None and not link.closed:
                 return link
@@ -114,14 +115,20 @@
             self.peers.setdefault(address.instance_id, PeerState(address))
 
     def remove_peer(self, instance_id: str) -> None:
-        """Remove a peer that has left, and stop connecting to it."""
+        """Remove a peer and stop connecting to it.
+
+        Call it only once the membership list has long reported the peer as gone.
+        """
         self.peers.pop(instance_id, None)
         link_task = self._link_tasks.pop(instance_id, None)
         if link_task is not None:
             link_task.cancel()
 
     def live_peers(self) -> list[PeerState]:
-        """Return the peers whose recent heartbeat reached this or another live instance."""
+        """Return the peers from which this or another live instance had a recent heartbeat.
+
+        A heartbeat is recent for PEER_TIMEOUT_S.
+        """
         now = self._clock()
         return [peer for peer in self.peers.values() if peer.live_until > now]
 
--- a/baobabhoist/peer/streams.py
+++ b/baobabhoist/peer/streams.py
@@ -36,7 +36,11 @@
 
 @attrs.frozen
 class StreamAborted:
-    """Abort a stream; `by_sender` tells whether its sender or its receiver aborts it."""
+    """Abort a stream; `by_sender` tells whether its sender or its receiver aborts it.
+
+    Each end numbers the streams that it sends, so both may use the same number. `by_sender` tells
+    which of the two streams is meant.
+    """
 
     stream: int
     by_sender: bool
--- a/baobabhoist/tests/test_daemon_escrow.py
+++ b/baobabhoist/tests/test_daemon_escrow.py
@@ -83,7 +83,7 @@
         return [self.owner(number).quota_ledger.escrow.get("team", 0) for number in (0, 1)]
 
     def check_invariants(self):
-        """Check that no shard holds more quota than its row grants, and the limit is kept."""
+        """Check that no shard holds more quota than its row grants, and that the limit is kept."""
         row = self.row()
         for held, shard in zip(self.held(), ("r1", "r2"), strict=True):
             assert held <= row.held(shard)
--- a/baobabhoist/tests/test_daemon_partition.py
+++ b/baobabhoist/tests/test_daemon_partition.py
@@ -16,7 +16,7 @@
 WORKERS = [WorkerSpec("w1", "127.0.0.1", 1, "r", Resources())]
 
 # An instance that ranks higher than `n1` for the shard.
-BETTER = next(
+HIGHER_RANKED = next(
     {"instance_id": name, "data_centre": "south", "weight": 1.0, "draining": False}
     for name in ("n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9")
     if rank_owners("s", "south", [OwnerCandidate("n1", "south"), OwnerCandidate(name, "south")])[0]
@@ -97,7 +97,7 @@
             LocalInstance("n1", "south"), Shards(), peers, None, clock=lambda: now[0]
         )
         ownership.claim = lambda shard: claimed.append(now[0])
-        peers.live_heartbeats = lambda: [SimpleNamespace(**BETTER)]
+        peers.live_heartbeats = lambda: [SimpleNamespace(**HIGHER_RANKED)]
         ownership._unowned_since["s"] = 1.0
         ownership._last_tick = now[0]
         ownership.owners["s"] = SimpleNamespace(claim=SimpleNamespace(state=None))
--- a/baobabhoist/tests/test_gateway_admin.py
+++ b/baobabhoist/tests/test_gateway_admin.py
@@ -26,7 +26,7 @@
 
 
 def test_admin_api_requires_an_operator_key():
-    """Guard against access to the admin API with a team key, an unknown key or no key."""
+    """Guard against access to the admin API without a key or with a team key."""
 
     async def test(gateway):
         async def response_status(headers):
--- a/baobabhoist/tests/test_peer_streams.py
+++ b/baobabhoist/tests/test_peer_streams.py
@@ -33,7 +33,7 @@
     asyncio.run(scenario())
 
 
-def test_abort_wakes_a_reservation_sender():
+def test_abort_wakes_a_waiting_sender():
     """Guard against a call that hangs after the receiver aborted its message."""
 
     async def scenario():
--- a/baobabhoist/upstream/link.py
+++ b/baobabhoist/upstream/link.py
@@ -21,8 +21,8 @@
 RECONNECT_DELAY_S = 0.2
 CONNECT_TIMEOUT_S = 1.0
 # The lease renewals, one per second, already detect an unresponsive worker, so the keepalive only
-# has to close connections on which no lease is renewed. More frequent pings cost a
-# fifth of a core with 400 workers.
+# has to close connections on which no lease is renewed. More frequent pings cost a fifth of a core
+# with 400 workers.
 WORKER_WEBSOCKET_OPTIONS: dict[str, Any] = WEBSOCKET_OPTIONS | {"ping_interval": 5.0}
 
 
