--- a/baobabhoist/tests/test_daemon_handover.py
+++ b/baobabhoist/tests/test_daemon_handover.py
@@ -39,12 +39,12 @@
         harness = ShardHarness(MemoryTable())
         try:
             new, sent_at = await hand_over_shard(harness, lambda: between(harness))
-            found = []
+            outcomes = []
             for name in names:
                 req = request(name, first_attempt=False, first_sent_at=sent_at)
                 result = await new.submit(req)
-                found.append("ran" if isinstance(result, Answer) else result.outcome)
-            return found
+                outcomes.append("ran" if isinstance(result, Answer) else result.outcome)
+            return outcomes
         finally:
             await harness.close()
 
--- a/baobabhoist/tests/test_daemon_takeover.py
+++ b/baobabhoist/tests/test_daemon_takeover.py
@@ -59,20 +59,20 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    with Cluster(tmp_path) as found:
-        found.start_platform()
+    with Cluster(tmp_path) as new_cluster:
+        new_cluster.start_platform()
         log = f"--log={tmp_path / 'events.jsonl'}"
-        ports = found.start_workers("workers", ["w1", "w2"], log)
-        found.add_instances({"north": ["entry-1", "entry-2"]})
-        for name in found.instances:
-            found.start_instance(name)
-        for name, cfg in found.instances.items():
+        ports = new_cluster.start_workers("workers", ["w1", "w2"], log)
+        new_cluster.add_instances({"north": ["entry-1", "entry-2"]})
+        for name in new_cluster.instances:
+            new_cluster.start_instance(name)
+        for name, cfg in new_cluster.instances.items():
             wait_for_port(cfg["admin_port"])
-            wait_until_ready(found, name)
+            wait_until_ready(new_cluster, name)
         path = tmp_path / "records.yaml"
         path.write_text(yaml.safe_dump_all(records(ports)), encoding="utf-8")
-        found.run_cli("put", "record", str(path), instance="entry-1")
-        yield found
+        new_cluster.run_cli("put", "record", str(path), instance="entry-1")
+        yield new_cluster
 
 
 def started_tasks(cluster):
