--- a/baobabhoist/daemon/escrow.py
+++ b/baobabhoist/daemon/escrow.py
@@ -356,9 +356,11 @@
             return []
         demand = self._unmet_demand(owner)
         others = self._other_digests(owner) if demand else []
-        needs = [self._team_needs(owner, team, demand.get(team, 0), others) for team in self.rows]
+        balances = [
+            self._team_balance(owner, team, demand.get(team, 0), others) for team in self.rows
+        ]
         requests = []
-        for transfer in account.planner.plan(needs, self._clock()):
+        for transfer in account.planner.plan(balances, self._clock()):
             if transfer.target != owner.shard or transfer.team in account.in_doubt:
                 continue
             if transfer.source == POOL:
@@ -399,7 +401,7 @@
             if not digest.spare.get(team) and free_slots
         }
 
-    def _team_needs(
+    def _team_balance(
         self, owner: ShardOwner, team: str, demand: int, others: Iterable[ShardDigest]
     ) -> TeamBalance:
         row = self.rows[team].row
--- a/baobabhoist/peer/mesh.py
+++ b/baobabhoist/peer/mesh.py
@@ -117,7 +117,7 @@
     def remove_peer(self, instance_id: str) -> None:
         """Remove a peer and stop connecting to it.
 
-        Call it only once the membership list has long reported the peer as gone.
+        Call it once the membership list has reported the peer as gone for the membership lag.
         """
         self.peers.pop(instance_id, None)
         link_task = self._link_tasks.pop(instance_id, None)
