--- a/baobabhoist/daemon/forwarding.py
+++ b/baobabhoist/daemon/forwarding.py
@@ -78,7 +78,7 @@
         """Return the time in Unix seconds."""
 
     def was_owned_at(self, at: float) -> bool:
-        """Return whether the shard was certainly owned here at a time; if not, start to verify it.
+        """Return whether the shard was certainly owned here at a time; else start to verify it.
 
         No worker of this shard would reject a request that a superseded owner forwards.
         """
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -158,7 +158,7 @@
         return self._clock()
 
     def was_owned_at(self, at: float) -> bool:
-        """Return whether the shard was certainly owned here at a time; if not, start to verify it."""
+        """Return whether the shard was certainly owned here at a time; else start to verify it."""
         if self.claim.is_confirmed_since(at):
             return True
         self.claim_driver.start_confirmation()
