--- a/baobabhoist/platform/http_server.py
+++ b/baobabhoist/platform/http_server.py
@@ -42,9 +42,9 @@
 class JobApiHandler(RequestHandler):
     """Handle one call to the job API."""
 
-    def initialize(self, desk: JobApi, metrics: NodeMetrics) -> None:
+    def initialize(self, job_api: JobApi, metrics: NodeMetrics) -> None:
         """Set the job API that answers calls and the metrics that count them."""
-        self._job_api = desk
+        self._job_api = job_api
         self._metrics = metrics
         self._admitted: AdmittedCall | None = None
 
@@ -157,7 +157,7 @@
     """Own the HTTP servers of one instance."""
 
     def __init__(self, node: Node) -> None:
-        job_api_args = {"desk": node.job_api, "metrics": node.metrics}
+        job_api_args = {"job_api": node.job_api, "metrics": node.metrics}
         job_api_app = Application([(r".*", JobApiHandler, job_api_args)])
         readiness_app = Application([(r"/-/ready", ReadinessHandler, {"node": node})])
         metrics_app = Application([(r"/metrics", MetricsHandler, {"node": node})])
