--- a/baobabhoist/cli/records.py
+++ b/baobabhoist/cli/records.py
@@ -81,15 +81,15 @@
 
 def _put_record(client: Client, record: dict[str, Any]) -> dict[str, Any]:
     kind, name = str(record["kind"]), str(record["name"])
-    expected_revision = record.get("revision")
-    if expected_revision is None:
-        expected_revision = _current_revision(client, kind, name)
+    base_revision = record.get("revision")
+    if base_revision is None:
+        base_revision = _current_revision(client, kind, name)
     body = {"schema_version": record["schema_version"], "body": record["body"]}
     response = client.request_json(
         "PUT",
         url_path("v1", "records", kind, name),
         _to_json_value(body),
-        **_precondition(expected_revision),
+        **_precondition(base_revision),
     )
     written = {"kind": kind, "name": name, "revision": response["revision"]}
     pending = response.get("pending_limit")
@@ -116,8 +116,8 @@
     return value
 
 
-def _precondition(expected_revision: int) -> dict[str, str]:
-    return {"If_Match": f'"{expected_revision}"'} if expected_revision else {"If_None_Match": "*"}
+def _precondition(base_revision: int) -> dict[str, str]:
+    return {"If_Match": f'"{base_revision}"'} if base_revision else {"If_None_Match": "*"}
 
 
 def _current_revision(client: Client, kind: str, name: str) -> int:
@@ -164,9 +164,9 @@
     client: Client, kind: str, name: str, revision: int | None = None
 ) -> CommandResult:
     """Delete a record at the given revision, or at the current one."""
-    expected_revision = _current_revision(client, kind, name) if revision is None else revision
+    base_revision = _current_revision(client, kind, name) if revision is None else revision
     target = url_path("v1", "records", kind, name)
-    record = client.request_json("DELETE", target, None, If_Match=f'"{expected_revision}"')
+    record = client.request_json("DELETE", target, None, If_Match=f'"{base_revision}"')
     return CommandResult(record, [f"{kind} {name} was deleted in revision {record['revision']}"])
 
 
