--- a/baobabhoist/tests/cell_harness.py
+++ b/baobabhoist/tests/cell_harness.py
@@ -1,4 +1,4 @@
-"""Drive a cell scheduler with simulated workers, without a network."""
+"""Drive a cell scheduler with fake workers, without a network."""
 
 import attrs
 
--- a/baobabhoist/tests/test_control_worker_session.py
+++ b/baobabhoist/tests/test_control_worker_session.py
@@ -12,7 +12,7 @@
 
 
 class FakeDriver:
-    """Answer renewals from a simulated worker, unless it is silent."""
+    """Pass renewals on to a fake worker, or leave them unanswered if silent."""
 
     def __init__(self, worker):
         self.worker = worker
