--- a/baobabhoist/observability/events.py
+++ b/baobabhoist/observability/events.py
@@ -82,7 +82,7 @@
     TASK_PREEMPTED = (
         5001,
         logging.INFO,
-        "preempting task {task_id} in favour of task {for_task_id}",
+        "preempting task {task_id} to free capacity for task or job {for_task_id}",
     )
     MESSAGE_DISCARDED = (6003, logging.WARNING, "discarded an invalid message: {detail}")
     LINK_REPLACED = (6004, logging.WARNING, "replacing the unresponsive link to worker {name}")
