--- a/baobabhoist/control/metrics.py
+++ b/baobabhoist/control/metrics.py
@@ -65,7 +65,7 @@
         self._calls.observe({**labels, "status": str(status)}, seconds)
 
     def count_refusal(self, reason: str) -> None:
-        """Count a refused call by reason; the log event for it is `call_refused`."""
+        """Count a refused call under its reason."""
         self._refusals.inc({"reason": self._reasons.label_for(reason)})
 
     def observe_wait(self, team: str, queue: str, waited_s: float) -> None:
