--- a/baobabhoist/platform/testing/soak_checker.py
+++ b/baobabhoist/platform/testing/soak_checker.py
@@ -172,10 +172,7 @@
 
     def _is_undisturbed(self, start: float, end: float) -> bool:
         """Return whether no fault, including its recovery, affects a time span."""
-        return all(
-            window["t"] > end or window["until"] + RECOVERY_S < start
-            for window in self._fault_windows()
-        )
+        return all(w["t"] > end or w["until"] + RECOVERY_S < start for w in self._fault_windows())
 
     def _step_completed_at(self, job: SubmittedJob, number: int) -> float:
         """Return when all tasks of a step were done; the first end ends a whole gang."""
@@ -217,10 +214,7 @@
         changes_by_worker: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
         for run in self._all_runs():
             if run.job_id in self.jobs:
-                changes_by_worker[run.worker] += [
-                    (run.start, 1, run),
-                    (run.end, -1, run),
-                ]
+                changes_by_worker[run.worker] += [(run.start, 1, run), (run.end, -1, run)]
         for worker, changes in changes_by_worker.items():
             used: Counter[str] = Counter()
             for t, sign, run in sorted(changes, key=lambda change: change[:2]):
@@ -302,11 +296,9 @@
             job = self.jobs.get(task.partition(".")[0])
             if job is None:
                 continue
-            failure_times = sorted(
-                r.end for r in runs if r.outcome == "failed" and r.acked_at < INF
-            )
-            if len(failure_times) >= job.attempts:
-                last_failure = failure_times[job.attempts - 1]
+            failures = sorted(r.end for r in runs if r.outcome == "failed" and r.acked_at < INF)
+            if len(failures) >= job.attempts:
+                last_failure = failures[job.attempts - 1]
                 late_runs = [r for r in runs if r.start > last_failure + TIMESTAMP_TOLERANCE_S]
                 self._check(
                     "BUDGET", not late_runs, f"{task} starts after {job.attempts} failures"
@@ -344,15 +336,13 @@
                     "UNASKED", not starts_late, f"{run.task_id} starts after its cancellation"
                 )
                 stop_deadline = cancelled_at + CANCEL_DEADLINE_S + RUN_STOP_DEADLINE_S
-                is_still_running = (
+                is_running = (
                     run.end > stop_deadline
                     and run.start < stop_deadline
                     and self._is_undisturbed(cancelled_at, stop_deadline)
                 )
                 self._check(
-                    "UNASKED",
-                    not is_still_running,
-                    f"{run.task_id} still runs after its cancellation",
+                    "UNASKED", not is_running, f"{run.task_id} still runs after its cancellation"
                 )
 
     def _check_refused_jobs(self) -> None:
@@ -405,9 +395,7 @@
         is_lost = entry["status"] == 410 and entry["t"] > accepted_at + JOB_VISIBLE_DEADLINE_S
         self._check("LOST", not is_lost, f"{job.job_id} was unknown at {t:.3f}")
         if state == "completed":
-            holds = all(
-                self._step_completed_at(job, number) <= t for number in range(len(job.steps))
-            )
+            holds = all(self._step_completed_at(job, n) <= t for n in range(len(job.steps)))
             self._check(
                 "MIXED", holds, f"{job.job_id} was reported as completed too early, at {t:.3f}"
             )
@@ -487,13 +475,9 @@
                         not lacks_response or bool(other_windows),
                         f"{entry['job']} got no response during a stop",
                     )
-        for stopped in (e for e in self.driver_log if e["event"] == "stopped"):
-            holds = stopped["code"] is not None or not self._is_undisturbed(
-                stopped["t"], stopped["t"]
-            )
-            self._check(
-                "LOST", holds, f"{stopped['instance']} did not stop within the grace period"
-            )
+        for entry in (e for e in self.driver_log if e["event"] == "stopped"):
+            holds = entry["code"] is not None or not self._is_undisturbed(entry["t"], entry["t"])
+            self._check("LOST", holds, f"{entry['instance']} did not stop within the grace period")
 
     def check_completion(self, final_states: dict[str, str]) -> None:
         """Check that every accepted job has reached a final state."""
