--- a/baobabhoist/daemon/adoption.py
+++ b/baobabhoist/daemon/adoption.py
@@ -101,7 +101,7 @@
         if not self._adopted.remove(worker, task_id):
             return
         owner = self._owner
-        outcome = await owner.dispatcher.resolve_outcome(task_id, float("inf"), worker)
+        outcome = await owner.dispatcher.find_outcome(task_id, float("inf"), worker)
         if isinstance(outcome, Superseded):
             return
         self._release(task_id, isinstance(outcome, Completed) and outcome.succeeded)
--- a/baobabhoist/daemon/answers.py
+++ b/baobabhoist/daemon/answers.py
@@ -20,14 +20,14 @@
 # longest retention of a key, would exhaust the memory of a small VM.
 MAX_KEPT_BODY_BYTES = 4096
 
-ResolveOutcome = Callable[[str, float, str], Awaitable[DispatchOutcome]]
+FindOutcome = Callable[[str, float, str], Awaitable[DispatchOutcome]]
 
 
 @attrs.define
 class AnswerStore:
     """Track which worker stores the body of an answer that is not kept here."""
 
-    resolve: ResolveOutcome
+    find_outcome: FindOutcome
     worker_by_request: dict[str, str] = attrs.Factory(dict)
 
     def strip_body(self, request_id: str, result: Result, worker: str) -> Result:
@@ -49,7 +49,7 @@
         if worker is None or not isinstance(result, Answer):
             return result
         deadline = max(req.task.deadline, time.time())
-        outcome = await self.resolve(req.request_id, deadline, worker)
+        outcome = await self.find_outcome(req.request_id, deadline, worker)
         if isinstance(outcome, Completed):
             return completed_result(req.request_id, outcome.succeeded, outcome.body)
         return outcome_unknown_refusal("the request ran, and its answer is no longer stored")
--- a/baobabhoist/daemon/claim_driver.py
+++ b/baobabhoist/daemon/claim_driver.py
@@ -80,9 +80,7 @@
     def on_state_changed(self, state: ClaimState) -> None:
         """Handle a new state of the claim."""
 
-    def on_inventory(
-        self, worker: str, running: list[RunningTask], ended: list[EndedTask]
-    ) -> None:
+    def on_inventory(self, worker: str, running: list[RunningTask], ends: list[EndedTask]) -> None:
         """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
 
     def end_watermark(self) -> int:
@@ -176,7 +174,7 @@
         """Return whether this token directly preceded this claim's tokens on every worker."""
         return all(self._previous_tokens.get(worker) == token for worker in self.claim.workers)
 
-    async def confirm_owned_at(self, at: float) -> bool:
+    async def verify_owned(self, at: float) -> bool:
         """Return whether this instance certainly owned the shard at a time; may call workers."""
         for _ in range(CONFIRM_ATTEMPTS):
             if self.claim.is_confirmed_since(at) or self.ended.is_set():
--- a/baobabhoist/daemon/dispatch.py
+++ b/baobabhoist/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Send placed tasks to workers and resolve their outcomes."""
+"""Send placed tasks to workers and find their outcomes."""
 
 from __future__ import annotations
 
@@ -154,12 +154,12 @@
         except MessageNotSentError:
             return NotStarted("the worker is not connected")
         except (LinkClosedError, TimeoutError):
-            return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
+            return await self.find_outcome(task.task_id, task.deadline, worker, restarts)
         match reply:
             case TaskEnded():
                 return Completed(reply.succeeded, reply.body, reply.token == self._token())
             case TaskRefused(reason="duplicate"):
-                return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
+                return await self.find_outcome(task.task_id, task.deadline, worker, restarts)
             case TaskRefused():
                 return NotStarted(reply.reason)
             case TokenRefused():
@@ -170,9 +170,9 @@
         log.error(
             "worker %s sent an unexpected reply to RunTask: %s", worker, type(reply).__name__
         )
-        return await self.resolve_outcome(task.task_id, task.deadline, worker, restarts)
+        return await self.find_outcome(task.task_id, task.deadline, worker, restarts)
 
-    async def resolve_outcome(
+    async def find_outcome(
         self, task_id: str, deadline: float, worker: str, restarts: int | None = None
     ) -> DispatchOutcome:
         """Query the worker for the outcome of a task until it is known or the lease expires.
--- a/baobabhoist/daemon/requests.py
+++ b/baobabhoist/daemon/requests.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Container
 
-from baobabhoist.daemon.answers import AnswerStore, ResolveOutcome
+from baobabhoist.daemon.answers import AnswerStore, FindOutcome
 from baobabhoist.daemon.dispatch import not_owner_refusal, outcome_unknown_refusal
 from baobabhoist.daemon.forwarding import FORWARD_DELAY_S, PendingRequest
 from baobabhoist.errors import InvariantViolationError, Refusal
@@ -24,12 +24,12 @@
         self,
         shard: str,
         keys: RequestKeyLedger,
-        resolve: ResolveOutcome,
+        find_outcome: FindOutcome,
         clock: Callable[[], float],
     ) -> None:
         self.pending: dict[str, PendingRequest] = {}
         self.keys = keys
-        self.answers = AnswerStore(resolve)
+        self.answers = AnswerStore(find_outcome)
         self._shard = shard
         self._clock = clock
 
--- a/baobabhoist/daemon/shard_owner.py
+++ b/baobabhoist/daemon/shard_owner.py
@@ -24,10 +24,7 @@
     outcome_unknown_refusal,
     result_of_outcome,
 )
-from baobabhoist.daemon.forwarding import (
-    Forwarder,
-    ForwardRequest,
-)
+from baobabhoist.daemon.forwarding import Forwarder, ForwardRequest
 from baobabhoist.daemon.handover import (
     MAX_HAND_OVER_AGE_S,
     SendHandOver,
@@ -91,8 +88,7 @@
         self.scheduler.queues.is_class_full = self.shard_quota.is_class_full
         self.leaving_workers: set[str] = set()
         self.cancelled_until: dict[str, float] = {}
-        # Tasks that a worker was told to stop. Their end says nothing about the health of the
-        # worker or the size of the task.
+        # Tasks told to stop. Their end says nothing about the worker's health or the task's size.
         self.stopping_tasks: set[str] = set()
         self._read_escrow = read_escrow
         self._send_hand_over = send_hand_over
@@ -117,22 +113,18 @@
             self.claim_driver.on_token_refused,
             clock,
         )
-        self.requests = RequestRegistry(
-            self.shard, self.keys, self.dispatcher.resolve_outcome, clock
-        )
+        self.requests = RequestRegistry(self.shard, self.keys, self.dispatcher.find_outcome, clock)
         self.pending = self.requests.pending
         self.forwarder = Forwarder(self, forward)
 
     async def run(self) -> None:
-        """Claim and serve the shard; return when it is lost, released or handed over.
-
-        Calls in flight to workers are awaited first, so that no caller loses its answer.
-        """
+        """Claim and serve the shard; return when it is lost, released or handed over."""
         self.pool.start()
         tick_task = asyncio.create_task(self._run_ticks())
         try:
             await self.claim_driver.run()
             self._drop_unfinished()
+            # Calls in flight to workers are awaited, so that no caller loses its answer.
             while self._tasks and (self.in_flight or self.forwarder.forwarded_ids()):
                 await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -179,12 +171,8 @@
 
     async def _confirm_not_run(self, req: Request, result: Result) -> Result:
         """Replace a `not_run` if another owner may run a copy of the request by now."""
-        is_not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
-        if (
-            not is_not_run
-            or req.first_attempt
-            or await self.claim_driver.confirm_owned_at(self._clock())
-        ):
+        not_run = isinstance(result, Refusal) and result.outcome is Outcome.NOT_RUN
+        if not not_run or req.first_attempt or await self.claim_driver.verify_owned(self._clock()):
             return result
         return not_owner_refusal(self.shard, Outcome.UNKNOWN)
 
@@ -331,11 +319,9 @@
             self._begin_ownership()
         self.refresh_escrow()
 
-    def on_inventory(
-        self, worker: str, running: list[RunningTask], ended: list[EndedTask]
-    ) -> None:
+    def on_inventory(self, worker: str, running: list[RunningTask], ends: list[EndedTask]) -> None:
         """Handle the inventory of a newly fenced worker, before work is dispatched to it."""
-        self.adoption.adopt_inventory(worker, running, ended)
+        self.adoption.adopt_inventory(worker, running, ends)
 
     def on_leases_renewed(self, worker: str, reply: LeasesRenewed, watermark: int) -> None:
         """Confirm ended tasks, and compare a worker's running tasks with the adopted ones."""
@@ -370,10 +356,8 @@
         emit(log, Event.HAND_OVER_STARTED, shard=self.shard, instance_id=successor)
         self._was_handed_over = True
         self.forwarder.mark_forwarded_dispatched()
-        message = build_hand_over(
-            self.shard, token, self.claim.instance_id, self.keys, self.pending
-        )
-        return await self._send_hand_over(successor, message)
+        offer = build_hand_over(self.shard, token, self.claim.instance_id, self.keys, self.pending)
+        return await self._send_hand_over(successor, offer)
 
     # Events from this instance.
 
@@ -465,14 +449,12 @@
         After a planned hand-over the previous owner's knowledge carries over, provided that there
         was no owner in between and that the sender cannot have resumed ownership since.
         """
-        now, message = self._clock(), self._inherited
-        if message is None or message.known_since is None:
+        now, prior = self._clock(), self._inherited
+        if prior is None or prior.known_since is None:
             return now
-        is_fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
+        fresh = now - self._inherited_at <= MAX_HAND_OVER_AGE_S
         return (
-            message.known_since
-            if is_fresh and self.claim_driver.directly_follows(message.token)
-            else now
+            prior.known_since if fresh and self.claim_driver.directly_follows(prior.token) else now
         )
 
     def _begin_ownership(self) -> None:
